--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -7,6 +7,7 @@
 #![allow(dead_code)]
 
 mod cloud;
+mod digest;
 pub mod observer;
 pub mod replicas;
 pub mod scenes;
@@ -14,6 +15,7 @@
 mod users;
 mod workers;
 
+use digest::Digest;
 use lilacfork::msg::{
     Call, CallError, CallId, ConnId, Effect, Now, Outcome, Port, Reply, Request, Target,
 };
@@ -260,6 +262,8 @@
     recounts: u64,
     /// Jobs whose replicas span machines.
     pub watched: BTreeMap<String, replicas::Watched>,
+    /// What the controllers send, if a digest of it was asked for.
+    digest: Option<Digest>,
 }
 
 impl World {
@@ -334,6 +338,7 @@
             redirects: Vec::new(),
             cuts: Vec::new(),
             slow: HashMap::new(),
+            digest: Digest::from_environment(),
         };
         for n in 0..nodes {
             world.nodes.push(None);
@@ -414,6 +419,9 @@
 
     fn effects(&mut self, n: usize, out: Vec<Effect>) {
         for effect in out {
+            if let Some(digest) = &mut self.digest {
+                digest.add(self.now, n, &effect);
+            }
             match effect {
                 Effect::Reply(conn, reply) => self.replied(n, conn, reply),
                 Effect::Call(id, call) => self.called(n, id, call),
