--- a/benches/events.rs
+++ b/benches/events.rs
@@ -1,17 +1,17 @@
 //! What one event costs a leader of a full fleet: time, allocations and bytes.
 //! `cargo bench` prints them; only the counts are the same everywhere.
 
-#[path = "../tests/world/mod.rs"]
-mod world;
+#[path = "../tests/simulation/mod.rs"]
+mod simulation;
 
 use divan::{AllocProfiler, Bencher};
-use lilacfork::msg::{ConnId, Effect, Now, Port, Request};
+use lilacfork::messages::{ConnectionId, Effect, Listener, Now, Request};
 use lilacfork::node::Node;
 use lilacfork::reactor::Handler;
 use serde_json::Value;
+use simulation::fixtures::full_fleet;
+use simulation::service;
 use std::cell::RefCell;
-use world::scenes::full_fleet;
-use world::service;
 
 #[global_allocator]
 static ALLOC: AllocProfiler = AllocProfiler::system();
@@ -54,8 +54,8 @@
     fn request(&mut self, request: Request) {
         self.node.request(
             self.now,
-            ConnId(1),
-            Port::Client,
+            ConnectionId(1),
+            Listener::Client,
             request,
             &mut self.effects,
         );
--- a/common/src/faults.rs
+++ b/common/src/faults.rs
@@ -10,29 +10,29 @@
 
 /// After so many failed tasks a machine gets no new work. Two of one job count
 /// as well: a faulty machine fails all of them.
-const FAILURES_TO_AVOID: usize = 2;
+const FAILURES_TO_CORDON: usize = 2;
 
 /// A job none of whose tasks has succeeded, and that failed on so many
 /// machines, is itself at fault.
-const MACHINES_TO_OPEN: usize = 3;
+const FAILED_MACHINES_TO_OPEN: usize = 3;
 
 /// The pause before the first probe of an open breaker, as a share of the
 /// workers' report interval.
-const FIRST_PAUSE_REPORTS: f64 = 0.5;
+const FIRST_PAUSE_HEARTBEATS: f64 = 0.5;
 
 /// The pause doubles with every failed probe, so many times at most.
-const MOST_DOUBLINGS: u32 = 7;
+const MAX_DOUBLINGS: u32 = 7;
 
 /// What speaks against a machine. A task that succeeds there clears it.
 #[derive(Clone, Debug, Default)]
-pub struct FaultEvidence {
+pub struct MachineFaults {
     /// The job of each task that failed here.
     jobs: Vec<JobId>,
     /// One of these jobs has succeeded elsewhere, so the fault isn't its own.
     certain: bool,
 }
 
-impl FaultEvidence {
+impl MachineFaults {
     /// A task of this job failed, or ran far too slowly. `job_succeeds`: other
     /// tasks of the job have succeeded.
     pub fn add(&mut self, job: &JobId, job_succeeds: bool) {
@@ -42,11 +42,11 @@
 
     /// A task succeeded here.
     pub fn clear(&mut self) {
-        *self = FaultEvidence::default();
+        *self = MachineFaults::default();
     }
 
     /// The job turned out to be at fault itself, or ended without success.
-    pub fn forgive(&mut self, job: &JobId) {
+    pub fn exonerate(&mut self, job: &JobId) {
         self.jobs.retain(|blaming| blaming != job);
         if self.jobs.is_empty() {
             self.certain = false;
@@ -59,15 +59,15 @@
     }
 
     /// The machine should get no new work.
-    pub fn suspect(&self) -> bool {
-        self.jobs.len() >= FAILURES_TO_AVOID
+    pub fn is_suspect(&self) -> bool {
+        self.jobs.len() >= FAILURES_TO_CORDON
     }
 
     /// The machine should be returned: as far as one can tell, the fault can't
     /// be a single job's.
-    pub fn faulty(&self) -> bool {
+    pub fn is_faulty(&self) -> bool {
         let several_jobs = self.jobs.iter().any(|job| *job != self.jobs[0]);
-        self.suspect() && (self.certain || several_jobs)
+        self.is_suspect() && (self.certain || several_jobs)
     }
 }
 
@@ -76,7 +76,7 @@
 /// task at a time probes whether it can succeed, with growing pauses, and
 /// nothing is rented, stopped or moved for it. The first success closes it.
 #[derive(Clone, Debug, Default)]
-pub struct FailureHistory {
+pub struct CircuitBreaker {
     machines: BTreeSet<MachineId>,
     succeeded: bool,
     /// An earlier leader found the breaker open.
@@ -86,22 +86,22 @@
     retry_at_ms: u64,
 }
 
-impl FailureHistory {
+impl CircuitBreaker {
     /// A task failed on this machine. `last`: no other task of the job is on
     /// any machine, so the next one is a probe.
-    pub fn failed(&mut self, now_ms: u64, machine: &MachineId, last: bool, report_ms: u64) {
+    pub fn record_failure(&mut self, now_ms: u64, machine: &MachineId, last: bool, report_ms: u64) {
         self.machines.insert(machine.clone());
         if !self.is_open() || !last {
             return;
         }
-        let first_ms = (report_ms as f64 * FIRST_PAUSE_REPORTS) as u64;
-        let pause_ms = first_ms << self.failed_probes.min(MOST_DOUBLINGS);
+        let first_ms = (report_ms as f64 * FIRST_PAUSE_HEARTBEATS) as u64;
+        let pause_ms = first_ms << self.failed_probes.min(MAX_DOUBLINGS);
         self.failed_probes += 1;
         self.retry_at_ms = now_ms + pause_ms;
     }
 
     /// A task succeeded. Tells whether it is the first.
-    pub fn succeeded(&mut self) -> bool {
+    pub fn record_success(&mut self) -> bool {
         self.failed_probes = 0;
         self.inherited_open = false;
         !std::mem::replace(&mut self.succeeded, true)
@@ -114,16 +114,16 @@
 
     /// Whether the job is taken to be at fault itself.
     pub fn is_open(&self) -> bool {
-        !self.succeeded && (self.inherited_open || self.machines.len() >= MACHINES_TO_OPEN)
+        !self.succeeded && (self.inherited_open || self.machines.len() >= FAILED_MACHINES_TO_OPEN)
     }
 
     /// Nothing of the job is placed before then.
-    pub fn delay_until(&mut self, at_ms: u64) {
+    pub fn defer_until(&mut self, at_ms: u64) {
         self.retry_at_ms = self.retry_at_ms.max(at_ms);
     }
 
     /// Whether a task of the job may be placed now.
-    pub fn may_retry(&self, now_ms: u64) -> bool {
+    pub fn allows_attempt(&self, now_ms: u64) -> bool {
         now_ms >= self.retry_at_ms
     }
 
--- a/common/src/ids.rs
+++ b/common/src/ids.rs
@@ -68,7 +68,7 @@
 );
 number!(
     /// A worker's session; it grows when the worker's lease expires.
-    Session
+    AgentEpoch
 );
 number!(
     /// A revision of the state service.
@@ -80,25 +80,25 @@
 );
 number!(
     /// What workers compare: (term, sequence) in one integer.
-    Token
+    FencingToken
 );
 
 /// Bits of a token that hold the leader's own sequence. Twenty leave the whole
 /// token exact even for a peer that reads numbers as doubles, for 2^33 terms.
 const SEQUENCE_BITS: u32 = 20;
 
-impl Token {
+impl FencingToken {
     /// The token of a term with this sequence number.
     pub fn new(term: Term, sequence: u64) -> Self {
-        Token((term.0 << SEQUENCE_BITS) | (sequence & ((1 << SEQUENCE_BITS) - 1)))
+        FencingToken((term.0 << SEQUENCE_BITS) | (sequence & ((1 << SEQUENCE_BITS) - 1)))
     }
     /// The term that it belongs to.
     pub fn term(self) -> Term {
         Term(self.0 >> SEQUENCE_BITS)
     }
     /// The next token of the same term; `None` when the term's are used up.
-    pub fn raised(self) -> Option<Token> {
-        let next = Token(self.0 + 1);
+    pub fn next(self) -> Option<FencingToken> {
+        let next = FencingToken(self.0 + 1);
         (next.term() == self.term()).then_some(next)
     }
 }
--- a/common/src/resources.rs
+++ b/common/src/resources.rs
@@ -1,7 +1,7 @@
 //! Amounts of a machine, or of what a task takes of it.
 
 /// Rounding of decimal amounts must not turn a machine away.
-const SLOP: f64 = 1e-6;
+const ROUNDING_TOLERANCE: f64 = 1e-6;
 
 /// Amounts of a machine, or of what a task takes of it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -16,10 +16,10 @@
 
 impl Resources {
     /// Whether this much is there.
-    pub fn holds(&self, need: &Resources) -> bool {
-        need.cpus <= self.cpus + SLOP
-            && need.gpus <= self.gpus + SLOP
-            && need.memory_gb <= self.memory_gb + SLOP
+    pub fn covers(&self, need: &Resources) -> bool {
+        need.cpus <= self.cpus + ROUNDING_TOLERANCE
+            && need.gpus <= self.gpus + ROUNDING_TOLERANCE
+            && need.memory_gb <= self.memory_gb + ROUNDING_TOLERANCE
     }
     /// Adds to it.
     pub fn add(&mut self, other: &Resources) {
@@ -36,16 +36,16 @@
         }
     }
     /// Takes from it.
-    pub fn take(&mut self, other: &Resources) {
+    pub fn subtract(&mut self, other: &Resources) {
         self.cpus -= other.cpus;
         self.gpus -= other.gpus;
         self.memory_gb -= other.memory_gb;
     }
     /// How many times `need` goes in here.
-    pub fn times(&self, need: &Resources) -> u32 {
+    pub fn count_of(&self, need: &Resources) -> u32 {
         let ratio = |have: f64, want: f64| {
             if want > 0.0 {
-                (have + SLOP) / want
+                (have + ROUNDING_TOLERANCE) / want
             } else {
                 f64::INFINITY
             }
@@ -56,7 +56,7 @@
         n.min(f64::from(u32::MAX)).max(0.0) as u32
     }
     /// The share of `whole` that this takes, by the scarcest amount.
-    pub fn share_of(&self, whole: &Resources) -> f64 {
+    pub fn dominant_share(&self, whole: &Resources) -> f64 {
         let part = |x: f64, y: f64| if y > 0.0 { x / y } else { 0.0 };
         part(self.cpus, whole.cpus)
             .max(part(self.gpus, whole.gpus))
--- a/pipelines/src/graph.rs
+++ b/dependencies/src/graph.rs
@@ -5,15 +5,15 @@
 
 /// The needs that aren't known to be done yet, and the same seen from the other end.
 #[derive(Clone, Default, Debug)]
-pub struct Graph {
+pub struct DependencyGraph {
     open: HashMap<JobId, BTreeSet<JobId>>,
     dependents: HashMap<JobId, BTreeSet<JobId>>,
 }
 
-impl Graph {
+impl DependencyGraph {
     /// Forgets everything.
     pub fn clear(&mut self) {
-        *self = Graph::default();
+        *self = DependencyGraph::default();
     }
 
     /// A job that needs these.
@@ -30,17 +30,17 @@
     }
 
     /// Whether the job needs something that isn't known to be done.
-    pub fn waits(&self, job: &JobId) -> bool {
+    pub fn is_blocked(&self, job: &JobId) -> bool {
         self.open.contains_key(job)
     }
 
     /// Whether anything needs this job.
-    pub fn is_needed(&self, job: &JobId) -> bool {
+    pub fn has_dependents(&self, job: &JobId) -> bool {
         self.dependents.contains_key(job)
     }
 
     /// What the job needs and isn't known to be done.
-    pub fn needs_of(&self, job: &JobId) -> impl Iterator<Item = &JobId> {
+    pub fn open_dependencies_of(&self, job: &JobId) -> impl Iterator<Item = &JobId> {
         self.open.get(job).into_iter().flatten()
     }
 
@@ -72,7 +72,7 @@
     }
 
     /// The job is over, or is known to have all that it needs.
-    pub fn forget_needs(&mut self, job: &JobId) {
+    pub fn remove_dependencies(&mut self, job: &JobId) {
         for need in self.open.remove(job).unwrap_or_default() {
             if let Some(dependents) = self.dependents.get_mut(&need) {
                 dependents.remove(job);
--- a/pipelines/src/urgency.rs
+++ b/dependencies/src/propagation.rs
@@ -9,29 +9,33 @@
     pub priority: P,
     /// The times of day by which it should be done, in milliseconds, in order: if the
     /// first can't be kept any more, the next one still means something. Empty: none.
-    pub dates: Vec<u64>,
+    pub deadlines: Vec<u64>,
 }
 
 impl<P: Ord + Copy> StageUrgency<P> {
     /// How urgent a job is that has to be done before one like this, which takes so
     /// long.
-    pub fn before(&self, takes_ms: u64) -> StageUrgency<P> {
-        let dates = self.dates.iter();
+    pub fn for_predecessor(&self, takes_ms: u64) -> StageUrgency<P> {
+        let dates = self.deadlines.iter();
         StageUrgency {
             priority: self.priority,
-            dates: dates.map(|date| date.saturating_sub(takes_ms)).collect(),
+            deadlines: dates.map(|date| date.saturating_sub(takes_ms)).collect(),
         }
     }
 
     /// The more important priority of both, and the dates that come first.
-    pub fn and(self, other: StageUrgency<P>) -> StageUrgency<P> {
-        let sooner = match (self.dates.first(), other.dates.first()) {
+    pub fn merge(self, other: StageUrgency<P>) -> StageUrgency<P> {
+        let sooner = match (self.deadlines.first(), other.deadlines.first()) {
             (Some(own), Some(others)) => own <= others,
             (own, _) => own.is_some(),
         };
         StageUrgency {
             priority: self.priority.min(other.priority),
-            dates: if sooner { self.dates } else { other.dates },
+            deadlines: if sooner {
+                self.deadlines
+            } else {
+                other.deadlines
+            },
         }
     }
 }
--- a/pipelines/src/standing.rs
+++ b/dependencies/src/status.rs
@@ -8,7 +8,7 @@
 
 /// What is known of a job by the records.
 #[derive(Clone, Copy, Debug)]
-pub enum Known<'a> {
+pub enum DependencyState<'a> {
     /// It is over, and done.
     Done,
     /// Its record says that it is cancelled, or it is over and was.
@@ -21,7 +21,7 @@
 
 /// How a job stands by the jobs that it needs.
 #[derive(Clone, PartialEq, Eq, Debug)]
-pub enum Verdict {
+pub enum DependencyStatus {
     /// All of them are done.
     Ready,
     /// Some aren't done yet, none is cancelled.
@@ -34,7 +34,10 @@
 
 /// Judges a job by its needs. Looks at each job at most once, and not beyond jobs
 /// that are over.
-pub fn judge<'a>(needs: &'a [JobId], known: impl Fn(&JobId) -> Known<'a>) -> Verdict {
+pub fn dependency_status<'a>(
+    needs: &'a [JobId],
+    known: impl Fn(&JobId) -> DependencyState<'a>,
+) -> DependencyStatus {
     let mut seen: HashSet<&JobId> = HashSet::new();
     let mut left: Vec<&JobId> = needs.iter().collect();
     let mut unread = Vec::new();
@@ -44,18 +47,18 @@
             continue;
         }
         match known(job) {
-            Known::Done => {}
-            Known::Cancelled => return Verdict::Cancelled,
-            Known::Unfinished(further) => {
+            DependencyState::Done => {}
+            DependencyState::Cancelled => return DependencyStatus::Cancelled,
+            DependencyState::Unfinished(further) => {
                 waits = true;
                 left.extend(further);
             }
-            Known::Unread => unread.push(job.clone()),
+            DependencyState::Unread => unread.push(job.clone()),
         }
     }
     match (unread.is_empty(), waits) {
-        (false, _) => Verdict::Unread(unread),
-        (true, true) => Verdict::Waiting,
-        (true, false) => Verdict::Ready,
+        (false, _) => DependencyStatus::Unread(unread),
+        (true, true) => DependencyStatus::Waiting,
+        (true, false) => DependencyStatus::Ready,
     }
 }
--- a/pipelines/src/needs.rs
+++ b/dependencies/src/validation.rs
@@ -6,7 +6,7 @@
 
 /// What is wrong with the jobs that a submission names as needed.
 #[derive(Clone, PartialEq, Eq, Debug, Error)]
-pub enum NeedsError {
+pub enum DependencyError {
     /// A job can't wait for itself.
     #[error("a job can't need itself")]
     Itself,
@@ -18,14 +18,14 @@
 /// Checks the names that a submission needs. That each is the name of a job that was
 /// accepted is for the records to say; since only accepted jobs may be named, and a
 /// job's needs never change, nothing can come to need itself through others.
-pub fn check(own: &JobId, needs: &[JobId]) -> Result<(), NeedsError> {
+pub fn validate(own: &JobId, needs: &[JobId]) -> Result<(), DependencyError> {
     let mut seen = HashSet::new();
     for need in needs {
         if need == own {
-            return Err(NeedsError::Itself);
+            return Err(DependencyError::Itself);
         }
         if !seen.insert(need) {
-            return Err(NeedsError::Twice(need.clone()));
+            return Err(DependencyError::Twice(need.clone()));
         }
     }
     Ok(())
--- a/pipelines/tests/pipelines.rs
+++ b/dependencies/tests/dependencies.rs
@@ -1,10 +1,10 @@
 //! Needs, standing, graph and urgency, against the plainest way to say the same.
 
 use lilacfork_common::ids::JobId;
-use lilacfork_pipelines::graph::Graph;
-use lilacfork_pipelines::needs::{check, NeedsError};
-use lilacfork_pipelines::standing::{judge, Known, Verdict};
-use lilacfork_pipelines::urgency::StageUrgency;
+use lilacfork_dependencies::graph::DependencyGraph;
+use lilacfork_dependencies::propagation::StageUrgency;
+use lilacfork_dependencies::status::{dependency_status, DependencyState, DependencyStatus};
+use lilacfork_dependencies::validation::{validate, DependencyError};
 use proptest::prelude::*;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -15,11 +15,14 @@
 
 #[test]
 fn what_may_be_named() {
-    assert_eq!(check(&id(0), &[]), Ok(()));
-    assert_eq!(check(&id(0), &[id(1), id(2)]), Ok(()));
-    assert_eq!(check(&id(0), &[id(1), id(0)]), Err(NeedsError::Itself));
-    let twice = check(&id(0), &[id(1), id(2), id(1)]);
-    assert_eq!(twice, Err(NeedsError::Twice(id(1))));
+    assert_eq!(validate(&id(0), &[]), Ok(()));
+    assert_eq!(validate(&id(0), &[id(1), id(2)]), Ok(()));
+    assert_eq!(
+        validate(&id(0), &[id(1), id(0)]),
+        Err(DependencyError::Itself)
+    );
+    let twice = validate(&id(0), &[id(1), id(2), id(1)]);
+    assert_eq!(twice, Err(DependencyError::Twice(id(1))));
 }
 
 /// What is known of a job in a drawn pipeline.
@@ -82,13 +85,13 @@
             drawn.iter().enumerate().map(|(n, job)| (id(n), job.clone())).collect();
         for (_, needs) in &drawn {
             let looked = RefCell::new(BTreeMap::<JobId, u32>::new());
-            let verdict = judge(needs, |need| {
+            let verdict = dependency_status(needs, |need| {
                 *looked.borrow_mut().entry(need.clone()).or_default() += 1;
                 match &jobs[need] {
-                    (Drawn::Done, _) => Known::Done,
-                    (Drawn::Cancelled, _) => Known::Cancelled,
-                    (Drawn::Unfinished, further) => Known::Unfinished(further),
-                    (Drawn::Unread, _) => Known::Unread,
+                    (Drawn::Done, _) => DependencyState::Done,
+                    (Drawn::Cancelled, _) => DependencyState::Cancelled,
+                    (Drawn::Unfinished, further) => DependencyState::Unfinished(further),
+                    (Drawn::Unread, _) => DependencyState::Unread,
                 }
             });
             prop_assert!(looked.borrow().values().all(|times| *times == 1));
@@ -96,17 +99,17 @@
             let any = |state| all.iter().any(|need| jobs[need].0 == state);
             let unread = || all.iter().filter(|need| jobs[*need].0 == Drawn::Unread).cloned();
             match verdict {
-                Verdict::Cancelled => prop_assert!(any(Drawn::Cancelled)),
-                Verdict::Unread(named) => {
+                DependencyStatus::Cancelled => prop_assert!(any(Drawn::Cancelled)),
+                DependencyStatus::Unread(named) => {
                     prop_assert!(!any(Drawn::Cancelled));
                     let named: BTreeSet<JobId> = named.into_iter().collect();
                     prop_assert_eq!(named, unread().collect::<BTreeSet<_>>());
                 }
-                Verdict::Waiting => {
+                DependencyStatus::Waiting => {
                     prop_assert!(!any(Drawn::Cancelled) && !any(Drawn::Unread));
                     prop_assert!(any(Drawn::Unfinished));
                 }
-                Verdict::Ready => {
+                DependencyStatus::Ready => {
                     prop_assert!(all.iter().all(|need| jobs[need].0 == Drawn::Done));
                 }
             }
@@ -120,7 +123,7 @@
         drawn in pipelines(),
         steps in proptest::collection::vec((0..3, any::<prop::sample::Index>()), 0..60),
     ) {
-        let mut graph = Graph::default();
+        let mut graph = DependencyGraph::default();
         let mut open: BTreeMap<JobId, BTreeSet<JobId>> = BTreeMap::new();
         for (step, index) in steps {
             let n = index.index(drawn.len());
@@ -141,20 +144,20 @@
                     prop_assert_eq!(told, ready);
                 }
                 _ => {
-                    graph.forget_needs(&job);
+                    graph.remove_dependencies(&job);
                     open.remove(&job);
                 }
             }
             for n in 0..drawn.len() {
                 let job = id(n);
                 let waits = open.get(&job).is_some_and(|needs| !needs.is_empty());
-                prop_assert_eq!(graph.waits(&job), waits);
+                prop_assert_eq!(graph.is_blocked(&job), waits);
                 let direct: BTreeSet<JobId> = open
                     .iter()
                     .filter(|(_, needs)| needs.contains(&job))
                     .map(|(dependent, _)| dependent.clone())
                     .collect();
-                prop_assert_eq!(graph.is_needed(&job), !direct.is_empty());
+                prop_assert_eq!(graph.has_dependents(&job), !direct.is_empty());
                 let mut all = direct.clone();
                 while let Some(next) = open.iter().find(|(dependent, needs)| {
                     !all.contains(*dependent) && needs.iter().any(|need| all.contains(need))
@@ -173,18 +176,22 @@
 fn urgency_is_that_of_whoever_is_due_first() {
     let urgency = |priority: u32, dates: &[u64]| StageUrgency {
         priority,
-        dates: dates.to_vec(),
+        deadlines: dates.to_vec(),
     };
     let report = urgency(1, &[1000, 1500]);
-    assert_eq!(report.before(400), urgency(1, &[600, 1100]));
-    assert_eq!(report.before(1200).dates, [0, 300], "it is late already");
+    assert_eq!(report.for_predecessor(400), urgency(1, &[600, 1100]));
+    assert_eq!(
+        report.for_predecessor(1200).deadlines,
+        [0, 300],
+        "it is late already"
+    );
     for (other, all) in [
         (urgency(3, &[]), urgency(1, &[1000, 1500])),
         (urgency(0, &[]), urgency(0, &[1000, 1500])),
         (urgency(2, &[900]), urgency(1, &[900])),
         (urgency(0, &[1100]), urgency(0, &[1000, 1500])),
     ] {
-        assert_eq!(report.clone().and(other.clone()), all);
-        assert_eq!(other.and(report.clone()), all);
+        assert_eq!(report.clone().merge(other.clone()), all);
+        assert_eq!(other.merge(report.clone()), all);
     }
 }
--- a/scale/src/checker.rs
+++ b/loadtest/src/checker.rs
@@ -2,7 +2,7 @@
 //! happened on machines, and nothing of how the controllers work.
 
 use crate::history::{Entry, Event, Verb};
-use crate::replicas::{ReplicaFigures, Replicas};
+use crate::replica_groups::{ReplicaFigures, Replicas};
 use crate::scenario::Scenario;
 use lilacfork::ids::TaskRef;
 use lilacfork::wire::JobSpec;
@@ -241,7 +241,11 @@
             }
         }
         self.not_cancelled(at_us, &job, name);
-        if !spec.needs.iter().all(|need| self.is_done(need.as_str())) {
+        if !spec
+            .dependencies
+            .iter()
+            .all(|need| self.is_done(need.as_str()))
+        {
             self.breaks(Rule::TooEarly, at_us, name);
         }
     }
@@ -251,7 +255,11 @@
         let mut found = BTreeSet::new();
         let mut left = vec![job.to_string()];
         while let Some(job) = left.pop() {
-            for need in self.spec(&job).into_iter().flat_map(|spec| spec.needs) {
+            for need in self
+                .spec(&job)
+                .into_iter()
+                .flat_map(|spec| spec.dependencies)
+            {
                 if found.insert(need.to_string()) {
                     left.push(need.to_string());
                 }
--- a/scale/src/cloud.rs
+++ b/loadtest/src/cloud.rs
@@ -6,7 +6,7 @@
 use crate::net::{now_us, Asker, Incoming, Net};
 use crate::part::{Part, PartConfig, Role, WorkerProcess};
 use crate::scenario::Scenario;
-use lilacfork::msg::{Reply, Request};
+use lilacfork::messages::{Reply, Request};
 use serde::Deserialize;
 use serde_json::json;
 use std::collections::{BTreeMap, HashMap};
--- a/scale/src/harness.rs
+++ b/loadtest/src/harness.rs
@@ -2,13 +2,13 @@
 
 use crate::checker::Checker;
 use crate::control::{self, Command as PartCommand, Ready, Stats};
-use crate::figures::{open_files_limit, Usage, Used};
+use crate::failover::{self, How, LeaderEnd};
 use crate::history::{self, Entry, Event, Recorder};
 use crate::net::now_us;
 use crate::part::{PartConfig, Role, WorkerProcess};
+use crate::process_stats::{open_files_limit, Usage, Used};
 use crate::report::{self, Report};
 use crate::scenario::{ClassSettings, FaultKind, FaultSettings, Scenario};
-use crate::takeover::{self, How, LeaderEnd};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs::File;
 use std::io::{self, BufRead, BufReader};
@@ -364,7 +364,7 @@
     fn wait_ready(&self, clients: &[SocketAddrV4]) -> Result<(), RunError> {
         let until_us = now_us() + READY_PATIENCE_US;
         for address in clients {
-            while control::request(*address, "GET", lilacfork::wire::READY, b"").is_err() {
+            while control::request(*address, "GET", lilacfork::wire::READY_PATH, b"").is_err() {
                 if now_us() > until_us {
                     let source = io::ErrorKind::TimedOut.into();
                     return Err(RunError::Process {
@@ -805,7 +805,7 @@
                 *counters.entry(format!("{name} {counter}")).or_insert(0.0) += value;
             }
         }
-        let logged = takeover::read_logs(self.controllers.iter().map(|c| c.log.as_path()));
+        let logged = failover::read_logs(self.controllers.iter().map(|c| c.log.as_path()));
         let (broken, replicas) = Checker::judge(&self.scenario, history);
         let mut by_rule = BTreeMap::new();
         for one in &broken {
@@ -826,7 +826,7 @@
             worker_messages_per_s: messages / workers,
             worker_bytes_per_s: bytes / workers,
             counters,
-            takeovers: takeover::takeovers(&self.leader_ends, &logged, history),
+            takeovers: failover::takeovers(&self.leader_ends, &logged, history),
             leader_usage: last_usage(&self.controllers[self.leader()].log),
             elections: self
                 .controllers
--- a/scale/src/main.rs
+++ b/loadtest/src/main.rs
@@ -1,9 +1,9 @@
 //! The program: one run, or one of its hollow parts.
 
 use clap::{Parser, Subcommand};
-use lilacfork_scale::harness::{self, RunOptions};
-use lilacfork_scale::part;
-use lilacfork_scale::scenario::Scenario;
+use lilacfork_loadtest::harness::{self, RunOptions};
+use lilacfork_loadtest::part;
+use lilacfork_loadtest::scenario::Scenario;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
@@ -86,7 +86,7 @@
 }
 
 fn wrong(why: impl std::fmt::Display) -> ExitCode {
-    eprintln!("lilacfork-scale: {why}");
+    eprintln!("lilacfork-loadtest: {why}");
     ExitCode::from(2)
 }
 
@@ -95,7 +95,7 @@
         Ok(scenario) => scenario,
         Err(why) => return wrong(why),
     };
-    let unique = format!("lilacfork-scale-{}", std::process::id());
+    let unique = format!("lilacfork-loadtest-{}", std::process::id());
     let options = RunOptions {
         program: args.program.clone(),
         dir: args
@@ -107,7 +107,7 @@
     let report = match harness::run(scenario, &options) {
         Ok(report) => report,
         Err(why) => {
-            eprintln!("lilacfork-scale: {why}");
+            eprintln!("lilacfork-loadtest: {why}");
             return ExitCode::FAILURE;
         }
     };
@@ -131,7 +131,10 @@
         Ok(scenario) => scenario,
         Err(why) => return wrong(why),
     };
-    match harness::check_size(&scenario, lilacfork_scale::figures::open_files_limit()) {
+    match harness::check_size(
+        &scenario,
+        lilacfork_loadtest::process_stats::open_files_limit(),
+    ) {
         Ok(()) => {
             println!("the scenario is fine and fits here");
             ExitCode::SUCCESS
--- a/scale/src/net.rs
+++ b/loadtest/src/net.rs
@@ -6,7 +6,7 @@
 //! would of real ones. Parsing and writing of HTTP are the library's.
 
 use lilacfork::http;
-use lilacfork::msg::{Reply, Request};
+use lilacfork::messages::{Reply, Request};
 use polling::{Event, Events, PollMode, Poller};
 use serde::{Deserialize, Serialize};
 use socket2::{Domain, Protocol, Socket, Type};
--- a/scale/src/part.rs
+++ b/loadtest/src/part.rs
@@ -8,7 +8,7 @@
 use crate::state::StatePart;
 use crate::users::UsersPart;
 use crate::workers::WorkersPart;
-use lilacfork::msg::Reply;
+use lilacfork::messages::Reply;
 use serde::{Deserialize, Serialize};
 use std::io;
 use std::net::SocketAddrV4;
--- a/scale/src/report.rs
+++ b/loadtest/src/report.rs
@@ -2,11 +2,11 @@
 
 use crate::checker::{Broken, Rule};
 use crate::control::Stats;
-use crate::figures::Used;
+use crate::failover::Takeover;
 use crate::history::{Entry, Event};
-use crate::replicas::ReplicaFigures;
+use crate::process_stats::Used;
+use crate::replica_groups::ReplicaFigures;
 use crate::scenario::Scenario;
-use crate::takeover::Takeover;
 use hdrhistogram::Histogram;
 use lilacfork::ids::TaskRef;
 use serde::Serialize;
--- a/scale/src/scenario.rs
+++ b/loadtest/src/scenario.rs
@@ -3,7 +3,7 @@
 //! another.
 
 use lilacfork::ids::JobId;
-use lilacfork::wire::{Catalog, JobSpec, Kind, MachineType, Priority};
+use lilacfork::wire::{Catalog, JobKind, JobSpec, MachineType, Priority};
 use serde::{Deserialize, Serialize};
 use std::path::Path;
 use std::rc::Rc;
@@ -164,7 +164,7 @@
     /// Its name.
     pub name: String,
     /// Array or service.
-    pub kind: Kind,
+    pub kind: JobKind,
     /// Its priority.
     pub priority: Priority,
     /// Numbers of tasks, drawn evenly.
@@ -327,7 +327,7 @@
         }
         let divides = |c: &ClassSettings| {
             let whole = c.tasks.iter().all(|n| n.is_multiple_of(c.parts.max(1)));
-            c.parts == 0 || (c.parts > 1 && c.kind == Kind::Service && whole)
+            c.parts == 0 || (c.parts > 1 && c.kind == JobKind::Service && whole)
         };
         if !self.classes.iter().all(divides) {
             return Some((
@@ -382,7 +382,7 @@
 
     /// The same with another share of its arrays.
     pub fn loaded(mut self, load: f64) -> Scenario {
-        for class in self.classes.iter_mut().filter(|c| c.kind == Kind::Array) {
+        for class in self.classes.iter_mut().filter(|c| c.kind == JobKind::Array) {
             class.rate *= load;
             class.initial = (f64::from(class.initial) * load).round() as u32;
         }
@@ -424,10 +424,10 @@
             cpus: t.cpus,
             gpus: t.gpus,
             memory_gb: t.memory_gb,
-            cache_gb: t.cache_gb,
-            fetch_gb_per_s: t.fetch_gb_per_s,
-            price: t.price,
-            spot_price: 0.0,
+            image_cache_gb: t.cache_gb,
+            image_pull_gb_per_s: t.fetch_gb_per_s,
+            hourly_price: t.price,
+            hourly_spot_price: 0.0,
             boot_s: t.boot_s,
             zones: zones.clone(),
         });
@@ -462,7 +462,7 @@
         let class = &self.classes[class_index];
         let mut rng = self.draw(class_index, number, u32::MAX >> 1);
         let estimate_s = (class.run_s[0] + class.run_s[1]) / 2.0;
-        let array = class.kind == Kind::Array;
+        let array = class.kind == JobKind::Array;
         Some(JobSpec {
             id: JobId::new(name),
             class: Rc::from(class.name.as_str()),
@@ -477,14 +477,14 @@
             image_gb: class.image_gb,
             types: None,
             zone: None,
-            one_zone: false,
+            same_zone: false,
             spread: class.spread,
             spot: false,
-            estimate_s: if array { estimate_s } else { 0.0 },
-            checkpoint_s: 0.0,
-            save_s: 0.0,
+            estimated_run_s: if array { estimate_s } else { 0.0 },
+            checkpoint_interval_s: 0.0,
+            checkpoint_save_s: 0.0,
             deadline_s: class.deadline_runs.map(|runs| runs * class.run_s[1]),
-            needs: self.needs(class_index, number),
+            dependencies: self.needs(class_index, number),
         })
     }
 
--- a/scale/src/state.rs
+++ b/loadtest/src/state.rs
@@ -7,7 +7,7 @@
 use crate::net::{now_us, Asker, Incoming, Net};
 use crate::part::{Part, PartConfig};
 use crate::scenario::StateSettings;
-use lilacfork::msg::{Reply, Request};
+use lilacfork::messages::{Reply, Request};
 use serde::{Deserialize, Serialize};
 use serde_json::json;
 use serde_json::value::RawValue;
--- a/scale/src/users.rs
+++ b/loadtest/src/users.rs
@@ -8,7 +8,7 @@
 use crate::scenario::Scenario;
 use hdrhistogram::Histogram;
 use lilacfork::ids::JobId;
-use lilacfork::wire::{Kind, READY, USER_JOBS};
+use lilacfork::wire::{JobKind, READY_PATH, USER_JOBS_PATH};
 use serde::Deserialize;
 use std::collections::{BTreeSet, HashMap, HashSet};
 use std::io;
@@ -159,7 +159,7 @@
             .scenario
             .job_number(&name)
             .map_or(0, |(class, _)| class);
-        let service = self.scenario.classes[class].kind == Kind::Service;
+        let service = self.scenario.classes[class].kind == JobKind::Service;
         let life_s = self.scenario.run_s(&name, 0).unwrap_or(0.0);
         let cancel_us = match (service, self.scenario.cancelled_early(&name)) {
             (true, _) => now + (life_s * 1e6) as u64,
@@ -214,15 +214,15 @@
             Stage::Submitting => {
                 let spec = self.scenario.job(&job.name);
                 let body = serde_json::to_vec(&spec)?;
-                net.call(link, to, "POST", USER_JOBS, &body, SUBMIT_PATIENCE_MS);
+                net.call(link, to, "POST", USER_JOBS_PATH, &body, SUBMIT_PATIENCE_MS);
             }
             Stage::Polling => {
                 let suffix = if job.strange { "-never" } else { "" };
-                let path = format!("{USER_JOBS}/{}{suffix}", job.name);
+                let path = format!("{USER_JOBS_PATH}/{}{suffix}", job.name);
                 net.call(link, to, "GET", &path, b"", POLL_PATIENCE_MS);
             }
             Stage::Cancelling => {
-                let path = format!("{USER_JOBS}/{}/abort", job.name);
+                let path = format!("{USER_JOBS_PATH}/{}/abort", job.name);
                 net.call(link, to, "POST", &path, b"", SUBMIT_PATIENCE_MS);
             }
             Stage::Over => {}
@@ -257,7 +257,7 @@
         let waits = self
             .scenario
             .job(&job.name)
-            .is_some_and(|s| !s.needs.is_empty());
+            .is_some_and(|s| !s.dependencies.is_empty());
         let news = !fine
             || waits
             || job.failed
@@ -322,7 +322,7 @@
         }
         self.accepted_needs.insert(name);
         for dependent in dependents {
-            let needs = self.scenario.job(&dependent).map(|spec| spec.needs);
+            let needs = self.scenario.job(&dependent).map(|spec| spec.dependencies);
             let accepted = |need: &JobId| self.accepted_needs.contains(need.as_str());
             if needs.is_some_and(|needs| needs.iter().all(accepted)) {
                 self.submit_first(net, dependent, now)?;
@@ -369,7 +369,7 @@
             self.timers.remove(&(at, link));
             if link < FIRST_JOB_LINK {
                 let to = self.controllers[link as usize];
-                net.call(link, to, "GET", READY, b"", PROBE_PATIENCE_MS);
+                net.call(link, to, "GET", READY_PATH, b"", PROBE_PATIENCE_MS);
             } else {
                 self.act(net, link)?;
             }
--- a/scale/src/workers.rs
+++ b/loadtest/src/workers.rs
@@ -8,9 +8,9 @@
 use crate::part::{Part, PartConfig, Role, CONTROL_LISTENER};
 use crate::scenario::{Machine, Scenario};
 use lilacfork::ids::TaskRef;
-use lilacfork::msg::{Reply, Request};
+use lilacfork::messages::{Reply, Request};
 use lilacfork::placement::Resources;
-use lilacfork::wire::{JobSpec, Kind, WORKER_COMMANDS, WORKER_REPORT};
+use lilacfork::wire::{JobKind, JobSpec, WORKER_COMMANDS_PATH, WORKER_HEARTBEAT_PATH};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::io;
@@ -281,7 +281,14 @@
         worker.last_report_us = now;
         let to = self.controllers[worker.controller];
         self.reports += 1;
-        net.call(index as Link, to, "POST", WORKER_REPORT, &body, ANSWER_MS);
+        net.call(
+            index as Link,
+            to,
+            "POST",
+            WORKER_HEARTBEAT_PATH,
+            &body,
+            ANSWER_MS,
+        );
     }
 
     fn next_controller(&mut self, index: usize, now: u64) {
@@ -406,10 +413,10 @@
             self.refuse(index, name, attempt, Reason::Unknown);
             return Ok(());
         };
-        let need = spec.need();
+        let need = spec.task_request();
         let mut free = self.whole(index);
-        free.take(&self.workers[index].used);
-        if !free.holds(&need) {
+        free.subtract(&self.workers[index].used);
+        if !free.covers(&need) {
             self.refuse(index, name, attempt, Reason::Full);
             return Ok(());
         }
@@ -478,7 +485,7 @@
             machine,
         };
         self.recorder.note(started)?;
-        if spec.kind != Kind::Service {
+        if spec.kind != JobKind::Service {
             let run_s =
                 TaskRef::parse(name).and_then(|t| self.scenario.run_s(t.job.as_str(), t.index));
             let at_us = now_us() + (run_s.unwrap_or(1.0) * 1e6) as u64;
@@ -542,7 +549,7 @@
         task.phase = Phase::Ended;
         task.reason = Some(reason);
         if let Some(spec) = task.spec.take() {
-            worker.used.take(&spec.need());
+            worker.used.subtract(&spec.task_request());
         }
         if reason == Reason::Done {
             self.recorder.note(Event::Finished {
@@ -579,7 +586,7 @@
             return Ok(());
         }
         let mut status = 200;
-        if request.path == WORKER_COMMANDS {
+        if request.path == WORKER_COMMANDS_PATH {
             let Ok(body) = serde_json::from_slice::<AnswerBody>(&request.body) else {
                 net.reply(asker, &Reply::error(400, "malformed"));
                 return Ok(());
--- a/scale/tests/checker.rs
+++ b/loadtest/tests/checker.rs
@@ -1,8 +1,8 @@
 //! The checker can fail: one broken history for each rule, and a sound one.
 
-use lilacfork_scale::checker::{Checker, Rule};
-use lilacfork_scale::history::{Entry, Event, Verb};
-use lilacfork_scale::scenario::Scenario;
+use lilacfork_loadtest::checker::{Checker, Rule};
+use lilacfork_loadtest::history::{Entry, Event, Verb};
+use lilacfork_loadtest::scenario::Scenario;
 
 fn scenario() -> Scenario {
     let mut scenario =
--- a/scale/tests/takeover.rs
+++ b/loadtest/tests/failover.rs
@@ -1,7 +1,7 @@
 //! Changes of leader are read from logs and histories as they happened.
 
-use lilacfork_scale::history::{Entry, Event};
-use lilacfork_scale::takeover::{logged_step, takeovers, How, LeaderEnd, Step};
+use lilacfork_loadtest::failover::{logged_step, takeovers, How, LeaderEnd, Step};
+use lilacfork_loadtest::history::{Entry, Event};
 
 /// 2026-01-01T00:00:00Z.
 const BEGAN_US: u64 = 1_767_225_600_000_000;
--- a/scale/tests/loopback.rs
+++ b/loadtest/tests/loopback.rs
@@ -3,15 +3,15 @@
 //! nothing else, so a slow machine only takes longer.
 
 use lilacfork::node::Node;
-use lilacfork::options::Options;
 use lilacfork::reactor::Reactor;
 use lilacfork::settings::Settings;
-use lilacfork_scale::checker::{Checker, Rule};
-use lilacfork_scale::control::{self, Command, Ready};
-use lilacfork_scale::harness::{settings_text, Addresses};
-use lilacfork_scale::history;
-use lilacfork_scale::part::{PartConfig, Role, WorkerProcess};
-use lilacfork_scale::scenario::Scenario;
+use lilacfork::tuning::Tuning;
+use lilacfork_loadtest::checker::{Checker, Rule};
+use lilacfork_loadtest::control::{self, Command, Ready};
+use lilacfork_loadtest::harness::{settings_text, Addresses};
+use lilacfork_loadtest::history;
+use lilacfork_loadtest::part::{PartConfig, Role, WorkerProcess};
+use lilacfork_loadtest::scenario::Scenario;
 use serde_json::Value;
 use std::io::{BufRead, BufReader};
 use std::net::{Ipv4Addr, SocketAddrV4, TcpListener};
@@ -69,7 +69,7 @@
     let path = dir.join(format!("{name}.json"));
     let text = serde_json::to_vec(&config).expect("a configuration");
     std::fs::write(&path, text).expect("a directory to write to");
-    let mut child = std::process::Command::new(env!("CARGO_BIN_EXE_lilacfork-scale"))
+    let mut child = std::process::Command::new(env!("CARGO_BIN_EXE_lilacfork-loadtest"))
         .arg("part")
         .arg(&path)
         .stdout(Stdio::piped())
@@ -102,7 +102,7 @@
 fn run_controller(settings: String) {
     std::thread::spawn(move || {
         let settings = Settings::parse(&settings, "test").expect("sound settings");
-        let mut options = Options::default();
+        let mut options = Tuning::default();
         let set = options.replica_classes.set("large", "2");
         set.expect("two parts");
         let endpoints = settings.endpoints();
--- a/scale/tests/scenario.rs
+++ b/loadtest/tests/scenario.rs
@@ -1,7 +1,7 @@
 //! Scenario files: what is wrong is named, and sizes are drawn alike everywhere.
 
-use lilacfork_scale::harness::check_size;
-use lilacfork_scale::scenario::Scenario;
+use lilacfork_loadtest::harness::check_size;
+use lilacfork_loadtest::scenario::Scenario;
 
 const PLANNED: &str = include_str!("../scenarios/planned.toml");
 const FAULTS: &str = include_str!("../scenarios/faults.toml");
--- a/replicas/src/classes.rs
+++ b/replica-groups/src/classes.rs
@@ -7,7 +7,7 @@
 
 /// The operators' choice.
 #[derive(Clone, PartialEq, Eq, Debug, Default)]
-pub struct Classes {
+pub struct ReplicaClasses {
     /// Parts per replica, by class.
     parts: BTreeMap<String, u32>,
     /// Whether each gang is a group by itself.
@@ -34,7 +34,7 @@
 
 /// What of a job decides on its grouping.
 #[derive(Clone, Copy, Debug)]
-pub struct Asked<'a> {
+pub struct GroupingRequest<'a> {
     /// Its class.
     pub class: &'a str,
     /// Whether it is a gang: a job whose tasks run together or not at all.
@@ -45,7 +45,7 @@
     pub tasks: u32,
 }
 
-impl Classes {
+impl ReplicaClasses {
     /// Takes an operator's line; the error is the reason why it can't be taken.
     pub fn set(&mut self, class: &str, value: &str) -> Result<(), String> {
         let parts: u32 = value
@@ -73,7 +73,7 @@
 
     /// How a new job is grouped; `Ok(None)`: it isn't. A record holds at most
     /// `most` parts.
-    pub fn shape(&self, asked: Asked, most: u32) -> Result<Option<Shape>, ShapeError> {
+    pub fn shape(&self, asked: GroupingRequest, most: u32) -> Result<Option<Shape>, ShapeError> {
         let parts = match self.parts.get(asked.class) {
             Some(parts) if asked.service => *parts,
             _ if asked.gang && self.gangs && asked.tasks > 1 => asked.tasks,
--- a/replicas/src/group.rs
+++ b/replica-groups/src/group.rs
@@ -4,11 +4,11 @@
 //! its parts go in as they are, and what has to be done comes out. So an event
 //! that is missed, or seen twice, does no harm.
 
-use crate::moves::{Abandoned, Move, MoveStage};
-use crate::record::{GroupRecord, MoveIntent, Target};
+use crate::migration::{AbandonReason, Migration, MigrationStage};
+use crate::observation::{MachineHealth, Part, PartState, Summary};
+use crate::record::{GroupRecord, MigrationIntent, PartTarget};
 use crate::shape::Replica;
-use crate::view::{MachineHealth, Part, PartState, Summary};
-use lilacfork_common::faults::FailureHistory;
+use lilacfork_common::faults::CircuitBreaker;
 use lilacfork_common::ids::{Attempt, MachineId};
 
 /// What a group is doing.
@@ -54,7 +54,7 @@
 
 /// Times that decide, each a ratio to the platform's settings.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub struct Timing {
+pub struct GroupTiming {
     /// For so long the room of a generation that ended is held for the next.
     pub hold_ms: u64,
     /// A group that has served for so long has succeeded.
@@ -90,7 +90,7 @@
 
 /// What is worth telling.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Note {
+pub enum GroupEvent {
     /// It serves again, so long after it lost a part.
     Repaired {
         /// In milliseconds.
@@ -101,14 +101,14 @@
     /// An earlier leader's move goes on.
     MoveResumed,
     /// A move was given up.
-    MoveAbandoned(Abandoned),
+    MoveAbandoned(AbandonReason),
     /// A move has found its place.
     Moved,
 }
 
 /// What a group wants done.
 #[derive(Clone, PartialEq, Eq, Debug)]
-pub enum Action {
+pub enum GroupAction {
     /// Stop these parts.
     Stop {
         /// Their tasks.
@@ -124,7 +124,7 @@
     /// It has served for long enough to count as a success.
     Settled,
     /// To be told.
-    Note(Note),
+    Note(GroupEvent),
 }
 
 /// A loss that isn't mended yet.
@@ -137,13 +137,13 @@
 /// Room that is held for the next generation.
 #[derive(Clone, PartialEq, Eq, Debug)]
 struct Reservation {
-    targets: Vec<Target>,
+    targets: Vec<PartTarget>,
     until_ms: u64,
 }
 
 /// One replica group.
 #[derive(Debug)]
-pub struct Group {
+pub struct ReplicaGroup {
     replica: Replica,
     state: GroupState,
     /// Since when it has been serving without a gap.
@@ -156,16 +156,16 @@
     /// A machine of it is taken away and there is no room to move to.
     must_leave: bool,
     reservation: Option<Reservation>,
-    moving: Option<Move>,
-    failures: FailureHistory,
+    moving: Option<Migration>,
+    failures: CircuitBreaker,
     /// The generation whose failure was counted last.
     failed_generation: Option<Attempt>,
 }
 
-impl Group {
+impl ReplicaGroup {
     /// Nothing is known of its parts yet.
-    pub fn new(replica: Replica) -> Group {
-        Group {
+    pub fn new(replica: Replica) -> ReplicaGroup {
+        ReplicaGroup {
             replica,
             state: GroupState::Pending,
             serving_since_ms: None,
@@ -175,7 +175,7 @@
             must_leave: false,
             reservation: None,
             moving: None,
-            failures: FailureHistory::default(),
+            failures: CircuitBreaker::default(),
             failed_generation: None,
         }
     }
@@ -196,22 +196,22 @@
     }
 
     /// Its move, if it is on the move.
-    pub fn moving(&self) -> Option<&Move> {
+    pub fn moving(&self) -> Option<&Migration> {
         self.moving.as_ref()
     }
 
     /// Its circuit breaker.
-    pub fn failures(&self) -> &FailureHistory {
+    pub fn failures(&self) -> &CircuitBreaker {
         &self.failures
     }
 
     /// Whether it waits for a place, and may have one.
     pub fn wants_place(&self, now_ms: u64) -> bool {
-        self.state == GroupState::Pending && self.failures.may_retry(now_ms)
+        self.state == GroupState::Pending && self.failures.allows_attempt(now_ms)
     }
 
     /// Where room is held for its next generation.
-    pub fn held(&self, now_ms: u64) -> &[Target] {
+    pub fn held(&self, now_ms: u64) -> &[PartTarget] {
         let moving = self.moving.as_ref().filter(|m| now_ms < m.until_ms);
         if let Some(moving) = moving {
             return &moving.intent.targets;
@@ -223,16 +223,16 @@
     // ---- what the scheduler tells ----
 
     /// All its parts were bound to machines.
-    pub fn placed(&mut self) -> Option<Note> {
+    pub fn placed(&mut self) -> Option<GroupEvent> {
         self.reservation = None;
-        self.moving.take().map(|_| Note::Moved)
+        self.moving.take().map(|_| GroupEvent::Moved)
     }
 
     /// Room was found: the move is to be stored before its first step.
-    pub fn begin_move(&mut self, now_ms: u64, timing: &Timing, intent: MoveIntent) {
-        self.moving = Some(Move {
+    pub fn begin_move(&mut self, now_ms: u64, timing: &GroupTiming, intent: MigrationIntent) {
+        self.moving = Some(Migration {
             intent,
-            stage: MoveStage::Planned,
+            stage: MigrationStage::Planned,
             inherited: false,
             until_ms: now_ms + timing.hold_ms,
         });
@@ -244,10 +244,11 @@
     }
 
     /// The record with this intent is stored.
-    pub fn stored(&mut self, intent: &MoveIntent) {
-        let planned = |m: &&mut Move| m.stage == MoveStage::Planned && m.intent == *intent;
+    pub fn stored(&mut self, intent: &MigrationIntent) {
+        let planned =
+            |m: &&mut Migration| m.stage == MigrationStage::Planned && m.intent == *intent;
         if let Some(moving) = self.moving.as_mut().filter(planned) {
-            moving.stage = MoveStage::Stored;
+            moving.stage = MigrationStage::Stored;
         }
     }
 
@@ -258,27 +259,27 @@
         now_ms: u64,
         generation: Attempt,
         machine: &MachineId,
-        timing: &Timing,
+        timing: &GroupTiming,
     ) -> bool {
         let was_open = self.failures.is_open();
         let first = self.failed_generation != Some(generation);
         self.failed_generation = Some(generation);
         self.failures
-            .failed(now_ms, machine, first, timing.report_ms);
+            .record_failure(now_ms, machine, first, timing.report_ms);
         self.failures.is_open() && !was_open
     }
 
     /// The start of a part was refused: it waits a little.
     pub fn delay_until(&mut self, at_ms: u64) {
-        self.failures.delay_until(at_ms);
+        self.failures.defer_until(at_ms);
     }
 
     /// Takes over what an earlier leader stored.
-    pub fn restore(&mut self, now_ms: u64, timing: &Timing, record: GroupRecord) {
+    pub fn restore(&mut self, now_ms: u64, timing: &GroupTiming, record: GroupRecord) {
         self.failures.restore(record.failures);
-        self.moving = record.intent.map(|intent| Move {
+        self.moving = record.intent.map(|intent| Migration {
             intent,
-            stage: MoveStage::Stored,
+            stage: MigrationStage::Stored,
             inherited: true,
             until_ms: now_ms + timing.hold_ms,
         });
@@ -302,10 +303,10 @@
     pub fn observe(
         &mut self,
         now_ms: u64,
-        timing: &Timing,
+        timing: &GroupTiming,
         parts: &[Part],
         targets_open: bool,
-    ) -> Vec<Action> {
+    ) -> Vec<GroupAction> {
         let summary = Summary::of(parts);
         let mut actions = Vec::new();
         if summary.live == 0 {
@@ -327,7 +328,7 @@
     }
 
     /// No part is on a machine.
-    fn off_machines(&mut self, now_ms: u64, actions: &mut Vec<Action>) {
+    fn off_machines(&mut self, now_ms: u64, actions: &mut Vec<GroupAction>) {
         self.state = GroupState::Pending;
         self.breaking = false;
         self.must_leave = false;
@@ -336,11 +337,11 @@
             return;
         };
         if now_ms >= moving.until_ms {
-            self.abandon(Abandoned::TooLate, actions);
-        } else if moving.stage != MoveStage::Stopping {
+            self.abandon(AbandonReason::TooLate, actions);
+        } else if moving.stage != MigrationStage::Stopping {
             let resumed = std::mem::take(&mut moving.inherited);
-            moving.stage = MoveStage::Stopping;
-            actions.extend(resumed.then_some(Action::Note(Note::MoveResumed)));
+            moving.stage = MigrationStage::Stopping;
+            actions.extend(resumed.then_some(GroupAction::Note(GroupEvent::MoveResumed)));
         }
     }
 
@@ -348,10 +349,10 @@
     fn break_up(
         &mut self,
         now_ms: u64,
-        timing: &Timing,
+        timing: &GroupTiming,
         parts: &[Part],
         summary: &Summary,
-        actions: &mut Vec<Action>,
+        actions: &mut Vec<GroupAction>,
     ) {
         let stopped_by_others = summary.stopping > 0;
         if !self.breaking {
@@ -381,25 +382,25 @@
             StopCause::PartLost
         };
         self.state = GroupState::Degraded;
-        actions.push(Action::Stop { parts: left, cause });
+        actions.push(GroupAction::Stop { parts: left, cause });
     }
 
     /// What becomes of a move whose group breaks up.
-    fn break_move(&mut self, summary: &Summary, actions: &mut Vec<Action>) {
+    fn break_move(&mut self, summary: &Summary, actions: &mut Vec<GroupAction>) {
         let Some(moving) = &mut self.moving else {
             return;
         };
-        if moving.stage == MoveStage::Stopping {
+        if moving.stage == MigrationStage::Stopping {
             return;
         }
         // The leader before had begun to stop it for the move.
         let begun = moving.inherited && summary.lost == 0;
         if begun {
-            moving.stage = MoveStage::Stopping;
+            moving.stage = MigrationStage::Stopping;
             moving.inherited = false;
-            actions.push(Action::Note(Note::MoveResumed));
+            actions.push(GroupAction::Note(GroupEvent::MoveResumed));
         } else {
-            self.abandon(Abandoned::PartLost, actions);
+            self.abandon(AbandonReason::PartLost, actions);
         }
     }
 
@@ -407,11 +408,11 @@
     fn whole(
         &mut self,
         now_ms: u64,
-        timing: &Timing,
+        timing: &GroupTiming,
         parts: &[Part],
         summary: &Summary,
         targets_open: bool,
-        actions: &mut Vec<Action>,
+        actions: &mut Vec<GroupAction>,
     ) {
         if summary.complete() {
             self.serve(now_ms, timing, summary, actions);
@@ -425,7 +426,7 @@
             self.move_on(now_ms, parts, summary, targets_open, actions);
         } else if summary.leaving > 0 {
             if self.serves() {
-                actions.push(Action::PlanMove);
+                actions.push(GroupAction::PlanMove);
             } else {
                 self.must_leave = true;
                 self.break_up(now_ms, timing, parts, summary, actions);
@@ -436,25 +437,25 @@
     fn serve(
         &mut self,
         now_ms: u64,
-        timing: &Timing,
+        timing: &GroupTiming,
         summary: &Summary,
-        actions: &mut Vec<Action>,
+        actions: &mut Vec<GroupAction>,
     ) {
         self.state = GroupState::Serving;
         if let Some(loss) = self.loss.take() {
             let note = if loss.generation == summary.generation {
-                Note::Interrupted
+                GroupEvent::Interrupted
             } else {
                 let took_ms = now_ms.saturating_sub(loss.since_ms);
-                Note::Repaired { took_ms }
+                GroupEvent::Repaired { took_ms }
             };
-            actions.push(Action::Note(note));
+            actions.push(GroupAction::Note(note));
         }
         let since_ms = *self.serving_since_ms.get_or_insert(now_ms);
         if !self.settled && now_ms > since_ms + timing.settled_ms {
             self.settled = true;
-            self.failures.succeeded();
-            actions.push(Action::Settled);
+            self.failures.record_success();
+            actions.push(GroupAction::Settled);
         }
     }
 
@@ -472,43 +473,43 @@
         parts: &[Part],
         summary: &Summary,
         targets_open: bool,
-        actions: &mut Vec<Action>,
+        actions: &mut Vec<GroupAction>,
     ) {
         let Some(moving) = &mut self.moving else {
             return;
         };
         let other = summary.generation != Some(moving.intent.generation);
         if other || now_ms >= moving.until_ms {
-            self.abandon(Abandoned::TooLate, actions);
+            self.abandon(AbandonReason::TooLate, actions);
             return;
         }
-        if moving.stage != MoveStage::Stored {
+        if moving.stage != MigrationStage::Stored {
             return;
         }
         if !targets_open {
             // A new leader has yet to hear of those machines.
             if !moving.inherited {
-                self.abandon(Abandoned::NoRoom, actions);
+                self.abandon(AbandonReason::NoRoom, actions);
             }
             return;
         }
         if !summary.complete() {
             return;
         }
-        moving.stage = MoveStage::Stopping;
+        moving.stage = MigrationStage::Stopping;
         if std::mem::take(&mut moving.inherited) {
-            actions.push(Action::Note(Note::MoveResumed));
+            actions.push(GroupAction::Note(GroupEvent::MoveResumed));
         }
-        actions.push(Action::Stop {
+        actions.push(GroupAction::Stop {
             parts: running_on(parts),
             cause: StopCause::Moves,
         });
     }
 
-    fn abandon(&mut self, why: Abandoned, actions: &mut Vec<Action>) {
+    fn abandon(&mut self, why: AbandonReason, actions: &mut Vec<GroupAction>) {
         self.moving = None;
-        actions.push(Action::Note(Note::MoveAbandoned(why)));
-        actions.push(Action::Store);
+        actions.push(GroupAction::Note(GroupEvent::MoveAbandoned(why)));
+        actions.push(GroupAction::Store);
     }
 }
 
@@ -522,9 +523,9 @@
 }
 
 /// The parts whose machines are sound, with these machines.
-fn survivors(parts: &[Part]) -> Vec<Target> {
+fn survivors(parts: &[Part]) -> Vec<PartTarget> {
     let sound = parts.iter().filter_map(|part| match &part.state {
-        PartState::Bound(binding) if binding.health == MachineHealth::Heard => Some(Target {
+        PartState::Bound(binding) if binding.health == MachineHealth::Heard => Some(PartTarget {
             task: part.task,
             machine: binding.machine.clone(),
         }),
--- a/replicas/src/figures.rs
+++ b/replica-groups/src/metrics.rs
@@ -39,7 +39,7 @@
 }
 
 /// What has happened since the leader was elected.
-pub struct Figures {
+pub struct GroupMetrics {
     /// From the loss of a part to serving again, in milliseconds. `None`: no
     /// memory for it.
     repair_ms: Option<Histogram<u64>>,
@@ -51,9 +51,9 @@
     pub abandoned: u64,
 }
 
-impl Default for Figures {
+impl Default for GroupMetrics {
     fn default() -> Self {
-        Figures {
+        GroupMetrics {
             repair_ms: Histogram::new(DIGITS).ok(),
             interrupted: 0,
             moved: 0,
@@ -62,7 +62,7 @@
     }
 }
 
-impl Figures {
+impl GroupMetrics {
     /// A group serves again, so long after it lost a part.
     pub fn repaired(&mut self, took_ms: u64) {
         if let Some(histogram) = &mut self.repair_ms {
@@ -77,7 +77,7 @@
     }
 }
 
-impl fmt::Display for Figures {
+impl fmt::Display for GroupMetrics {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
--- a/replicas/src/moves.rs
+++ b/replica-groups/src/migration.rs
@@ -1,11 +1,11 @@
 //! A group's move: room is found and held, the intent is stored, the group is
 //! stopped, and its next generation starts where it was meant to.
 
-use crate::record::MoveIntent;
+use crate::record::MigrationIntent;
 
 /// How far a move has got.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum MoveStage {
+pub enum MigrationStage {
     /// Decided; not known to be stored yet.
     Planned,
     /// Stored. Nothing was stopped yet, as far as is known.
@@ -16,11 +16,11 @@
 
 /// A move under way.
 #[derive(Clone, PartialEq, Eq, Debug)]
-pub struct Move {
+pub struct Migration {
     /// What is stored of it.
-    pub intent: MoveIntent,
+    pub intent: MigrationIntent,
     /// How far it has got.
-    pub stage: MoveStage,
+    pub stage: MigrationStage,
     /// An earlier leader decided it.
     pub inherited: bool,
     /// Until when its room is held.
@@ -29,7 +29,7 @@
 
 /// Why a move was given up.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Abandoned {
+pub enum AbandonReason {
     /// The room that it was to have isn't there any more.
     NoRoom,
     /// A part was lost before the move began.
@@ -38,13 +38,13 @@
     TooLate,
 }
 
-impl Abandoned {
+impl AbandonReason {
     /// For the log.
     pub fn why(self) -> &'static str {
         match self {
-            Abandoned::NoRoom => "its room isn't there any more",
-            Abandoned::PartLost => "a part was lost before it began",
-            Abandoned::TooLate => "it took longer than its room is held",
+            AbandonReason::NoRoom => "its room isn't there any more",
+            AbandonReason::PartLost => "a part was lost before it began",
+            AbandonReason::TooLate => "it took longer than its room is held",
         }
     }
 }
--- a/replicas/src/view.rs
+++ b/replica-groups/src/observation.rs
@@ -5,7 +5,7 @@
 /// What a part was last reported to do, in its machine's current session and
 /// under the current term.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Seen {
+pub enum ObservedPart {
     /// Not reported.
     Not,
     /// On the machine, but not running: it fetches its image.
@@ -35,7 +35,7 @@
     /// Its machine.
     pub machine: MachineId,
     /// What was seen of it.
-    pub seen: Seen,
+    pub seen: ObservedPart,
     /// How its machine is.
     pub health: MachineHealth,
     /// It is being stopped.
@@ -104,7 +104,7 @@
             None => self.generation = Some(binding.generation),
             Some(other) => self.mixed |= other != binding.generation,
         }
-        self.running += usize::from(binding.seen == Seen::Running);
+        self.running += usize::from(binding.seen == ObservedPart::Running);
         self.stopping += usize::from(binding.stopping);
         match binding.health {
             MachineHealth::Heard => {}
--- a/replicas/src/record.rs
+++ b/replica-groups/src/record.rs
@@ -7,7 +7,7 @@
 
 /// Where a part is to go.
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
-pub struct Target {
+pub struct PartTarget {
     /// The part's task.
     #[serde(rename = "p")]
     pub task: u32,
@@ -18,13 +18,13 @@
 
 /// A move that was decided, stored before its first step.
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
-pub struct MoveIntent {
+pub struct MigrationIntent {
     /// The generation that moves.
     #[serde(rename = "g")]
     pub generation: Attempt,
     /// Where the next one is to be.
     #[serde(rename = "t")]
-    pub targets: Vec<Target>,
+    pub targets: Vec<PartTarget>,
 }
 
 /// A group's row in its job's placement record; groups of which nothing has to be
@@ -39,7 +39,7 @@
     pub failures: u32,
     /// A move under way.
     #[serde(rename = "m", default, skip_serializing_if = "Option::is_none")]
-    pub intent: Option<MoveIntent>,
+    pub intent: Option<MigrationIntent>,
 }
 
 fn is_zero(count: &u32) -> bool {
--- a/replicas/src/groups.rs
+++ b/replica-groups/src/registry.rs
@@ -1,10 +1,10 @@
 //! All groups of all jobs, and which of them have to be looked at again.
 
-use crate::figures::{Figures, StateCounts};
-use crate::group::{Action, Group, Note, Timing};
-use crate::record::{GroupRecord, MoveIntent};
+use crate::group::{GroupAction, GroupEvent, GroupTiming, ReplicaGroup};
+use crate::metrics::{GroupMetrics, StateCounts};
+use crate::observation::Part;
+use crate::record::{GroupRecord, MigrationIntent};
 use crate::shape::{Replica, Shape};
-use crate::view::Part;
 use lilacfork_common::ids::JobId;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -13,12 +13,12 @@
 #[derive(Debug)]
 pub struct JobGroups {
     shape: Shape,
-    groups: Vec<Group>,
+    groups: Vec<ReplicaGroup>,
 }
 
 impl JobGroups {
     fn new(shape: Shape) -> JobGroups {
-        let groups = (0..shape.replicas()).map(|n| Group::new(Replica(n)));
+        let groups = (0..shape.replicas()).map(|n| ReplicaGroup::new(Replica(n)));
         JobGroups {
             shape,
             groups: groups.collect(),
@@ -31,29 +31,29 @@
     }
 
     /// The groups, in order.
-    pub fn iter(&self) -> impl Iterator<Item = &Group> {
+    pub fn iter(&self) -> impl Iterator<Item = &ReplicaGroup> {
         self.groups.iter()
     }
 
     /// A group.
-    pub fn get(&self, replica: Replica) -> Option<&Group> {
+    pub fn get(&self, replica: Replica) -> Option<&ReplicaGroup> {
         self.groups.get(replica.0 as usize)
     }
 
     /// A group, to be told something.
-    pub fn get_mut(&mut self, replica: Replica) -> Option<&mut Group> {
+    pub fn get_mut(&mut self, replica: Replica) -> Option<&mut ReplicaGroup> {
         self.groups.get_mut(replica.0 as usize)
     }
 
     /// The group that a task is a part of.
-    pub fn of_task(&mut self, task: u32) -> Option<&mut Group> {
+    pub fn of_task(&mut self, task: u32) -> Option<&mut ReplicaGroup> {
         self.get_mut(self.shape.replica_of(task))
     }
 
     /// Whether the task is a part of a group that serves.
     pub fn serves(&self, task: u32) -> bool {
         let group = self.get(self.shape.replica_of(task));
-        group.is_some_and(Group::serves)
+        group.is_some_and(ReplicaGroup::serves)
     }
 
     /// Whether groups wait for a place that they may have now, and if so, whether
@@ -61,15 +61,16 @@
     pub fn only_failing_wait(&self, now_ms: u64) -> Option<bool> {
         let mut waiting = self.groups.iter().filter(|g| g.wants_place(now_ms));
         let first = waiting.next()?;
-        let failing = |group: &Group| group.failures().is_open();
+        let failing = |group: &ReplicaGroup| group.failures().is_open();
         Some(failing(first) && waiting.all(failing))
     }
 
     /// The rows of a range of tasks in its placement record.
     pub fn records(&self, tasks: std::ops::Range<u32>) -> Vec<GroupRecord> {
-        let within = |group: &&Group| tasks.contains(&self.shape.tasks_of(group.replica()).start);
+        let within =
+            |group: &&ReplicaGroup| tasks.contains(&self.shape.tasks_of(group.replica()).start);
         let groups = self.groups.iter().filter(within);
-        groups.filter_map(Group::to_record).collect()
+        groups.filter_map(ReplicaGroup::to_record).collect()
     }
 }
 
@@ -99,34 +100,34 @@
 }
 
 /// All groups.
-pub struct Groups {
-    timing: Timing,
+pub struct ReplicaGroups {
+    timing: GroupTiming,
     jobs: BTreeMap<JobId, JobGroups>,
     touched: BTreeSet<GroupId>,
     /// Those for which room may be held.
     holding: BTreeSet<GroupId>,
-    figures: Figures,
+    figures: GroupMetrics,
 }
 
-impl Groups {
+impl ReplicaGroups {
     /// There are none yet.
-    pub fn new(timing: Timing) -> Groups {
-        Groups {
+    pub fn new(timing: GroupTiming) -> ReplicaGroups {
+        ReplicaGroups {
             timing,
             jobs: BTreeMap::new(),
             touched: BTreeSet::new(),
             holding: BTreeSet::new(),
-            figures: Figures::default(),
+            figures: GroupMetrics::default(),
         }
     }
 
     /// Forgets everything: the leader leads no longer.
     pub fn clear(&mut self) {
-        *self = Groups::new(self.timing);
+        *self = ReplicaGroups::new(self.timing);
     }
 
     /// The times that decide.
-    pub fn timing(&self) -> Timing {
+    pub fn timing(&self) -> GroupTiming {
         self.timing
     }
 
@@ -146,12 +147,12 @@
     }
 
     /// A group.
-    pub fn group(&self, id: &GroupId) -> Option<&Group> {
+    pub fn group(&self, id: &GroupId) -> Option<&ReplicaGroup> {
         self.jobs.get(&id.job)?.get(id.replica)
     }
 
     /// A group, to be told something.
-    pub fn group_mut(&mut self, id: &GroupId) -> Option<&mut Group> {
+    pub fn group_mut(&mut self, id: &GroupId) -> Option<&mut ReplicaGroup> {
         self.jobs.get_mut(&id.job)?.get_mut(id.replica)
     }
 
@@ -216,7 +217,7 @@
         id: &GroupId,
         parts: &[Part],
         targets_open: bool,
-    ) -> Vec<Action> {
+    ) -> Vec<GroupAction> {
         let timing = self.timing;
         let Some(group) = self.group_mut(id) else {
             return Vec::new();
@@ -229,7 +230,7 @@
             self.holding.remove(id);
         }
         for action in &actions {
-            if let Action::Note(note) = action {
+            if let GroupAction::Note(note) = action {
                 self.note(*note);
             }
         }
@@ -237,7 +238,7 @@
     }
 
     /// Room was found for a group's move; see [`Group::begin_move`].
-    pub fn begin_move(&mut self, now_ms: u64, id: &GroupId, intent: MoveIntent) {
+    pub fn begin_move(&mut self, now_ms: u64, id: &GroupId, intent: MigrationIntent) {
         let timing = self.timing;
         if let Some(group) = self.group_mut(id) {
             group.begin_move(now_ms, &timing, intent);
@@ -246,7 +247,7 @@
     }
 
     /// All parts of a group were bound. Tells whether it has moved by that.
-    pub fn placed(&mut self, id: &GroupId) -> Option<Note> {
+    pub fn placed(&mut self, id: &GroupId) -> Option<GroupEvent> {
         self.holding.remove(id);
         self.touched.insert(id.clone());
         let note = self.group_mut(id)?.placed()?;
@@ -254,13 +255,13 @@
         Some(note)
     }
 
-    fn note(&mut self, note: Note) {
+    fn note(&mut self, note: GroupEvent) {
         match note {
-            Note::Repaired { took_ms } => self.figures.repaired(took_ms),
-            Note::Interrupted => self.figures.interrupted += 1,
-            Note::Moved => self.figures.moved += 1,
-            Note::MoveAbandoned(_) => self.figures.abandoned += 1,
-            Note::MoveResumed => {}
+            GroupEvent::Repaired { took_ms } => self.figures.repaired(took_ms),
+            GroupEvent::Interrupted => self.figures.interrupted += 1,
+            GroupEvent::Moved => self.figures.moved += 1,
+            GroupEvent::MoveAbandoned(_) => self.figures.abandoned += 1,
+            GroupEvent::MoveResumed => {}
         }
     }
 
@@ -281,7 +282,7 @@
     }
 
     /// What has happened since the leader was elected.
-    pub fn figures(&self) -> &Figures {
+    pub fn figures(&self) -> &GroupMetrics {
         &self.figures
     }
 }
--- a/replicas/tests/classes.rs
+++ b/replica-groups/tests/classes.rs
@@ -1,10 +1,10 @@
 //! Which jobs are grouped, and how.
 
-use lilacfork_replicas::classes::{Asked, Classes, ShapeError};
-use lilacfork_replicas::shape::{Replica, Shape};
+use lilacfork_replica_groups::classes::{GroupingRequest, ReplicaClasses, ShapeError};
+use lilacfork_replica_groups::shape::{Replica, Shape};
 
-fn service(class: &str, tasks: u32) -> Asked<'_> {
-    Asked {
+fn service(class: &str, tasks: u32) -> GroupingRequest<'_> {
+    GroupingRequest {
         class,
         gang: false,
         service: true,
@@ -27,7 +27,7 @@
 
 #[test]
 fn classes_decide_for_services_and_gangs_alone() {
-    let mut classes = Classes::default();
+    let mut classes = ReplicaClasses::default();
     assert_eq!(classes.set("large", " 4 "), Ok(()));
     for wrong in ["0", "1", "-2", "2.5", "many", "", "99999999999"] {
         assert!(classes.set("large", wrong).is_err(), "{wrong}");
@@ -45,12 +45,12 @@
         classes.shape(service("large", 8), 3),
         Err(ShapeError::TooLarge)
     );
-    let array = Asked {
+    let array = GroupingRequest {
         service: false,
         ..service("large", 7)
     };
     assert_eq!(classes.shape(array, 409), Ok(None));
-    let gang = Asked {
+    let gang = GroupingRequest {
         gang: true,
         ..array
     };
@@ -62,6 +62,6 @@
     classes.set_gangs(true);
     assert_eq!(classes.shape(gang, 409), Ok(Shape::new(7, 7)));
     assert_eq!(classes.shape(gang, 6), Err(ShapeError::TooLarge));
-    let alone = Asked { tasks: 1, ..gang };
+    let alone = GroupingRequest { tasks: 1, ..gang };
     assert_eq!(classes.shape(alone, 409), Ok(None));
 }
--- a/replicas/tests/group.rs
+++ b/replica-groups/tests/group.rs
@@ -2,15 +2,19 @@
 //! reports and changes of leader.
 
 use lilacfork_common::ids::{Attempt, MachineId};
-use lilacfork_replicas::group::{Action, Group, GroupState, Note, StopCause, Timing};
-use lilacfork_replicas::moves::{Abandoned, MoveStage};
-use lilacfork_replicas::record::{MoveIntent, Target};
-use lilacfork_replicas::shape::Replica;
-use lilacfork_replicas::view::{Binding, MachineHealth, Part, PartState, Seen};
+use lilacfork_replica_groups::group::{
+    GroupAction, GroupEvent, GroupState, GroupTiming, ReplicaGroup, StopCause,
+};
+use lilacfork_replica_groups::migration::{AbandonReason, MigrationStage};
+use lilacfork_replica_groups::observation::{
+    Binding, MachineHealth, ObservedPart, Part, PartState,
+};
+use lilacfork_replica_groups::record::{MigrationIntent, PartTarget};
+use lilacfork_replica_groups::shape::Replica;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
-const TIMING: Timing = Timing {
+const TIMING: GroupTiming = GroupTiming {
     hold_ms: 20_000,
     settled_ms: 30_000,
     report_ms: 1000,
@@ -20,7 +24,7 @@
     MachineId::new(&format!("vm-{n}"))
 }
 
-fn bound(task: u32, on: u32, seen: Seen, health: MachineHealth) -> Part {
+fn bound(task: u32, on: u32, seen: ObservedPart, health: MachineHealth) -> Part {
     Part {
         task,
         state: PartState::Bound(Binding {
@@ -34,7 +38,7 @@
 }
 
 fn running(task: u32) -> Part {
-    bound(task, task, Seen::Running, MachineHealth::Heard)
+    bound(task, task, ObservedPart::Running, MachineHealth::Heard)
 }
 
 fn waiting(task: u32) -> Part {
@@ -51,14 +55,14 @@
     part
 }
 
-fn stop(parts: &[u32], cause: StopCause) -> Action {
-    Action::Stop {
+fn stop(parts: &[u32], cause: StopCause) -> GroupAction {
+    GroupAction::Stop {
         parts: parts.to_vec(),
         cause,
     }
 }
 
-fn held(group: &Group, now_ms: u64) -> Vec<u32> {
+fn held(group: &ReplicaGroup, now_ms: u64) -> Vec<u32> {
     group
         .held(now_ms)
         .iter()
@@ -66,8 +70,8 @@
         .collect()
 }
 
-fn serving(now_ms: u64) -> Group {
-    let mut group = Group::new(Replica(0));
+fn serving(now_ms: u64) -> ReplicaGroup {
+    let mut group = ReplicaGroup::new(Replica(0));
     let actions = group.observe(now_ms, &TIMING, &[running(0), running(1)], false);
     assert_eq!(actions, []);
     assert!(group.serves());
@@ -77,32 +81,35 @@
 #[test]
 fn only_a_complete_generation_that_is_heard_serves() {
     let seen = |seen, health| {
-        let mut group = Group::new(Replica(0));
+        let mut group = ReplicaGroup::new(Replica(0));
         group.observe(0, &TIMING, &[running(0), bound(1, 1, seen, health)], false);
         group.state()
     };
     assert_eq!(
-        seen(Seen::Running, MachineHealth::Heard),
+        seen(ObservedPart::Running, MachineHealth::Heard),
         GroupState::Serving
     );
     assert_eq!(
-        seen(Seen::Running, MachineHealth::Silent),
+        seen(ObservedPart::Running, MachineHealth::Silent),
+        GroupState::Starting
+    );
+    assert_eq!(
+        seen(ObservedPart::Starting, MachineHealth::Heard),
         GroupState::Starting
     );
     assert_eq!(
-        seen(Seen::Starting, MachineHealth::Heard),
+        seen(ObservedPart::Not, MachineHealth::Heard),
         GroupState::Starting
     );
-    assert_eq!(seen(Seen::Not, MachineHealth::Heard), GroupState::Starting);
     assert_eq!(
-        seen(Seen::Running, MachineHealth::Lost),
+        seen(ObservedPart::Running, MachineHealth::Lost),
         GroupState::Degraded
     );
 }
 
 #[test]
 fn parts_of_two_generations_are_stopped() {
-    let mut group = Group::new(Replica(0));
+    let mut group = ReplicaGroup::new(Replica(0));
     let mut other = running(1);
     if let PartState::Bound(binding) = &mut other.state {
         binding.generation = Attempt(2);
@@ -114,7 +121,7 @@
 #[test]
 fn a_lost_part_stops_the_others_and_holds_their_room_for_a_while() {
     let mut group = serving(0);
-    let lost = bound(1, 1, Seen::Running, MachineHealth::Lost);
+    let lost = bound(1, 1, ObservedPart::Running, MachineHealth::Lost);
     let actions = group.observe(5000, &TIMING, &[running(0), lost.clone()], false);
     assert_eq!(actions, [stop(&[0, 1], StopCause::PartLost)]);
     assert_eq!(group.state(), GroupState::Degraded);
@@ -136,20 +143,23 @@
         part
     };
     let actions = group.observe(9000, &TIMING, &[next(0), next(1)], false);
-    assert_eq!(actions, [Action::Note(Note::Repaired { took_ms: 4000 })]);
+    assert_eq!(
+        actions,
+        [GroupAction::Note(GroupEvent::Repaired { took_ms: 4000 })]
+    );
 }
 
 #[test]
 fn a_silence_that_ends_is_an_interruption() {
     let mut group = serving(0);
-    let silent = bound(1, 1, Seen::Running, MachineHealth::Silent);
+    let silent = bound(1, 1, ObservedPart::Running, MachineHealth::Silent);
     assert_eq!(
         group.observe(5000, &TIMING, &[running(0), silent], false),
         []
     );
     assert_eq!(group.state(), GroupState::Degraded);
     let actions = group.observe(7000, &TIMING, &[running(0), running(1)], false);
-    assert_eq!(actions, [Action::Note(Note::Interrupted)]);
+    assert_eq!(actions, [GroupAction::Note(GroupEvent::Interrupted)]);
 }
 
 /// What takes one part away for more important work must not be kept from the
@@ -163,12 +173,12 @@
     assert!(held(&group, 1000).is_empty());
 }
 
-fn intent() -> MoveIntent {
-    let target = |task: u32, on: u32| Target {
+fn intent() -> MigrationIntent {
+    let target = |task: u32, on: u32| PartTarget {
         task,
         machine: machine(on),
     };
-    MoveIntent {
+    MigrationIntent {
         generation: Attempt(1),
         targets: vec![target(0, 0), target(1, 7)],
     }
@@ -177,7 +187,7 @@
 fn leaving() -> [Part; 2] {
     [
         running(0),
-        bound(1, 1, Seen::Running, MachineHealth::Leaving),
+        bound(1, 1, ObservedPart::Running, MachineHealth::Leaving),
     ]
 }
 
@@ -185,7 +195,7 @@
 fn a_move_stops_nothing_before_it_is_stored() {
     let mut group = serving(0);
     let actions = group.observe(1000, &TIMING, &leaving(), false);
-    assert_eq!(actions, [Action::PlanMove]);
+    assert_eq!(actions, [GroupAction::PlanMove]);
     group.begin_move(1000, &TIMING, intent());
     assert_eq!(group.observe(1100, &TIMING, &leaving(), true), []);
     assert!(group.serves(), "it goes on serving");
@@ -200,7 +210,7 @@
     assert_eq!(group.observe(1400, &TIMING, &parts, true), []);
     group.observe(1500, &TIMING, &[waiting(0), waiting(1)], true);
     assert_eq!(held(&group, 1500), [0, 1], "where it was meant to go");
-    assert_eq!(group.placed(), Some(Note::Moved));
+    assert_eq!(group.placed(), Some(GroupEvent::Moved));
     assert_eq!(group.to_record(), None);
 }
 
@@ -210,12 +220,12 @@
     group.begin_move(1000, &TIMING, intent());
     group.stored(&intent());
     let actions = group.observe(1100, &TIMING, &leaving(), false);
-    let abandoned = Action::Note(Note::MoveAbandoned(Abandoned::NoRoom));
-    assert_eq!(actions, [abandoned, Action::Store]);
+    let abandoned = GroupAction::Note(GroupEvent::MoveAbandoned(AbandonReason::NoRoom));
+    assert_eq!(actions, [abandoned, GroupAction::Store]);
     assert_eq!(group.to_record(), None);
     assert_eq!(
         group.observe(1200, &TIMING, &leaving(), false),
-        [Action::PlanMove],
+        [GroupAction::PlanMove],
         "it is planned anew"
     );
 }
@@ -238,11 +248,11 @@
         let mut before = serving(0);
         before.begin_move(0, &TIMING, intent());
         let record = before.to_record().expect("something to store");
-        let mut group = Group::new(Replica(0));
+        let mut group = ReplicaGroup::new(Replica(0));
         group.restore(0, &TIMING, record);
         group
     };
-    let resumed = Action::Note(Note::MoveResumed);
+    let resumed = GroupAction::Note(GroupEvent::MoveResumed);
     let mut nothing = inherited();
     assert_eq!(
         nothing.observe(100, &TIMING, &leaving(), false),
@@ -258,20 +268,23 @@
         some.observe(100, &TIMING, &[running(0), waiting(1)], false),
         [resumed.clone(), stop(&[0], StopCause::PartLost)]
     );
-    assert_eq!(some.moving().map(|m| m.stage), Some(MoveStage::Stopping));
+    assert_eq!(
+        some.moving().map(|m| m.stage),
+        Some(MigrationStage::Stopping)
+    );
     let mut all = inherited();
     let actions = all.observe(100, &TIMING, &[waiting(0), waiting(1)], false);
     assert_eq!(actions, [resumed]);
     assert_eq!(held(&all, 100), [0, 1]);
     let mut late = inherited();
     let actions = late.observe(20_000, &TIMING, &leaving(), false);
-    let abandoned = Action::Note(Note::MoveAbandoned(Abandoned::TooLate));
-    assert_eq!(actions, [abandoned, Action::Store]);
+    let abandoned = GroupAction::Note(GroupEvent::MoveAbandoned(AbandonReason::TooLate));
+    assert_eq!(actions, [abandoned, GroupAction::Store]);
 }
 
 #[test]
 fn a_generation_is_one_probe_however_many_parts_fail() {
-    let mut group = Group::new(Replica(0));
+    let mut group = ReplicaGroup::new(Replica(0));
     assert!(!group.part_failed(0, Attempt(1), &machine(0), &TIMING));
     assert!(!group.part_failed(0, Attempt(1), &machine(1), &TIMING));
     assert!(
@@ -287,13 +300,13 @@
         "twice the pause, once"
     );
     let record = group.to_record().expect("an open breaker is stored");
-    let mut next = Group::new(Replica(0));
+    let mut next = ReplicaGroup::new(Replica(0));
     next.restore(0, &TIMING, record);
     assert!(next.failures().is_open());
     let both = [running(0), running(1)];
     next.observe(0, &TIMING, &both, false);
     let actions = next.observe(30_001, &TIMING, &both, false);
-    assert_eq!(actions, [Action::Settled]);
+    assert_eq!(actions, [GroupAction::Settled]);
     assert!(!next.failures().is_open());
 }
 
@@ -357,12 +370,12 @@
 /// A scheduler, machines and a state service, as small as can be.
 struct Model {
     now_ms: u64,
-    group: Group,
+    group: ReplicaGroup,
     /// What is on machines, as the scheduler knows it.
     parts: Vec<Option<Binding>>,
     health: Vec<MachineHealth>,
     /// The row that is stored.
-    stored: Option<MoveIntent>,
+    stored: Option<MigrationIntent>,
     next: u64,
     /// The generations in which a move stopped parts, and whether its intent was
     /// stored then.
@@ -373,7 +386,7 @@
     fn new() -> Model {
         Model {
             now_ms: 0,
-            group: Group::new(Replica(0)),
+            group: ReplicaGroup::new(Replica(0)),
             parts: vec![None; PARTS],
             health: vec![MachineHealth::Heard; MACHINES as usize],
             stored: None,
@@ -411,7 +424,8 @@
     fn observe(&mut self) -> Result<(), TestCaseError> {
         for _ in 0..10 {
             let open = self.group.moving().is_some_and(|m| {
-                let sound = |t: &Target| self.health[number(&t.machine)] == MachineHealth::Heard;
+                let sound =
+                    |t: &PartTarget| self.health[number(&t.machine)] == MachineHealth::Heard;
                 m.intent.targets.iter().all(sound)
             });
             let actions = self.group.observe(self.now_ms, &TIMING, &self.view(), open);
@@ -427,9 +441,9 @@
         Err(TestCaseError::fail("it wants something new at every look"))
     }
 
-    fn act(&mut self, action: Action) -> Result<bool, TestCaseError> {
+    fn act(&mut self, action: GroupAction) -> Result<bool, TestCaseError> {
         match action {
-            Action::Stop { parts, cause } => {
+            GroupAction::Stop { parts, cause } => {
                 prop_assert!(!parts.is_empty());
                 let moving = self.group.moving().map(|m| &m.intent);
                 self.stopped_unstored |=
@@ -444,24 +458,24 @@
                 }
                 Ok(true)
             }
-            Action::PlanMove => {
+            GroupAction::PlanMove => {
                 match self.plan() {
                     Some(intent) => self.group.begin_move(self.now_ms, &TIMING, intent),
                     None => self.group.cannot_move(),
                 }
                 Ok(true)
             }
-            Action::Store | Action::Settled | Action::Note(_) => Ok(false),
+            GroupAction::Store | GroupAction::Settled | GroupAction::Note(_) => Ok(false),
         }
     }
 
-    fn plan(&self) -> Option<MoveIntent> {
+    fn plan(&self) -> Option<MigrationIntent> {
         let mut free = self.free().into_iter();
         let mut targets = Vec::new();
         for (task, binding) in self.parts.iter().enumerate() {
             let binding = binding.as_ref()?;
             let stays = self.health[number(&binding.machine)] == MachineHealth::Heard;
-            targets.push(Target {
+            targets.push(PartTarget {
                 task: task as u32,
                 machine: if stays {
                     binding.machine.clone()
@@ -470,7 +484,7 @@
                 },
             });
         }
-        Some(MoveIntent {
+        Some(MigrationIntent {
             generation: self.parts[0].as_ref()?.generation,
             targets,
         })
@@ -490,7 +504,7 @@
                 self.health[number(&b.machine)],
                 MachineHealth::Heard | MachineHealth::Leaving
             );
-            heard && b.seen == Seen::Running && !b.stopping && one(b)
+            heard && b.seen == ObservedPart::Running && !b.stopping && one(b)
         };
         if self.group.serves() {
             prop_assert!(
@@ -575,8 +589,8 @@
         let heard = self.health[number(&binding.machine)] == MachineHealth::Heard;
         if heard && !binding.stopping {
             binding.seen = match binding.seen {
-                Seen::Not => Seen::Starting,
-                Seen::Starting | Seen::Running => Seen::Running,
+                ObservedPart::Not => ObservedPart::Starting,
+                ObservedPart::Starting | ObservedPart::Running => ObservedPart::Running,
             };
         }
     }
@@ -619,7 +633,7 @@
             *part = Some(Binding {
                 generation: Attempt(self.next),
                 machine: machine(on),
-                seen: Seen::Not,
+                seen: ObservedPart::Not,
                 health: MachineHealth::Heard,
                 stopping: false,
             });
@@ -631,9 +645,9 @@
     /// All it has is what is stored; nothing was reported to it, and what was being
     /// stopped is so no longer, as far as it knows.
     fn new_leader(&mut self) {
-        self.group = Group::new(Replica(0));
+        self.group = ReplicaGroup::new(Replica(0));
         if let Some(intent) = self.stored.clone() {
-            let record = lilacfork_replicas::record::GroupRecord {
+            let record = lilacfork_replica_groups::record::GroupRecord {
                 replica: 0,
                 failures: 0,
                 intent: Some(intent),
@@ -641,7 +655,7 @@
             self.group.restore(self.now_ms, &TIMING, record);
         }
         for binding in self.parts.iter_mut().flatten() {
-            binding.seen = Seen::Not;
+            binding.seen = ObservedPart::Not;
             binding.stopping = false;
         }
         for health in &mut self.health {
--- a/replicas/tests/figures.rs
+++ b/replica-groups/tests/metrics.rs
@@ -1,7 +1,7 @@
 //! What operators read.
 
-use lilacfork_replicas::figures::{Figures, StateCounts};
-use lilacfork_replicas::group::GroupState;
+use lilacfork_replica_groups::group::GroupState;
+use lilacfork_replica_groups::metrics::{GroupMetrics, StateCounts};
 
 #[test]
 fn states_and_repairs_are_written_as_counts_and_times() {
@@ -18,7 +18,7 @@
         counts.to_string(),
         "pending=0 starting=0 serving=2 degraded=1 stopping=0 finished=0 moving=1 failing=0"
     );
-    let mut figures = Figures::default();
+    let mut figures = GroupMetrics::default();
     assert_eq!(
         figures.to_string(),
         "repaired=0 interrupted=0 moved=0 abandoned_moves=0"
--- a/src/cancellations.rs
+++ b/src/cancellations.rs
@@ -22,10 +22,10 @@
 
 use crate::gateway::JOB_PREFIX;
 use crate::ids::{JobId, Revision};
-use crate::msg::Now;
-use crate::peer::{Confirmations, Cursor};
-use crate::store::{self, Answer, StateCall, Urgency};
-use crate::wire::{self, Command, Items, Report, TaskPhase, WatchAnswer};
+use crate::kv_client::{self, CallPriority, KvCall, KvResponse};
+use crate::messages::Now;
+use crate::peer::{ConfirmationCursor, ConfirmedCancellations};
+use crate::wire::{self, Command, KeyPage, TaskPhase, WatchResponse, WorkerHeartbeat};
 use std::collections::{HashMap, HashSet, VecDeque};
 
 /// Confirmations kept for peers. One that has fallen further behind has to
@@ -48,7 +48,7 @@
 
 /// Figures from the settings.
 #[derive(Clone, Copy, Debug)]
-pub struct Bounds {
+pub struct CancellationBounds {
     /// The workers' report interval.
     pub report_ms: u64,
     /// The time that a cancellation has until its tasks are gone.
@@ -59,7 +59,7 @@
 
 /// Which question to the state service an answer belongs to.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum CancellationsCall {
+pub enum CancellationsKvCall {
     /// All job records, page by page.
     List,
     /// What changed since the last read.
@@ -67,7 +67,7 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Known {
+struct KnownCancellation {
     learned_ms: u64,
     /// Its record says so; it is forgotten when the record goes.
     stored: bool,
@@ -84,12 +84,12 @@
 
 /// What this process has told users is cancelled, in order and numbered from 1.
 #[derive(Debug, Default)]
-struct Log {
+struct ConfirmationLog {
     dropped: u64,
     jobs: VecDeque<JobId>,
 }
 
-impl Log {
+impl ConfirmationLog {
     fn push(&mut self, id: JobId) {
         self.jobs.push_back(id);
         while self.jobs.len() > LOG_JOBS {
@@ -119,7 +119,7 @@
 
 /// How far a peer's log is known here.
 #[derive(Debug, Default)]
-struct PeerLog {
+struct PeerLogPosition {
     name: String,
     /// The process that was last heard; 0: none yet.
     incarnation: u64,
@@ -130,20 +130,20 @@
     /// When the last question was sent whose answer left nothing out.
     asked_ms: u64,
     /// How far it has said that it knows this node's log.
-    acknowledged: Cursor,
+    acknowledged: ConfirmationCursor,
 }
 
 /// What a controller knows of cancellations, and up to when that is all.
 pub struct Cancellations {
     node: String,
     incarnation: u64,
-    bounds: Bounds,
-    known: HashMap<JobId, Known>,
+    bounds: CancellationBounds,
+    known: HashMap<JobId, KnownCancellation>,
     /// Jobs whose records stand, as of the last complete read, and the jobs that
     /// each of them needs.
     unfinished: HashMap<JobId, Box<[JobId]>>,
-    log: Log,
-    peers: Vec<PeerLog>,
+    log: ConfirmationLog,
+    peers: Vec<PeerLogPosition>,
     /// The changes since then aren't read yet; `None`: nothing is.
     read_up_to: Option<Revision>,
     /// When the last complete read was asked for.
@@ -158,7 +158,7 @@
 
 /// What the records said of a job at the last complete read.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Standing {
+pub enum RecordStatus {
     /// No record: never accepted, or over.
     None,
     /// Neither done nor cancelled.
@@ -167,14 +167,14 @@
     Cancelled,
 }
 
-type Out = Vec<StateCall<CancellationsCall>>;
+type CancellationsEffects = Vec<KvCall<CancellationsKvCall>>;
 
 impl Cancellations {
     /// Knows nothing yet; `peers` in the order in which they are numbered.
     pub fn new<'a>(
         node: &str,
         incarnation: u64,
-        bounds: Bounds,
+        bounds: CancellationBounds,
         peers: impl Iterator<Item = &'a str>,
     ) -> Self {
         Cancellations {
@@ -183,11 +183,11 @@
             bounds,
             known: HashMap::new(),
             unfinished: HashMap::new(),
-            log: Log::default(),
+            log: ConfirmationLog::default(),
             peers: peers
-                .map(|name| PeerLog {
+                .map(|name| PeerLogPosition {
                     name: name.to_string(),
-                    ..PeerLog::default()
+                    ..PeerLogPosition::default()
                 })
                 .collect(),
             read_up_to: None,
@@ -202,29 +202,29 @@
     }
 
     /// Whether the next poll will tell of every job.
-    pub fn follows(&self) -> bool {
+    pub fn is_caught_up(&self) -> bool {
         self.read_up_to.is_some()
     }
 
     /// Somebody waits for the next poll.
-    pub fn wanted(&mut self) {
+    pub fn request_poll(&mut self) {
         let gap_ms = (self.bounds.report_ms / BUSY_POLLS).max(1);
         self.due_ms = self.due_ms.min(self.asked_ms + gap_ms);
     }
 
     /// How a job stands by the latest read or what was told since.
-    pub fn standing(&self, id: &JobId) -> Standing {
+    pub fn record_status(&self, id: &JobId) -> RecordStatus {
         if !self.unfinished.contains_key(id) {
-            Standing::None
+            RecordStatus::None
         } else if self.known.get(id).is_some_and(|k| k.stored) {
-            Standing::Cancelled
+            RecordStatus::Cancelled
         } else {
-            Standing::Unfinished
+            RecordStatus::Unfinished
         }
     }
 
     /// The jobs that an unfinished job needs, by its record.
-    pub fn needs(&self, id: &JobId) -> &[JobId] {
+    pub fn dependencies(&self, id: &JobId) -> &[JobId] {
         self.unfinished.get(id).map_or(&[], |needs| needs)
     }
 
@@ -259,7 +259,7 @@
 
     /// Stops for what a worker still has of cancelled jobs. They can do no
     /// harm, whoever gives them.
-    pub fn stops(&self, report: &Report) -> Vec<Command> {
+    pub fn stops(&self, report: &WorkerHeartbeat) -> Vec<Command> {
         if self.known.is_empty() {
             return Vec::new();
         }
@@ -285,7 +285,8 @@
                 false
             }
             None => {
-                self.known.insert(id.clone(), Known { learned_ms, stored });
+                self.known
+                    .insert(id.clone(), KnownCancellation { learned_ms, stored });
                 true
             }
         }
@@ -294,7 +295,7 @@
     // ---- the state service ----
 
     /// Asks the state service for what is new.
-    pub fn tick(&mut self, now: Now, out: &mut Out) -> u64 {
+    pub fn tick(&mut self, now: Now, out: &mut CancellationsEffects) -> u64 {
         if self.peers.is_empty() {
             // All that is confirmed is confirmed here.
             self.advance(now.ms);
@@ -312,33 +313,39 @@
         self.asked_ms = now.ms;
         match self.read_up_to {
             Some(from) => {
-                let call = store::changes(JOB_PREFIX, from, TIMEOUT_MS);
+                let call = kv_client::read_changes(JOB_PREFIX, from, TIMEOUT_MS);
                 self.listing = Some(Listing {
                     asked_ms: now.ms,
                     ..Listing::default()
                 });
-                self.ask(now, call, CancellationsCall::Poll, out);
+                self.ask(now, call, CancellationsKvCall::Poll, out);
             }
             None => {
                 self.listing = Some(Listing {
                     asked_ms: now.ms,
                     ..Listing::default()
                 });
-                let call = store::list(JOB_PREFIX, None, TIMEOUT_MS);
-                self.ask(now, call, CancellationsCall::List, out);
+                let call = kv_client::list(JOB_PREFIX, None, TIMEOUT_MS);
+                self.ask(now, call, CancellationsKvCall::List, out);
             }
         }
         u64::MAX
     }
 
-    fn ask(&mut self, now: Now, call: crate::msg::Call, tag: CancellationsCall, out: &mut Out) {
+    fn ask(
+        &mut self,
+        now: Now,
+        call: crate::messages::Call,
+        tag: CancellationsKvCall,
+        out: &mut CancellationsEffects,
+    ) {
         self.waiting = true;
-        out.push(StateCall {
+        out.push(KvCall {
             // Few and steady, and every worker's lease hangs on them.
-            urgency: Urgency::Leadership,
+            priority: CallPriority::Leadership,
             call,
             writes: 0,
-            give_up_ms: now.ms + TIMEOUT_MS,
+            expires_ms: now.ms + TIMEOUT_MS,
             tag,
         });
     }
@@ -348,17 +355,17 @@
     pub fn answered(
         &mut self,
         now: Now,
-        call: CancellationsCall,
-        answer: &Answer,
-        out: &mut Out,
+        call: CancellationsKvCall,
+        answer: &KvResponse,
+        out: &mut CancellationsEffects,
     ) -> Vec<JobId> {
         self.waiting = false;
         let Some(listing) = self.listing.take() else {
             return Vec::new();
         };
         match call {
-            CancellationsCall::List => self.listed(now, listing, answer, out),
-            CancellationsCall::Poll => self.polled(now, &listing, answer),
+            CancellationsKvCall::List => self.listed(now, listing, answer, out),
+            CancellationsKvCall::Poll => self.polled(now, &listing, answer),
         }
     }
 
@@ -366,10 +373,10 @@
         &mut self,
         now: Now,
         mut listing: Listing,
-        answer: &Answer,
-        out: &mut Out,
+        answer: &KvResponse,
+        out: &mut CancellationsEffects,
     ) -> Vec<JobId> {
-        let Some(items) = answer.read::<Items>(200) else {
+        let Some(items) = answer.read::<KeyPage>(200) else {
             return Vec::new();
         };
         // What changes while further pages are read is read again after.
@@ -386,8 +393,8 @@
         }
         if let (true, Some(last)) = (items.more, last) {
             self.listing = Some(listing);
-            let call = store::list(JOB_PREFIX, Some(&last), TIMEOUT_MS);
-            self.ask(now, call, CancellationsCall::List, out);
+            let call = kv_client::list(JOB_PREFIX, Some(&last), TIMEOUT_MS);
+            self.ask(now, call, CancellationsKvCall::List, out);
             return Vec::new();
         }
         self.known
@@ -403,8 +410,8 @@
         new
     }
 
-    fn polled(&mut self, now: Now, listing: &Listing, answer: &Answer) -> Vec<JobId> {
-        let Some(seen) = answer.read::<WatchAnswer>(200) else {
+    fn polled(&mut self, now: Now, listing: &Listing, answer: &KvResponse) -> Vec<JobId> {
+        let Some(seen) = answer.read::<WatchResponse>(200) else {
             if answer.status() == Some(410) {
                 // Too far behind for the changes: everything is read anew.
                 self.read_up_to = None;
@@ -438,15 +445,15 @@
     // ---- peers ----
 
     /// What peer number `index` is asked for.
-    pub fn cursor(&self, index: usize) -> Option<Cursor> {
-        self.peers.get(index).map(|p| Cursor {
+    pub fn cursor(&self, index: usize) -> Option<ConfirmationCursor> {
+        self.peers.get(index).map(|p| ConfirmationCursor {
             incarnation: p.incarnation,
             have: p.have,
         })
     }
 
     /// The answer to such a question.
-    pub fn confirmations(&self, cursor: &Cursor) -> Confirmations {
+    pub fn confirmations(&self, cursor: &ConfirmationCursor) -> ConfirmedCancellations {
         let total = self.log.total();
         // Whoever knew an earlier process, or none, begins with what comes
         // next: what came before is stored, and it reads that.
@@ -456,7 +463,7 @@
             total
         };
         let (first, jobs) = self.log.after(have);
-        Confirmations {
+        ConfirmedCancellations {
             node: self.node.clone(),
             incarnation: self.incarnation,
             first,
@@ -466,14 +473,14 @@
     }
 
     /// A peer has said how far it knows this node's log.
-    pub fn acknowledged(&mut self, index: usize, cursor: Cursor) {
+    pub fn acknowledged(&mut self, index: usize, cursor: ConfirmationCursor) {
         if let Some(peer) = self.peers.get_mut(index) {
             peer.acknowledged = cursor;
         }
     }
 
     /// What peer number `index` hasn't been told yet, as far as it has said.
-    pub fn unacknowledged(&self, index: usize) -> Option<Confirmations> {
+    pub fn unacknowledged(&self, index: usize) -> Option<ConfirmedCancellations> {
         let peer = self.peers.get(index)?;
         let news = self.confirmations(&peer.acknowledged);
         (!news.jobs.is_empty()).then_some(news)
@@ -482,12 +489,12 @@
     /// A peer's word: the answer to a question that went out at `asked_ms`, or
     /// one that came unasked. Returns jobs that were not known to be
     /// cancelled.
-    pub fn heard(
+    pub fn receive_confirmations(
         &mut self,
         now: Now,
         index: usize,
         asked_ms: Option<u64>,
-        word: &Confirmations,
+        word: &ConfirmedCancellations,
     ) -> Vec<JobId> {
         let Some(peer) = self.peers.get_mut(index) else {
             return Vec::new();
--- a/src/rooms/levels.rs
+++ b/src/capacity_index/levels.rs
@@ -15,7 +15,7 @@
 
 /// Free amounts, in steps of the whole machine, rounded down.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
-pub(super) struct Level {
+pub(super) struct FreeLevel {
     gpus: u8,
     cpus: u8,
     memory: u8,
@@ -37,9 +37,9 @@
     }
 }
 
-impl Level {
-    pub(super) fn of(free: &Resources, whole: &Resources) -> Level {
-        Level {
+impl FreeLevel {
+    pub(super) fn of(free: &Resources, whole: &Resources) -> FreeLevel {
+        FreeLevel {
             gpus: steps(free.gpus, whole.gpus),
             cpus: steps(free.cpus, whole.cpus),
             memory: steps(free.memory_gb, whole.memory_gb),
@@ -101,7 +101,7 @@
 impl FreeAmounts {
     fn of(free: &Resources, whole: &Resources) -> FreeAmounts {
         FreeAmounts {
-            share: millionths(free.share_of(whole)),
+            share: millionths(free.dominant_share(whole)),
             gpus: millionths(free.gpus),
             cpus: millionths(free.cpus),
             memory: millionths(free.memory_gb),
@@ -125,36 +125,36 @@
 
 /// Where a room is filed.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub(super) struct Place {
-    level: Level,
+pub(super) struct IndexKey {
+    level: FreeLevel,
     amounts: FreeAmounts,
 }
 
-impl Place {
-    pub(super) fn of(free: &Resources, whole: &Resources) -> Place {
-        Place {
-            level: Level::of(free, whole),
+impl IndexKey {
+    pub(super) fn of(free: &Resources, whole: &Resources) -> IndexKey {
+        IndexKey {
+            level: FreeLevel::of(free, whole),
             amounts: FreeAmounts::of(free, whole),
         }
     }
 }
 
 /// Rooms with the same free, by what that is.
-type RoomsByFree = BTreeMap<FreeAmounts, BTreeSet<Slot>>;
+type SlotsByFree = BTreeMap<FreeAmounts, BTreeSet<Slot>>;
 
 /// Rooms of one kind, by level and by what they have free.
 #[derive(Debug, Default)]
-pub(super) struct Levels {
-    levels: BTreeMap<Level, RoomsByFree>,
+pub(super) struct FreeLevels {
+    levels: BTreeMap<FreeLevel, SlotsByFree>,
 }
 
-impl Levels {
-    pub(super) fn insert(&mut self, place: Place, slot: Slot) {
+impl FreeLevels {
+    pub(super) fn insert(&mut self, place: IndexKey, slot: Slot) {
         let by_free = self.levels.entry(place.level).or_default();
         by_free.entry(place.amounts).or_default().insert(slot);
     }
 
-    pub(super) fn remove(&mut self, place: Place, slot: Slot) {
+    pub(super) fn remove(&mut self, place: IndexKey, slot: Slot) {
         let Some(by_free) = self.levels.get_mut(&place.level) else {
             return;
         };
@@ -173,7 +173,7 @@
         self.levels.is_empty()
     }
 
-    pub(super) fn contains(&self, place: Place, slot: Slot) -> bool {
+    pub(super) fn contains(&self, place: IndexKey, slot: Slot) -> bool {
         let rooms = self
             .levels
             .get(&place.level)
@@ -185,7 +185,7 @@
     pub(super) fn len(&self) -> usize {
         self.levels
             .values()
-            .flat_map(RoomsByFree::values)
+            .flat_map(SlotsByFree::values)
             .map(BTreeSet::len)
             .sum()
     }
@@ -196,9 +196,9 @@
         &self,
         need: &Resources,
         whole: &Resources,
-    ) -> impl Iterator<Item = (&Level, &RoomsByFree)> {
+    ) -> impl Iterator<Item = (&FreeLevel, &SlotsByFree)> {
         let needed = steps(need.gpus, whole.gpus);
-        let least = Level {
+        let least = FreeLevel {
             gpus: needed.saturating_sub(1),
             cpus: 0,
             memory: 0,
@@ -208,7 +208,7 @@
 
     /// All rooms, roughly the fullest first.
     pub(super) fn rooms(&self) -> impl Iterator<Item = Slot> + '_ {
-        let rooms = self.levels.values().flat_map(RoomsByFree::values);
+        let rooms = self.levels.values().flat_map(SlotsByFree::values);
         rooms.flat_map(|rooms| rooms.iter().copied())
     }
 }
--- a/src/rooms/search.rs
+++ b/src/capacity_index/search.rs
@@ -2,45 +2,45 @@
 //! the part of it that is the same for all tasks, so that a lower bound of the
 //! rank is known for what hasn't been looked at yet.
 
-use super::levels::{FreeAmounts, Levels};
-use super::{count, Group, Room, Rooms, Slot};
+use super::levels::{FreeAmounts, FreeLevels};
+use super::{count, CapacityIndex, MachineCapacity, OfferGroup, Slot};
 use crate::ids::MachineId;
-use crate::placement::{allows_offer, Fit, Resources, ZoneUse};
-use crate::wire::{JobSpec, Kind};
+use crate::placement::{offer_allowed, FitScore, Resources, ZoneCounts};
+use crate::wire::{JobKind, JobSpec};
 use std::collections::BTreeMap;
 
 /// Ranks that differ by less are equal.
-const RANK_SLOP: f64 = 1e-9;
+const RANK_TOLERANCE: f64 = 1e-9;
 /// Added where a task of the same job has failed.
-const FAILED_THERE: f64 = 10.0;
+const FAILED_BEFORE_PENALTY: f64 = 10.0;
 
 /// What one task of a job asks for.
 #[derive(Clone, Copy)]
-pub struct Demand<'a> {
+pub struct TaskDemand<'a> {
     /// The job.
     pub spec: &'a JobSpec,
     /// What the task takes.
     pub need: &'a Resources,
     /// Where the job's tasks are.
-    pub zones: &'a ZoneUse,
+    pub zones: &'a ZoneCounts,
     /// How many of a service's replicas are on each machine.
     pub siblings: &'a BTreeMap<MachineId, u32>,
     /// Whether a task of the job has failed on a machine.
     pub failed_on: &'a dyn Fn(&MachineId) -> bool,
     /// Which rooms are out of the question.
-    pub apart: Apart<'a>,
+    pub constraint: SearchConstraint<'a>,
 }
 
 /// Which rooms are out of the question for a part of a replica that spans machines.
 #[derive(Clone, Copy, Default, Debug)]
-pub struct Apart<'a> {
+pub struct SearchConstraint<'a> {
     /// All but those of this zone.
     pub zone: Option<&'a str>,
     /// Those of the replica's other parts.
-    pub taken: &'a [Slot],
+    pub excluded: &'a [Slot],
 }
 
-impl Apart<'_> {
+impl SearchConstraint<'_> {
     fn allows_zone(&self, zone: &str) -> bool {
         self.zone.is_none_or(|only| only == zone)
     }
@@ -48,7 +48,7 @@
 
 /// The best room for a task.
 #[derive(Clone, Copy, PartialEq, Debug)]
-pub struct Best {
+pub struct BestFit {
     /// The machine.
     pub slot: Slot,
     /// Its rank; smaller is better.
@@ -57,49 +57,49 @@
 
 /// The part of a rank that doesn't depend on the room, and the best one so far.
 struct Search<'a> {
-    demand: &'a Demand<'a>,
+    demand: &'a TaskDemand<'a>,
     /// The need as a share of a machine of the group.
     need_share: f64,
     /// The rank of a room that leaves nothing free.
     base: f64,
-    best: Option<Best>,
+    best: Option<BestFit>,
 }
 
-impl Rooms {
+impl CapacityIndex {
     /// What a room is worth to a task; `None`: it doesn't hold it.
-    pub fn rank(&self, slot: Slot, demand: &Demand) -> Option<f64> {
+    pub fn rank(&self, slot: Slot, demand: &TaskDemand) -> Option<f64> {
         let room = self.get(slot)?;
-        let allowed = room.filed.is_some()
+        let allowed = room.index_key.is_some()
             && self.is_fresh(room)
-            && allows_offer(demand.spec, &room.state.offer)
+            && offer_allowed(demand.spec, &room.state.offer)
             && demand.zones.allows(demand.spec, &room.state.offer.zone)
-            && demand.apart.allows_zone(&room.state.offer.zone)
-            && !demand.apart.taken.contains(&slot);
+            && demand.constraint.allows_zone(&room.state.offer.zone)
+            && !demand.constraint.excluded.contains(&slot);
         allowed.then(|| rank(room, demand)).flatten()
     }
 
     /// The best room for one more task of a job.
-    pub fn best(&self, demand: &Demand) -> Option<Best> {
+    pub fn best(&self, demand: &TaskDemand) -> Option<BestFit> {
         let mut best = None;
         for group in &self.groups {
             count(&self.examined, 1);
             let (spec, offer) = (demand.spec, &group.offer);
-            let zone_allowed =
-                demand.zones.allows(spec, &offer.zone) && demand.apart.allows_zone(&offer.zone);
-            if !allows_offer(spec, offer) || !zone_allowed {
+            let zone_allowed = demand.zones.allows(spec, &offer.zone)
+                && demand.constraint.allows_zone(&offer.zone);
+            if !offer_allowed(spec, offer) || !zone_allowed {
                 continue;
             }
-            let fit = Fit {
-                cached: true,
-                coming: false,
-                fetches: 0,
+            let fit = FitScore {
+                image_cached: true,
+                image_pulling: false,
+                concurrent_pulls: 0,
                 spot: offer.spot,
-                left: 0.0,
+                free_share: 0.0,
                 siblings: 0,
             };
             let mut search = Search {
                 demand,
-                need_share: demand.need.share_of(&group.whole),
+                need_share: demand.need.dominant_share(&group.whole),
                 base: 0.0,
                 best,
             };
@@ -108,19 +108,19 @@
                 search.base = fit.rank() + crowded;
                 self.scan(group, levels, &mut search);
             }
-            if let Some(levels) = group.with_coming.get(&spec.image) {
-                let coming = Fit {
-                    cached: false,
-                    coming: true,
+            if let Some(levels) = group.with_pulling_image.get(&spec.image) {
+                let coming = FitScore {
+                    image_cached: false,
+                    image_pulling: true,
                     ..fit
                 };
                 search.base = coming.rank() + crowded;
                 self.scan(group, levels, &mut search);
             }
-            for (fetches, levels) in &group.by_fetches {
-                let cold = Fit {
-                    cached: false,
-                    fetches: *fetches,
+            for (fetches, levels) in &group.by_concurrent_pulls {
+                let cold = FitScore {
+                    image_cached: false,
+                    concurrent_pulls: *fetches,
                     ..fit
                 };
                 search.base = cold.rank() + crowded;
@@ -133,7 +133,7 @@
         best
     }
 
-    fn scan(&self, group: &Group, levels: &Levels, search: &mut Search) {
+    fn scan(&self, group: &OfferGroup, levels: &FreeLevels, search: &mut Search) {
         let need = search.demand.need;
         for (level, by_free) in levels.for_task(need, &group.whole) {
             count(&self.examined, 1);
@@ -170,14 +170,14 @@
                 return;
             }
             count(&self.examined, 1);
-            if search.demand.apart.taken.contains(slot) {
+            if search.demand.constraint.excluded.contains(slot) {
                 continue;
             }
             let Some(room) = self.get(*slot).filter(|room| self.is_fresh(room)) else {
                 continue;
             };
             if let Some(rank) = rank(room, search.demand).filter(|rank| search.improves(*rank)) {
-                search.best = Some(Best { slot: *slot, rank });
+                search.best = Some(BestFit { slot: *slot, rank });
             }
         }
     }
@@ -187,7 +187,7 @@
     pub fn fullest(&self, spec: &JobSpec, need: &Resources) -> Option<(Slot, bool)> {
         let groups = || {
             let all = self.groups.iter();
-            all.filter(|g| !g.offer.spot && allows_offer(spec, &g.offer))
+            all.filter(|g| !g.offer.spot && offer_allowed(spec, &g.offer))
         };
         let mut best: Option<(f64, Slot)> = None;
         for group in groups() {
@@ -199,7 +199,7 @@
             return Some((slot, true));
         }
         for group in groups() {
-            for levels in group.by_fetches.values() {
+            for levels in group.by_concurrent_pulls.values() {
                 self.fullest_of(group, levels, need, &mut best);
             }
         }
@@ -208,8 +208,8 @@
 
     fn fullest_of(
         &self,
-        group: &Group,
-        levels: &Levels,
+        group: &OfferGroup,
+        levels: &FreeLevels,
         need: &Resources,
         best: &mut Option<(f64, Slot)>,
     ) {
@@ -242,9 +242,9 @@
         amounts: &FreeAmounts,
         mut rooms: impl Iterator<Item = &'a Slot>,
         need: &Resources,
-        accept: &impl Fn(Slot, &Room) -> bool,
+        accept: &impl Fn(Slot, &MachineCapacity) -> bool,
     ) -> Option<Slot> {
-        if !amounts.free().holds(need) {
+        if !amounts.free().covers(need) {
             return None;
         }
         let found = rooms.find(|slot| {
@@ -261,8 +261,8 @@
         &self,
         spec: &JobSpec,
         need: &Resources,
-        zones: &ZoneUse,
-        accept: impl Fn(Slot, &Room) -> bool,
+        zones: &ZoneCounts,
+        accept: impl Fn(Slot, &MachineCapacity) -> bool,
     ) -> Option<Slot> {
         let allowed = self.allowed(spec, zones);
         let levels = allowed.filter_map(|g| Some((g, g.with_image.get(&spec.image)?)));
@@ -275,11 +275,14 @@
         &'a self,
         spec: &'a JobSpec,
         need: &'a Resources,
-        zones: &'a ZoneUse,
-        accept: impl Fn(Slot, &Room) -> bool + 'a,
+        zones: &'a ZoneCounts,
+        accept: impl Fn(Slot, &MachineCapacity) -> bool + 'a,
     ) -> impl Iterator<Item = Slot> + 'a {
         self.allowed(spec, zones).filter_map(move |group| {
-            let levels = group.by_fetches.values().map(|levels| (group, levels));
+            let levels = group
+                .by_concurrent_pulls
+                .values()
+                .map(|levels| (group, levels));
             self.first_of(levels, need, &accept)
         })
     }
@@ -287,18 +290,18 @@
     fn allowed<'a>(
         &'a self,
         spec: &'a JobSpec,
-        zones: &'a ZoneUse,
-    ) -> impl Iterator<Item = &'a Group> {
+        zones: &'a ZoneCounts,
+    ) -> impl Iterator<Item = &'a OfferGroup> {
         let allowed =
-            |g: &&Group| allows_offer(spec, &g.offer) && zones.allows(spec, &g.offer.zone);
+            |g: &&OfferGroup| offer_allowed(spec, &g.offer) && zones.allows(spec, &g.offer.zone);
         self.groups.iter().filter(allowed)
     }
 
     fn first_of<'a>(
         &self,
-        groups: impl Iterator<Item = (&'a Group, &'a Levels)>,
+        groups: impl Iterator<Item = (&'a OfferGroup, &'a FreeLevels)>,
         need: &Resources,
-        accept: &impl Fn(Slot, &Room) -> bool,
+        accept: &impl Fn(Slot, &MachineCapacity) -> bool,
     ) -> Option<Slot> {
         for (group, levels) in groups {
             for (level, by_free) in levels.for_task(need, &group.whole) {
@@ -322,13 +325,13 @@
     pub fn with_image<'a>(
         &'a self,
         spec: &'a JobSpec,
-        zones: &'a ZoneUse,
+        zones: &'a ZoneCounts,
         most: usize,
-    ) -> impl Iterator<Item = (Slot, &'a Room)> {
+    ) -> impl Iterator<Item = (Slot, &'a MachineCapacity)> {
         let allowed = self.allowed(spec, zones);
         let levels = allowed.filter_map(|group| group.with_image.get(&spec.image));
         let rooms = levels.flat_map(move |levels| levels.rooms().take(most));
-        self.taking_work(rooms)
+        self.accepting_tasks(rooms)
     }
 
     /// Machines that run something less important, at most so many of each group
@@ -337,14 +340,14 @@
         &'a self,
         spec: &'a JobSpec,
         most: usize,
-    ) -> impl Iterator<Item = (Slot, &'a Room)> {
-        let allowed = self.groups.iter().filter(|g| allows_offer(spec, &g.offer));
+    ) -> impl Iterator<Item = (Slot, &'a MachineCapacity)> {
+        let allowed = self.groups.iter().filter(|g| offer_allowed(spec, &g.offer));
         let rooms = allowed.flat_map(move |group| {
             let less = group.stoppable.iter().rev();
             let less = less.take_while(|(priority, _)| **priority > spec.priority);
             less.flat_map(|(_, rooms)| rooms.iter()).take(most).copied()
         });
-        self.taking_work(rooms)
+        self.accepting_tasks(rooms)
     }
 
     /// All machines that hold a task like this now.
@@ -352,17 +355,17 @@
         &'a self,
         spec: &'a JobSpec,
         need: &'a Resources,
-    ) -> impl Iterator<Item = (Slot, &'a Room)> {
-        let allowed = self.groups.iter().filter(|g| allows_offer(spec, &g.offer));
+    ) -> impl Iterator<Item = (Slot, &'a MachineCapacity)> {
+        let allowed = self.groups.iter().filter(|g| offer_allowed(spec, &g.offer));
         let rooms = allowed.flat_map(move |group| {
-            let lists = group.by_fetches.values();
+            let lists = group.by_concurrent_pulls.values();
             let levels = lists.flat_map(move |levels| levels.for_task(need, &group.whole));
             let fitting = levels.filter(|(level, _)| level.may_hold(need, &group.whole));
             let rooms = fitting.flat_map(|(_, by_free)| by_free.values());
             rooms.flat_map(|rooms| rooms.iter().copied())
         });
-        self.taking_work(rooms)
-            .filter(|(_, room)| room.free().holds(need))
+        self.accepting_tasks(rooms)
+            .filter(|(_, room)| room.free().covers(need))
     }
 }
 
@@ -370,43 +373,44 @@
 /// held.
 fn left_of(amounts: &FreeAmounts, need: &Resources, whole: &Resources) -> Option<f64> {
     let mut left = amounts.free();
-    if !left.holds(need) {
+    if !left.covers(need) {
         return None;
     }
-    left.take(need);
-    Some(left.share_of(whole))
+    left.subtract(need);
+    Some(left.dominant_share(whole))
 }
 
 impl Search<'_> {
     fn improves(&self, rank: f64) -> bool {
-        self.best.is_none_or(|best| rank < best.rank - RANK_SLOP)
+        self.best
+            .is_none_or(|best| rank < best.rank - RANK_TOLERANCE)
     }
 }
 
 /// Replicas are kept apart; tasks that end soon fill machines up.
-fn crowded(demand: &Demand, zone: &str) -> f64 {
+fn crowded(demand: &TaskDemand, zone: &str) -> f64 {
     match demand.spec.kind {
-        Kind::Service => Fit::crowded(demand.zones.count(zone)),
+        JobKind::Service => FitScore::zone_crowding(demand.zones.count(zone)),
         _ => 0.0,
     }
 }
 
-fn rank(room: &Room, demand: &Demand) -> Option<f64> {
+fn rank(room: &MachineCapacity, demand: &TaskDemand) -> Option<f64> {
     let mut left = room.free();
-    if !left.holds(demand.need) {
+    if !left.covers(demand.need) {
         return None;
     }
-    left.take(demand.need);
-    let fit = Fit {
-        cached: room.has_image(&demand.spec.image),
-        coming: room.state.coming.contains(&demand.spec.image),
-        fetches: room.fetches(),
+    left.subtract(demand.need);
+    let fit = FitScore {
+        image_cached: room.has_image(&demand.spec.image),
+        image_pulling: room.state.pulling_images.contains(&demand.spec.image),
+        concurrent_pulls: room.concurrent_pulls(),
         spot: room.state.offer.spot,
-        left: left.share_of(&room.state.whole),
+        free_share: left.dominant_share(&room.state.total),
         siblings: demand.siblings.get(&room.id).copied().unwrap_or(0),
     };
     let avoided = if (demand.failed_on)(&room.id) {
-        FAILED_THERE
+        FAILED_BEFORE_PENALTY
     } else {
         0.0
     };
--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -2,16 +2,16 @@
 //! calls are paced, repeated until clear, and boot times are learned.
 
 use crate::ids::MachineId;
-use crate::msg::{Call, CallError, Now, Outcome, Target};
-use crate::store::TokenBucket;
-use crate::wire::{self, Catalog, ListedMachine, MachineList, MachineNames, Rent};
+use crate::kv_client::TokenBucket;
+use crate::messages::{Call, CallError, CallResult, Destination, Now};
+use crate::wire::{self, Catalog, ListedMachine, MachineList, MachineNames, ProvisionRequest};
 use std::collections::{BTreeSet, VecDeque};
 use std::rc::Rc;
 
 /// The protocol's most for one call.
-const RELEASE_MAX: usize = 100;
+const MAX_MACHINES_PER_RELEASE: usize = 100;
 /// The most machines of one rental (PROTOCOL).
-pub const RENT_MAX: u32 = 50;
+pub const MAX_MACHINES_PER_ORDER: u32 = 50;
 const LIST_PAGE: usize = 500;
 
 /// A kind of rental: type, zone, spot or steady.
@@ -27,7 +27,7 @@
 
 /// A rental that was decided and isn't answered for sure yet.
 #[derive(Clone, Debug)]
-pub struct Order {
+pub struct ProvisionOrder {
     /// Never reused, by any node: term, counter.
     pub name: String,
     /// What is rented.
@@ -47,7 +47,7 @@
     /// A page of the machine list.
     List,
     /// The rental of this name.
-    Rent(String),
+    Provision(String),
     /// The return of these machines.
     Release(Vec<MachineId>),
 }
@@ -60,38 +60,38 @@
     /// All machines, as of some while ago.
     Listed(Vec<ListedMachine>),
     /// Machines that were rented.
-    Rented(Offer, Vec<MachineId>),
+    Provisioned(Offer, Vec<MachineId>),
     /// Nothing of the kind is to be had now.
     NoCapacity(Offer),
     /// The order can't be placed now; decide anew later.
-    Unavailable(Offer),
+    OrderFailed(Offer),
     /// Gone with everything on them: proof.
     Released(Vec<MachineId>),
 }
 
 /// Paces the requests to the cloud and repeats them until they are clear.
-pub struct Cloud {
+pub struct CloudClient {
     bucket: TokenBucket,
     timeout_ms: u64,
     list_every_ms: u64,
-    orders: Vec<Order>,
+    orders: Vec<ProvisionOrder>,
     releases: BTreeSet<MachineId>,
     releasing: BTreeSet<MachineId>,
     catalog_due_ms: u64,
     list_due_ms: u64,
     listing: Option<Vec<ListedMachine>>,
     list_after: Option<String>,
-    busy: VecDeque<CloudCall>,
+    in_flight: VecDeque<CloudCall>,
     /// Nothing is asked before this time: the cloud said 429 or was away.
     pause_until_ms: u64,
-    trouble: bool,
+    failing: bool,
     leading: bool,
 }
 
-impl Cloud {
+impl CloudClient {
     /// Nothing is asked yet.
     pub fn new(rps: f64, list_lag_s: f64) -> Self {
-        Cloud {
+        CloudClient {
             // Followers ask for the catalogue at most, so the leader may have
             // nearly all of the rate.
             bucket: TokenBucket::new(rps * 0.85, 1.5),
@@ -104,16 +104,16 @@
             list_due_ms: 0,
             listing: None,
             list_after: None,
-            busy: VecDeque::new(),
+            in_flight: VecDeque::new(),
             pause_until_ms: 0,
-            trouble: false,
+            failing: false,
             leading: false,
         }
     }
 
     /// A new leader starts with a list; a deposed one forgets its plans. An
     /// unclear order may still be carried out: its machines will turn up.
-    pub fn lead(&mut self, now: Now, leading: bool) {
+    pub fn set_leading(&mut self, now: Now, leading: bool) {
         self.leading = leading;
         self.orders.clear();
         self.releases.clear();
@@ -129,15 +129,15 @@
 
     /// Whether the cloud answered its last call.
     pub fn reachable(&self) -> bool {
-        !self.trouble
+        !self.failing
     }
 
     /// Places an order; its name must never have been used.
-    pub fn rent(&mut self, name: String, offer: Offer, count: u32) {
-        self.orders.push(Order {
+    pub fn provision(&mut self, name: String, offer: Offer, count: u32) {
+        self.orders.push(ProvisionOrder {
             name,
             offer,
-            count: count.min(RENT_MAX),
+            count: count.min(MAX_MACHINES_PER_ORDER),
             retry_ms: 0,
             in_flight: false,
             unclear: false,
@@ -145,7 +145,7 @@
     }
 
     /// Machines that are ordered and not yet named.
-    pub fn ordered(&self, offer: &Offer) -> u32 {
+    pub fn pending_count(&self, offer: &Offer) -> u32 {
         self.orders
             .iter()
             .filter(|o| o.offer == *offer)
@@ -154,7 +154,7 @@
     }
 
     /// The orders that aren't answered yet, with their counts.
-    pub fn orders(&self) -> impl Iterator<Item = (&Offer, u32)> {
+    pub fn pending_orders(&self) -> impl Iterator<Item = (&Offer, u32)> {
         self.orders.iter().map(|o| (&o.offer, o.count))
     }
 
@@ -172,25 +172,28 @@
         }
         let timeout_ms = self.timeout_ms;
         let post = |path: &str, body: Vec<u8>| Call {
-            target: Target::Cloud,
+            target: Destination::Cloud,
             method: "POST",
             path: path.to_string(),
             body,
             timeout_ms,
         };
         let get = |path: String| Call {
-            target: Target::Cloud,
+            target: Destination::Cloud,
             method: "GET",
             path,
             body: Vec::new(),
             timeout_ms,
         };
         if now.ms >= self.catalog_due_ms
-            && !self.busy.contains(&CloudCall::Catalog)
+            && !self.in_flight.contains(&CloudCall::Catalog)
             && self.bucket.take(now, 1.0)
         {
-            self.busy.push_back(CloudCall::Catalog);
-            send(CloudCall::Catalog, get(wire::CLOUD_CATALOG.to_string()));
+            self.in_flight.push_back(CloudCall::Catalog);
+            send(
+                CloudCall::Catalog,
+                get(wire::CLOUD_CATALOG_PATH.to_string()),
+            );
         }
         if !self.leading {
             return;
@@ -198,7 +201,12 @@
         // Giving machines back is proof that their tasks are gone, so it
         // comes before renting; the list is only a hint.
         while !self.releases.is_empty() && self.bucket.take(now, 1.0) {
-            let names: Vec<MachineId> = self.releases.iter().take(RELEASE_MAX).cloned().collect();
+            let names: Vec<MachineId> = self
+                .releases
+                .iter()
+                .take(MAX_MACHINES_PER_RELEASE)
+                .cloned()
+                .collect();
             for name in &names {
                 self.releases.remove(name);
                 self.releasing.insert(name.clone());
@@ -207,14 +215,17 @@
                 machines: names.iter().map(|m| m.to_string()).collect(),
             };
             let body = serde_json::to_vec(&body).unwrap_or_default();
-            send(CloudCall::Release(names), post(wire::CLOUD_RELEASE, body));
+            send(
+                CloudCall::Release(names),
+                post(wire::CLOUD_RELEASE_PATH, body),
+            );
         }
         for order in &mut self.orders {
             if order.in_flight || now.ms < order.retry_ms || !self.bucket.take(now, 1.0) {
                 continue;
             }
             order.in_flight = true;
-            let body = Rent {
+            let body = ProvisionRequest {
                 request: &order.name,
                 machine_type: &order.offer.machine_type,
                 zone: &order.offer.zone,
@@ -223,15 +234,15 @@
             };
             let body = serde_json::to_vec(&body).unwrap_or_default();
             send(
-                CloudCall::Rent(order.name.clone()),
-                post(wire::CLOUD_MACHINES, body),
+                CloudCall::Provision(order.name.clone()),
+                post(wire::CLOUD_MACHINES_PATH, body),
             );
         }
         if now.ms >= self.list_due_ms
-            && !self.busy.contains(&CloudCall::List)
+            && !self.in_flight.contains(&CloudCall::List)
             && self.bucket.take(now, 1.0)
         {
-            self.busy.push_back(CloudCall::List);
+            self.in_flight.push_back(CloudCall::List);
             let after = self
                 .list_after
                 .as_ref()
@@ -239,7 +250,10 @@
                 .unwrap_or_default();
             send(
                 CloudCall::List,
-                get(format!("{}?{after}limit={LIST_PAGE}", wire::CLOUD_MACHINES)),
+                get(format!(
+                    "{}?{after}limit={LIST_PAGE}",
+                    wire::CLOUD_MACHINES_PATH
+                )),
             );
         }
     }
@@ -258,11 +272,16 @@
     }
 
     /// Takes an answer in.
-    pub fn answered(&mut self, now: Now, call: CloudCall, outcome: Outcome) -> Option<CloudEvent> {
-        self.busy.retain(|c| *c != call);
+    pub fn answered(
+        &mut self,
+        now: Now,
+        call: CloudCall,
+        outcome: CallResult,
+    ) -> Option<CloudEvent> {
+        self.in_flight.retain(|c| *c != call);
         let away = match &outcome {
             Ok((429, _)) => {
-                self.bucket.drain(now);
+                self.bucket.mark_empty(now);
                 self.pause_until_ms = now.ms + 500;
                 true
             }
@@ -271,15 +290,15 @@
             Err(_) => true,
         };
         if away && !matches!(outcome, Ok((429, _))) {
-            self.trouble = true;
+            self.failing = true;
             self.pause_until_ms = now.ms + 1000;
         } else if !away {
-            self.trouble = false;
+            self.failing = false;
         }
         match call {
             CloudCall::Catalog => self.on_catalog(now, outcome),
             CloudCall::List => self.on_list(now, outcome),
-            CloudCall::Rent(name) => self.on_rent(now, &name, outcome),
+            CloudCall::Provision(name) => self.on_rent(now, &name, outcome),
             CloudCall::Release(names) => {
                 for name in &names {
                     self.releasing.remove(name);
@@ -296,11 +315,11 @@
         }
     }
 
-    fn on_catalog(&mut self, now: Now, outcome: Outcome) -> Option<CloudEvent> {
+    fn on_catalog(&mut self, now: Now, outcome: CallResult) -> Option<CloudEvent> {
         let catalog = match outcome {
             Ok((200, body)) => serde_json::from_slice::<Catalog>(&body)
                 .ok()
-                .and_then(Catalog::checked),
+                .and_then(Catalog::validated),
             _ => None,
         };
         // Spot prices move; the rest hardly ever does.
@@ -309,7 +328,7 @@
         catalog.map(CloudEvent::Catalog)
     }
 
-    fn on_list(&mut self, now: Now, outcome: Outcome) -> Option<CloudEvent> {
+    fn on_list(&mut self, now: Now, outcome: CallResult) -> Option<CloudEvent> {
         let page = match outcome {
             Ok((200, body)) => serde_json::from_slice::<MachineList>(&body).ok(),
             _ => None,
@@ -332,20 +351,20 @@
         self.listing.take().map(CloudEvent::Listed)
     }
 
-    fn on_rent(&mut self, now: Now, name: &str, outcome: Outcome) -> Option<CloudEvent> {
+    fn on_rent(&mut self, now: Now, name: &str, outcome: CallResult) -> Option<CloudEvent> {
         let index = self.orders.iter().position(|o| o.name == name)?;
         match outcome {
             Ok((200, body)) => {
                 let order = self.orders.swap_remove(index);
                 let names: MachineNames = serde_json::from_slice(&body).ok()?;
                 let names = names.machines.iter().map(|m| MachineId::new(m)).collect();
-                Some(CloudEvent::Rented(order.offer, names))
+                Some(CloudEvent::Provisioned(order.offer, names))
             }
             Ok((503, body)) if is_no_capacity(&body) => {
                 let order = self.orders.swap_remove(index);
                 Some(CloudEvent::NoCapacity(order.offer))
             }
-            Err(CallError::Unclear) => {
+            Err(CallError::Indeterminate) => {
                 // The same name again: it rents at most once.
                 let order = &mut self.orders[index];
                 order.in_flight = false;
@@ -361,7 +380,7 @@
             }
             _ => {
                 let order = self.orders.swap_remove(index);
-                Some(CloudEvent::Unavailable(order.offer))
+                Some(CloudEvent::OrderFailed(order.offer))
             }
         }
     }
--- a/src/election.rs
+++ b/src/election.rs
@@ -3,9 +3,9 @@
 //! nothing of a deposed leader can apply, however late it comes.
 
 use crate::ids::{Revision, Term};
-use crate::msg::{Call, Now};
-use crate::store::{self, Answer, StateCall, Urgency};
-use crate::wire::{Items, LeaseGranted, RevisionOnly, Txn, WatchAnswer};
+use crate::kv_client::{self, CallPriority, KvCall, KvResponse};
+use crate::messages::{Call, Now};
+use crate::wire::{KeyPage, LeaseGranted, Txn, TxnResponse, WatchResponse};
 use serde::{Deserialize, Serialize};
 
 /// Prefix of the records of the election.
@@ -47,7 +47,7 @@
 
 /// Which question an answer belongs to.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum ElectionCall {
+pub enum ElectionKvCall {
     /// Reads both records.
     Read,
     /// Asks for a lease.
@@ -80,7 +80,7 @@
 
 /// What the node learns from the election.
 #[derive(Clone, PartialEq, Debug)]
-pub enum Change {
+pub enum LeadershipChange {
     /// It leads from now on.
     Elected {
         /// Its term.
@@ -93,7 +93,7 @@
 }
 
 /// Calls that the election wants made.
-pub type ElectionOut = Vec<StateCall<ElectionCall>>;
+pub type ElectionEffects = Vec<KvCall<ElectionKvCall>>;
 
 /// One controller's part in the election.
 pub struct Election {
@@ -103,13 +103,13 @@
     /// What it is as far as it knows.
     pub role: Role,
     /// Versions as last read: of the leader key (0: absent) and of the term.
-    key_version: u64,
+    key_revision: u64,
     term: TermRecord,
-    term_version: u64,
+    term_revision: u64,
     leader: Option<LeaderRecord>,
     revision: Revision,
     lease: Option<u64>,
-    waiting: Option<ElectionCall>,
+    waiting: Option<ElectionKvCall>,
     watching: bool,
     /// When the next step is due.
     due_ms: u64,
@@ -120,7 +120,7 @@
     /// gone out and come back since. `true`: one from before is under way.
     doubt: Option<bool>,
     /// It stepped aside: others may claim first until then.
-    aside_until_ms: u64,
+    yielding_until_ms: u64,
 }
 
 impl Election {
@@ -131,12 +131,12 @@
             incarnation,
             ttl_ms,
             role: Role::Unknown,
-            key_version: 0,
+            key_revision: 0,
             term: TermRecord {
                 term: Term(0),
                 limits_lowered: false,
             },
-            term_version: 0,
+            term_revision: 0,
             leader: None,
             revision: Revision(0),
             lease: None,
@@ -146,7 +146,7 @@
             read_ms: 0,
             stagger_ms,
             doubt: None,
-            aside_until_ms: 0,
+            yielding_until_ms: 0,
         }
     }
 
@@ -156,14 +156,14 @@
     }
 
     /// Whether this process may have lost the lead without having been told.
-    pub fn in_doubt(&self) -> bool {
+    pub fn leadership_unconfirmed(&self) -> bool {
         self.is_leader() && self.doubt.is_some()
     }
 
     /// The process stood still, or a worker shows a later term: its lease may
     /// have ended. Until a renewal says otherwise it does nothing as leader.
-    pub fn doubt(&mut self, now: Now) {
-        self.doubt = Some(self.waiting == Some(ElectionCall::Renew));
+    pub fn require_renewal(&mut self, now: Now) {
+        self.doubt = Some(self.waiting == Some(ElectionKvCall::Renew));
         self.due_ms = now.ms;
     }
 
@@ -199,7 +199,7 @@
         let value = serde_json::to_value(record).unwrap_or_default();
         Some(
             Txn::default()
-                .guard(LEADER_KEY, key_version.0)
+                .compare(LEADER_KEY, key_version.0)
                 .put(TERM_KEY, value),
         )
     }
@@ -218,42 +218,48 @@
         (self.ttl_ms / 3).max(200)
     }
 
-    fn ask(&mut self, now: Now, what: ElectionCall, call: (Call, usize), out: &mut ElectionOut) {
-        if what == ElectionCall::Watch {
+    fn ask(
+        &mut self,
+        now: Now,
+        what: ElectionKvCall,
+        call: (Call, usize),
+        out: &mut ElectionEffects,
+    ) {
+        if what == ElectionKvCall::Watch {
             self.watching = true;
-        } else if what != ElectionCall::End {
+        } else if what != ElectionKvCall::End {
             self.waiting = Some(what);
         }
         let give_up_ms = now.ms + call.0.timeout_ms;
-        out.push(StateCall {
-            urgency: Urgency::Leadership,
+        out.push(KvCall {
+            priority: CallPriority::Leadership,
             call: call.0,
             writes: call.1,
-            give_up_ms,
+            expires_ms: give_up_ms,
             tag: what,
         });
     }
 
     /// Makes the calls that are due, and says when to be called again.
-    pub fn tick(&mut self, now: Now, out: &mut ElectionOut) -> u64 {
+    pub fn tick(&mut self, now: Now, out: &mut ElectionEffects) -> u64 {
         if self.waiting.is_none() && now.ms >= self.due_ms {
             let timeout = self.timeout_ms();
             match &self.role {
                 Role::Leader { .. } => {
                     let lease = self.lease.unwrap_or(0);
-                    let call = store::lease_renew(lease, timeout);
-                    self.ask(now, ElectionCall::Renew, (call, 0), out);
+                    let call = kv_client::lease_renew(lease, timeout);
+                    self.ask(now, ElectionKvCall::Renew, (call, 0), out);
                 }
                 _ => {
-                    let call = store::list(LEADER_PREFIX, None, timeout);
-                    self.ask(now, ElectionCall::Read, (call, 0), out);
+                    let call = kv_client::list(LEADER_PREFIX, None, timeout);
+                    self.ask(now, ElectionKvCall::Read, (call, 0), out);
                 }
             }
         }
         if !self.watching && matches!(self.role, Role::Follower(_)) && self.waiting.is_none() {
             let wait = self.ttl_ms * 3;
-            let call = store::watch(LEADER_PREFIX, self.revision, wait, wait + self.ttl_ms);
-            self.ask(now, ElectionCall::Watch, (call, 0), out);
+            let call = kv_client::watch(LEADER_PREFIX, self.revision, wait, wait + self.ttl_ms);
+            self.ask(now, ElectionKvCall::Watch, (call, 0), out);
         }
         if self.waiting.is_some() {
             now.ms + self.ttl_ms
@@ -263,27 +269,36 @@
     }
 
     /// Gives leadership up, so that state is read afresh by whoever leads next.
-    pub fn resign(&mut self, now: Now, out: &mut ElectionOut) -> Option<Change> {
+    pub fn step_down(&mut self, now: Now, out: &mut ElectionEffects) -> Option<LeadershipChange> {
         let was = self.is_leader();
         if let Some(lease) = self.lease.take() {
-            let call = store::lease_end(lease, self.timeout_ms());
-            self.ask(now, ElectionCall::End, (call, 0), out);
+            let call = kv_client::lease_end(lease, self.timeout_ms());
+            self.ask(now, ElectionKvCall::End, (call, 0), out);
         }
         self.role = Role::Unknown;
         self.due_ms = now.ms + 50;
-        was.then_some(Change::Deposed)
+        was.then_some(LeadershipChange::Deposed)
     }
 
     /// Gives leadership up to somebody better placed, and claims it again only
     /// if nobody else does.
-    pub fn step_aside(&mut self, now: Now, out: &mut ElectionOut) -> Option<Change> {
-        self.aside_until_ms = now.ms + self.ttl_ms * 2;
-        self.resign(now, out)
+    pub fn yield_leadership(
+        &mut self,
+        now: Now,
+        out: &mut ElectionEffects,
+    ) -> Option<LeadershipChange> {
+        self.yielding_until_ms = now.ms + self.ttl_ms * 2;
+        self.step_down(now, out)
     }
 
     /// A peer that the state service answers names another leader, of a later
     /// term.
-    pub fn superseded(&mut self, now: Now, node: &str, term: Term) -> Option<Change> {
+    pub fn observe_later_term(
+        &mut self,
+        now: Now,
+        node: &str,
+        term: Term,
+    ) -> Option<LeadershipChange> {
         if !self.is_leader() || term <= self.term.term || node == self.node {
             return None;
         }
@@ -295,36 +310,36 @@
         });
         self.lease = None;
         self.due_ms = now.ms;
-        Some(Change::Deposed)
+        Some(LeadershipChange::Deposed)
     }
 
     /// Takes the answer to a call in.
     pub fn answered(
         &mut self,
         now: Now,
-        what: ElectionCall,
-        answer: Answer,
-        out: &mut ElectionOut,
-    ) -> Option<Change> {
+        what: ElectionKvCall,
+        answer: KvResponse,
+        out: &mut ElectionEffects,
+    ) -> Option<LeadershipChange> {
         match what {
-            ElectionCall::Watch => self.watching = false,
-            ElectionCall::End => {}
+            ElectionKvCall::Watch => self.watching = false,
+            ElectionKvCall::End => {}
             _ if self.waiting == Some(what) => self.waiting = None,
             _ => return None,
         }
         match what {
-            ElectionCall::Read => self.on_read(now, &answer, out),
-            ElectionCall::Lease => {
+            ElectionKvCall::Read => self.on_read(now, &answer, out),
+            ElectionKvCall::Lease => {
                 self.on_lease(now, &answer, out);
                 None
             }
-            ElectionCall::Claim => self.on_claim(now, &answer),
-            ElectionCall::Renew => self.on_renew(now, &answer),
-            ElectionCall::Watch => {
+            ElectionKvCall::Claim => self.on_claim(now, &answer),
+            ElectionKvCall::Renew => self.on_renew(now, &answer),
+            ElectionKvCall::Watch => {
                 self.on_watch(now, &answer);
                 None
             }
-            ElectionCall::End => None,
+            ElectionKvCall::End => None,
         }
     }
 
@@ -332,22 +347,27 @@
         self.due_ms = now.ms + self.ttl_ms / 10 + self.stagger_ms;
     }
 
-    fn on_read(&mut self, now: Now, answer: &Answer, out: &mut ElectionOut) -> Option<Change> {
-        let Some(items) = answer.read::<Items>(200) else {
+    fn on_read(
+        &mut self,
+        now: Now,
+        answer: &KvResponse,
+        out: &mut ElectionEffects,
+    ) -> Option<LeadershipChange> {
+        let Some(items) = answer.read::<KeyPage>(200) else {
             self.retry_soon(now);
             return None;
         };
         self.revision = Revision(items.revision);
         self.read_ms = now.ms;
         self.leader = None;
-        self.key_version = 0;
-        self.term_version = 0;
+        self.key_revision = 0;
+        self.term_revision = 0;
         for item in items.items {
             if item.key == LEADER_KEY {
-                self.key_version = item.version;
+                self.key_revision = item.mod_revision;
                 self.leader = serde_json::from_value(item.value).ok();
             } else if item.key == TERM_KEY {
-                self.term_version = item.version;
+                self.term_revision = item.mod_revision;
                 if let Ok(term) = serde_json::from_value(item.value) {
                     self.term = term;
                 }
@@ -357,12 +377,12 @@
     }
 
     /// Follows, claims, or finds that an unclear claim was won after all.
-    fn decide(&mut self, now: Now, out: &mut ElectionOut) -> Option<Change> {
+    fn decide(&mut self, now: Now, out: &mut ElectionEffects) -> Option<LeadershipChange> {
         match &self.leader {
             Some(record) if record.node != self.node => {
                 self.role = Role::Follower(record.clone());
                 // Another has claimed: there is nobody left to wait for.
-                self.aside_until_ms = 0;
+                self.yielding_until_ms = 0;
                 // The watch brings changes; this is in case it hangs, and so
                 // that a quiet follower knows that it is informed.
                 self.due_ms = now.ms + self.ttl_ms / 2;
@@ -371,10 +391,10 @@
             Some(record)
                 if record.incarnation == self.incarnation && self.lease == Some(record.lease) =>
             {
-                let (term, key_version) = (record.term, Revision(self.key_version));
+                let (term, key_version) = (record.term, Revision(self.key_revision));
                 Some(self.won(now, term, key_version))
             }
-            None if now.ms < self.aside_until_ms => {
+            None if now.ms < self.yielding_until_ms => {
                 self.role = Role::Unknown;
                 self.retry_soon(now);
                 None
@@ -382,22 +402,22 @@
             // Nobody, or an earlier process of this very name, which is dead.
             _ => {
                 self.role = Role::Unknown;
-                let call = store::lease_create(self.ttl_ms, self.timeout_ms());
-                self.ask(now, ElectionCall::Lease, (call, 0), out);
+                let call = kv_client::lease_create(self.ttl_ms, self.timeout_ms());
+                self.ask(now, ElectionKvCall::Lease, (call, 0), out);
                 None
             }
         }
     }
 
-    fn won(&mut self, now: Now, term: Term, key_version: Revision) -> Change {
+    fn won(&mut self, now: Now, term: Term, key_version: Revision) -> LeadershipChange {
         self.role = Role::Leader { term, key_version };
         self.doubt = None;
         self.term.term = term;
         self.due_ms = now.ms + self.ttl_ms / 4;
-        Change::Elected { term, key_version }
+        LeadershipChange::Elected { term, key_version }
     }
 
-    fn on_lease(&mut self, now: Now, answer: &Answer, out: &mut ElectionOut) {
+    fn on_lease(&mut self, now: Now, answer: &KvResponse, out: &mut ElectionEffects) {
         let Some(granted) = answer.read::<LeaseGranted>(200) else {
             self.retry_soon(now);
             return;
@@ -412,8 +432,8 @@
         };
         let record_of_term = TermRecord { term, ..self.term };
         let txn = Txn::default()
-            .guard(LEADER_KEY, self.key_version)
-            .guard(TERM_KEY, self.term_version)
+            .compare(LEADER_KEY, self.key_revision)
+            .compare(TERM_KEY, self.term_revision)
             .put_leased(
                 LEADER_KEY,
                 serde_json::to_value(&record).unwrap_or_default(),
@@ -423,12 +443,12 @@
                 TERM_KEY,
                 serde_json::to_value(record_of_term).unwrap_or_default(),
             );
-        let call = store::txn(&txn, self.timeout_ms());
-        self.ask(now, ElectionCall::Claim, call, out);
+        let call = kv_client::txn(&txn, self.timeout_ms());
+        self.ask(now, ElectionKvCall::Claim, call, out);
     }
 
-    fn on_claim(&mut self, now: Now, answer: &Answer) -> Option<Change> {
-        if let Some(done) = answer.read::<RevisionOnly>(200) {
+    fn on_claim(&mut self, now: Now, answer: &KvResponse) -> Option<LeadershipChange> {
+        if let Some(done) = answer.read::<TxnResponse>(200) {
             let term = Term(self.term.term.0 + 1);
             return Some(self.won(now, term, Revision(done.revision)));
         }
@@ -441,7 +461,7 @@
         None
     }
 
-    fn on_renew(&mut self, now: Now, answer: &Answer) -> Option<Change> {
+    fn on_renew(&mut self, now: Now, answer: &KvResponse) -> Option<LeadershipChange> {
         match answer.status() {
             // It may have been given before the process stood still.
             Some(200) if self.doubt == Some(true) => {
@@ -458,7 +478,7 @@
                 self.lease = None;
                 self.role = Role::Unknown;
                 self.due_ms = now.ms;
-                Some(Change::Deposed)
+                Some(LeadershipChange::Deposed)
             }
             // Away or unclear: the key is ours until somebody says otherwise.
             _ => {
@@ -468,8 +488,8 @@
         }
     }
 
-    fn on_watch(&mut self, now: Now, answer: &Answer) {
-        match answer.read::<WatchAnswer>(200) {
+    fn on_watch(&mut self, now: Now, answer: &KvResponse) {
+        match answer.read::<WatchResponse>(200) {
             Some(seen) if seen.events.is_empty() => {
                 self.revision = Revision(seen.revision.max(self.revision.0));
             }
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -1,15 +1,15 @@
 //! What each machine may hold, from stored assignments and ordered reports.
 
 use crate::cloud::Offer;
-use crate::faults::FaultEvidence;
-use crate::ids::{MachineId, Session, TaskRef, Term, Token};
+use crate::faults::MachineFaults;
+use crate::ids::{AgentEpoch, FencingToken, MachineId, TaskRef, Term};
 use crate::placement::Resources;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
 
 /// Where a machine is in its life.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Phase {
+pub enum MachinePhase {
     /// Rented; its worker hasn't reported yet.
     Booting,
     /// Its worker has reported.
@@ -28,61 +28,61 @@
     /// Its type, zone and kind.
     pub offer: Offer,
     /// What it holds in all.
-    pub room: Resources,
+    pub capacity: Resources,
     /// How much its image cache holds.
-    pub cache_gb: f64,
+    pub image_cache_gb: f64,
     /// Where its worker takes direct commands.
     pub address: Option<String>,
     /// Where it is in its life.
-    pub phase: Phase,
+    pub phase: MachinePhase,
     /// When it was rented.
-    pub rented_ms: u64,
+    pub provisioned_ms: u64,
     /// Rented under this term, so that its boot time is known exactly.
-    pub own_rental: bool,
+    pub provisioned_this_term: bool,
     /// When its worker first reported to this leader.
     pub up_ms: Option<u64>,
     /// When its worker last reported.
-    pub heard_ms: u64,
+    pub last_heartbeat_ms: u64,
     /// When a follower last renewed its lease for us.
-    pub proxied_ms: u64,
+    pub lease_proxied_ms: u64,
     /// The worker's session.
-    pub session: Session,
+    pub agent_epoch: AgentEpoch,
     /// The number of the newest report in it.
-    pub seq: u64,
+    pub sequence: u64,
     /// The token that we give this worker.
-    pub token: Token,
+    pub fencing_token: FencingToken,
     /// A report showed a token of our own term.
-    pub evidence: bool,
+    pub fenced: bool,
     /// Since when answers seem not to reach it.
     pub unresponsive_since_ms: Option<u64>,
     /// When the cloud takes it away, by its notice.
-    pub notice_until_ms: Option<u64>,
+    pub reclaim_at_ms: Option<u64>,
     /// Assigned tasks that may be on it.
     pub tasks: BTreeSet<TaskRef>,
     /// What its assigned tasks take.
     pub used: Resources,
     /// It runs something that nobody assigned.
-    pub strays: bool,
+    pub has_unassigned_tasks: bool,
     /// Most recently used last.
-    cached: VecDeque<(Rc<str>, f64)>,
+    cached_images: VecDeque<(Rc<str>, f64)>,
     /// Images on their way, with the tasks that wait.
-    pub fetching: BTreeMap<Rc<str>, u32>,
+    pub pulling_images: BTreeMap<Rc<str>, u32>,
     /// What failed here, without a success since.
-    pub faults: FaultEvidence,
+    pub faults: MachineFaults,
     /// Since when it has had no task.
     pub idle_since_ms: Option<u64>,
     /// The list called it running.
-    pub listed_up: bool,
+    pub listed_running: bool,
     /// Commands on their way by the direct path.
-    pub calling: bool,
+    pub command_in_flight: bool,
     /// It may have changed since that was last asked.
-    touched: bool,
+    dirty: bool,
 }
 
 impl Machine {
     /// Whether its type and room are known: a stored assignment only names it.
     pub fn is_described(&self) -> bool {
-        self.room != Resources::default()
+        self.capacity != Resources::default()
     }
 
     /// A machine that was just rented or heard of.
@@ -97,59 +97,59 @@
         Machine {
             id,
             offer,
-            room,
-            cache_gb,
+            capacity: room,
+            image_cache_gb: cache_gb,
             address: None,
-            phase: Phase::Booting,
-            rented_ms: now_ms,
-            own_rental: false,
+            phase: MachinePhase::Booting,
+            provisioned_ms: now_ms,
+            provisioned_this_term: false,
             up_ms: None,
-            heard_ms: now_ms,
-            proxied_ms: 0,
-            session: Session(0),
-            seq: 0,
-            token: Token::new(term, 1),
-            evidence: false,
+            last_heartbeat_ms: now_ms,
+            lease_proxied_ms: 0,
+            agent_epoch: AgentEpoch(0),
+            sequence: 0,
+            fencing_token: FencingToken::new(term, 1),
+            fenced: false,
             unresponsive_since_ms: None,
-            notice_until_ms: None,
+            reclaim_at_ms: None,
             tasks: BTreeSet::new(),
             used: Resources::default(),
-            strays: false,
-            cached: VecDeque::new(),
-            fetching: BTreeMap::new(),
-            faults: FaultEvidence::default(),
+            has_unassigned_tasks: false,
+            cached_images: VecDeque::new(),
+            pulling_images: BTreeMap::new(),
+            faults: MachineFaults::default(),
             idle_since_ms: Some(now_ms),
-            listed_up: false,
-            calling: false,
-            touched: false,
+            listed_running: false,
+            command_in_flight: false,
+            dirty: false,
         }
     }
 
     /// What assigned tasks leave free.
     pub fn free(&self) -> Resources {
-        let mut free = self.room;
-        free.take(&self.used);
+        let mut free = self.capacity;
+        free.subtract(&self.used);
         free
     }
 
     /// Whether nothing but silence keeps tasks from being bound to it.
-    pub fn is_open(&self) -> bool {
-        self.phase == Phase::Up
-            && self.evidence
-            && !self.strays
+    pub fn is_schedulable(&self) -> bool {
+        self.phase == MachinePhase::Up
+            && self.fenced
+            && !self.has_unassigned_tasks
             && self.unresponsive_since_ms.is_none()
-            && self.notice_until_ms.is_none()
-            && !self.faults.suspect()
+            && self.reclaim_at_ms.is_none()
+            && !self.faults.is_suspect()
     }
 
     /// Whether a task may be bound to it now.
-    pub fn takes_work(&self, now_ms: u64, fresh_ms: u64) -> bool {
-        self.is_open() && now_ms < self.heard_ms + fresh_ms
+    pub fn accepts_tasks(&self, now_ms: u64, fresh_ms: u64) -> bool {
+        self.is_schedulable() && now_ms < self.last_heartbeat_ms + fresh_ms
     }
 
     /// The images that are there.
     pub fn images(&self) -> impl Iterator<Item = &Rc<str>> {
-        self.cached.iter().map(|(image, _)| image)
+        self.cached_images.iter().map(|(image, _)| image)
     }
 
     /// A task is assigned to it.
@@ -163,7 +163,7 @@
     /// A task is off it for sure.
     pub fn unassign(&mut self, task: &TaskRef, need: &Resources, now_ms: u64) {
         if self.tasks.remove(task) {
-            self.used.take(need);
+            self.used.subtract(need);
         }
         if self.tasks.is_empty() {
             // Sums of decimals must not leave dust behind.
@@ -174,19 +174,23 @@
 
     /// Whether a fetch of this image can be spared.
     pub fn has_image(&self, image: &str) -> bool {
-        self.cached.iter().any(|(i, _)| &**i == image)
+        self.cached_images.iter().any(|(i, _)| &**i == image)
     }
 
     /// A task with this image runs here, so the image is at hand.
-    pub fn used_image(&mut self, image: &Rc<str>, gb: f64) {
-        if self.cached.back().is_some_and(|(last, _)| last == image) {
+    pub fn mark_image_used(&mut self, image: &Rc<str>, gb: f64) {
+        if self
+            .cached_images
+            .back()
+            .is_some_and(|(last, _)| last == image)
+        {
             return;
         }
-        self.cached.retain(|(i, _)| i != image);
-        self.cached.push_back((image.clone(), gb));
-        let mut total: f64 = self.cached.iter().map(|(_, gb)| gb).sum();
-        while total > self.cache_gb && self.cached.len() > 1 {
-            if let Some((_, gb)) = self.cached.pop_front() {
+        self.cached_images.retain(|(i, _)| i != image);
+        self.cached_images.push_back((image.clone(), gb));
+        let mut total: f64 = self.cached_images.iter().map(|(_, gb)| gb).sum();
+        while total > self.image_cache_gb && self.cached_images.len() > 1 {
+            if let Some((_, gb)) = self.cached_images.pop_front() {
                 total -= gb;
             }
         }
@@ -194,9 +198,9 @@
 
     /// Raises the token, so that whatever was sent before is refused once the
     /// worker has seen it. `None`: this term's tokens are used up.
-    pub fn raise_token(&mut self) -> Option<Token> {
-        self.token = self.token.raised()?;
-        Some(self.token)
+    pub fn advance_fencing_token(&mut self) -> Option<FencingToken> {
+        self.fencing_token = self.fencing_token.next()?;
+        Some(self.fencing_token)
     }
 }
 
@@ -206,18 +210,18 @@
 pub struct Fleet {
     machines: BTreeMap<MachineId, Machine>,
     /// Machines that may have changed, or are gone, since this was last asked.
-    touched: Vec<MachineId>,
+    dirty: Vec<MachineId>,
     /// Returned machines, so that lists that lag don't bring them back:
     /// name, and when it may be forgotten.
-    gone: BTreeMap<MachineId, u64>,
+    released: BTreeMap<MachineId, u64>,
 }
 
 impl Fleet {
     /// Forgets everything.
     pub fn clear(&mut self) {
         self.machines.clear();
-        self.touched.clear();
-        self.gone.clear();
+        self.dirty.clear();
+        self.released.clear();
     }
 
     /// How many machines there are.
@@ -243,8 +247,8 @@
     /// The machine of this name, to be changed.
     pub fn get_mut(&mut self, id: &MachineId) -> Option<&mut Machine> {
         let machine = self.machines.get_mut(id)?;
-        if !std::mem::replace(&mut machine.touched, true) {
-            self.touched.push(id.clone());
+        if !std::mem::replace(&mut machine.dirty, true) {
+            self.dirty.push(id.clone());
         }
         Some(machine)
     }
@@ -252,37 +256,37 @@
     /// The machine of this name, to be changed; it is added if it isn't known.
     pub fn get_or_add(&mut self, id: &MachineId, new: impl FnOnce() -> Machine) -> &mut Machine {
         let machine = self.machines.entry(id.clone()).or_insert_with(new);
-        if !std::mem::replace(&mut machine.touched, true) {
-            self.touched.push(id.clone());
+        if !std::mem::replace(&mut machine.dirty, true) {
+            self.dirty.push(id.clone());
         }
         machine
     }
 
     /// The cloud has confirmed that it is gone.
     pub fn remove(&mut self, id: &MachineId, forget_ms: u64) -> Option<Machine> {
-        self.gone.insert(id.clone(), forget_ms);
-        self.touched.push(id.clone());
+        self.released.insert(id.clone(), forget_ms);
+        self.dirty.push(id.clone());
         self.machines.remove(id)
     }
 
     /// The machines that may have changed, or are gone, since this was last asked.
-    pub fn take_touched(&mut self) -> Vec<MachineId> {
-        let touched = std::mem::take(&mut self.touched);
+    pub fn take_dirty(&mut self) -> Vec<MachineId> {
+        let touched = std::mem::take(&mut self.dirty);
         for id in &touched {
             if let Some(machine) = self.machines.get_mut(id) {
-                machine.touched = false;
+                machine.dirty = false;
             }
         }
         touched
     }
 
     /// Whether the cloud has confirmed that it is gone.
-    pub fn is_gone(&self, id: &MachineId) -> bool {
-        self.gone.contains_key(id)
+    pub fn is_released(&self, id: &MachineId) -> bool {
+        self.released.contains_key(id)
     }
 
     /// Forgets names that no list can hold any more.
-    pub fn forget_gone(&mut self, now_ms: u64) {
-        self.gone.retain(|_, until| *until > now_ms);
+    pub fn forget_released(&mut self, now_ms: u64) {
+        self.released.retain(|_, until| *until > now_ms);
     }
 }
--- a/src/gateway/admission.rs
+++ b/src/gateway/admission.rs
@@ -1,13 +1,13 @@
 //! Which submissions are taken, and what is stored of them.
 
-use super::records::{final_key, job_key, Final, FinalRecord, JobRecord};
-use crate::limits::Limits;
-use crate::msg::{Now, Reply};
+use super::records::{final_key, job_key, FinalRecord, FinalState, JobRecord};
+use crate::limits::StoreLimits;
+use crate::messages::{Now, Reply};
 use crate::scheduler::tasks_per_record;
 use crate::settings::Settings;
-use crate::wire::{Catalog, JobSpec, Kind, MachineType, Txn};
-use lilacfork_replicas::classes::{Asked, Classes};
-use lilacfork_replicas::shape::Shape;
+use crate::wire::{Catalog, JobKind, JobSpec, MachineType, Txn};
+use lilacfork_replica_groups::classes::{GroupingRequest, ReplicaClasses};
+use lilacfork_replica_groups::shape::Shape;
 use std::rc::Rc;
 
 /// What the record of a job takes beside what its user sends: times, names of
@@ -42,7 +42,7 @@
     /// The transaction that accepts it when a job that it needs is cancelled.
     pub(super) fn accept_cancelled(&self, now: Now) -> Txn {
         let record = FinalRecord {
-            state: Final::Cancelled,
+            state: FinalState::Cancelled,
             tasks: self.spec.tasks,
             write: 0,
             ended: now.wall,
@@ -53,7 +53,9 @@
 
     fn unknown_yet(&self) -> Txn {
         let id = &self.spec.id;
-        Txn::default().guard(job_key(id), 0).guard(final_key(id), 0)
+        Txn::default()
+            .compare(job_key(id), 0)
+            .compare(final_key(id), 0)
     }
 }
 
@@ -61,14 +63,18 @@
 pub(super) struct Admission {
     settings: Rc<Settings>,
     /// Which new jobs span machines.
-    replica_classes: Classes,
+    replica_classes: ReplicaClasses,
     /// What the state service will always take.
-    least: Limits,
+    least: StoreLimits,
     pub(super) catalog: Option<Rc<Catalog>>,
 }
 
 impl Admission {
-    pub(super) fn new(settings: Rc<Settings>, replica_classes: Classes, least: Limits) -> Self {
+    pub(super) fn new(
+        settings: Rc<Settings>,
+        replica_classes: ReplicaClasses,
+        least: StoreLimits,
+    ) -> Self {
         Admission {
             settings,
             replica_classes,
@@ -82,7 +88,8 @@
         let spec = JobSpec::parse(body).map_err(|why| Reply::error(400, &why))?;
         let never = |why: String| Reply::error(422, &why);
         let judged = self.can_ever_run(&spec);
-        let judged = judged.ok_or_else(|| Reply::later(503, "machine types unknown yet", 1))?;
+        let judged =
+            judged.ok_or_else(|| Reply::retry_later(503, "machine types unknown yet", 1))?;
         let shape = judged.map_err(never)?;
         let submission = Submission { spec, shape };
         if body.len() + RECORD_BYTES > self.least.value_bytes {
@@ -112,27 +119,29 @@
             return Some(Err("unknown team".into()));
         };
         let counted = match spec.kind {
-            Kind::Array => 1.0,
-            Kind::Service | Kind::Group => f64::from(spec.tasks),
+            JobKind::Array => 1.0,
+            JobKind::Service | JobKind::Gang => f64::from(spec.tasks),
         };
         let over = |need: f64, max: f64| max > 0.0 && need * counted > max + 1e-9;
         if over(spec.cpus, team.cpus_max) || over(spec.gpus, team.gpus_max) {
             return Some(Err("more than the team's limit".into()));
         }
         let catalog = self.catalog.as_ref()?;
-        Some(if catalog.types.iter().any(|t| fits_type(spec, t)) {
-            self.shape_of(spec)
-        } else {
-            Err("a task fits no allowed machine type".into())
-        })
+        Some(
+            if catalog.types.iter().any(|t| fits_machine_type(spec, t)) {
+                self.shape_of(spec)
+            } else {
+                Err("a task fits no allowed machine type".into())
+            },
+        )
     }
 
     /// How a new job's tasks form replicas that span machines.
     fn shape_of(&self, spec: &JobSpec) -> Result<Option<Shape>, String> {
-        let asked = Asked {
+        let asked = GroupingRequest {
             class: &spec.class,
-            gang: spec.kind == Kind::Group,
-            service: spec.kind == Kind::Service,
+            gang: spec.kind == JobKind::Gang,
+            service: spec.kind == JobKind::Service,
             tasks: spec.tasks,
         };
         let most = tasks_per_record(self.least.value_bytes as f64 / 1024.0);
@@ -142,7 +151,7 @@
 }
 
 /// Whether a task of the job could ever stand on a machine of this type.
-pub fn fits_type(spec: &JobSpec, t: &MachineType) -> bool {
+pub fn fits_machine_type(spec: &JobSpec, t: &MachineType) -> bool {
     let allowed = spec
         .types
         .as_ref()
--- a/src/gateway/needs.rs
+++ b/src/gateway/dependencies.rs
@@ -1,27 +1,32 @@
 //! Jobs that need others: whether a submission may name them, and whether an
 //! unfinished job is cancelled because one that it needs is.
 
-use super::records::{read_final, Final, Known};
-use super::{final_key, Fact, Gateway, GatewayCall, GatewayOut, Goal, Step, Task, MAX_TRIES};
-use crate::cancellations::{Cancellations, Standing};
+use super::records::{read_final, FinalState, JobLookup};
+use super::{
+    final_key, Gateway, GatewayEffects, PendingRequest, RequestKind, RequestNumber, RequestStep,
+    SettledFact, MAX_TRIES,
+};
+use crate::cancellations::{Cancellations, RecordStatus};
 use crate::ids::JobId;
-use crate::msg::{Now, Reply};
-use crate::store::{self, Answer, StateCall, Urgency};
-use lilacfork_pipelines::standing::{judge, Known as NeedKnown, Verdict};
+use crate::kv_client::{self, CallPriority, KvCall, KvResponse};
+use crate::messages::{Now, Reply};
+use lilacfork_dependencies::status::{dependency_status, DependencyState, DependencyStatus};
 
 /// A read of how a needed job has ended.
 #[derive(Debug)]
-pub(super) struct NeedRead {
+pub(super) struct DependencyRead {
     /// The request that waits for it.
-    waiting: GatewayCall,
+    waiting: RequestNumber,
     need: JobId,
 }
 
-impl Task {
+impl PendingRequest {
     /// Whether it is a submission, not written yet, that names this job.
     fn names(&self, need: &JobId) -> bool {
         match &self.goal {
-            Goal::Submit(submission) => self.tries == 0 && submission.spec.needs.contains(need),
+            RequestKind::Submit(submission) => {
+                self.tries == 0 && submission.spec.dependencies.contains(need)
+            }
             _ => false,
         }
     }
@@ -29,39 +34,39 @@
 
 impl Gateway {
     /// What the records, and what can't change any more, say of a job that is needed.
-    fn known_of<'a>(&self, need: &JobId, records: &'a Cancellations) -> NeedKnown<'a> {
+    fn known_of<'a>(&self, need: &JobId, records: &'a Cancellations) -> DependencyState<'a> {
         match self.facts.get(need) {
-            Some(Fact::Over(Final::Done, _)) => NeedKnown::Done,
-            Some(Fact::Over(Final::Cancelled, _)) => NeedKnown::Cancelled,
-            _ => match records.standing(need) {
-                Standing::Cancelled => NeedKnown::Cancelled,
-                Standing::Unfinished => NeedKnown::Unfinished(records.needs(need)),
-                Standing::None => NeedKnown::Unread,
+            Some(SettledFact::Over(FinalState::Done, _)) => DependencyState::Done,
+            Some(SettledFact::Over(FinalState::Cancelled, _)) => DependencyState::Cancelled,
+            _ => match records.record_status(need) {
+                RecordStatus::Cancelled => DependencyState::Cancelled,
+                RecordStatus::Unfinished => DependencyState::Unfinished(records.dependencies(need)),
+                RecordStatus::None => DependencyState::Unread,
             },
         }
     }
 
     fn is_unread(&self, need: &JobId, records: &Cancellations) -> bool {
-        matches!(self.known_of(need, records), NeedKnown::Unread)
+        matches!(self.known_of(need, records), DependencyState::Unread)
     }
 
-    fn judge_needs(&self, needs: &[JobId], records: &Cancellations) -> Verdict {
-        judge(needs, |need| self.known_of(need, records))
+    fn judge_needs(&self, needs: &[JobId], records: &Cancellations) -> DependencyStatus {
+        dependency_status(needs, |need| self.known_of(need, records))
     }
 
     /// A job's record stands, and doesn't say that it is cancelled.
     pub(super) fn judge_unfinished(
         &mut self,
         now: Now,
-        number: GatewayCall,
-        task: Task,
+        number: RequestNumber,
+        task: PendingRequest,
         records: &Cancellations,
-        out: &mut GatewayOut,
+        out: &mut GatewayEffects,
     ) {
-        let known = match self.judge_needs(records.needs(&task.id), records) {
-            Verdict::Ready | Verdict::Waiting => Known::Unfinished,
-            Verdict::Cancelled => Known::Cancelled,
-            Verdict::Unread(needs) => {
+        let known = match self.judge_needs(records.dependencies(&task.id), records) {
+            DependencyStatus::Ready | DependencyStatus::Waiting => JobLookup::Unfinished,
+            DependencyStatus::Cancelled => JobLookup::Cancelled,
+            DependencyStatus::Unread(needs) => {
                 self.read_needs(now, number, task, needs, out);
                 return;
             }
@@ -74,16 +79,16 @@
     pub(super) fn judge_submission(
         &mut self,
         now: Now,
-        number: GatewayCall,
-        mut task: Task,
+        number: RequestNumber,
+        mut task: PendingRequest,
         records: &Cancellations,
-        out: &mut GatewayOut,
+        out: &mut GatewayEffects,
     ) {
-        let Goal::Submit(submission) = &task.goal else {
+        let RequestKind::Submit(submission) = &task.goal else {
             self.give_up(task, out);
             return;
         };
-        let needs = &submission.spec.needs;
+        let needs = &submission.spec.dependencies;
         // That one is cancelled says nothing of whether the others were ever accepted.
         let named = needs.iter().filter(|need| self.is_unread(need, records));
         let named: Vec<JobId> = named.cloned().collect();
@@ -92,9 +97,9 @@
             return;
         }
         match self.judge_needs(needs, records) {
-            Verdict::Unread(needs) => self.read_needs(now, number, task, needs, out),
+            DependencyStatus::Unread(needs) => self.read_needs(now, number, task, needs, out),
             verdict => {
-                task.born_cancelled = verdict == Verdict::Cancelled;
+                task.born_cancelled = verdict == DependencyStatus::Cancelled;
                 self.accept(now, number, task, out);
             }
         }
@@ -103,31 +108,31 @@
     fn read_needs(
         &mut self,
         now: Now,
-        number: GatewayCall,
-        mut task: Task,
+        number: RequestNumber,
+        mut task: PendingRequest,
         needs: Vec<JobId>,
-        out: &mut GatewayOut,
+        out: &mut GatewayEffects,
     ) {
         if task.need_rounds >= MAX_TRIES {
             self.give_up(task, out);
             return;
         }
-        task.step = Step::ReadNeeds;
+        task.step = RequestStep::ReadNeeds;
         task.need_rounds += 1;
         task.need_reads = needs.len();
         let left = task.until_ms.saturating_sub(now.ms).max(1);
         for need in needs {
             self.next += 1;
-            out.calls.push(StateCall {
-                urgency: Urgency::Submission,
-                call: store::get(&final_key(&need), left),
+            out.calls.push(KvCall {
+                priority: CallPriority::Submission,
+                call: kv_client::get(&final_key(&need), left),
                 writes: 0,
-                give_up_ms: task.until_ms,
+                expires_ms: task.until_ms,
                 tag: self.next,
             });
             let waiting = number;
             self.need_reads
-                .insert(self.next, NeedRead { waiting, need });
+                .insert(self.next, DependencyRead { waiting, need });
         }
         self.tasks.insert(number, task);
     }
@@ -136,13 +141,13 @@
     pub(super) fn need_answered(
         &mut self,
         now: Now,
-        read: &NeedRead,
-        answer: &Answer,
-        out: &mut GatewayOut,
+        read: &DependencyRead,
+        answer: &KvResponse,
+        out: &mut GatewayEffects,
     ) {
         let known = read_final(answer);
-        if let Some(Known::Over(record)) = &known {
-            self.remember(&read.need, Fact::Over(record.state, record.tasks));
+        if let Some(JobLookup::Over(record)) = &known {
+            self.remember(&read.need, SettledFact::Over(record.state, record.tasks));
         }
         let Some(mut task) = self.tasks.remove(&read.waiting) else {
             return;
@@ -153,10 +158,10 @@
             None => self.give_up(task, out),
             // It had no record when all were read, and is not over: nobody accepted
             // it. A repeat of what was accepted gets its answer all the same.
-            Some(Known::Absent) if task.names(&read.need) => {
+            Some(JobLookup::Absent) if task.names(&read.need) => {
                 let why = format!("attend: no such job {}", read.need);
-                task.goal = Goal::Refuse(Reply::error(422, &why));
-                self.read(now, read.waiting, task, Step::ReadFinal, out);
+                task.goal = RequestKind::Refuse(Reply::error(422, &why));
+                self.read(now, read.waiting, task, RequestStep::ReadFinal, out);
             }
             Some(_) => {
                 self.tasks.insert(read.waiting, task);
@@ -168,7 +173,7 @@
     }
 
     /// Goes on with the requests for which everything asked for has been read.
-    pub fn judge_read(&mut self, now: Now, records: &Cancellations, out: &mut GatewayOut) {
+    pub fn judge_read(&mut self, now: Now, records: &Cancellations, out: &mut GatewayEffects) {
         for number in std::mem::take(&mut self.needs_read) {
             if let Some(task) = self.tasks.remove(&number) {
                 self.told(now, number, task, records, out);
