--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -2,29 +2,31 @@
 //! itself and then answers; whoever leads learns of it from the state service.
 
 mod admission;
-mod needs;
+mod dependencies;
 mod records;
 
-pub use admission::fits_type;
-pub use records::{final_key, job_key, Final, FinalRecord, JobRecord, FINAL_PREFIX, JOB_PREFIX};
+pub use admission::fits_machine_type;
+pub use records::{
+    final_key, job_key, FinalRecord, FinalState, JobRecord, FINAL_PREFIX, JOB_PREFIX,
+};
 
 use crate::bounded_map::BoundedMap;
-use crate::cancellations::{Cancellations, Standing};
+use crate::cancellations::{Cancellations, RecordStatus};
 use crate::ids::{JobId, Term};
-use crate::limits::{Limits, LimitsInForce, RequestSize};
-use crate::msg::{ConnId, Now, Reply};
+use crate::kv_client::{self, CallPriority, KvCall, KvResponse};
+use crate::limits::{EffectiveLimits, RequestSize, StoreLimits};
+use crate::messages::{ConnectionId, Now, Reply};
 use crate::settings::Settings;
-use crate::store::{self, Answer, StateCall, Urgency};
-use crate::wire::{self, Catalog, JobState, Txn, UserState};
+use crate::wire::{self, Catalog, JobPhase, JobStatus, Txn};
 use admission::{Admission, Submission};
-use lilacfork_replicas::classes::Classes;
-use needs::NeedRead;
-use records::{read_final, read_live, Known};
+use dependencies::DependencyRead;
+use lilacfork_replica_groups::classes::ReplicaClasses;
+use records::{read_final, read_live, JobLookup};
 use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
 
 #[derive(Debug)]
-enum Goal {
+enum RequestKind {
     Submit(Box<Submission>),
     /// A submission that is refused unless the job is known already.
     Refuse(Reply),
@@ -33,11 +35,11 @@
 }
 
 #[derive(Debug)]
-struct Task {
-    conn: ConnId,
+struct PendingRequest {
+    conn: ConnectionId,
     id: JobId,
-    goal: Goal,
-    step: Step,
+    goal: RequestKind,
+    step: RequestStep,
     /// Guarded writes that lost a race are tried again a few times.
     tries: u32,
     /// A job that it needs is cancelled, and so it is from the start.
@@ -53,7 +55,7 @@
 }
 
 #[derive(Debug, PartialEq, Eq, Clone, Copy)]
-enum Step {
+enum RequestStep {
     /// Waits for the next poll of all records.
     Poll,
     ReadLive,
@@ -64,17 +66,17 @@
 }
 
 /// Number of a user's request in work.
-pub type GatewayCall = u64;
+pub type RequestNumber = u64;
 
 /// What the gateway wants done.
 #[derive(Default)]
-pub struct GatewayOut {
+pub struct GatewayEffects {
     /// Somebody waits for the next poll of the records.
     pub poll: bool,
     /// Answers to users.
-    pub replies: Vec<(ConnId, Reply)>,
+    pub replies: Vec<(ConnectionId, Reply)>,
     /// Calls of the state service.
-    pub calls: Vec<StateCall<GatewayCall>>,
+    pub calls: Vec<KvCall<RequestNumber>>,
     /// Jobs just written, for the leader's ears.
     pub announced: Vec<JobId>,
     /// Jobs that a user is told here for the first time are cancelled.
@@ -95,20 +97,20 @@
 
 /// How far a job is, for display.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
-pub struct TaskCounts {
+pub struct TaskProgress {
     /// Tasks that are done.
     pub done: u32,
     /// Tasks that run.
     pub running: u32,
     /// They are parts of replicas that span machines. That such a replica serves is
     /// only true as long as the leader that says so leads.
-    pub spans: bool,
+    pub multi_host: bool,
 }
 
 /// What a leader said of a job.
 #[derive(Clone, Copy, Debug)]
 struct LeaderCounts {
-    counts: TaskCounts,
+    counts: TaskProgress,
     term: Term,
 }
 
@@ -121,41 +123,45 @@
 
 /// What can't change any more, so that memory may speak of it.
 #[derive(Clone, Copy, Debug)]
-enum Fact {
+enum SettledFact {
     /// The job is stored: its submission need not be tried again.
     Accepted,
-    Over(Final, u32),
+    Over(FinalState, u32),
 }
 
 /// Users' requests in work, and what is known of jobs for good.
 pub struct Gateway {
     admission: Admission,
     /// What the state service will always take.
-    least: Limits,
-    facts: BoundedMap<JobId, Fact>,
+    least: StoreLimits,
+    facts: BoundedMap<JobId, SettledFact>,
     /// Counts for display, hints from the leader.
     counts: BoundedMap<JobId, LeaderCounts>,
     leader: Option<LeaderHeard>,
     /// A leader that was silent for so long may lead no longer.
     leader_quiet_ms: u64,
-    tasks: HashMap<GatewayCall, Task>,
+    tasks: HashMap<RequestNumber, PendingRequest>,
     /// Those that wait for a poll, in the order in which they came.
-    polling: VecDeque<GatewayCall>,
+    polling: VecDeque<RequestNumber>,
     /// Reads of jobs that others need.
-    need_reads: HashMap<GatewayCall, NeedRead>,
+    need_reads: HashMap<RequestNumber, DependencyRead>,
     /// All reads that these had asked for have come.
-    needs_read: Vec<GatewayCall>,
+    needs_read: Vec<RequestNumber>,
     /// Whether a poll tells of every job.
     polls_tell_all: bool,
-    next: GatewayCall,
+    next: RequestNumber,
 }
 
 impl Gateway {
     /// Knows nothing yet.
-    pub fn new(settings: Rc<Settings>, replica_classes: Classes, leader_quiet_ms: u64) -> Self {
+    pub fn new(
+        settings: Rc<Settings>,
+        replica_classes: ReplicaClasses,
+        leader_quiet_ms: u64,
+    ) -> Self {
         let ram_mb = settings.site.limits.ram_mb;
         let remembered = LEAST_REMEMBERED.max((ram_mb * REMEMBERED_PER_MB) as usize);
-        let least = LimitsInForce::new(&settings.site.state).least();
+        let least = EffectiveLimits::new(&settings.site.state).guaranteed();
         Gateway {
             admission: Admission::new(settings, replica_classes, least),
             least,
@@ -183,34 +189,41 @@
     }
 
     /// A submission.
-    pub fn submit(&mut self, now: Now, conn: ConnId, body: &[u8], out: &mut GatewayOut) {
+    pub fn submit(&mut self, now: Now, conn: ConnectionId, body: &[u8], out: &mut GatewayEffects) {
         let goal = match self.admission.judge(body) {
-            Ok(submission) => Goal::Submit(Box::new(submission)),
-            Err(reply) => Goal::Refuse(reply),
+            Ok(submission) => RequestKind::Submit(Box::new(submission)),
+            Err(reply) => RequestKind::Refuse(reply),
         };
         let id = match &goal {
-            Goal::Submit(submission) => Some(submission.spec.id.clone()),
+            RequestKind::Submit(submission) => Some(submission.spec.id.clone()),
             // A known job gets its 200 whatever else is wrong with the retry.
             _ => wire::peek_job_id(body),
         };
         match (id, goal) {
             (Some(id), goal) => self.begin(now, conn, id, goal, out),
-            (None, Goal::Refuse(reply)) => out.replies.push((conn, reply)),
+            (None, RequestKind::Refuse(reply)) => out.replies.push((conn, reply)),
             (None, _) => out.replies.push((conn, Reply::error(400, "no id"))),
         }
     }
 
     /// A question about a job.
-    pub fn show(&mut self, now: Now, conn: ConnId, id: &str, out: &mut GatewayOut) {
-        self.begin_named(now, conn, id, Goal::Show, out);
+    pub fn show(&mut self, now: Now, conn: ConnectionId, id: &str, out: &mut GatewayEffects) {
+        self.begin_named(now, conn, id, RequestKind::Show, out);
     }
 
     /// A cancellation.
-    pub fn cancel(&mut self, now: Now, conn: ConnId, id: &str, out: &mut GatewayOut) {
-        self.begin_named(now, conn, id, Goal::Cancel, out);
+    pub fn cancel(&mut self, now: Now, conn: ConnectionId, id: &str, out: &mut GatewayEffects) {
+        self.begin_named(now, conn, id, RequestKind::Cancel, out);
     }
 
-    fn begin_named(&mut self, now: Now, conn: ConnId, id: &str, goal: Goal, out: &mut GatewayOut) {
+    fn begin_named(
+        &mut self,
+        now: Now,
+        conn: ConnectionId,
+        id: &str,
+        goal: RequestKind,
+        out: &mut GatewayEffects,
+    ) {
         if wire::valid_job_id(id) {
             self.begin(now, conn, JobId::new(id), goal, out);
         } else {
@@ -218,29 +231,38 @@
         }
     }
 
-    fn begin(&mut self, now: Now, conn: ConnId, id: JobId, goal: Goal, out: &mut GatewayOut) {
+    fn begin(
+        &mut self,
+        now: Now,
+        conn: ConnectionId,
+        id: JobId,
+        goal: RequestKind,
+        out: &mut GatewayEffects,
+    ) {
         let fact = self.facts.get(&id).copied();
         // What is over stays as it is, so memory may answer.
-        if let Some(Fact::Over(state, tasks)) = fact {
+        if let Some(SettledFact::Over(state, tasks)) = fact {
             out.replies.push((conn, final_reply(&id, state, tasks)));
             return;
         }
         let patience = match goal {
-            Goal::Show => READ_PATIENCE_MS,
+            RequestKind::Show => READ_PATIENCE_MS,
             _ => WRITE_PATIENCE_MS,
         };
         let step = match &goal {
             // A repeat would only cost a write that fails.
-            Goal::Submit(submission) if fact.is_none() && submission.spec.needs.is_empty() => {
-                Step::Write
+            RequestKind::Submit(submission)
+                if fact.is_none() && submission.spec.dependencies.is_empty() =>
+            {
+                RequestStep::Write
             }
             // To cancel it the whole record is needed.
-            Goal::Cancel => Step::ReadLive,
-            _ if self.polls_tell_all => Step::Poll,
-            _ => Step::ReadLive,
+            RequestKind::Cancel => RequestStep::ReadLive,
+            _ if self.polls_tell_all => RequestStep::Poll,
+            _ => RequestStep::ReadLive,
         };
         self.next += 1;
-        let task = Task {
+        let task = PendingRequest {
             conn,
             id,
             goal,
@@ -255,21 +277,26 @@
         };
         let number = self.next;
         match step {
-            Step::Write => self.accept(now, number, task, out),
-            Step::Poll => self.await_poll(number, task, out),
+            RequestStep::Write => self.accept(now, number, task, out),
+            RequestStep::Poll => self.await_poll(number, task, out),
             _ => self.read(now, number, task, step, out),
         }
     }
 
     /// Whoever asked up to now may be answered by a poll that is sent from now
     /// on.
-    pub fn asked_up_to(&self) -> GatewayCall {
+    pub fn asked_up_to(&self) -> RequestNumber {
         self.next
     }
 
     /// Has the request answered by a poll that is sent from now on.
-    fn await_poll(&mut self, number: GatewayCall, mut task: Task, out: &mut GatewayOut) {
-        task.step = Step::Poll;
+    fn await_poll(
+        &mut self,
+        number: RequestNumber,
+        mut task: PendingRequest,
+        out: &mut GatewayEffects,
+    ) {
+        task.step = RequestStep::Poll;
         out.poll = true;
         self.polling.push_back(number);
         self.tasks.insert(number, task);
@@ -279,10 +306,10 @@
     fn read(
         &mut self,
         now: Now,
-        number: GatewayCall,
-        mut task: Task,
-        step: Step,
-        out: &mut GatewayOut,
+        number: RequestNumber,
+        mut task: PendingRequest,
+        step: RequestStep,
+        out: &mut GatewayEffects,
     ) {
         task.step = step;
         out.calls.push(read_call(number, &task, now));
@@ -290,8 +317,14 @@
     }
 
     /// Writes the record of a job that is to be accepted.
-    fn accept(&mut self, now: Now, number: GatewayCall, task: Task, out: &mut GatewayOut) {
-        let Goal::Submit(submission) = &task.goal else {
+    fn accept(
+        &mut self,
+        now: Now,
+        number: RequestNumber,
+        task: PendingRequest,
+        out: &mut GatewayEffects,
+    ) {
+        let RequestKind::Submit(submission) = &task.goal else {
             self.give_up(task, out);
             return;
         };
@@ -300,19 +333,19 @@
         } else {
             submission.accept(now)
         };
-        self.write(now, number, task, Urgency::Submission, txn, out);
+        self.write(now, number, task, CallPriority::Submission, txn, out);
     }
 
     fn write(
         &mut self,
         now: Now,
-        number: GatewayCall,
-        mut task: Task,
-        urgency: Urgency,
+        number: RequestNumber,
+        mut task: PendingRequest,
+        urgency: CallPriority,
         txn: Txn,
-        out: &mut GatewayOut,
+        out: &mut GatewayEffects,
     ) {
-        task.step = Step::Write;
+        task.step = RequestStep::Write;
         task.size = RequestSize::of(&txn);
         out.calls.push(write_call(number, &task, urgency, txn, now));
         self.tasks.insert(number, task);
@@ -323,9 +356,9 @@
     pub fn polled(
         &mut self,
         now: Now,
-        asked: GatewayCall,
+        asked: RequestNumber,
         records: Option<&Cancellations>,
-        out: &mut GatewayOut,
+        out: &mut GatewayEffects,
     ) {
         while self.polling.front().is_some_and(|n| *n <= asked) {
             let Some(number) = self.polling.pop_front() else {
@@ -346,25 +379,25 @@
     fn told(
         &mut self,
         now: Now,
-        number: GatewayCall,
-        task: Task,
+        number: RequestNumber,
+        task: PendingRequest,
         records: &Cancellations,
-        out: &mut GatewayOut,
+        out: &mut GatewayEffects,
     ) {
         // A repeat of what is known to be accepted would only cost a write that fails.
         let new = task.tries == 0 && self.facts.get(&task.id).is_none();
-        match records.standing(&task.id) {
-            Standing::Cancelled => self.known(now, number, task, Known::Cancelled, out),
-            Standing::Unfinished => self.judge_unfinished(now, number, task, records, out),
-            Standing::None if new && matches!(task.goal, Goal::Submit(_)) => {
+        match records.record_status(&task.id) {
+            RecordStatus::Cancelled => self.known(now, number, task, JobLookup::Cancelled, out),
+            RecordStatus::Unfinished => self.judge_unfinished(now, number, task, records, out),
+            RecordStatus::None if new && matches!(task.goal, RequestKind::Submit(_)) => {
                 self.judge_submission(now, number, task, records, out);
             }
-            Standing::None => self.read(now, number, task, Step::ReadFinal, out),
+            RecordStatus::None => self.read(now, number, task, RequestStep::ReadFinal, out),
         }
     }
 
     /// Who has waited for too long is told to come back.
-    pub fn tick(&mut self, now: Now, out: &mut GatewayOut) -> u64 {
+    pub fn tick(&mut self, now: Now, out: &mut GatewayEffects) -> u64 {
         while let Some(number) = self.polling.front() {
             let until_ms = self.tasks.get(number).map_or(0, |t| t.until_ms);
             if now.ms < until_ms {
@@ -380,7 +413,7 @@
 
     /// The process stood still: what was read for requests before may be older
     /// than what others have told since. Whoever still waits is to ask again.
-    pub fn stood_still(&mut self, out: &mut GatewayOut) {
+    pub fn abort_after_pause(&mut self, out: &mut GatewayEffects) {
         self.polling.clear();
         self.need_reads.clear();
         self.needs_read.clear();
@@ -393,9 +426,9 @@
     pub fn answered(
         &mut self,
         now: Now,
-        number: GatewayCall,
-        answer: Answer,
-        out: &mut GatewayOut,
+        number: RequestNumber,
+        answer: KvResponse,
+        out: &mut GatewayEffects,
     ) {
         if let Some(read) = self.need_reads.remove(&number) {
             self.need_answered(now, &read, &answer, out);
@@ -405,28 +438,30 @@
             return;
         };
         match task.step {
-            Step::ReadLive => match read_live(&answer) {
-                Some(Known::Absent) => self.read(now, number, task, Step::ReadFinal, out),
+            RequestStep::ReadLive => match read_live(&answer) {
+                Some(JobLookup::Absent) => {
+                    self.read(now, number, task, RequestStep::ReadFinal, out)
+                }
                 Some(known) => self.known(now, number, task, known, out),
                 None => self.give_up(task, out),
             },
-            Step::ReadFinal => match read_final(&answer) {
+            RequestStep::ReadFinal => match read_final(&answer) {
                 Some(known) => self.known(now, number, task, known, out),
                 None => self.give_up(task, out),
             },
             // It was waiting for others' answers and made no call.
-            Step::Poll | Step::ReadNeeds => self.give_up(task, out),
-            Step::Write => self.written(now, number, task, answer, out),
+            RequestStep::Poll | RequestStep::ReadNeeds => self.give_up(task, out),
+            RequestStep::Write => self.written(now, number, task, answer, out),
         }
     }
 
-    fn give_up(&mut self, task: Task, out: &mut GatewayOut) {
-        let reply = Reply::later(503, "the state service can't be asked now", 1);
+    fn give_up(&mut self, task: PendingRequest, out: &mut GatewayEffects) {
+        let reply = Reply::retry_later(503, "the state service can't be asked now", 1);
         out.replies.push((task.conn, reply));
     }
 
-    fn remember(&mut self, id: &JobId, fact: Fact) {
-        if matches!(fact, Fact::Over(..)) {
+    fn remember(&mut self, id: &JobId, fact: SettledFact) {
+        if matches!(fact, SettledFact::Over(..)) {
             self.counts.remove(id);
         } else if self.facts.get(id).is_some() {
             return;
@@ -443,23 +478,23 @@
     }
 
     /// How many of a job's tasks are done and run, as the leader of a term says.
-    pub fn note_counts(&mut self, id: &JobId, term: Term, counts: TaskCounts) {
-        if !matches!(self.facts.get(id), Some(Fact::Over(..))) {
+    pub fn record_progress(&mut self, id: &JobId, term: Term, counts: TaskProgress) {
+        if !matches!(self.facts.get(id), Some(SettledFact::Over(..))) {
             self.counts
                 .insert(id.clone(), LeaderCounts { counts, term });
         }
     }
 
     /// What is to be shown of a job's tasks now.
-    fn counts_to_show(&self, now: Now, id: &JobId) -> TaskCounts {
+    fn counts_to_show(&self, now: Now, id: &JobId) -> TaskProgress {
         let Some(said) = self.counts.get(id) else {
-            return TaskCounts::default();
+            return TaskProgress::default();
         };
         let mut counts = said.counts;
         let stands = self.leader.is_some_and(|leader| {
             leader.term == said.term && now.ms < leader.at_ms + self.leader_quiet_ms
         });
-        if counts.spans && !stands {
+        if counts.multi_host && !stands {
             counts.running = 0;
         }
         counts
@@ -474,20 +509,23 @@
     fn known(
         &mut self,
         now: Now,
-        number: GatewayCall,
-        task: Task,
-        known: Known,
-        out: &mut GatewayOut,
+        number: RequestNumber,
+        task: PendingRequest,
+        known: JobLookup,
+        out: &mut GatewayEffects,
     ) {
         // What isn't final may have changed since it was read, if that took so
         // long that others have been asked meanwhile.
-        let may_change = matches!(known, Known::Live(..) | Known::Unfinished | Known::Absent);
+        let may_change = matches!(
+            known,
+            JobLookup::Live(..) | JobLookup::Unfinished | JobLookup::Absent
+        );
         if may_change && now.ms >= task.until_ms {
             self.give_up(task, out);
             return;
         }
-        if matches!((&task.goal, &known), (goal, Known::Live(live))
-            if !matches!(goal, Goal::Cancel) && live.waits_for_others())
+        if matches!((&task.goal, &known), (goal, JobLookup::Live(live))
+            if !matches!(goal, RequestKind::Cancel) && live.waits_for_others())
         {
             // Its own record doesn't say whether a job that it needs is cancelled.
             if self.polls_tell_all {
@@ -498,55 +536,55 @@
             return;
         }
         let reply = match (&task.goal, known) {
-            (_, Known::Over(record)) => {
-                self.remember(&task.id, Fact::Over(record.state, record.tasks));
+            (_, JobLookup::Over(record)) => {
+                self.remember(&task.id, SettledFact::Over(record.state, record.tasks));
                 final_reply(&task.id, record.state, record.tasks)
             }
-            (_, Known::Live(live)) if live.record.cancelled.is_some() => {
+            (_, JobLookup::Live(live)) if live.record.cancelled.is_some() => {
                 self.tell_cancelled(&task.id, 200, out)
             }
-            (_, Known::Cancelled) => self.tell_cancelled(&task.id, 200, out),
-            (Goal::Cancel, Known::Live(live)) => {
+            (_, JobLookup::Cancelled) => self.tell_cancelled(&task.id, 200, out),
+            (RequestKind::Cancel, JobLookup::Live(live)) => {
                 let key = job_key(&task.id);
-                let txn = Txn::default().guard(key.clone(), live.version);
+                let txn = Txn::default().compare(key.clone(), live.version);
                 let txn = txn.put(key, live.cancelled(now.wall, self.least.value_bytes));
-                self.write(now, number, task, Urgency::Cancel, txn, out);
+                self.write(now, number, task, CallPriority::Cancel, txn, out);
                 return;
             }
             // Another request may have heard of its end meanwhile.
-            (_, Known::Live(..) | Known::Unfinished) => match self.facts.get(&task.id) {
-                Some(Fact::Over(state, tasks)) => final_reply(&task.id, *state, *tasks),
+            (_, JobLookup::Live(..) | JobLookup::Unfinished) => match self.facts.get(&task.id) {
+                Some(SettledFact::Over(state, tasks)) => final_reply(&task.id, *state, *tasks),
                 _ => self.live_reply(now, &task.id, 200),
             },
-            (Goal::Refuse(reply), Known::Absent) => reply.clone(),
+            (RequestKind::Refuse(reply), JobLookup::Absent) => reply.clone(),
             // Our write may still be under way: the retry will find out.
-            (Goal::Submit(_), Known::Absent) => {
-                Reply::later(503, "not known yet whether the job was stored", 1)
+            (RequestKind::Submit(_), JobLookup::Absent) => {
+                Reply::retry_later(503, "not known yet whether the job was stored", 1)
             }
-            (_, Known::Absent) => Reply::error(404, "no such job"),
+            (_, JobLookup::Absent) => Reply::error(404, "no such job"),
         };
         out.replies.push((task.conn, reply));
     }
 
     /// The first time that a user is told so here.
-    fn tell_cancelled(&mut self, id: &JobId, status: u16, out: &mut GatewayOut) -> Reply {
-        self.remember(id, Fact::Over(Final::Cancelled, 0));
+    fn tell_cancelled(&mut self, id: &JobId, status: u16, out: &mut GatewayEffects) -> Reply {
+        self.remember(id, SettledFact::Over(FinalState::Cancelled, 0));
         out.cancelled.push(id.clone());
         Reply {
             status,
-            ..final_reply(id, Final::Cancelled, 0)
+            ..final_reply(id, FinalState::Cancelled, 0)
         }
     }
 
     fn live_reply(&mut self, now: Now, id: &JobId, status: u16) -> Reply {
-        self.remember(id, Fact::Accepted);
+        self.remember(id, SettledFact::Accepted);
         let counts = self.counts_to_show(now, id);
         let state = if counts.running > 0 {
-            UserState::Running
+            JobPhase::Running
         } else {
-            UserState::Pending
+            JobPhase::Pending
         };
-        let body = JobState {
+        let body = JobStatus {
             id,
             state,
             done: Some(counts.done),
@@ -558,31 +596,33 @@
     fn written(
         &mut self,
         now: Now,
-        number: GatewayCall,
-        mut task: Task,
-        answer: Answer,
-        out: &mut GatewayOut,
+        number: RequestNumber,
+        mut task: PendingRequest,
+        answer: KvResponse,
+        out: &mut GatewayEffects,
     ) {
         match answer {
-            Answer::Status(200, _) if answer.committed().is_some() => {
+            KvResponse::Status(200, _) if answer.committed().is_some() => {
                 let reply = match &task.goal {
-                    Goal::Cancel => {
+                    RequestKind::Cancel => {
                         log::info!("job {} cancelled by its user", task.id);
                         self.tell_cancelled(&task.id, 200, out)
                     }
                     _ => self.tell_accepted(now, &task, out),
                 };
-                if !matches!(task.goal, Goal::Cancel) && !task.born_cancelled {
+                if !matches!(task.goal, RequestKind::Cancel) && !task.born_cancelled {
                     out.announced.push(task.id);
                 }
                 out.replies.push((task.conn, reply));
             }
             // Somebody else wrote first, or nobody knows: reading tells.
-            Answer::Status(200 | 409, _) | Answer::Unclear if task.tries < MAX_TRIES => {
+            KvResponse::Status(200 | 409, _) | KvResponse::Indeterminate
+                if task.tries < MAX_TRIES =>
+            {
                 task.tries += 1;
-                self.read(now, number, task, Step::ReadLive, out);
+                self.read(now, number, task, RequestStep::ReadLive, out);
             }
-            Answer::Status(400, _) => {
+            KvResponse::Status(400, _) => {
                 out.refused = Some(task.size);
                 self.give_up(task, out);
             }
@@ -590,9 +630,14 @@
         }
     }
 
-    fn tell_accepted(&mut self, now: Now, task: &Task, out: &mut GatewayOut) -> Reply {
+    fn tell_accepted(
+        &mut self,
+        now: Now,
+        task: &PendingRequest,
+        out: &mut GatewayEffects,
+    ) -> Reply {
         let class = match &task.goal {
-            Goal::Submit(submission) => submission.spec.class.clone(),
+            RequestKind::Submit(submission) => submission.spec.class.clone(),
             _ => "".into(),
         };
         log::info!(
@@ -609,50 +654,50 @@
     }
 }
 
-fn final_reply(id: &JobId, state: Final, tasks: u32) -> Reply {
-    let body = JobState {
+fn final_reply(id: &JobId, state: FinalState, tasks: u32) -> Reply {
+    let body = JobStatus {
         id,
         state: state.state(),
-        done: (state == Final::Done).then_some(tasks),
+        done: (state == FinalState::Done).then_some(tasks),
         running: Some(0),
     };
     Reply::json(200, &body)
 }
 
-fn read_call(number: GatewayCall, task: &Task, now: Now) -> StateCall<GatewayCall> {
+fn read_call(number: RequestNumber, task: &PendingRequest, now: Now) -> KvCall<RequestNumber> {
     let key = match task.step {
-        Step::ReadFinal => final_key(&task.id),
+        RequestStep::ReadFinal => final_key(&task.id),
         _ => job_key(&task.id),
     };
     let left = task.until_ms.saturating_sub(now.ms).max(1);
-    StateCall {
-        urgency: match task.goal {
-            Goal::Show => Urgency::Background,
-            Goal::Cancel => Urgency::Cancel,
-            _ => Urgency::Submission,
+    KvCall {
+        priority: match task.goal {
+            RequestKind::Show => CallPriority::Background,
+            RequestKind::Cancel => CallPriority::Cancel,
+            _ => CallPriority::Submission,
         },
-        call: store::get(&key, left),
+        call: kv_client::get(&key, left),
         writes: 0,
-        give_up_ms: task.until_ms,
+        expires_ms: task.until_ms,
         tag: number,
     }
 }
 
 fn write_call(
-    number: GatewayCall,
-    task: &Task,
-    urgency: Urgency,
+    number: RequestNumber,
+    task: &PendingRequest,
+    urgency: CallPriority,
     txn: Txn,
     now: Now,
-) -> StateCall<GatewayCall> {
+) -> KvCall<RequestNumber> {
     let left = task.until_ms.saturating_sub(now.ms).max(1);
     // Half of what is left, so that an unclear write can still be read.
-    let (call, writes) = store::txn(&txn, (left / 2).max(1));
-    StateCall {
-        urgency,
+    let (call, writes) = kv_client::txn(&txn, (left / 2).max(1));
+    KvCall {
+        priority: urgency,
         call,
         writes,
-        give_up_ms: task.until_ms,
+        expires_ms: task.until_ms,
         tag: number,
     }
 }
--- a/src/gateway/records.rs
+++ b/src/gateway/records.rs
@@ -1,8 +1,8 @@
 //! The records of jobs: unfinished ones, and those that are over.
 
 use crate::ids::JobId;
-use crate::store::Answer;
-use crate::wire::{Item, JobSpec, RevisionOnly, UserState, Value};
+use crate::kv_client::KvResponse;
+use crate::wire::{JobPhase, JobSpec, KeyValue, TxnResponse, Value};
 use serde::{Deserialize, Serialize};
 use serde_json::json;
 
@@ -40,7 +40,7 @@
 
 /// How a job ended.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
-pub enum Final {
+pub enum FinalState {
     /// All its tasks are done.
     #[serde(rename = "d")]
     Done,
@@ -49,11 +49,11 @@
     Cancelled,
 }
 
-impl Final {
-    pub(super) fn state(self) -> UserState {
+impl FinalState {
+    pub(super) fn state(self) -> JobPhase {
         match self {
-            Final::Done => UserState::Done,
-            Final::Cancelled => UserState::Cancelled,
+            FinalState::Done => JobPhase::Done,
+            FinalState::Cancelled => JobPhase::Cancelled,
         }
     }
 }
@@ -63,7 +63,7 @@
 pub struct FinalRecord {
     /// How it ended.
     #[serde(rename = "s")]
-    pub state: Final,
+    pub state: FinalState,
     /// How many tasks it had.
     #[serde(rename = "n")]
     pub tasks: u32,
@@ -81,7 +81,7 @@
 
 /// An unfinished job's record as it was read.
 #[derive(Debug)]
-pub(super) struct LiveRecord {
+pub(super) struct StoredJob {
     /// What this version knows of it.
     pub(super) record: JobRecord,
     /// All of it: what a later version wrote has to survive a change by this one.
@@ -90,10 +90,10 @@
     pub(super) version: u64,
 }
 
-impl LiveRecord {
+impl StoredJob {
     /// Whether more than its own record says how the job stands.
     pub(super) fn waits_for_others(&self) -> bool {
-        self.record.cancelled.is_none() && !self.record.spec.needs.is_empty()
+        self.record.cancelled.is_none() && !self.record.spec.dependencies.is_empty()
     }
 
     /// The same record, cancelled. It doesn't wait for anything any more; and one
@@ -114,9 +114,9 @@
 
 /// What the state service said of a job.
 #[derive(Debug)]
-pub(super) enum Known {
+pub(super) enum JobLookup {
     Absent,
-    Live(Box<LiveRecord>),
+    Live(Box<StoredJob>),
     /// As the last two, by a poll, which doesn't keep the records.
     Unfinished,
     Cancelled,
@@ -125,27 +125,27 @@
 
 /// A 404 that the state service itself gives names its revision; any other is
 /// somebody's who knows of no job.
-pub(super) fn is_absent(answer: &Answer) -> bool {
-    answer.read::<RevisionOnly>(404).is_some()
+pub(super) fn is_absent(answer: &KvResponse) -> bool {
+    answer.read::<TxnResponse>(404).is_some()
 }
 
-pub(super) fn read_live(answer: &Answer) -> Option<Known> {
+pub(super) fn read_live(answer: &KvResponse) -> Option<JobLookup> {
     if is_absent(answer) {
-        return Some(Known::Absent);
+        return Some(JobLookup::Absent);
     }
-    let item = answer.read::<Item>(200)?;
+    let item = answer.read::<KeyValue>(200)?;
     let record = JobRecord::deserialize(&item.value).ok()?;
-    Some(Known::Live(Box::new(LiveRecord {
+    Some(JobLookup::Live(Box::new(StoredJob {
         record,
         value: item.value,
-        version: item.version,
+        version: item.mod_revision,
     })))
 }
 
-pub(super) fn read_final(answer: &Answer) -> Option<Known> {
+pub(super) fn read_final(answer: &KvResponse) -> Option<JobLookup> {
     if is_absent(answer) {
-        return Some(Known::Absent);
+        return Some(JobLookup::Absent);
     }
-    let item = answer.read::<Item>(200)?;
-    Some(Known::Over(serde_json::from_value(item.value).ok()?))
+    let item = answer.read::<KeyValue>(200)?;
+    Some(JobLookup::Over(serde_json::from_value(item.value).ok()?))
 }
--- a/src/http.rs
+++ b/src/http.rs
@@ -1,7 +1,7 @@
 //! HTTP/1.1, as much as the protocols need: bounded and incremental. A parser
 //! is fed whatever bytes have come and says whether a message is complete.
 
-use crate::msg::{Reply, Request};
+use crate::messages::{Reply, Request};
 use thiserror::Error;
 
 /// A request or status line with all headers may take this much.
--- a/src/store.rs
+++ b/src/kv_client.rs
@@ -2,9 +2,9 @@
 //! of every call, and a clear word on what became of each.
 
 use crate::ids::Revision;
-use crate::limits::Limits;
-use crate::msg::{Call, CallError, Now, Outcome, Target};
-use crate::wire::{RevisionOnly, Txn};
+use crate::limits::StoreLimits;
+use crate::messages::{Call, CallError, CallResult, Destination, Now};
+use crate::wire::{Txn, TxnResponse};
 use std::collections::{HashMap, VecDeque};
 use std::fmt;
 
@@ -61,7 +61,7 @@
     }
 
     /// The other side says that the bucket is emptier than we thought.
-    pub fn drain(&mut self, now: Now) {
+    pub fn mark_empty(&mut self, now: Now) {
         self.refill(now);
         self.level = self.level.min(0.0);
     }
@@ -73,12 +73,12 @@
     /// At this moment.
     pub now: usize,
     /// After a pause, when the bucket is full.
-    pub most: usize,
+    pub max: usize,
 }
 
 /// Served in this order when tokens are short.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
-pub enum Urgency {
+pub enum CallPriority {
     /// Leases and the election.
     Leadership,
     /// Users' cancellations.
@@ -91,7 +91,7 @@
     Background,
 }
 
-const URGENCIES: usize = Urgency::Background as usize + 1;
+const URGENCIES: usize = CallPriority::Background as usize + 1;
 
 const URGENCY_NAMES: [&str; URGENCIES] = [
     "leadership",
@@ -103,12 +103,12 @@
 
 /// Calls sent to the state service and changes in them, by urgency.
 #[derive(Clone, Default, PartialEq, Eq, Debug)]
-pub struct Sent {
+pub struct CallStats {
     calls: [u64; URGENCIES],
     changes: [u64; URGENCIES],
 }
 
-impl fmt::Display for Sent {
+impl fmt::Display for CallStats {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (n, name) in URGENCY_NAMES.iter().enumerate() {
             let gap = if n > 0 { " " } else { "" };
@@ -127,56 +127,56 @@
 
 /// A call of the state service, before it is sent.
 #[derive(Clone, Debug)]
-pub struct StateCall<T> {
+pub struct KvCall<T> {
     /// Whom it goes before.
-    pub urgency: Urgency,
+    pub priority: CallPriority,
     /// The request.
     pub call: Call,
     /// How many changes it makes.
     pub writes: usize,
     /// When waiting in the queue makes no more sense.
-    pub give_up_ms: u64,
+    pub expires_ms: u64,
     /// The caller's own note.
     pub tag: T,
 }
 
 /// What became of a call.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Answer {
+pub enum KvResponse {
     /// The service answered with this status and body.
     Status(u16, Vec<u8>),
     /// Certainly not executed (503, or never sent).
-    Refused,
+    NotExecuted,
     /// It may have been executed, or may be later.
-    Unclear,
+    Indeterminate,
 }
 
-impl Answer {
+impl KvResponse {
     /// Reads the body of an answer with this status.
     pub fn read<T: serde::de::DeserializeOwned>(&self, status: u16) -> Option<T> {
         match self {
-            Answer::Status(s, body) if *s == status => serde_json::from_slice(body).ok(),
+            KvResponse::Status(s, body) if *s == status => serde_json::from_slice(body).ok(),
             _ => None,
         }
     }
     /// The status, if the service answered.
     pub fn status(&self) -> Option<u16> {
         match self {
-            Answer::Status(s, _) => Some(*s),
+            KvResponse::Status(s, _) => Some(*s),
             _ => None,
         }
     }
     /// The revision of a transaction that was carried out.
     pub fn committed(&self) -> Option<Revision> {
-        self.read::<RevisionOnly>(200).map(|r| Revision(r.revision))
+        self.read::<TxnResponse>(200).map(|r| Revision(r.revision))
     }
 }
 
 /// Queues and paces calls. `T` is the caller's own note, given back with the
 /// answer.
-pub struct Store<T> {
-    queues: [VecDeque<StateCall<T>>; URGENCIES],
-    in_flight: HashMap<u64, StateCall<T>>,
+pub struct KvClient<T> {
+    queues: [VecDeque<KvCall<T>>; URGENCIES],
+    in_flight: HashMap<u64, KvCall<T>>,
     requests: TokenBucket,
     writes: TokenBucket,
     rps: f64,
@@ -187,13 +187,13 @@
     /// Changes sent, faded over `USE_MS`, and when that was last worked out.
     used: (f64, u64),
     next: u64,
-    sent: Sent,
+    sent: CallStats,
 }
 
-impl<T> Store<T> {
+impl<T> KvClient<T> {
     /// A client with the whole of the service's limits.
     pub fn new(rps: f64, write_rps: f64) -> Self {
-        Store {
+        KvClient {
             queues: Default::default(),
             in_flight: HashMap::new(),
             requests: TokenBucket::new(rps, 1.0),
@@ -204,12 +204,12 @@
             last_fail_ms: None,
             used: (0.0, 0),
             next: 0,
-            sent: Sent::default(),
+            sent: CallStats::default(),
         }
     }
 
     /// The service takes other rates from now on; shares have to be set anew.
-    pub fn set_limits(&mut self, limits: &Limits) {
+    pub fn set_limits(&mut self, limits: &StoreLimits) {
         self.rps = limits.rps;
         self.write_rps = limits.write_rps;
     }
@@ -223,7 +223,7 @@
 
     /// Whoever writes most takes what the others leave of `SAFE_SHARE`, and at
     /// least `share`.
-    pub fn leave_writes(&mut self, now: Now, share: f64, others_per_s: f64) {
+    pub fn set_write_share_beside(&mut self, now: Now, share: f64, others_per_s: f64) {
         let least = self.write_rps * share;
         let left = self.write_rps * SAFE_SHARE - others_per_s;
         self.writes.set_rate(now, left.max(least), 1.0);
@@ -233,7 +233,7 @@
     pub fn write_budget(&mut self, now: Now) -> WriteBudget {
         WriteBudget {
             now: self.writes.level(now).max(0.0) as usize,
-            most: self.writes.burst as usize,
+            max: self.writes.burst as usize,
         }
     }
 
@@ -255,30 +255,30 @@
     }
 
     /// When the service last answered.
-    pub fn last_ok_ms(&self) -> Option<u64> {
+    pub fn last_success_ms(&self) -> Option<u64> {
         self.last_ok_ms
     }
 
     /// What was sent since this was last asked.
-    pub fn take_sent(&mut self) -> Sent {
+    pub fn take_stats(&mut self) -> CallStats {
         std::mem::take(&mut self.sent)
     }
 
     /// Whether calls wait to be sent.
-    pub fn waiting(&self) -> bool {
+    pub fn has_queued(&self) -> bool {
         self.queues.iter().any(|q| !q.is_empty())
     }
 
     /// Queues a call.
-    pub fn submit(&mut self, call: StateCall<T>) {
-        self.queues[call.urgency as usize].push_back(call);
+    pub fn submit(&mut self, call: KvCall<T>) {
+        self.queues[call.priority as usize].push_back(call);
     }
 
     /// Sends what the buckets allow and returns what was given up.
     pub fn dispatch(&mut self, now: Now, mut send: impl FnMut(u64, Call), given_up: &mut Vec<T>) {
         for (urgency, queue) in self.queues.iter_mut().enumerate() {
             while let Some(first) = queue.front() {
-                if now.ms >= first.give_up_ms {
+                if now.ms >= first.expires_ms {
                     given_up.extend(queue.pop_front().map(|c| c.tag));
                     continue;
                 }
@@ -310,37 +310,37 @@
     }
 
     /// The answer to call `id`. A 429 goes back to the queue.
-    pub fn answered(&mut self, now: Now, id: u64, outcome: Outcome) -> Option<(T, Answer)> {
+    pub fn answered(&mut self, now: Now, id: u64, outcome: CallResult) -> Option<(T, KvResponse)> {
         let call = self.in_flight.remove(&id)?;
         let answer = match outcome {
             Ok((429, _)) => {
                 self.last_ok_ms = Some(now.ms);
                 if call.writes > 0 {
-                    self.writes.drain(now);
+                    self.writes.mark_empty(now);
                 } else {
-                    self.requests.drain(now);
+                    self.requests.mark_empty(now);
                 }
-                if now.ms < call.give_up_ms {
-                    self.queues[call.urgency as usize].push_front(call);
+                if now.ms < call.expires_ms {
+                    self.queues[call.priority as usize].push_front(call);
                     return None;
                 }
-                Answer::Refused
+                KvResponse::NotExecuted
             }
             Ok((503, _)) => {
                 self.last_fail_ms = Some(now.ms);
-                Answer::Refused
+                KvResponse::NotExecuted
             }
             Ok((status, body)) => {
                 self.last_ok_ms = Some(now.ms);
-                Answer::Status(status, body)
+                KvResponse::Status(status, body)
             }
             Err(e) => {
-                if call.call.target != Target::StateWatch {
+                if call.call.target != Destination::KvWatch {
                     self.last_fail_ms = Some(now.ms);
                 }
                 match e {
-                    CallError::NotSent => Answer::Refused,
-                    CallError::Unclear => Answer::Unclear,
+                    CallError::NotSent => KvResponse::NotExecuted,
+                    CallError::Indeterminate => KvResponse::Indeterminate,
                 }
             }
         };
@@ -351,7 +351,7 @@
 /// The calls of the state service's protocol.
 pub fn get(key: &str, timeout_ms: u64) -> Call {
     Call {
-        target: Target::State,
+        target: Destination::KvStore,
         method: "GET",
         path: format!("/kv/{key}"),
         body: Vec::new(),
@@ -363,7 +363,7 @@
 pub fn list(prefix: &str, after: Option<&str>, timeout_ms: u64) -> Call {
     let after = after.map(|k| format!("&from={k}")).unwrap_or_default();
     Call {
-        target: Target::State,
+        target: Destination::KvStore,
         method: "GET",
         path: format!("/kv?under={prefix}{after}&limit=500"),
         body: Vec::new(),
@@ -374,7 +374,7 @@
 /// Waits for changes under a prefix.
 pub fn watch(prefix: &str, after: Revision, wait_ms: u64, timeout_ms: u64) -> Call {
     Call {
-        target: Target::StateWatch,
+        target: Destination::KvWatch,
         method: "GET",
         path: format!("/follow?under={prefix}&from={after}&waitMs={wait_ms}"),
         body: Vec::new(),
@@ -383,9 +383,9 @@
 }
 
 /// What has changed by now: a watch that doesn't wait.
-pub fn changes(prefix: &str, after: Revision, timeout_ms: u64) -> Call {
+pub fn read_changes(prefix: &str, after: Revision, timeout_ms: u64) -> Call {
     Call {
-        target: Target::State,
+        target: Destination::KvStore,
         method: "GET",
         path: format!("/follow?under={prefix}&from={after}"),
         body: Vec::new(),
@@ -396,7 +396,7 @@
 /// A transaction, and how many changes it makes.
 pub fn txn(txn: &Txn, timeout_ms: u64) -> (Call, usize) {
     let call = Call {
-        target: Target::State,
+        target: Destination::KvStore,
         method: "POST",
         path: "/txn".into(),
         // Keys are strings and numbers are finite: this can't fail.
@@ -409,7 +409,7 @@
 /// Asks for a lease.
 pub fn lease_create(ttl_ms: u64, timeout_ms: u64) -> Call {
     Call {
-        target: Target::State,
+        target: Destination::KvStore,
         method: "POST",
         path: "/leases".into(),
         body: format!("{{\"ttlMs\":{ttl_ms}}}").into_bytes(),
@@ -420,7 +420,7 @@
 /// Renews a lease.
 pub fn lease_renew(lease: u64, timeout_ms: u64) -> Call {
     Call {
-        target: Target::State,
+        target: Destination::KvStore,
         method: "POST",
         path: format!("/leases/{lease}/touch"),
         body: Vec::new(),
@@ -431,7 +431,7 @@
 /// Ends a lease.
 pub fn lease_end(lease: u64, timeout_ms: u64) -> Call {
     Call {
-        target: Target::State,
+        target: Destination::KvStore,
         method: "DELETE",
         path: format!("/leases/{lease}"),
         body: Vec::new(),
--- a/src/limits.rs
+++ b/src/limits.rs
@@ -8,12 +8,12 @@
 //! is too large is refused as a whole and written again in smaller pieces.
 
 use crate::settings::StateLimits;
-use crate::wire::{Txn, Write};
+use crate::wire::{Txn, WriteOp};
 use std::fmt;
 
 /// What the state service takes.
 #[derive(Clone, Copy, PartialEq, Debug)]
-pub struct Limits {
+pub struct StoreLimits {
     /// Requests per second, from all controllers together.
     pub rps: f64,
     /// Changes per second, from all controllers together.
@@ -24,10 +24,10 @@
     pub txn_ops: usize,
 }
 
-impl Limits {
+impl StoreLimits {
     /// Whichever of each is lower.
-    fn lower_of(self, other: Limits) -> Limits {
-        Limits {
+    fn lower_of(self, other: StoreLimits) -> StoreLimits {
+        StoreLimits {
             rps: self.rps.min(other.rps),
             write_rps: self.write_rps.min(other.write_rps),
             value_bytes: self.value_bytes.min(other.value_bytes),
@@ -36,9 +36,9 @@
     }
 }
 
-impl fmt::Display for Limits {
+impl fmt::Display for StoreLimits {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Limits {
+        let StoreLimits {
             rps,
             write_rps,
             value_bytes,
@@ -53,7 +53,7 @@
 
 /// What shows that the announced limits hold.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Evidence {
+pub enum LimitEvidence {
     /// The state service answered 400 to what the present limits allow and the
     /// announced ones don't.
     Refused,
@@ -67,49 +67,49 @@
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub struct RequestSize {
     /// The changes of the transaction.
-    pub changes: usize,
+    pub write_ops: usize,
     /// Bytes of the largest value.
-    pub largest_value: usize,
+    pub largest_value_bytes: usize,
 }
 
 impl RequestSize {
     /// The size of a transaction.
     pub fn of(txn: &Txn) -> RequestSize {
-        let bytes = |write: &Write| match write {
-            Write::Put { value, .. } => serde_json::to_vec(value).map_or(0, |text| text.len()),
-            Write::Delete { .. } => 0,
+        let bytes = |write: &WriteOp| match write {
+            WriteOp::Put { value, .. } => serde_json::to_vec(value).map_or(0, |text| text.len()),
+            WriteOp::Delete { .. } => 0,
         };
         RequestSize {
-            changes: txn.writes.len(),
-            largest_value: txn.writes.iter().map(bytes).max().unwrap_or(0),
+            write_ops: txn.writes.len(),
+            largest_value_bytes: txn.writes.iter().map(bytes).max().unwrap_or(0),
         }
     }
 }
 
 /// The limits that hold, as far as this controller knows.
 #[derive(Clone, Debug)]
-pub struct LimitsInForce {
-    present: Limits,
-    announced: Option<Limits>,
-    lowered: Option<Evidence>,
+pub struct EffectiveLimits {
+    present: StoreLimits,
+    announced: Option<StoreLimits>,
+    lowered: Option<LimitEvidence>,
 }
 
-impl LimitsInForce {
+impl EffectiveLimits {
     /// Those of the settings; until it learns better, the present ones hold.
-    pub fn new(settings: &StateLimits) -> LimitsInForce {
-        let present = Limits {
+    pub fn new(settings: &StateLimits) -> EffectiveLimits {
+        let present = StoreLimits {
             rps: settings.rps,
             write_rps: settings.write_rps,
             value_bytes: bytes(settings.value_kb),
             txn_ops: settings.txn_ops,
         };
-        let announced = settings.next.as_ref().map(|next| Limits {
+        let announced = settings.next.as_ref().map(|next| StoreLimits {
             rps: next.rps.unwrap_or(present.rps),
             write_rps: next.write_rps.unwrap_or(present.write_rps),
             value_bytes: next.value_kb.map_or(present.value_bytes, bytes),
             txn_ops: next.txn_ops.unwrap_or(present.txn_ops),
         });
-        LimitsInForce {
+        EffectiveLimits {
             present,
             announced,
             lowered: None,
@@ -117,7 +117,7 @@
     }
 
     /// What may be sent now.
-    pub fn current(&self) -> Limits {
+    pub fn current(&self) -> StoreLimits {
         match (self.lowered, self.announced) {
             (Some(_), Some(announced)) => announced,
             _ => self.present,
@@ -126,7 +126,7 @@
 
     /// What will always be taken: a record that has to be written whole, now or
     /// later, must not be larger.
-    pub fn least(&self) -> Limits {
+    pub fn guaranteed(&self) -> StoreLimits {
         match self.announced {
             Some(announced) => self.present.lower_of(announced),
             None => self.present,
@@ -134,12 +134,12 @@
     }
 
     /// Whether the announced limits hold.
-    pub fn lowered(&self) -> bool {
+    pub fn announced_apply(&self) -> bool {
         self.lowered.is_some()
     }
 
     /// Takes a sign that the announced limits hold. Says whether that is new.
-    pub fn lower(&mut self, evidence: Evidence) -> bool {
+    pub fn apply_announced(&mut self, evidence: LimitEvidence) -> bool {
         if self.announced.is_none() || self.lowered.is_some() {
             return false;
         }
@@ -157,9 +157,10 @@
         let Some(announced) = self.announced else {
             return false;
         };
-        let over = size.changes > announced.txn_ops || size.largest_value > announced.value_bytes;
+        let over =
+            size.write_ops > announced.txn_ops || size.largest_value_bytes > announced.value_bytes;
         if over {
-            self.lower(Evidence::Refused);
+            self.apply_announced(LimitEvidence::Refused);
         }
         over
     }
--- a/src/main.rs
+++ b/src/main.rs
@@ -2,9 +2,9 @@
 
 use clap::Parser;
 use lilacfork::node::Node;
-use lilacfork::options::Options;
 use lilacfork::reactor::Reactor;
 use lilacfork::settings::Settings;
+use lilacfork::tuning::Tuning;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
@@ -34,10 +34,10 @@
         .init();
 }
 
-fn load(args: &Args) -> Result<Option<(Settings, Options)>, String> {
+fn load(args: &Args) -> Result<Option<(Settings, Tuning)>, String> {
     let options = match &args.ini {
-        Some(path) => Options::load(path).map_err(|e| e.to_string())?,
-        None => Options::default(),
+        Some(path) => Tuning::load(path).map_err(|e| e.to_string())?,
+        None => Tuning::default(),
     };
     let Some(config) = &args.config else {
         return Ok(None);
@@ -54,7 +54,7 @@
 fn main() -> ExitCode {
     let args = Args::parse();
     if args.keys {
-        print!("{}", Options::describe());
+        print!("{}", Tuning::describe());
         println!("# [replica_parts] CLASS = PARTS, for each class whose replicas span machines");
         return ExitCode::SUCCESS;
     }
--- a/src/msg.rs
+++ b/src/messages.rs
@@ -4,7 +4,7 @@
 
 /// A connection on which somebody waits for an answer.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug, PartialOrd, Ord)]
-pub struct ConnId(pub u64);
+pub struct ConnectionId(pub u64);
 
 /// A call that this process made.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug, PartialOrd, Ord)]
@@ -12,7 +12,7 @@
 
 /// Which listener a request came in by.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Port {
+pub enum Listener {
     /// Users, workers and the load balancer.
     Client,
     /// The other controllers.
@@ -21,11 +21,11 @@
 
 /// Whom a call goes to.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
-pub enum Target {
+pub enum Destination {
     /// The state service.
-    State,
+    KvStore,
     /// Watches hang for long; they have connections of their own.
-    StateWatch,
+    KvWatch,
     /// The cloud.
     Cloud,
     /// The worker at this address.
@@ -38,7 +38,7 @@
 #[derive(Clone, Debug)]
 pub struct Call {
     /// Whom it goes to.
-    pub target: Target,
+    pub target: Destination,
     /// The HTTP method.
     pub method: &'static str,
     /// The path, with its query.
@@ -55,11 +55,11 @@
     /// Nothing was sent: certainly not executed.
     NotSent,
     /// It may have been executed, or may yet be.
-    Unclear,
+    Indeterminate,
 }
 
 /// Status and body of the answer, or why there is none.
-pub type Outcome = Result<(u16, Vec<u8>), CallError>;
+pub type CallResult = Result<(u16, Vec<u8>), CallError>;
 
 /// An answer to somebody else's request.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -86,7 +86,7 @@
         Reply::json(status, &serde_json::json!({ "error": why }))
     }
     /// For what may go well later: says when to come back.
-    pub fn later(status: u16, why: &str, after_s: u64) -> Reply {
+    pub fn retry_later(status: u16, why: &str, after_s: u64) -> Reply {
         Reply {
             retry_after_s: Some(after_s),
             ..Reply::error(status, why)
@@ -109,7 +109,7 @@
 #[derive(Clone, Debug)]
 pub enum Effect {
     /// Answer who waits on this connection.
-    Reply(ConnId, Reply),
+    Reply(ConnectionId, Reply),
     /// Make this call.
     Call(CallId, Call),
 }
--- a/src/node/catalog.rs
+++ b/src/node/catalog.rs
@@ -1,10 +1,10 @@
 //! The machine types: asked of the cloud, stored for the time when it is away.
 
-use super::{Node, StateTag, CATALOG_KEY};
+use super::{KvCallOwner, Node, CATALOG_KEY};
 use crate::election::Role;
+use crate::kv_client::{self, CallPriority, KvCall};
 use crate::limits::RequestSize;
-use crate::msg::Now;
-use crate::store::{self, StateCall, Urgency};
+use crate::messages::Now;
 use crate::wire::{Catalog, Txn};
 use std::rc::Rc;
 
@@ -23,12 +23,12 @@
     pub(super) fn maintain_catalog(&mut self, now: Now) {
         if self.catalog.is_none() && now.ms >= self.catalog_read_ms {
             self.catalog_read_ms = now.ms + 1000;
-            self.store.submit(StateCall {
-                urgency: Urgency::Submission,
-                call: store::get(CATALOG_KEY, 1000),
+            self.kv.submit(KvCall {
+                priority: CallPriority::Submission,
+                call: kv_client::get(CATALOG_KEY, 1000),
                 writes: 0,
-                give_up_ms: now.ms + 1000,
-                tag: StateTag::ReadCatalog,
+                expires_ms: now.ms + 1000,
+                tag: KvCallOwner::ReadCatalog,
             });
         }
         let Role::Leader { key_version, .. } = self.election.role else {
@@ -41,22 +41,22 @@
             self.catalog_stored = true;
             let value = serde_json::to_value(&**catalog).unwrap_or_default();
             let txn = Txn::default()
-                .guard(crate::election::LEADER_KEY, key_version.0)
+                .compare(crate::election::LEADER_KEY, key_version.0)
                 .put(CATALOG_KEY, value);
-            let bytes = RequestSize::of(&txn).largest_value;
-            if bytes > self.limits.least().value_bytes {
+            let bytes = RequestSize::of(&txn).largest_value_bytes;
+            if bytes > self.limits.guaranteed().value_bytes {
                 log::warn!("the catalogue takes {bytes} bytes and isn't stored");
                 return;
             }
             // One that is refused must not be written again and again at once.
             self.catalog_due_ms = now.ms + WRITE_EVERY_MS;
-            let (call, writes) = store::txn(&txn, 1000);
-            self.store.submit(StateCall {
-                urgency: Urgency::Background,
+            let (call, writes) = kv_client::txn(&txn, 1000);
+            self.kv.submit(KvCall {
+                priority: CallPriority::Background,
                 call,
                 writes,
-                give_up_ms: now.ms + 2000,
-                tag: StateTag::WriteCatalog,
+                expires_ms: now.ms + 2000,
+                tag: KvCallOwner::WriteCatalog,
             });
         }
     }
--- a/src/node/forwarding.rs
+++ b/src/node/heartbeat_forwarding.rs
@@ -3,7 +3,7 @@
 //! with nothing new wait for one another.
 
 use crate::http::MAX_PEER_BODY;
-use crate::wire::Report;
+use crate::wire::WorkerHeartbeat;
 use std::collections::HashMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
@@ -17,34 +17,34 @@
 
 /// A report that waits: the newest of its machine.
 #[derive(Debug)]
-struct Waiting {
+struct QueuedHeartbeat {
     machine: String,
     body: Vec<u8>,
 }
 
 /// What a machine's last report said, and when it came.
 #[derive(Debug)]
-struct Known {
+struct LastHeartbeat {
     content: u64,
     heard_ms: u64,
 }
 
 /// The queue of reports towards the leader: one per machine at most.
 #[derive(Debug)]
-pub(super) struct Forwarding {
+pub(super) struct HeartbeatForwarder {
     report_ms: f64,
-    waiting: Vec<Waiting>,
+    waiting: Vec<QueuedHeartbeat>,
     /// When the next message is due. `None`: nothing waits.
     due_ms: Option<u64>,
     /// The last message went out then.
     sent_ms: u64,
-    known: HashMap<String, Known>,
+    known: HashMap<String, LastHeartbeat>,
 }
 
-impl Forwarding {
+impl HeartbeatForwarder {
     /// For workers that report this often.
-    pub(super) fn new(report_s: f64) -> Forwarding {
-        Forwarding {
+    pub(super) fn new(report_s: f64) -> HeartbeatForwarder {
+        HeartbeatForwarder {
             report_ms: report_s * 1000.0,
             waiting: Vec::new(),
             due_ms: None,
@@ -54,9 +54,9 @@
     }
 
     /// Takes a report that was answered here.
-    pub(super) fn add(&mut self, now_ms: u64, report: &Report, body: &[u8]) {
+    pub(super) fn add(&mut self, now_ms: u64, report: &WorkerHeartbeat, body: &[u8]) {
         let content = content_of(report);
-        let known = Known {
+        let known = LastHeartbeat {
             content,
             heard_ms: now_ms,
         };
@@ -74,7 +74,7 @@
             .find(|w| w.machine == report.machine);
         match waiting {
             Some(waiting) => waiting.body = body.to_vec(),
-            None => self.waiting.push(Waiting {
+            None => self.waiting.push(QueuedHeartbeat {
                 machine: report.machine.clone(),
                 body: body.to_vec(),
             }),
@@ -127,12 +127,12 @@
 
 /// A fingerprint of what a report says beside that it is newer. Two contents with
 /// the same fingerprint would only make the second one wait a little longer.
-fn content_of(report: &Report) -> u64 {
+fn content_of(report: &WorkerHeartbeat) -> u64 {
     let mut hasher = DefaultHasher::new();
     report.address.hash(&mut hasher);
-    report.session.hash(&mut hasher);
-    report.token.hash(&mut hasher);
-    report.notice_s.is_some().hash(&mut hasher);
+    report.agent_epoch.hash(&mut hasher);
+    report.fencing_token.hash(&mut hasher);
+    report.preemption_notice_s.is_some().hash(&mut hasher);
     report.tasks.hash(&mut hasher);
     hasher.finish()
 }
--- a/src/node/routes.rs
+++ b/src/node/heartbeat_routes.rs
@@ -9,7 +9,7 @@
 
 /// What the leader knows of one machine's way.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-enum Route {
+enum HeartbeatRoute {
     /// It was sent to this peer, or its report came through it, at that time.
     Through { peer: usize, at_ms: u64 },
     /// It came back from a follower that doesn't serve it.
@@ -18,15 +18,15 @@
 
 /// The leader's knowledge of all machines' ways. It holds for one term.
 #[derive(Debug)]
-pub(super) struct Routes {
+pub(super) struct HeartbeatRoutes {
     lease_ms: u64,
-    routes: HashMap<String, Route>,
+    routes: HashMap<String, HeartbeatRoute>,
 }
 
-impl Routes {
+impl HeartbeatRoutes {
     /// Nothing is known yet.
-    pub(super) fn new(lease_ms: u64) -> Routes {
-        Routes {
+    pub(super) fn new(lease_ms: u64) -> HeartbeatRoutes {
+        HeartbeatRoutes {
             lease_ms,
             routes: HashMap::new(),
         }
@@ -34,7 +34,7 @@
 
     /// A peer passed on a report of this machine.
     pub(super) fn passed_on(&mut self, now_ms: u64, machine: &str, peer: usize) {
-        let route = Route::Through {
+        let route = HeartbeatRoute::Through {
             peer,
             at_ms: now_ms,
         };
@@ -52,14 +52,14 @@
     pub(super) fn send_to(&mut self, now_ms: u64, machine: &str, peer: usize) -> bool {
         let lease_ms = self.lease_ms;
         match self.routes.get(machine) {
-            Some(Route::Kept { until_ms }) if now_ms < *until_ms => return false,
-            Some(Route::Through {
+            Some(HeartbeatRoute::Kept { until_ms }) if now_ms < *until_ms => return false,
+            Some(HeartbeatRoute::Through {
                 peer: before,
                 at_ms,
             }) if *before == peer && now_ms < at_ms + lease_ms => {
                 let until_ms = now_ms + RETRY_LEASES * lease_ms;
                 self.routes
-                    .insert(machine.to_string(), Route::Kept { until_ms });
+                    .insert(machine.to_string(), HeartbeatRoute::Kept { until_ms });
                 return false;
             }
             _ => {}
@@ -72,8 +72,8 @@
     pub(super) fn forget_old(&mut self, now_ms: u64) {
         let lease_ms = self.lease_ms;
         self.routes.retain(|_, route| match route {
-            Route::Through { at_ms, .. } => now_ms < *at_ms + lease_ms,
-            Route::Kept { until_ms } => now_ms < *until_ms,
+            HeartbeatRoute::Through { at_ms, .. } => now_ms < *at_ms + lease_ms,
+            HeartbeatRoute::Kept { until_ms } => now_ms < *until_ms,
         });
     }
 
--- a/src/node/follower.rs
+++ b/src/node/lease_proxy.rs
@@ -2,14 +2,14 @@
 //! reports are taken, passes reports on, and renews leases in the leader's
 //! stead when that can't be heard. It never starts anything.
 
-use super::{CallTag, Node, StateTag};
+use super::{KvCallOwner, Node, OutgoingCall};
 use crate::election::Role;
-use crate::ids::{Session, Term, Token};
-use crate::msg::{Call, Effect, Now, Reply, Target};
-use crate::peer::{self, Heartbeat, PEER_PATH};
-use crate::scheduler::{ProxiedRecord, PROXIED_PREFIX};
-use crate::store::{self, StateCall, Urgency};
-use crate::wire::{Command, Report, ReportAnswer, ReportTo, Txn};
+use crate::ids::{AgentEpoch, FencingToken, Term};
+use crate::kv_client::{self, CallPriority, KvCall};
+use crate::messages::{Call, Destination, Effect, Now, Reply};
+use crate::peer::{self, PeerHeartbeat, PEER_PATH};
+use crate::scheduler::{LeaseProxyRecord, LEASE_PROXY_PREFIX};
+use crate::wire::{Command, HeartbeatResponse, RedirectTo, Txn, WorkerHeartbeat};
 
 /// Who hasn't been heard for so many heartbeat intervals is quiet.
 pub(super) const QUIET_HEARTBEATS: u64 = 3;
@@ -69,20 +69,20 @@
         let Some((index, addr)) = leader.map(|(i, p)| (i, p.addr.clone())) else {
             return;
         };
-        let heartbeat = Heartbeat {
+        let heartbeat = PeerHeartbeat {
             node: self.settings.node_name.clone(),
-            state_reachable: self.store.reachable(),
-            reports,
-            ..Heartbeat::default()
+            state_reachable: self.kv.reachable(),
+            worker_heartbeats: reports,
+            ..PeerHeartbeat::default()
         };
         let call = Call {
-            target: Target::Peer(addr),
+            target: Destination::Peer(addr),
             method: "POST",
             path: PEER_PATH.to_string(),
             body: peer::encode(&heartbeat),
             timeout_ms: self.heartbeat_every_ms * 2,
         };
-        self.send(CallTag::Peer(index, now.ms), call, out);
+        self.send(OutgoingCall::Peer(index, now.ms), call, out);
     }
 
     /// Sends a worker to whoever leads by the latest word: a peer that says so
@@ -100,8 +100,8 @@
             .filter(|p| p.leads_ms.is_some_and(|at| now.ms < at + quiet))
             .map(|p| (p.leads_term, p.name.as_str()));
         match elected.into_iter().chain(heard).max() {
-            Some((_, node)) => Reply::json(421, &ReportTo { node: Some(node) }),
-            None => Reply::later(503, "no leader known", 1),
+            Some((_, node)) => Reply::json(421, &RedirectTo { node: Some(node) }),
+            None => Reply::retry_later(503, "no leader known", 1),
         }
     }
 
@@ -121,7 +121,7 @@
             return false;
         }
         let heard = self.peers.iter().any(|p| recent(p.heard_ms));
-        let stands = if self.store.reachable() {
+        let stands = if self.kv.reachable() {
             // The state service knows a leader whom this node can't hear.
             self.election.follows(now)
         } else if heard {
@@ -143,39 +143,42 @@
     pub(super) fn renew_by_proxy(
         &mut self,
         now: Now,
-        report: &Report,
+        report: &WorkerHeartbeat,
         stops: &[Command],
     ) -> Option<Reply> {
         let term = match &self.election.role {
-            Role::Follower(record) if self.store.reachable() => record.term,
+            Role::Follower(record) if self.kv.reachable() => record.term,
             // In an outage that all share, what the worker knows is enough.
-            _ => report.token.term(),
+            _ => report.fencing_token.term(),
         };
         let reply = proxy_answer(report, term, stops)?;
-        self.proxied
-            .insert(report.machine.clone(), (now.ms, report.session));
+        self.proxied_leases
+            .insert(report.machine.clone(), (now.ms, report.agent_epoch));
         Some(reply)
     }
 
     /// Tells the leader, by way of the state service, whose leases are kept.
     pub(super) fn store_proxied(&mut self, now: Now) {
         let quiet = self.quiet_ms();
-        self.proxied.retain(|_, (at, _)| now.ms < *at + quiet);
-        if now.ms < self.proxied_due_ms || (self.proxied.is_empty() && self.proxied_stored == 0) {
+        self.proxied_leases
+            .retain(|_, (at, _)| now.ms < *at + quiet);
+        if now.ms < self.proxied_due_ms
+            || (self.proxied_leases.is_empty() && self.proxied_stored == 0)
+        {
             return;
         }
         self.proxied_due_ms = now.ms + quiet;
-        let mut machines: Vec<(String, Session)> = self
-            .proxied
+        let mut machines: Vec<(String, AgentEpoch)> = self
+            .proxied_leases
             .iter()
             .map(|(name, (_, session))| (name.clone(), *session))
             .collect();
         machines.sort();
         // As many records as a record's size asks for; a truncated list would
         // have the leader give up machines that are well looked after.
-        let most = self.limits.least().value_bytes;
+        let most = self.limits.guaranteed().value_bytes;
         let most = most.saturating_sub(PROXIED_HEAD_BYTES);
-        let mut records: Vec<Vec<(String, Session)>> = Vec::new();
+        let mut records: Vec<Vec<(String, AgentEpoch)>> = Vec::new();
         let mut bytes = most;
         for (name, session) in machines {
             bytes += name.len() + PROXIED_ROW_BYTES;
@@ -189,10 +192,10 @@
         }
         let stored = std::mem::replace(&mut self.proxied_stored, records.len());
         let node = self.settings.node_name.clone();
-        let key = |n: usize| format!("{PROXIED_PREFIX}{node}/{n}");
+        let key = |n: usize| format!("{LEASE_PROXY_PREFIX}{node}/{n}");
         let mut txns: Vec<Txn> = Vec::new();
         for (n, machines) in records.into_iter().enumerate() {
-            let record = ProxiedRecord {
+            let record = LeaseProxyRecord {
                 at: now.wall,
                 machines,
             };
@@ -201,13 +204,13 @@
         }
         txns.extend((self.proxied_stored..stored).map(|n| Txn::default().delete(key(n))));
         for txn in txns {
-            let (call, writes) = store::txn(&txn, 1000);
-            self.store.submit(StateCall {
-                urgency: Urgency::Leadership,
+            let (call, writes) = kv_client::txn(&txn, 1000);
+            self.kv.submit(KvCall {
+                priority: CallPriority::Leadership,
                 call,
                 writes,
-                give_up_ms: now.ms + quiet,
-                tag: StateTag::WriteProxied,
+                expires_ms: now.ms + quiet,
+                tag: KvCallOwner::WriteProxied,
             });
         }
     }
@@ -217,17 +220,21 @@
 /// renewed and the token kept or raised to the term's first, and no commands
 /// go out but stops of cancelled jobs' tasks, which can do no harm. `None`:
 /// the worker has seen a later term than we have.
-pub(super) fn proxy_answer(report: &Report, term: Term, stops: &[Command]) -> Option<Reply> {
-    if report.token.term() > term {
+pub(super) fn proxy_answer(
+    report: &WorkerHeartbeat,
+    term: Term,
+    stops: &[Command],
+) -> Option<Reply> {
+    if report.fencing_token.term() > term {
         return None;
     }
     let first = if term > Term(0) {
-        Token::new(term, 1)
+        FencingToken::new(term, 1)
     } else {
-        Token(0)
+        FencingToken(0)
     };
-    let answer = ReportAnswer {
-        token: report.token.max(first),
+    let answer = HeartbeatResponse {
+        fencing_token: report.fencing_token.max(first),
         commands: stops,
     };
     Some(Reply::json(200, &answer))
--- a/src/node/limits.rs
+++ b/src/node/limits.rs
@@ -1,9 +1,9 @@
 //! Which limits of the state service hold: what shows it, and who is told.
 
-use super::{Node, StateTag, VERSION};
-use crate::limits::{Evidence, RequestSize};
-use crate::msg::Now;
-use crate::store::{self, Answer, StateCall, Urgency};
+use super::{KvCallOwner, Node, VERSION};
+use crate::kv_client::{self, CallPriority, KvCall, KvResponse};
+use crate::limits::{LimitEvidence, RequestSize};
+use crate::messages::Now;
 use serde::Serialize;
 
 /// It is tried so often to store that the announced limits are in force.
@@ -11,7 +11,7 @@
 
 /// What operators may ask a controller about itself.
 #[derive(Debug, Serialize)]
-pub(super) struct Described {
+pub(super) struct NodeInfo {
     /// It takes requests.
     ready: bool,
     /// The program's version.
@@ -23,11 +23,11 @@
 
 impl Node {
     /// What is told of a controller that takes requests.
-    pub(super) fn described(&self) -> Described {
-        Described {
+    pub(super) fn described(&self) -> NodeInfo {
+        NodeInfo {
             ready: true,
             version: VERSION,
-            limits: if self.limits.lowered() {
+            limits: if self.limits.announced_apply() {
                 "announced"
             } else {
                 "present"
@@ -36,15 +36,15 @@
     }
 
     /// There is a sign that the announced limits are in force.
-    pub(super) fn learn_limits(&mut self, now: Now, evidence: Evidence) {
-        if self.limits.lower(evidence) {
+    pub(super) fn learn_limits(&mut self, now: Now, evidence: LimitEvidence) {
+        if self.limits.apply_announced(evidence) {
             self.apply_limits(now);
         }
     }
 
     fn apply_limits(&mut self, now: Now) {
         let limits = self.limits.current();
-        self.store.set_limits(&limits);
+        self.kv.set_limits(&limits);
         self.scheduler.set_limits(limits);
         self.set_share(now, self.election.is_leader());
     }
@@ -71,27 +71,27 @@
     /// needs no refused transaction of its own.
     pub(super) fn maintain_limits(&mut self, now: Now) {
         if self.election.limits_lowered() {
-            self.learn_limits(now, Evidence::Stored);
+            self.learn_limits(now, LimitEvidence::Stored);
             return;
         }
-        if !self.limits.lowered() || now.ms < self.limits_due_ms {
+        if !self.limits.announced_apply() || now.ms < self.limits_due_ms {
             return;
         }
         let Some(txn) = self.election.store_limits_lowered() else {
             return;
         };
         self.limits_due_ms = now.ms + STORE_EVERY_MS;
-        let (call, writes) = store::txn(&txn, STORE_EVERY_MS);
-        self.store.submit(StateCall {
-            urgency: Urgency::Leadership,
+        let (call, writes) = kv_client::txn(&txn, STORE_EVERY_MS);
+        self.kv.submit(KvCall {
+            priority: CallPriority::Leadership,
             call,
             writes,
-            give_up_ms: now.ms + STORE_EVERY_MS,
-            tag: StateTag::WriteLimits,
+            expires_ms: now.ms + STORE_EVERY_MS,
+            tag: KvCallOwner::WriteLimits,
         });
     }
 
-    pub(super) fn limits_written(&mut self, answer: &Answer) {
+    pub(super) fn limits_written(&mut self, answer: &KvResponse) {
         if answer.committed().is_some() {
             self.election.limits_lowered_stored();
         }
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -2,31 +2,31 @@
 //! time in, messages out; the reactor does the rest.
 
 mod catalog;
-mod follower;
-mod forwarding;
+mod heartbeat_forwarding;
+mod heartbeat_routes;
+mod lease_proxy;
 mod limits;
-mod peers;
+mod peer_heartbeats;
 mod requests;
-mod routes;
-
-use crate::cancellations::{self, Cancellations, CancellationsCall};
-use crate::cloud::{Cloud, CloudCall, CloudEvent};
-use crate::election::{Change, Election, ElectionCall};
-use crate::gateway::{Gateway, GatewayCall, GatewayOut, TaskCounts};
-use crate::ids::{JobId, Session, Term};
-use crate::limits::LimitsInForce;
-use crate::msg::{Call, CallId, ConnId, Effect, Now, Outcome, Port, Request};
-use crate::options::Options;
+
+use crate::cancellations::{self, Cancellations, CancellationsKvCall};
+use crate::cloud::{CloudCall, CloudClient, CloudEvent};
+use crate::election::{Election, ElectionKvCall, LeadershipChange};
+use crate::gateway::{Gateway, GatewayEffects, RequestNumber, TaskProgress};
+use crate::ids::{AgentEpoch, JobId, Term};
+use crate::kv_client::{KvCall, KvClient, KvResponse};
+use crate::limits::EffectiveLimits;
+use crate::messages::{Call, CallId, CallResult, ConnectionId, Effect, Listener, Now, Request};
 use crate::peer::{self};
 use crate::reactor::Handler;
-use crate::scheduler::{Scheduler, SchedulerCall, SchedulerOut, WorkerCall};
+use crate::scheduler::{Scheduler, SchedulerEffects, SchedulerKvCall, WorkerCommandCall};
 use crate::settings::Settings;
-use crate::store::{Answer, StateCall, Store};
+use crate::tuning::Tuning;
 use crate::usage::Purpose;
-use crate::wire::{Catalog, Item};
-use follower::QUIET_HEARTBEATS;
-use forwarding::Forwarding;
-use routes::Routes;
+use crate::wire::{Catalog, KeyValue};
+use heartbeat_forwarding::HeartbeatForwarder;
+use heartbeat_routes::HeartbeatRoutes;
+use lease_proxy::QUIET_HEARTBEATS;
 use std::collections::HashMap;
 use std::rc::Rc;
 
@@ -35,45 +35,45 @@
 pub const CATALOG_KEY: &str = "catalog";
 
 #[derive(Clone, Debug, PartialEq)]
-enum StateTag {
-    Election(ElectionCall),
-    Gateway(GatewayCall),
+enum KvCallOwner {
+    Election(ElectionKvCall),
+    Gateway(RequestNumber),
     /// With the term that asked: an earlier one's answers mean nothing now.
-    Scheduler(Term, SchedulerCall),
+    Scheduler(Term, SchedulerKvCall),
     ReadCatalog,
     WriteCatalog,
     WriteProxied,
     /// That the announced limits are in force.
     WriteLimits,
-    Cancellations(CancellationsCall),
+    Cancellations(CancellationsKvCall),
 }
 
-impl StateTag {
+impl KvCallOwner {
     fn purpose(&self) -> Purpose {
         match self {
-            StateTag::Election(_) => Purpose::Election,
-            StateTag::Gateway(_) => Purpose::UserCall,
-            StateTag::Scheduler(_, call) => call.purpose(),
-            StateTag::Cancellations(_) => Purpose::Changes,
-            StateTag::ReadCatalog
-            | StateTag::WriteCatalog
-            | StateTag::WriteProxied
-            | StateTag::WriteLimits => Purpose::Other,
+            KvCallOwner::Election(_) => Purpose::Election,
+            KvCallOwner::Gateway(_) => Purpose::UserKvCall,
+            KvCallOwner::Scheduler(_, call) => call.purpose(),
+            KvCallOwner::Cancellations(_) => Purpose::Watch,
+            KvCallOwner::ReadCatalog
+            | KvCallOwner::WriteCatalog
+            | KvCallOwner::WriteProxied
+            | KvCallOwner::WriteLimits => Purpose::Other,
         }
     }
 }
 
 #[derive(Clone, Debug)]
-enum CallTag {
+enum OutgoingCall {
     State(u64),
     Cloud(CloudCall),
-    Worker(Term, WorkerCall),
+    Worker(Term, WorkerCommandCall),
     /// Of which peer, and when it was asked.
     Peer(usize, u64),
 }
 
 #[derive(Debug)]
-struct Peer {
+struct PeerStatus {
     name: String,
     zone: String,
     addr: String,
@@ -95,7 +95,7 @@
     version: String,
 }
 
-impl Peer {
+impl PeerStatus {
     /// Which version runs where, for operators.
     fn note_version(&mut self, version: &str) {
         if self.version != version {
@@ -122,26 +122,26 @@
     election: Election,
     cancellations: Cancellations,
     /// Who had asked when the poll under way was sent.
-    polled_for: GatewayCall,
-    store: Store<StateTag>,
-    limits: LimitsInForce,
+    polled_for: RequestNumber,
+    kv: KvClient<KvCallOwner>,
+    limits: EffectiveLimits,
     /// When it may next be stored that the announced limits are in force.
     limits_due_ms: u64,
     gateway: Gateway,
     scheduler: Scheduler,
-    cloud: Cloud,
+    cloud: CloudClient,
     catalog: Option<Rc<Catalog>>,
     catalog_stored: bool,
     catalog_read_ms: u64,
     /// When it may next be written.
     catalog_due_ms: u64,
-    peers: Vec<Peer>,
-    calls: HashMap<CallId, CallTag>,
+    peers: Vec<PeerStatus>,
+    calls: HashMap<CallId, OutgoingCall>,
     next_call: u64,
     heartbeat_due_ms: u64,
     heartbeat_every_ms: u64,
     /// What peers were last told, so that only changes go out.
-    sent_counts: HashMap<JobId, TaskCounts>,
+    sent_counts: HashMap<JobId, TaskProgress>,
     announced: Vec<JobId>,
     /// The peers should hear of cancellations before the next heartbeat is due.
     cancelled_here: bool,
@@ -155,10 +155,10 @@
     unreached: bool,
     /// Workers whose leases this node renews in the leader's stead, and when
     /// it last did.
-    proxied: HashMap<String, (u64, Session)>,
+    proxied_leases: HashMap<String, (u64, AgentEpoch)>,
     /// Reports answered here and not yet passed on to the leader.
-    forwarding: Forwarding,
-    routes: Routes,
+    forwarding: HeartbeatForwarder,
+    routes: HeartbeatRoutes,
     proxied_due_ms: u64,
     /// How many records of them are stored.
     proxied_stored: usize,
@@ -170,7 +170,7 @@
 
 impl Node {
     /// `incarnation` tells this process from earlier ones of the same name.
-    pub fn new(settings: Settings, options: Options, incarnation: u64) -> Node {
+    pub fn new(settings: Settings, options: Tuning, incarnation: u64) -> Node {
         let settings = Rc::new(settings);
         let site = &settings.site;
         let ttl_ms = (site.workers.lease_s * 1000.0 * options.lease_share) as u64;
@@ -183,14 +183,14 @@
             .position(|n| *n == settings.node_name)
             .unwrap_or(0) as u64;
         let election = Election::new(&settings.node_name, incarnation, ttl_ms, rank * ttl_ms / 30);
-        let limits = LimitsInForce::new(&site.state);
-        let store = Store::new(site.state.rps, site.state.write_rps);
-        let cloud = Cloud::new(site.cloud.rps, site.cloud.list_lag_s);
+        let limits = EffectiveLimits::new(&site.state);
+        let store = KvClient::new(site.state.rps, site.state.write_rps);
+        let cloud = CloudClient::new(site.cloud.rps, site.cloud.list_lag_s);
         let peers = settings
             .peers
             .iter()
             .filter(|p| p.name != settings.node_name)
-            .map(|p| Peer {
+            .map(|p| PeerStatus {
                 name: p.name.clone(),
                 zone: p.zone.clone(),
                 addr: p.addr.to_string(),
@@ -206,12 +206,12 @@
             })
             .collect();
         let workers = &site.workers;
-        let bounds = cancellations::Bounds {
-            report_ms: (workers.report_s * 1000.0) as u64,
+        let bounds = cancellations::CancellationBounds {
+            report_ms: (workers.heartbeat_s * 1000.0) as u64,
             cancel_ms: (workers.cancel_s * 1000.0) as u64,
-            uninformed_ms: settings.uninformed_ms(),
+            uninformed_ms: settings.max_cancellation_lag_ms(),
         };
-        let peers: Vec<Peer> = peers;
+        let peers: Vec<PeerStatus> = peers;
         let cancellations = Cancellations::new(
             &settings.node_name,
             incarnation,
@@ -219,8 +219,8 @@
             peers.iter().map(|p| p.name.as_str()),
         );
         let leader_share = options.leader_share;
-        let forwarding = Forwarding::new(workers.report_s);
-        let routes = Routes::new((workers.lease_s * 1000.0) as u64);
+        let forwarding = HeartbeatForwarder::new(workers.heartbeat_s);
+        let routes = HeartbeatRoutes::new((workers.lease_s * 1000.0) as u64);
         let mut node = Node {
             gateway: Gateway::new(
                 settings.clone(),
@@ -232,7 +232,7 @@
             election,
             cancellations,
             polled_for: 0,
-            store,
+            kv: store,
             limits,
             limits_due_ms: 0,
             cloud,
@@ -253,7 +253,7 @@
             led_since_ms: None,
             handed_over_for: None,
             unreached: false,
-            proxied: HashMap::new(),
+            proxied_leases: HashMap::new(),
             forwarding,
             routes,
             proxied_due_ms: 0,
@@ -292,8 +292,8 @@
 
     /// Counts what the leader keeps up from scratch and compares; the error names
     /// what is wrong. For tests.
-    pub fn check_books(&mut self) -> Result<(), String> {
-        self.scheduler.check_books()
+    pub fn check_invariants(&mut self) -> Result<(), String> {
+        self.scheduler.check_invariants()
     }
 
     /// Everybody's rates together stay near what the services take; a 429
@@ -310,7 +310,7 @@
         };
         // Submissions come in bursts, which a small share would stretch.
         let saved_s = if leading { 1.0 } else { SAVED_S };
-        self.store.set_share(now, share, saved_s);
+        self.kv.set_share(now, share, saved_s);
     }
 
     /// As leader, takes what the others leave of the state service's changes.
@@ -325,20 +325,20 @@
             .filter(|p| p.heard_ms.is_some_and(|at| now.ms < at + quiet))
             .map(|p| p.writes_per_s)
             .sum();
-        self.store
-            .leave_writes(now, self.leader_share, others * OTHERS_GROWTH);
+        self.kv
+            .set_write_share_beside(now, self.leader_share, others * OTHERS_GROWTH);
     }
 
     // ---- between the actors ----
 
-    fn send(&mut self, tag: CallTag, call: Call, out: &mut Vec<Effect>) {
+    fn send(&mut self, tag: OutgoingCall, call: Call, out: &mut Vec<Effect>) {
         self.next_call += 1;
         let id = CallId(self.next_call);
         self.calls.insert(id, tag);
         out.push(Effect::Call(id, call));
     }
 
-    fn take_gateway(&mut self, now: Now, gateway: GatewayOut, out: &mut Vec<Effect>) {
+    fn apply_gateway_effects(&mut self, now: Now, gateway: GatewayEffects, out: &mut Vec<Effect>) {
         out.extend(
             gateway
                 .replies
@@ -346,35 +346,40 @@
                 .map(|(c, r)| Effect::Reply(c, r)),
         );
         for call in gateway.calls {
-            self.store.submit(retag(call, StateTag::Gateway));
+            self.kv.submit(retag(call, KvCallOwner::Gateway));
         }
         self.announced.extend(gateway.announced);
         if let Some(size) = gateway.refused {
             self.submission_refused(now, size);
         }
         if gateway.poll {
-            self.cancellations.wanted();
+            self.cancellations.request_poll();
         }
         // In the turn that answers the user, so before anybody can ask.
         for id in &gateway.cancelled {
             self.cancellations.confirm(now, id);
         }
         self.cancelled_here |= !gateway.cancelled.is_empty();
-        let mut scheduler = SchedulerOut::default();
+        let mut scheduler = SchedulerEffects::default();
         self.learned_cancelled(now, &gateway.cancelled, &mut scheduler);
-        self.take_scheduler(now, scheduler, out);
+        self.apply_scheduler_effects(now, scheduler, out);
     }
 
     /// After anything was learned: these jobs are cancelled, and as leader their
     /// tasks are stopped at once.
-    fn learned_cancelled(&mut self, now: Now, jobs: &[JobId], scheduler: &mut SchedulerOut) {
+    fn learned_cancelled(&mut self, now: Now, jobs: &[JobId], scheduler: &mut SchedulerEffects) {
         self.scheduler.informed(self.cancellations.watermark_ms());
         for id in jobs {
             self.scheduler.cancelled(now, id, scheduler);
         }
     }
 
-    fn take_scheduler(&mut self, now: Now, scheduler: SchedulerOut, out: &mut Vec<Effect>) {
+    fn apply_scheduler_effects(
+        &mut self,
+        now: Now,
+        scheduler: SchedulerEffects,
+        out: &mut Vec<Effect>,
+    ) {
         out.extend(
             scheduler
                 .replies
@@ -383,11 +388,11 @@
         );
         let term = self.scheduler.term();
         for call in scheduler.state {
-            self.store
-                .submit(retag(call, |tag| StateTag::Scheduler(term, tag)));
+            self.kv
+                .submit(retag(call, |tag| KvCallOwner::Scheduler(term, tag)));
         }
         for (tag, call) in scheduler.workers {
-            self.send(CallTag::Worker(term, tag), call, out);
+            self.send(OutgoingCall::Worker(term, tag), call, out);
         }
         if let Some(size) = scheduler.refused {
             self.transaction_refused(now, size);
@@ -395,65 +400,65 @@
         let change = if let Some(why) = scheduler.resign {
             log::error!("leader gives up its term: {why}");
             let mut calls = Vec::new();
-            let change = self.election.resign(now, &mut calls);
-            self.take_election(calls);
+            let change = self.election.step_down(now, &mut calls);
+            self.submit_election_calls(calls);
             change
         } else if scheduler.superseded {
             // The state service decides; one worker's word is a hint.
             log::info!("a worker shows a later term, asking who leads");
-            self.election.doubt(now);
+            self.election.require_renewal(now);
             None
         } else {
             None
         };
         if let Some(change) = change {
-            self.on_change(now, change, out);
+            self.on_leadership_change(now, change, out);
         }
     }
 
-    fn take_election(&mut self, calls: Vec<StateCall<ElectionCall>>) {
+    fn submit_election_calls(&mut self, calls: Vec<KvCall<ElectionKvCall>>) {
         for call in calls {
-            self.store.submit(retag(call, StateTag::Election));
+            self.kv.submit(retag(call, KvCallOwner::Election));
         }
     }
 
     /// Answers who had asked about jobs when the poll was sent.
     fn answer_polled(&mut self, now: Now, told: bool, out: &mut Vec<Effect>) {
-        let mut gateway = GatewayOut::default();
+        let mut gateway = GatewayEffects::default();
         let records = told.then_some(&self.cancellations);
         self.gateway
             .polled(now, self.polled_for, records, &mut gateway);
-        self.take_gateway(now, gateway, out);
+        self.apply_gateway_effects(now, gateway, out);
     }
 
-    fn take_cancellations(&mut self, calls: Vec<StateCall<CancellationsCall>>) {
-        let tell_all = self.cancellations.follows();
+    fn submit_cancellation_calls(&mut self, calls: Vec<KvCall<CancellationsKvCall>>) {
+        let tell_all = self.cancellations.is_caught_up();
         self.gateway.set_polls_tell_all(tell_all);
         for call in calls {
-            if call.tag == CancellationsCall::Poll {
+            if call.tag == CancellationsKvCall::Poll {
                 self.polled_for = self.gateway.asked_up_to();
             }
-            self.store.submit(retag(call, StateTag::Cancellations));
+            self.kv.submit(retag(call, KvCallOwner::Cancellations));
         }
     }
 
-    fn on_change(&mut self, now: Now, change: Change, out: &mut Vec<Effect>) {
+    fn on_leadership_change(&mut self, now: Now, change: LeadershipChange, out: &mut Vec<Effect>) {
         match change {
-            Change::Elected { term, key_version } => {
+            LeadershipChange::Elected { term, key_version } => {
                 self.led_since_ms = Some(now.ms);
                 self.routes.clear();
                 self.set_share(now, true);
                 self.sent_counts.clear();
-                self.cloud.lead(now, true);
-                let mut scheduler = SchedulerOut::default();
+                self.cloud.set_leading(now, true);
+                let mut scheduler = SchedulerEffects::default();
                 self.scheduler
                     .elected(now, term, key_version, &mut scheduler);
-                self.take_scheduler(now, scheduler, out);
+                self.apply_scheduler_effects(now, scheduler, out);
             }
-            Change::Deposed => {
+            LeadershipChange::Deposed => {
                 self.led_since_ms = None;
                 self.set_share(now, false);
-                self.cloud.lead(now, false);
+                self.cloud.set_leading(now, false);
                 self.scheduler.deposed();
             }
         }
@@ -461,64 +466,70 @@
         self.heartbeat_due_ms = now.ms;
     }
 
-    fn on_state(&mut self, now: Now, tag: StateTag, answer: Answer, out: &mut Vec<Effect>) {
+    fn on_kv_response(
+        &mut self,
+        now: Now,
+        tag: KvCallOwner,
+        answer: KvResponse,
+        out: &mut Vec<Effect>,
+    ) {
         match tag {
-            StateTag::Election(call) => {
+            KvCallOwner::Election(call) => {
                 let mut calls = Vec::new();
                 let change = self.election.answered(now, call, answer, &mut calls);
-                self.take_election(calls);
+                self.submit_election_calls(calls);
                 if let Some(change) = change {
-                    self.on_change(now, change, out);
+                    self.on_leadership_change(now, change, out);
                 }
             }
-            StateTag::Gateway(number) => {
-                let mut gateway = GatewayOut::default();
+            KvCallOwner::Gateway(number) => {
+                let mut gateway = GatewayEffects::default();
                 self.gateway.answered(now, number, answer, &mut gateway);
                 self.gateway
                     .judge_read(now, &self.cancellations, &mut gateway);
-                self.take_gateway(now, gateway, out);
+                self.apply_gateway_effects(now, gateway, out);
             }
-            StateTag::Scheduler(term, call) => {
+            KvCallOwner::Scheduler(term, call) => {
                 if term == self.scheduler.term() && self.scheduler.leading() {
-                    let mut scheduler = SchedulerOut::default();
+                    let mut scheduler = SchedulerEffects::default();
                     self.scheduler
                         .state_answered(now, call, answer, &mut scheduler);
-                    self.take_scheduler(now, scheduler, out);
+                    self.apply_scheduler_effects(now, scheduler, out);
                 }
             }
-            StateTag::ReadCatalog => {
-                if let Some(item) = answer.read::<Item>(200) {
+            KvCallOwner::ReadCatalog => {
+                if let Some(item) = answer.read::<KeyValue>(200) {
                     let catalog = serde_json::from_value::<Catalog>(item.value)
                         .ok()
-                        .and_then(Catalog::checked);
+                        .and_then(Catalog::validated);
                     if let Some(catalog) = catalog.filter(|_| self.catalog.is_none()) {
                         self.set_catalog(catalog);
                     }
                 }
             }
-            StateTag::WriteProxied => {}
-            StateTag::WriteLimits => self.limits_written(&answer),
-            StateTag::Cancellations(call) => {
+            KvCallOwner::WriteProxied => {}
+            KvCallOwner::WriteLimits => self.limits_written(&answer),
+            KvCallOwner::Cancellations(call) => {
                 let mut calls = Vec::new();
                 let before = self.cancellations.read_ms();
                 let new = self.cancellations.answered(now, call, &answer, &mut calls);
-                self.take_cancellations(calls);
-                if call == CancellationsCall::Poll {
+                self.submit_cancellation_calls(calls);
+                if call == CancellationsKvCall::Poll {
                     let told = self.cancellations.read_ms() > before;
                     self.answer_polled(now, told, out);
                 }
-                let mut scheduler = SchedulerOut::default();
+                let mut scheduler = SchedulerEffects::default();
                 self.learned_cancelled(now, &new, &mut scheduler);
-                self.take_scheduler(now, scheduler, out);
+                self.apply_scheduler_effects(now, scheduler, out);
             }
-            StateTag::WriteCatalog => self.catalog_stored = answer.status() == Some(200),
+            KvCallOwner::WriteCatalog => self.catalog_stored = answer.status() == Some(200),
         }
     }
 
     /// A process that stood still wakes up with its sockets full of what is
     /// long over. What it read for users may be old by now; if it led, others
     /// may lead; and that nobody was heard is no fault of theirs.
-    fn notice_time(&mut self, now: Now, out: &mut Vec<Effect>) {
+    fn detect_process_pause(&mut self, now: Now, out: &mut Vec<Effect>) {
         // Peers send heartbeats, and a leader renews, four times in this period.
         let limit_ms = self.heartbeat_every_ms * 4;
         let still = self.last_turn_ms > 0 && now.ms > self.last_turn_ms + limit_ms;
@@ -526,12 +537,12 @@
         if !still || self.peers.is_empty() {
             return;
         }
-        let mut gateway = GatewayOut::default();
-        self.gateway.stood_still(&mut gateway);
-        self.take_gateway(now, gateway, out);
+        let mut gateway = GatewayEffects::default();
+        self.gateway.abort_after_pause(&mut gateway);
+        self.apply_gateway_effects(now, gateway, out);
         if self.election.is_leader() {
             log::info!("stood still, may have lost the lead");
-            self.election.doubt(now);
+            self.election.require_renewal(now);
             self.scheduler.excuse_silence(now);
         }
     }
@@ -540,24 +551,24 @@
     fn dispatch(&mut self, now: Now, out: &mut Vec<Effect>) -> u64 {
         let mut calls = Vec::new();
         let mut wake = self.election.tick(now, &mut calls);
-        self.take_election(calls);
-        if !self.election.in_doubt() {
-            let mut scheduler = SchedulerOut::default();
-            let budget = self.store.write_budget(now);
+        self.submit_election_calls(calls);
+        if !self.election.leadership_unconfirmed() {
+            let mut scheduler = SchedulerEffects::default();
+            let budget = self.kv.write_budget(now);
             let next = self
                 .scheduler
                 .tick(now, &mut self.cloud, budget, &mut scheduler);
             wake = wake.min(next);
-            self.take_scheduler(now, scheduler, out);
+            self.apply_scheduler_effects(now, scheduler, out);
         }
         self.maintain_catalog(now);
         self.maintain_limits(now);
-        let mut gateway = GatewayOut::default();
+        let mut gateway = GatewayEffects::default();
         wake = wake.min(self.gateway.tick(now, &mut gateway));
-        self.take_gateway(now, gateway, out);
+        self.apply_gateway_effects(now, gateway, out);
         let mut calls = Vec::new();
         wake = wake.min(self.cancellations.tick(now, &mut calls));
-        self.take_cancellations(calls);
+        self.submit_cancellation_calls(calls);
         self.store_proxied(now);
         self.forward_reports(now, out);
         wake = wake.min(self.forwarding.due_ms().unwrap_or(u64::MAX));
@@ -565,23 +576,23 @@
         self.cloud
             .dispatch(now, |tag, call| cloud_calls.push((tag, call)));
         for (tag, call) in cloud_calls {
-            self.send(CallTag::Cloud(tag), call, out);
+            self.send(OutgoingCall::Cloud(tag), call, out);
         }
         wake = wake.min(self.cloud.wake_ms(now));
         self.send_heartbeats(now, out);
         wake = wake.min(self.heartbeat_due_ms);
         let mut sent = Vec::new();
         let mut given_up = Vec::new();
-        self.store
+        self.kv
             .dispatch(now, |id, call| sent.push((id, call)), &mut given_up);
         for (id, call) in sent {
-            self.send(CallTag::State(id), call, out);
+            self.send(OutgoingCall::State(id), call, out);
         }
         let gave_up = !given_up.is_empty();
         for tag in given_up {
-            self.on_state(now, tag, Answer::Refused, out);
+            self.on_kv_response(now, tag, KvResponse::NotExecuted, out);
         }
-        if gave_up || self.store.waiting() {
+        if gave_up || self.kv.has_queued() {
             wake = wake.min(now.ms + 10);
         }
         if self.catalog.is_none() {
@@ -591,12 +602,12 @@
     }
 }
 
-fn retag<A, B>(call: StateCall<A>, f: impl FnOnce(A) -> B) -> StateCall<B> {
-    StateCall {
-        urgency: call.urgency,
+fn retag<A, B>(call: KvCall<A>, f: impl FnOnce(A) -> B) -> KvCall<B> {
+    KvCall {
+        priority: call.priority,
         call: call.call,
         writes: call.writes,
-        give_up_ms: call.give_up_ms,
+        expires_ms: call.expires_ms,
         tag: f(call.tag),
     }
 }
@@ -605,27 +616,27 @@
     fn request(
         &mut self,
         now: Now,
-        conn: ConnId,
-        port: Port,
+        conn: ConnectionId,
+        port: Listener,
         request: Request,
         out: &mut Vec<Effect>,
     ) {
         self.purpose = Purpose::Other;
-        self.notice_time(now, out);
+        self.detect_process_pause(now, out);
         self.route(now, conn, port, request, out);
     }
 
-    fn outcome(&mut self, now: Now, call: CallId, outcome: Outcome, out: &mut Vec<Effect>) {
+    fn outcome(&mut self, now: Now, call: CallId, outcome: CallResult, out: &mut Vec<Effect>) {
         self.purpose = Purpose::Other;
-        self.notice_time(now, out);
+        self.detect_process_pause(now, out);
         match self.calls.remove(&call) {
-            Some(CallTag::State(id)) => {
-                if let Some((tag, answer)) = self.store.answered(now, id, outcome) {
+            Some(OutgoingCall::State(id)) => {
+                if let Some((tag, answer)) = self.kv.answered(now, id, outcome) {
                     self.purpose = tag.purpose();
-                    self.on_state(now, tag, answer, out);
+                    self.on_kv_response(now, tag, answer, out);
                 }
             }
-            Some(CallTag::Cloud(tag)) => {
+            Some(OutgoingCall::Cloud(tag)) => {
                 self.purpose = Purpose::Cloud;
                 match self.cloud.answered(now, tag, outcome) {
                     Some(CloudEvent::Catalog(catalog)) => {
@@ -638,22 +649,22 @@
                     None => {}
                 }
             }
-            Some(CallTag::Worker(term, tag)) if term == self.scheduler.term() => {
+            Some(OutgoingCall::Worker(term, tag)) if term == self.scheduler.term() => {
                 self.purpose = Purpose::Command;
-                let mut scheduler = SchedulerOut::default();
+                let mut scheduler = SchedulerEffects::default();
                 self.scheduler
                     .worker_answered(now, tag, outcome, &mut scheduler);
-                self.take_scheduler(now, scheduler, out);
+                self.apply_scheduler_effects(now, scheduler, out);
             }
-            Some(CallTag::Peer(index, asked_ms)) => {
-                self.purpose = Purpose::Heartbeat;
+            Some(OutgoingCall::Peer(index, asked_ms)) => {
+                self.purpose = Purpose::PeerHeartbeat;
                 let leads = self.peers.get(index).is_some_and(|p| p.leads_ms.is_some());
                 if outcome.is_err() && leads {
                     self.forwarding.forget_content();
                 }
                 if let (Ok((_, body)), Some(peer)) = (outcome, self.peers.get_mut(index)) {
                     peer.reached_ms = Some(now.ms);
-                    let answer = peer::decode_answer(&body).unwrap_or_default();
+                    let answer = peer::decode_response(&body).unwrap_or_default();
                     if let Some(word) = answer.confirmations {
                         if self.cancellations.cursor(index).map(|c| c.incarnation)
                             != Some(word.incarnation)
@@ -661,19 +672,24 @@
                             // A new process there knows no counts at all.
                             self.sent_counts.clear();
                         }
-                        let new = self.cancellations.heard(now, index, Some(asked_ms), &word);
-                        let mut scheduler = SchedulerOut::default();
+                        let new = self.cancellations.receive_confirmations(
+                            now,
+                            index,
+                            Some(asked_ms),
+                            &word,
+                        );
+                        let mut scheduler = SchedulerEffects::default();
                         self.learned_cancelled(now, &new, &mut scheduler);
-                        self.take_scheduler(now, scheduler, out);
+                        self.apply_scheduler_effects(now, scheduler, out);
                     }
                 }
             }
-            Some(CallTag::Worker(..)) | None => {}
+            Some(OutgoingCall::Worker(..)) | None => {}
         }
     }
 
     fn tick(&mut self, now: Now, out: &mut Vec<Effect>) -> u64 {
-        self.notice_time(now, out);
+        self.detect_process_pause(now, out);
         let before = self.scheduler.activity();
         let wake_ms = self.dispatch(now, out);
         let after = self.scheduler.activity();
@@ -694,7 +710,7 @@
     }
 
     fn log_usage(&mut self) {
-        log::info!("state calls {}", self.store.take_sent());
+        log::info!("state calls {}", self.kv.take_stats());
         if self.scheduler.active() {
             log::info!("rounds {}", self.scheduler.take_round_figures());
             if let Some(figures) = self.scheduler.replica_figures() {
--- a/src/node/peers.rs
+++ b/src/node/peer_heartbeats.rs
@@ -1,17 +1,17 @@
 //! What controllers tell each other: heartbeats, and whether a leader should step
 //! aside.
 
-use super::{CallTag, Node, Peer, VERSION};
+use super::{Node, OutgoingCall, PeerStatus, VERSION};
 use crate::election::Role;
-use crate::gateway::TaskCounts;
+use crate::gateway::TaskProgress;
 use crate::http::MAX_PEER_BODY;
 use crate::ids::{JobId, Term};
-use crate::limits::Evidence;
-use crate::msg::{Call, Effect, Now, Reply, Target};
-use crate::peer::{self, Heartbeat, HeartbeatAnswer, JobCount, PEER_PATH};
-use crate::scheduler::SchedulerOut;
+use crate::limits::LimitEvidence;
+use crate::messages::{Call, Destination, Effect, Now, Reply};
+use crate::peer::{self, JobProgress, PeerHeartbeat, PeerHeartbeatResponse, PEER_PATH};
+use crate::scheduler::SchedulerEffects;
 use crate::usage::Purpose;
-use crate::wire::{self, Report};
+use crate::wire::{self, WorkerHeartbeat};
 use std::collections::HashMap;
 
 /// Counts for display take so much of a heartbeat at most. A new leader has all
@@ -29,7 +29,12 @@
         self.scheduler.hears_no_worker(now, to_us)
     }
 
-    pub(super) fn on_heartbeat(&mut self, now: Now, body: &[u8], out: &mut Vec<Effect>) -> Reply {
+    pub(super) fn on_peer_heartbeat(
+        &mut self,
+        now: Now,
+        body: &[u8],
+        out: &mut Vec<Effect>,
+    ) -> Reply {
         let Some(heartbeat) = peer::decode(body) else {
             return Reply::error(400, "not a heartbeat");
         };
@@ -39,7 +44,7 @@
                 peer.state_seen_ms = Some(now.ms);
             }
             // A message that only carries reports says nothing of leaders.
-            if heartbeat.reports.is_empty() {
+            if heartbeat.worker_heartbeats.is_empty() {
                 peer.writes_per_s = Some(heartbeat.writes_per_s)
                     .filter(|w| w.is_finite() && *w >= 0.0)
                     .unwrap_or(0.0);
@@ -53,28 +58,29 @@
             }
         }
         if heartbeat.limits_lowered {
-            self.learn_limits(now, Evidence::Peer);
+            self.learn_limits(now, LimitEvidence::Peer);
         }
         let known = |name: &str| self.peers.iter().any(|p| p.name == name);
         if heartbeat.state_reachable && known(&heartbeat.node) && known(&heartbeat.leader) {
             let (leader, term) = (heartbeat.leader.as_str(), Term(heartbeat.term));
-            if let Some(change) = self.election.superseded(now, leader, term) {
-                self.on_change(now, change, out);
+            if let Some(change) = self.election.observe_later_term(now, leader, term) {
+                self.on_leadership_change(now, change, out);
             }
         }
         if heartbeat.node == heartbeat.leader {
             self.gateway.leader_heard(now, Term(heartbeat.term));
-            for count in &heartbeat.counts {
-                let counts = TaskCounts {
+            for count in &heartbeat.job_progress {
+                let counts = TaskProgress {
                     done: count.done,
                     running: count.running,
-                    spans: count.spans,
+                    multi_host: count.multi_host,
                 };
                 let id = JobId::new(&count.job);
-                self.gateway.note_counts(&id, Term(heartbeat.term), counts);
+                self.gateway
+                    .record_progress(&id, Term(heartbeat.term), counts);
             }
         }
-        let mut scheduler = SchedulerOut::default();
+        let mut scheduler = SchedulerEffects::default();
         for job in heartbeat
             .announced
             .iter()
@@ -84,7 +90,7 @@
                 .announced(now, &JobId::new(job), &mut scheduler);
         }
         let index = self.peers.iter().position(|p| p.name == heartbeat.node);
-        let mut answer = HeartbeatAnswer::default();
+        let mut answer = PeerHeartbeatResponse::default();
         if let Some(cursor) = heartbeat.cursor {
             answer.confirmations = Some(self.cancellations.confirmations(&cursor));
             if let Some(index) = index {
@@ -92,26 +98,29 @@
             }
         }
         if let (Some(index), Some(word)) = (index, &heartbeat.confirmations) {
-            let new = self.cancellations.heard(now, index, None, word);
+            let new = self
+                .cancellations
+                .receive_confirmations(now, index, None, word);
             self.learned_cancelled(now, &new, &mut scheduler);
         }
-        if !heartbeat.reports.is_empty() {
-            self.purpose = Purpose::ForwardedReports;
+        if !heartbeat.worker_heartbeats.is_empty() {
+            self.purpose = Purpose::ForwardedHeartbeats;
         }
-        let unreachable = !heartbeat.reports.is_empty() && self.unreachable(now);
+        let unreachable = !heartbeat.worker_heartbeats.is_empty() && self.unreachable(now);
         let mut aside = false;
-        for body in &heartbeat.reports {
-            if let Ok(report) = serde_json::from_slice::<Report>(body) {
+        for body in &heartbeat.worker_heartbeats {
+            if let Ok(report) = serde_json::from_slice::<WorkerHeartbeat>(body) {
                 // Machines that merely fail together reach nobody.
                 aside |= unreachable && self.forwarder_for(now, &report.zone).is_none();
                 if let Some(index) = index {
                     self.routes.passed_on(now.ms, &report.machine, index);
                 }
-                self.scheduler.forwarded(now, &report, &mut scheduler);
+                self.scheduler
+                    .forwarded_heartbeat(now, &report, &mut scheduler);
             }
         }
-        self.take_scheduler(now, scheduler, out);
-        if aside && self.election.is_leader() && !self.election.in_doubt() {
+        self.apply_scheduler_effects(now, scheduler, out);
+        if aside && self.election.is_leader() && !self.election.leadership_unconfirmed() {
             // Workers of ours reach another and not us, nor do commands.
             log::error!("leader steps aside: workers reach {} only", heartbeat.node);
             self.unreached = true;
@@ -119,17 +128,17 @@
         }
         Reply {
             status: 200,
-            body: peer::encode_answer(&answer),
+            body: peer::encode_response(&answer),
             retry_after_s: None,
         }
     }
 
     pub(super) fn step_aside(&mut self, now: Now, out: &mut Vec<Effect>) {
         let mut calls = Vec::new();
-        let change = self.election.step_aside(now, &mut calls);
-        self.take_election(calls);
+        let change = self.election.yield_leadership(now, &mut calls);
+        self.submit_election_calls(calls);
         if let Some(change) = change {
-            self.on_change(now, change, out);
+            self.on_leadership_change(now, change, out);
         }
     }
 
@@ -142,7 +151,7 @@
         let led_for_long = self
             .led_since_ms
             .is_some_and(|since| now.ms > since + lease_ms);
-        if !led_for_long || self.election.in_doubt() {
+        if !led_for_long || self.election.leadership_unconfirmed() {
             return;
         }
         let me = self.settings.node_name.as_str();
@@ -157,7 +166,7 @@
         };
         let quiet = self.quiet_ms();
         let recent = |at: Option<u64>| at.is_some_and(|at| now.ms < at + quiet);
-        let silent = |p: &Peer| p.heard_ms.is_some_and(|at| now.ms > at + lease_ms);
+        let silent = |p: &PeerStatus| p.heard_ms.is_some_and(|at| now.ms > at + lease_ms);
         let exposed = successor(me).filter(|p| silent(p));
         let Some(next) = exposed.map(|p| (p.name.clone(), p.zone.clone())) else {
             self.handed_over_for = None;
@@ -199,40 +208,41 @@
             Role::Follower(record) => record.node.clone(),
             Role::Unknown => String::new(),
         };
-        let mut heartbeat = Heartbeat {
+        let mut heartbeat = PeerHeartbeat {
             node: self.settings.node_name.clone(),
             leader,
             term: self.election.known_term().0,
-            state_reachable: self.store.reachable(),
+            state_reachable: self.kv.reachable(),
             unreachable: self.unreached || self.unreachable(now),
-            counts: Vec::new(),
+            job_progress: Vec::new(),
             announced: self.announced.drain(..).map(|id| id.to_string()).collect(),
-            writes_per_s: self.store.writes_per_s(now),
+            writes_per_s: self.kv.writes_per_s(now),
             cursor: None,
             confirmations: None,
-            reports: Vec::new(),
-            limits_lowered: self.limits.lowered(),
+            worker_heartbeats: Vec::new(),
+            limits_lowered: self.limits.announced_apply(),
             version: VERSION.to_string(),
         };
         self.cancelled_here = false;
-        if self.scheduler.leading() && !self.election.in_doubt() {
+        if self.scheduler.leading() && !self.election.leadership_unconfirmed() {
             self.gateway.leader_heard(now, self.scheduler.term());
         }
         if self.scheduler.active() {
             let mut sent_counts = HashMap::new();
             let mut bytes = 0;
             for (id, counts) in self.scheduler.counts() {
-                self.gateway.note_counts(id, self.scheduler.term(), counts);
+                self.gateway
+                    .record_progress(id, self.scheduler.term(), counts);
                 let sent = self.sent_counts.get(id).copied();
                 if sent == Some(counts) {
                     sent_counts.insert(id.clone(), counts);
                 } else if bytes < MAX_COUNT_BYTES {
                     bytes += id.as_str().len() + COUNT_BYTES;
-                    heartbeat.counts.push(JobCount {
+                    heartbeat.job_progress.push(JobProgress {
                         job: id.to_string(),
                         done: counts.done,
                         running: counts.running,
-                        spans: counts.spans,
+                        multi_host: counts.multi_host,
                     });
                     sent_counts.insert(id.clone(), counts);
                 } else if let Some(sent) = sent {
@@ -247,13 +257,13 @@
             heartbeat.cursor = self.cancellations.cursor(index);
             heartbeat.confirmations = self.cancellations.unacknowledged(index);
             let call = Call {
-                target: Target::Peer(self.peers[index].addr.clone()),
+                target: Destination::Peer(self.peers[index].addr.clone()),
                 method: "POST",
                 path: PEER_PATH.to_string(),
                 body: peer::encode(&heartbeat),
                 timeout_ms,
             };
-            self.send(CallTag::Peer(index, now.ms), call, out);
+            self.send(OutgoingCall::Peer(index, now.ms), call, out);
         }
     }
 }
--- a/src/node/requests.rs
+++ b/src/node/requests.rs
@@ -1,51 +1,51 @@
 //! Requests of users, workers and the load balancer, and who serves them.
 
-use super::follower::proxy_answer;
+use super::lease_proxy::proxy_answer;
 use super::Node;
-use crate::gateway::GatewayOut;
-use crate::msg::{ConnId, Effect, Now, Port, Reply, Request};
+use crate::gateway::GatewayEffects;
+use crate::messages::{ConnectionId, Effect, Listener, Now, Reply, Request};
 use crate::peer::PEER_PATH;
-use crate::scheduler::SchedulerOut;
+use crate::scheduler::SchedulerEffects;
 use crate::usage::Purpose;
-use crate::wire::{self, Report, ReportTo};
+use crate::wire::{self, RedirectTo, WorkerHeartbeat};
 
 impl Node {
     pub(super) fn route(
         &mut self,
         now: Now,
-        conn: ConnId,
-        port: Port,
+        conn: ConnectionId,
+        port: Listener,
         request: Request,
         out: &mut Vec<Effect>,
     ) {
         let path = request.path.split('?').next().unwrap_or("");
-        if port == Port::Peer {
-            self.purpose = Purpose::Heartbeat;
+        if port == Listener::Peer {
+            self.purpose = Purpose::PeerHeartbeat;
             let reply = match (request.method.as_str(), path) {
-                ("POST", PEER_PATH) => self.on_heartbeat(now, &request.body, out),
+                ("POST", PEER_PATH) => self.on_peer_heartbeat(now, &request.body, out),
                 _ => Reply::error(404, "unknown path"),
             };
             out.push(Effect::Reply(conn, reply));
             return;
         }
         let method = request.method.as_str();
-        let mut gateway = GatewayOut::default();
+        let mut gateway = GatewayEffects::default();
         let allowed = match path {
-            wire::READY => {
+            wire::READY_PATH => {
                 self.purpose = Purpose::Probe;
                 if method == "GET" {
                     out.push(Effect::Reply(conn, self.ready(now)));
                 }
                 method == "GET"
             }
-            wire::WORKER_REPORT => {
-                self.purpose = Purpose::Report;
+            wire::WORKER_HEARTBEAT_PATH => {
+                self.purpose = Purpose::WorkerHeartbeat;
                 if method == "POST" {
-                    self.on_report(now, conn, &request.body, out);
+                    self.on_worker_heartbeat(now, conn, &request.body, out);
                 }
                 method == "POST"
             }
-            wire::USER_JOBS => {
+            wire::USER_JOBS_PATH => {
                 self.purpose = Purpose::Submission;
                 if method == "POST" {
                     self.gateway.submit(now, conn, &request.body, &mut gateway);
@@ -76,7 +76,7 @@
         if !allowed {
             out.push(Effect::Reply(conn, Reply::error(405, "method not allowed")));
         }
-        self.take_gateway(now, gateway, out);
+        self.apply_gateway_effects(now, gateway, out);
     }
 
     /// Ready means that requests can be taken. While the state service is
@@ -85,26 +85,32 @@
     /// cut off steps aside.
     pub(super) fn ready(&self, now: Now) -> Reply {
         if !self.gateway.has_catalog() {
-            return Reply::later(503, "machine types unknown yet", 1);
+            return Reply::retry_later(503, "machine types unknown yet", 1);
         }
         let patience_ms = self.heartbeat_every_ms * 4;
-        let cut_off = !self.store.reachable()
+        let cut_off = !self.kv.reachable()
             && self
-                .store
-                .last_ok_ms()
+                .kv
+                .last_success_ms()
                 .is_none_or(|ok| now.ms > ok + patience_ms);
         let others_reach = self
             .peers
             .iter()
             .any(|p| p.state_seen_ms.is_some_and(|at| now.ms < at + patience_ms));
         if cut_off && others_reach {
-            return Reply::later(503, "the state service can't be reached from here", 1);
+            return Reply::retry_later(503, "the state service can't be reached from here", 1);
         }
         Reply::json(200, &self.described())
     }
 
-    pub(super) fn on_report(&mut self, now: Now, conn: ConnId, body: &[u8], out: &mut Vec<Effect>) {
-        let report: Report = match serde_json::from_slice(body) {
+    pub(super) fn on_worker_heartbeat(
+        &mut self,
+        now: Now,
+        conn: ConnectionId,
+        body: &[u8],
+        out: &mut Vec<Effect>,
+    ) {
+        let report: WorkerHeartbeat = match serde_json::from_slice(body) {
             Ok(report) => report,
             Err(e) => {
                 out.push(Effect::Reply(conn, Reply::error(400, &e.to_string())));
@@ -117,8 +123,8 @@
         let informed = self.cancellations.may_renew(now);
         let stops = self.cancellations.stops(&report);
         if self.scheduler.leading() {
-            if !informed || self.election.in_doubt() {
-                out.push(Effect::Reply(conn, Reply::later(503, "cut off", 1)));
+            if !informed || self.election.leadership_unconfirmed() {
+                out.push(Effect::Reply(conn, Reply::retry_later(503, "cut off", 1)));
                 return;
             }
             if let Some(peer) = self
@@ -126,14 +132,14 @@
                 .filter(|peer| self.routes.send_to(now.ms, &report.machine, *peer))
             {
                 let node = Some(self.peers[peer].name.as_str());
-                let reply = Reply::json(421, &ReportTo { node });
+                let reply = Reply::json(421, &RedirectTo { node });
                 out.push(Effect::Reply(conn, reply));
                 return;
             }
-            let mut scheduler = SchedulerOut::default();
+            let mut scheduler = SchedulerEffects::default();
             self.scheduler
-                .report(now, conn, &report, stops, &mut scheduler);
-            self.take_scheduler(now, scheduler, out);
+                .worker_heartbeat(now, conn, &report, stops, &mut scheduler);
+            self.apply_scheduler_effects(now, scheduler, out);
             return;
         }
         let forwards = self.forwards(now, &report.zone).filter(|_| informed);
@@ -155,7 +161,7 @@
 
 /// `/v2/runs/ID` or `/v2/runs/ID/VERB`.
 fn job_path(path: &str) -> Option<(&str, Option<&str>)> {
-    let rest = path.strip_prefix(wire::USER_JOBS)?.strip_prefix('/')?;
+    let rest = path.strip_prefix(wire::USER_JOBS_PATH)?.strip_prefix('/')?;
     match rest.split_once('/') {
         Some((id, verb)) => Some((id, Some(verb))),
         None => Some((rest, None)),
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -8,7 +8,7 @@
 
 /// Sent by every controller to every other a few times per lease.
 #[derive(Clone, PartialEq, Message)]
-pub struct Heartbeat {
+pub struct PeerHeartbeat {
     /// The sender.
     #[prost(string, tag = "1")]
     pub node: String,
@@ -23,7 +23,7 @@
     pub state_reachable: bool,
     /// From the leader: counts for display.
     #[prost(message, repeated, tag = "5")]
-    pub counts: Vec<JobCount>,
+    pub job_progress: Vec<JobProgress>,
     /// A job or cancellation that the sender has just written.
     #[prost(string, repeated, tag = "6")]
     pub announced: Vec<String>,
@@ -32,17 +32,17 @@
     pub writes_per_s: f64,
     /// How far the sender knows the receiver's confirmed cancellations.
     #[prost(message, optional, tag = "10")]
-    pub cursor: Option<Cursor>,
+    pub cursor: Option<ConfirmationCursor>,
     /// Cancellations that the receiver may not have heard of.
     #[prost(message, optional, tag = "11")]
-    pub confirmations: Option<Confirmations>,
+    pub confirmations: Option<ConfirmedCancellations>,
     /// No worker that should report to the sender reaches it.
     #[prost(bool, tag = "9")]
     pub unreachable: bool,
     /// To the leader: workers' reports that the sender has answered, as they
     /// came.
     #[prost(bytes = "vec", repeated, tag = "7")]
-    pub reports: Vec<Vec<u8>>,
+    pub worker_heartbeats: Vec<Vec<u8>>,
     /// The sender knows that the state service's announced limits are in force.
     #[prost(bool, tag = "13")]
     pub limits_lowered: bool,
@@ -53,7 +53,7 @@
 
 /// Progress of a job, for display.
 #[derive(Clone, PartialEq, Message)]
-pub struct JobCount {
+pub struct JobProgress {
     /// The job's id.
     #[prost(string, tag = "1")]
     pub job: String,
@@ -65,12 +65,12 @@
     pub running: u32,
     /// They are parts of replicas that span machines, all of which serve.
     #[prost(bool, tag = "4")]
-    pub spans: bool,
+    pub multi_host: bool,
 }
 
 /// A place in the numbered cancellations that one process has confirmed.
 #[derive(Clone, Copy, PartialEq, Message)]
-pub struct Cursor {
+pub struct ConfirmationCursor {
     /// The process whose log is meant.
     #[prost(uint64, tag = "1")]
     pub incarnation: u64,
@@ -81,7 +81,7 @@
 
 /// Cancellations that a process has confirmed to users, numbered from 1.
 #[derive(Clone, PartialEq, Message)]
-pub struct Confirmations {
+pub struct ConfirmedCancellations {
     /// The sender.
     #[prost(string, tag = "1")]
     pub node: String,
@@ -101,28 +101,28 @@
 
 /// The answer to a heartbeat.
 #[derive(Clone, PartialEq, Message)]
-pub struct HeartbeatAnswer {
+pub struct PeerHeartbeatResponse {
     /// What the sender asked for with its cursor.
     #[prost(message, optional, tag = "2")]
-    pub confirmations: Option<Confirmations>,
+    pub confirmations: Option<ConfirmedCancellations>,
 }
 
 /// The answer as bytes.
-pub fn encode_answer(answer: &HeartbeatAnswer) -> Vec<u8> {
+pub fn encode_response(answer: &PeerHeartbeatResponse) -> Vec<u8> {
     answer.encode_to_vec()
 }
 
 /// Reads an answer; `None` if it isn't one.
-pub fn decode_answer(bytes: &[u8]) -> Option<HeartbeatAnswer> {
-    HeartbeatAnswer::decode(bytes).ok()
+pub fn decode_response(bytes: &[u8]) -> Option<PeerHeartbeatResponse> {
+    PeerHeartbeatResponse::decode(bytes).ok()
 }
 
 /// The heartbeat as bytes.
-pub fn encode(heartbeat: &Heartbeat) -> Vec<u8> {
+pub fn encode(heartbeat: &PeerHeartbeat) -> Vec<u8> {
     heartbeat.encode_to_vec()
 }
 
 /// Reads a heartbeat; `None` if it isn't one.
-pub fn decode(bytes: &[u8]) -> Option<Heartbeat> {
-    Heartbeat::decode(bytes).ok()
+pub fn decode(bytes: &[u8]) -> Option<PeerHeartbeat> {
+    PeerHeartbeat::decode(bytes).ok()
 }
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -2,7 +2,7 @@
 //! machines is taken. No state, no clock.
 
 use crate::cloud::Offer;
-use crate::gateway::fits_type;
+use crate::gateway::fits_machine_type;
 use crate::wire::{Catalog, JobSpec};
 use std::rc::Rc;
 
@@ -10,12 +10,12 @@
 
 /// Where the tasks of a job may still go, given where its others may be.
 #[derive(Clone, Debug, Default)]
-pub struct ZoneUse {
+pub struct ZoneCounts {
     /// (zone, tasks that may be there).
     counts: Vec<(Rc<str>, u32)>,
 }
 
-impl ZoneUse {
+impl ZoneCounts {
     /// A task stands in the zone.
     pub fn add(&mut self, zone: &Rc<str>) {
         match self.counts.iter_mut().find(|(z, _)| z == zone) {
@@ -41,7 +41,7 @@
         if spec.zone.as_ref().is_some_and(|only| &**only != zone) {
             return false;
         }
-        if spec.one_zone && self.counts.iter().any(|(z, n)| &**z != zone && *n > 0) {
+        if spec.same_zone && self.counts.iter().any(|(z, n)| &**z != zone && *n > 0) {
             return false;
         }
         // At most half of the tasks, rounded up.
@@ -50,7 +50,7 @@
 }
 
 /// Type and kind of machine; the zone is `ZoneUse`'s.
-pub fn allows_offer(spec: &JobSpec, offer: &Offer) -> bool {
+pub fn offer_allowed(spec: &JobSpec, offer: &Offer) -> bool {
     (spec.spot || !offer.spot)
         && spec
             .types
@@ -60,29 +60,33 @@
 
 /// Whether one more task of the job may stand on such a machine, given where
 /// its others may be.
-pub fn may_stand(spec: &JobSpec, zones: &ZoneUse, offer: &Offer) -> bool {
-    allows_offer(spec, offer) && zones.allows(spec, &offer.zone)
+pub fn placement_allowed(spec: &JobSpec, zones: &ZoneCounts, offer: &Offer) -> bool {
+    offer_allowed(spec, offer) && zones.allows(spec, &offer.zone)
 }
 
 /// Every rental that could hold a task of the job, with its nominal price.
-pub fn offers_for(spec: &JobSpec, catalog: &Catalog) -> Vec<(Offer, f64, Resources, f64)> {
+pub fn feasible_offers(spec: &JobSpec, catalog: &Catalog) -> Vec<(Offer, f64, Resources, f64)> {
     let mut offers = Vec::new();
-    for t in catalog.types.iter().filter(|t| fits_type(spec, t)) {
+    for t in catalog.types.iter().filter(|t| fits_machine_type(spec, t)) {
         for zone in &t.zones {
             if spec.zone.as_ref().is_some_and(|only| only != zone) {
                 continue;
             }
             for spot in [true, false] {
-                if spot && (!spec.spot || t.spot_price <= 0.0) {
+                if spot && (!spec.spot || t.hourly_spot_price <= 0.0) {
                     continue;
                 }
-                let price = if spot { t.spot_price } else { t.price };
+                let price = if spot {
+                    t.hourly_spot_price
+                } else {
+                    t.hourly_price
+                };
                 let offer = Offer {
                     machine_type: t.name.clone(),
                     zone: zone.clone(),
                     spot,
                 };
-                offers.push((offer, price, t.room(), t.boot_s));
+                offers.push((offer, price, t.capacity(), t.boot_s));
             }
         }
     }
@@ -91,38 +95,38 @@
 
 /// What the choice between fitting machines looks at.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Fit {
+pub struct FitScore {
     /// Image there already.
-    pub cached: bool,
+    pub image_cached: bool,
     /// Image on its way for another task.
-    pub coming: bool,
+    pub image_pulling: bool,
     /// Other images being fetched, which share the rate.
-    pub fetches: u32,
+    pub concurrent_pulls: u32,
     /// The machine is cheap and the job may use it.
     pub spot: bool,
     /// Share of the machine that stays free.
-    pub left: f64,
+    pub free_share: f64,
     /// Tasks of the same job there already: replicas fall together.
     pub siblings: u32,
 }
 
-impl Fit {
+impl FitScore {
     /// Smaller is better. Late work for a second of fetching is worse than
     /// any packing; among equals, full machines fill up so that others empty.
     pub fn rank(&self) -> f64 {
-        let fetch = if self.cached {
+        let fetch = if self.image_cached {
             0.0
-        } else if self.coming {
+        } else if self.image_pulling {
             0.6
         } else {
-            1.0 + 0.5 * f64::from(self.fetches)
+            1.0 + 0.5 * f64::from(self.concurrent_pulls)
         };
         let dear = if self.spot { 0.0 } else { 0.3 };
-        fetch * 2.0 + dear + self.left + 0.15 * f64::from(self.siblings.min(4))
+        fetch * 2.0 + dear + self.free_share + 0.15 * f64::from(self.siblings.min(4))
     }
 
     /// What is added for tasks of the same job in the zone already.
-    pub fn crowded(zone_siblings: u32) -> f64 {
+    pub fn zone_crowding(zone_siblings: u32) -> f64 {
         0.05 * f64::from(zone_siblings.min(4))
     }
 }
--- a/src/reactor.rs
+++ b/src/reactor.rs
@@ -2,8 +2,9 @@
 //! sockets, and nothing of jobs.
 
 use crate::http;
-use crate::msg::{
-    Call, CallError, CallId, ConnId, Effect, Now, Outcome, Port, Reply, Request, Target,
+use crate::messages::{
+    Call, CallError, CallId, CallResult, ConnectionId, Destination, Effect, Listener, Now, Reply,
+    Request,
 };
 use crate::usage::{Purpose, Usage, LOG_EVERY_MS};
 use polling::{Event, Events, PollMode, Poller};
@@ -19,13 +20,13 @@
     fn request(
         &mut self,
         now: Now,
-        conn: ConnId,
-        port: Port,
+        conn: ConnectionId,
+        port: Listener,
         request: Request,
         out: &mut Vec<Effect>,
     );
     /// A call of ours was answered, or won't be.
-    fn outcome(&mut self, now: Now, call: CallId, outcome: Outcome, out: &mut Vec<Effect>);
+    fn outcome(&mut self, now: Now, call: CallId, outcome: CallResult, out: &mut Vec<Effect>);
     /// Called every turn; returns when it wants to be called at the latest.
     fn tick(&mut self, now: Now, out: &mut Vec<Effect>) -> u64;
     /// What the last of the calls above was mostly for.
@@ -74,21 +75,25 @@
 
 /// What a reactor may take of its machine.
 #[derive(Clone, Copy, PartialEq, Debug)]
-pub struct Bounds {
+pub struct ResourceBounds {
     /// Sockets.
     pub max_connections: usize,
     /// Memory, in megabytes.
     pub ram_mb: f64,
 }
 
-impl Bounds {
+impl ResourceBounds {
     /// How many connections to workers may be open at once. `None`: not even one
     /// is left beside those reserved for state service, cloud and peers.
     pub fn worker_connections(&self, peers: usize) -> Option<usize> {
-        let reserved: usize = [Target::State, Target::StateWatch, Target::Cloud]
-            .iter()
-            .map(max_open)
-            .sum();
+        let reserved: usize = [
+            Destination::KvStore,
+            Destination::KvWatch,
+            Destination::Cloud,
+        ]
+        .iter()
+        .map(max_open)
+        .sum();
         (self.max_connections - self.server_connections())
             .checked_sub(reserved + peers * PEER_CONNECTIONS)
             .filter(|left| *left > 0)
@@ -107,11 +112,11 @@
 
 #[derive(PartialEq, Eq)]
 enum Role {
-    Server(Port),
-    Client(Target),
+    Server(Listener),
+    Client(Destination),
 }
 
-struct Conn {
+struct Connection {
     stream: TcpStream,
     role: Role,
     input: Vec<u8>,
@@ -129,17 +134,17 @@
 }
 
 /// A call waiting for a free connection.
-struct Waiting {
+struct QueuedCall {
     id: CallId,
     call: Call,
     deadline_ms: u64,
 }
 
 #[derive(Default)]
-struct Pool {
+struct ConnectionPool {
     idle: Vec<usize>,
     open: usize,
-    waiting: VecDeque<Waiting>,
+    waiting: VecDeque<QueuedCall>,
 }
 
 /// Sockets and timers of one controller, on one thread.
@@ -147,11 +152,11 @@
     poller: Poller,
     listeners: [TcpListener; 2],
     endpoints: Endpoints,
-    conns: HashMap<usize, Conn>,
+    conns: HashMap<usize, Connection>,
     deadlines: BTreeSet<(u64, usize)>,
-    pools: HashMap<Target, Pool>,
+    pools: HashMap<Destination, ConnectionPool>,
     /// Calls that wait for a connection, by when they are given up.
-    queued: BTreeMap<(u64, CallId), Target>,
+    queued: BTreeMap<(u64, CallId), Destination>,
     next_key: usize,
     max_server: usize,
     servers: usize,
@@ -164,7 +169,7 @@
     request_bytes: usize,
     max_request_bytes: usize,
     idle_workers: BTreeSet<(u64, usize)>,
-    starved: VecDeque<Target>,
+    starved: VecDeque<Destination>,
     accepting: bool,
     start: Instant,
     buffer: Vec<u8>,
@@ -173,13 +178,13 @@
     usage_due_ms: u64,
 }
 
-fn max_open(target: &Target) -> usize {
+fn max_open(target: &Destination) -> usize {
     match target {
-        Target::State => 12,
-        Target::StateWatch => 4,
-        Target::Cloud => 4,
-        Target::Worker(_) => 1,
-        Target::Peer(_) => PEER_CONNECTIONS,
+        Destination::KvStore => 12,
+        Destination::KvWatch => 4,
+        Destination::Cloud => 4,
+        Destination::Worker(_) => 1,
+        Destination::Peer(_) => PEER_CONNECTIONS,
     }
 }
 
@@ -196,7 +201,7 @@
 
 impl Reactor {
     /// Opens the listeners.
-    pub fn new(endpoints: Endpoints, bounds: Bounds, peers: usize) -> io::Result<Reactor> {
+    pub fn new(endpoints: Endpoints, bounds: ResourceBounds, peers: usize) -> io::Result<Reactor> {
         let max_connections = bounds.max_connections;
         let poller = Poller::new()?;
         let listeners = [
@@ -238,7 +243,7 @@
 
     /// Where users and workers are taken.
     pub fn client_address(&self) -> io::Result<SocketAddr> {
-        self.listeners[Port::Client as usize].local_addr()
+        self.listeners[Listener::Client as usize].local_addr()
     }
 
     /// How many connections to workers may be open at once.
@@ -309,8 +314,8 @@
             let now = self.at(began);
             let mut purpose = Purpose::Other;
             match event.key {
-                CLIENT_KEY => self.accept(now, Port::Client),
-                PEER_KEY => self.accept(now, Port::Peer),
+                CLIENT_KEY => self.accept(now, Listener::Client),
+                PEER_KEY => self.accept(now, Listener::Peer),
                 key => {
                     self.ready(now, key, event, handler, effects);
                     purpose = handler.purpose();
@@ -350,7 +355,7 @@
         }
     }
 
-    fn accept(&mut self, now: Now, port: Port) {
+    fn accept(&mut self, now: Now, port: Listener) {
         // A bounded number per turn, so that a rush can't starve the rest.
         for _ in 0..32 {
             if self.servers >= self.max_server && !self.close_idlest() {
@@ -432,7 +437,7 @@
         self.deadlines.insert((deadline_ms, key));
         self.conns.insert(
             key,
-            Conn {
+            Connection {
                 stream,
                 role,
                 input: Vec::new(),
@@ -463,7 +468,7 @@
         let Some(conn) = self.conns.remove(&key) else {
             return;
         };
-        if conn.role == Role::Server(Port::Client) {
+        if conn.role == Role::Server(Listener::Client) {
             self.request_bytes -= conn.input.len();
         }
         self.deadlines.remove(&(conn.deadline_ms, key));
@@ -474,7 +479,7 @@
                 self.pause_accepting(false);
             }
             Role::Client(target) => {
-                if matches!(target, Target::Worker(_)) {
+                if matches!(target, Destination::Worker(_)) {
                     self.workers -= 1;
                     self.idle_workers.remove(&(conn.deadline_ms, key));
                 }
@@ -484,7 +489,7 @@
                 }
                 if let Some(id) = conn.call {
                     let error = if conn.sent {
-                        CallError::Unclear
+                        CallError::Indeterminate
                     } else {
                         CallError::NotSent
                     };
@@ -516,8 +521,8 @@
         }
     }
 
-    fn drop_empty(&mut self, target: &Target) {
-        let empty = |p: &Pool| p.open == 0 && p.waiting.is_empty();
+    fn drop_empty(&mut self, target: &Destination) {
+        let empty = |p: &ConnectionPool| p.open == 0 && p.waiting.is_empty();
         if self.pools.get(target).is_some_and(empty) {
             self.pools.remove(target);
         }
@@ -536,7 +541,7 @@
 
     fn call(&mut self, now: Now, id: CallId, call: Call) {
         let deadline_ms = now.ms + call.timeout_ms;
-        let waiting = Waiting {
+        let waiting = QueuedCall {
             id,
             call,
             deadline_ms,
@@ -544,7 +549,7 @@
         self.start_call(waiting);
     }
 
-    fn next_waiting(&mut self, target: &Target) {
+    fn next_waiting(&mut self, target: &Destination) {
         let next = self
             .pools
             .get_mut(target)
@@ -559,8 +564,8 @@
 
     /// Whether one more connection may be opened; for a worker's the one that
     /// has been idle for longest is closed if need be.
-    fn may_connect(&mut self, target: &Target) -> bool {
-        if !matches!(target, Target::Worker(_)) || self.workers < self.max_workers {
+    fn may_connect(&mut self, target: &Destination) -> bool {
+        if !matches!(target, Destination::Worker(_)) || self.workers < self.max_workers {
             return true;
         }
         match self.idle_workers.first().copied() {
@@ -582,7 +587,7 @@
         }
     }
 
-    fn start_call(&mut self, waiting: Waiting) {
+    fn start_call(&mut self, waiting: QueuedCall) {
         let target = waiting.call.target.clone();
         let pool = self.pools.entry(target.clone()).or_default();
         let idle = pool.idle.pop();
@@ -631,11 +636,11 @@
         }
     }
 
-    fn connect(&mut self, target: &Target, deadline_ms: u64) -> Option<usize> {
+    fn connect(&mut self, target: &Destination, deadline_ms: u64) -> Option<usize> {
         let addr: SocketAddrV4 = match target {
-            Target::State | Target::StateWatch => self.endpoints.state,
-            Target::Cloud => self.endpoints.cloud,
-            Target::Worker(addr) | Target::Peer(addr) => addr.parse().ok()?,
+            Destination::KvStore | Destination::KvWatch => self.endpoints.state,
+            Destination::Cloud => self.endpoints.cloud,
+            Destination::Worker(addr) | Destination::Peer(addr) => addr.parse().ok()?,
         };
         let socket = Socket::new(Domain::IPV4, Type::STREAM, Some(Protocol::TCP)).ok()?;
         socket.set_nonblocking(true).ok()?;
@@ -653,7 +658,7 @@
         let key = self.insert(stream, Role::Client(target.clone()), deadline_ms)?;
         self.usage.connected += 1;
         self.pools.entry(target.clone()).or_default().open += 1;
-        if matches!(target, Target::Worker(_)) {
+        if matches!(target, Destination::Worker(_)) {
             self.workers += 1;
         }
         Some(key)
@@ -785,7 +790,7 @@
                 }
             }
         }
-        if conn.role == Role::Server(Port::Client) {
+        if conn.role == Role::Server(Listener::Client) {
             self.request_bytes += conn.input.len() - held_before;
             if self.is_crowded(key) {
                 self.refuse_crowded(key);
@@ -816,7 +821,7 @@
     /// at once to come back.
     fn refuse_crowded(&mut self, key: usize) {
         log::debug!("request refused: {} bytes held", self.request_bytes);
-        let reply = Reply::later(503, "too many large requests at once", CROWDED_RETRY_S);
+        let reply = Reply::retry_later(503, "too many large requests at once", CROWDED_RETRY_S);
         self.refuse(key, &reply);
     }
 
@@ -824,7 +829,7 @@
         &mut self,
         now: Now,
         key: usize,
-        port: Port,
+        port: Listener,
         ended: bool,
         handler: &mut dyn Handler,
         effects: &mut Vec<Effect>,
@@ -840,8 +845,8 @@
             return true;
         }
         let max_body = match port {
-            Port::Client => http::MAX_REQUEST_BODY,
-            Port::Peer => http::MAX_PEER_BODY,
+            Listener::Client => http::MAX_REQUEST_BODY,
+            Listener::Peer => http::MAX_PEER_BODY,
         };
         match http::parse_request(&conn.input, max_body) {
             Ok(None) => {
@@ -854,7 +859,7 @@
             }
             Ok(Some(parsed)) => {
                 conn.input.drain(..parsed.size);
-                if port == Port::Client {
+                if port == Listener::Client {
                     self.request_bytes -= parsed.size;
                 }
                 if conn.input.is_empty() && conn.input.capacity() > 8 * 1024 {
@@ -864,7 +869,7 @@
                 conn.busy = true;
                 self.set_deadline(key, now.ms + IDLE_MS);
                 self.update_interest(key);
-                handler.request(now, ConnId(key as u64), port, parsed.message, effects);
+                handler.request(now, ConnectionId(key as u64), port, parsed.message, effects);
                 true
             }
             Err(error) => {
@@ -881,7 +886,7 @@
             return;
         };
         conn.close_after = true;
-        if conn.role == Role::Server(Port::Client) {
+        if conn.role == Role::Server(Listener::Client) {
             self.request_bytes -= conn.input.len();
         }
         conn.input = Vec::new();
@@ -926,7 +931,7 @@
                     if let Some(pool) = self.pools.get_mut(&target) {
                         pool.idle.push(key);
                     }
-                    if matches!(target, Target::Worker(_)) {
+                    if matches!(target, Destination::Worker(_)) {
                         self.idle_workers.insert((now.ms + POOL_IDLE_MS, key));
                     }
                     self.next_waiting(&target);
--- a/src/scheduler/pipelines.rs
+++ b/src/scheduler/dependencies/mod.rs
@@ -2,45 +2,49 @@
 //! before it is stored that every job that they need is done, so a job that waits
 //! has no task anywhere, and to cancel it there is nothing to stop.
 
-use super::{Scheduler, SchedulerCall, SchedulerOut, Stage, CALL_TIMEOUT_MS, RETRY_MS};
-use crate::gateway::{final_key, Final, FinalRecord};
+pub(in crate::scheduler) mod propagation;
+
+use crate::gateway::{final_key, FinalRecord, FinalState};
 use crate::ids::JobId;
-use crate::msg::Now;
-use crate::store::{self, Answer, Urgency};
-use crate::wire::Item;
-use lilacfork_pipelines::graph::Graph;
+use crate::kv_client::{self, CallPriority, KvResponse};
+use crate::messages::Now;
+use crate::scheduler::{
+    LeaderStage, Scheduler, SchedulerEffects, SchedulerKvCall, CALL_TIMEOUT_MS, RETRY_MS,
+};
+use crate::wire::KeyValue;
+use lilacfork_dependencies::graph::DependencyGraph;
 use std::collections::BTreeMap;
 
 /// What a leader knows of jobs that need others.
 #[derive(Debug, Default)]
-pub(super) struct Pipelines {
-    pub(super) graph: Graph,
+pub(in crate::scheduler) struct Dependencies {
+    pub(in crate::scheduler) graph: DependencyGraph,
     /// Needed jobs that it doesn't hold: how they ended has to be read, and when
     /// that is to be asked next.
     unread: BTreeMap<JobId, u64>,
 }
 
-impl Pipelines {
-    pub(super) fn clear(&mut self) {
-        *self = Pipelines::default();
+impl Dependencies {
+    pub(in crate::scheduler) fn clear(&mut self) {
+        *self = Dependencies::default();
     }
 }
 
 impl Scheduler {
     /// A job was learned of; if it needs others it waits for them.
-    pub(super) fn await_needs(&mut self, now: Now, id: &JobId) {
+    pub(in crate::scheduler) fn await_needs(&mut self, now: Now, id: &JobId) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
         let spec = job.spec.clone();
-        if spec.needs.is_empty() {
+        if spec.dependencies.is_empty() {
             return;
         }
-        job.needs_open = true;
-        self.pipelines.graph.add(id, &spec.needs);
-        self.inherit(spec.needs.clone());
+        job.dependencies_open = true;
+        self.dependencies.graph.add(id, &spec.dependencies);
+        self.inherit(spec.dependencies.clone());
         // While the records are still being read, nobody can tell what isn't there.
-        if self.stage == Stage::Active {
+        if self.stage == LeaderStage::Active {
             self.look_for_needs(now, id);
         }
     }
@@ -48,11 +52,14 @@
     /// What the job needs is held here, or has to be read.
     fn look_for_needs(&mut self, now: Now, id: &JobId) {
         let mut cancelled = false;
-        for need in self.pipelines.graph.needs_of(id) {
+        for need in self.dependencies.graph.open_dependencies_of(id) {
             match self.jobs.get(need) {
                 Some(job) => cancelled |= job.cancelled.is_some(),
                 None => {
-                    self.pipelines.unread.entry(need.clone()).or_insert(now.ms);
+                    self.dependencies
+                        .unread
+                        .entry(need.clone())
+                        .or_insert(now.ms);
                 }
             }
         }
@@ -65,14 +72,14 @@
     /// All records are read: what started under an earlier leader has what it needs,
     /// what is cancelled takes its dependents along, and of other needs it is read
     /// how they ended.
-    pub(super) fn needs_after_loading(&mut self, now: Now) {
+    pub(in crate::scheduler) fn needs_after_loading(&mut self, now: Now) {
         let all = self.jobs.iter();
-        let waiting = all.filter(|(id, _)| self.pipelines.graph.waits(id));
+        let waiting = all.filter(|(id, _)| self.dependencies.graph.is_blocked(id));
         let waiting: Vec<JobId> = waiting.map(|(id, _)| id.clone()).collect();
         for id in &waiting {
             let started = |id| {
                 let job = self.jobs.get(id);
-                job.is_some_and(|job| job.shards.iter().any(|shard| shard.version > 0))
+                job.is_some_and(|job| job.placements.iter().any(|shard| shard.revision > 0))
             };
             if started(id) {
                 self.needs_met(now, id);
@@ -80,15 +87,20 @@
         }
         for id in &waiting {
             self.look_for_needs(now, id);
-            let needs = self.pipelines.graph.needs_of(id).cloned().collect();
+            let needs = self
+                .dependencies
+                .graph
+                .open_dependencies_of(id)
+                .cloned()
+                .collect();
             self.inherit(needs);
         }
     }
 
     fn needs_met(&mut self, now: Now, id: &JobId) {
-        self.pipelines.graph.forget_needs(id);
+        self.dependencies.graph.remove_dependencies(id);
         if let Some(job) = self.jobs.get_mut(id) {
-            job.needs_open = false;
+            job.dependencies_open = false;
             let waited_ms = now.wall.saturating_sub(job.submitted);
             log::info!(
                 "job {id} ready class={} waited_ms={waited_ms}",
@@ -99,19 +111,29 @@
     }
 
     /// A job that others need is over, and that is stored.
-    pub(super) fn need_over(&mut self, now: Now, need: &JobId, state: Final, ended: u64) {
-        self.pipelines.unread.remove(need);
+    pub(in crate::scheduler) fn need_over(
+        &mut self,
+        now: Now,
+        need: &JobId,
+        state: FinalState,
+        ended: u64,
+    ) {
+        self.dependencies.unread.remove(need);
         match state {
-            Final::Cancelled => self.cancel_dependents(now, need),
-            Final::Done => {
-                let dependents: Vec<JobId> =
-                    self.pipelines.graph.dependents_of(need).cloned().collect();
+            FinalState::Cancelled => self.cancel_dependents(now, need),
+            FinalState::Done => {
+                let dependents: Vec<JobId> = self
+                    .dependencies
+                    .graph
+                    .dependents_of(need)
+                    .cloned()
+                    .collect();
                 for id in &dependents {
                     if let Some(job) = self.jobs.get_mut(id) {
                         job.ready = job.ready.max(ended);
                     }
                 }
-                for id in self.pipelines.graph.done(need) {
+                for id in self.dependencies.graph.done(need) {
                     self.needs_met(now, &id);
                 }
             }
@@ -119,8 +141,8 @@
     }
 
     /// A job is cancelled, and so are all that need it.
-    pub(super) fn cancel_dependents(&mut self, now: Now, id: &JobId) {
-        for dependent in self.pipelines.graph.all_dependents(id) {
+    pub(in crate::scheduler) fn cancel_dependents(&mut self, now: Now, id: &JobId) {
+        for dependent in self.dependencies.graph.all_dependents(id) {
             self.cancel_with_need(now, &dependent);
         }
     }
@@ -129,7 +151,7 @@
         let Some(job) = self.jobs.get_mut(id).filter(|j| j.cancelled.is_none()) else {
             return;
         };
-        if !job.needs_open {
+        if !job.dependencies_open {
             log::error!("job {id} started before a job that it needs was done");
             return;
         }
@@ -140,24 +162,25 @@
 
     /// A job is over, and that is stored: it needs nothing any more, and what needs it
     /// goes on or is cancelled.
-    pub(super) fn stage_over(&mut self, now: Now, id: &JobId, state: Final) {
-        let graph = &self.pipelines.graph;
-        let in_pipeline = graph.waits(id) || graph.is_needed(id);
-        let needs: Vec<JobId> = graph.needs_of(id).cloned().collect();
-        let job = self.jobs.get(id).filter(|_| state == Final::Done);
-        if let Some(job) = job.filter(|job| in_pipeline || !job.spec.needs.is_empty()) {
+    pub(in crate::scheduler) fn stage_over(&mut self, now: Now, id: &JobId, state: FinalState) {
+        let graph = &self.dependencies.graph;
+        let in_pipeline = graph.is_blocked(id) || graph.has_dependents(id);
+        let needs: Vec<JobId> = graph.open_dependencies_of(id).cloned().collect();
+        let job = self.jobs.get(id).filter(|_| state == FinalState::Done);
+        if let Some(job) = job.filter(|job| in_pipeline || !job.spec.dependencies.is_empty()) {
             let took_ms = now.wall.saturating_sub(job.ready);
-            self.learning.stage_took(&job.spec, took_ms as f64 / 1000.0);
+            self.estimates
+                .stage_took(&job.spec, took_ms as f64 / 1000.0);
         }
-        self.pipelines.graph.forget_needs(id);
+        self.dependencies.graph.remove_dependencies(id);
         self.inherit(needs);
         self.need_over(now, id, state, now.wall);
     }
 
     /// Reads how needed jobs ended that aren't held here.
-    pub(super) fn read_needs(&mut self, now: Now, out: &mut SchedulerOut) {
+    pub(in crate::scheduler) fn read_needs(&mut self, now: Now, out: &mut SchedulerEffects) {
         let mut due = Vec::new();
-        for (need, due_ms) in &mut self.pipelines.unread {
+        for (need, due_ms) in &mut self.dependencies.unread {
             if now.ms >= *due_ms {
                 // An answer comes before that, whatever it says.
                 *due_ms = now.ms + CALL_TIMEOUT_MS * 2;
@@ -165,24 +188,24 @@
             }
         }
         for need in due {
-            let call = store::get(&final_key(&need), CALL_TIMEOUT_MS);
-            let tag = SchedulerCall::ReadNeed(need);
-            self.ask(now, Urgency::Placement, call, 0, tag, out);
+            let call = kv_client::get(&final_key(&need), CALL_TIMEOUT_MS);
+            let tag = SchedulerKvCall::ReadNeed(need);
+            self.ask(now, CallPriority::Placement, call, 0, tag, out);
         }
     }
 
-    pub(super) fn on_need(&mut self, now: Now, need: &JobId, answer: &Answer) {
-        let Some(due_ms) = self.pipelines.unread.get_mut(need) else {
+    pub(in crate::scheduler) fn on_need(&mut self, now: Now, need: &JobId, answer: &KvResponse) {
+        let Some(due_ms) = self.dependencies.unread.get_mut(need) else {
             return;
         };
         *due_ms = now.ms + RETRY_MS;
-        let item = answer.read::<Item>(200);
+        let item = answer.read::<KeyValue>(200);
         let record = item.and_then(|item| serde_json::from_value::<FinalRecord>(item.value).ok());
         match record {
             Some(record) => self.need_over(now, need, record.state, record.ended),
             // Its own record has come meanwhile, or comes with the next changes.
             None if self.jobs.contains(need) => {
-                self.pipelines.unread.remove(need);
+                self.dependencies.unread.remove(need);
             }
             None => {}
         }
--- a/src/scheduler/moves.rs
+++ b/src/scheduler/displacement/migration.rs
@@ -1,12 +1,12 @@
 //! Tasks on the move: which replicas may move, where to, and how long they would
 //! be missed; and moves that spread images.
 
-use super::forecasts::Cold;
-use super::{Assign, Job, Scheduler};
-use crate::fleet::Phase;
+use crate::fleet::MachinePhase;
 use crate::ids::{MachineId, TaskRef};
-use crate::msg::Now;
-use crate::placement::ZoneUse;
+use crate::messages::Now;
+use crate::placement::ZoneCounts;
+use crate::scheduler::rounds::demand_forecast::ColdReservation;
+use crate::scheduler::{Assignment, Job, Scheduler};
 use crate::settings::Settings;
 use crate::wire::JobSpec;
 
@@ -21,27 +21,27 @@
 const PREPLACEMENT_FETCHES: f64 = 10.0;
 
 /// How long a task has to run for its start to count for its users.
-pub(super) fn settled_ms(settings: &Settings) -> u64 {
-    let seen_s = settings.site.workers.report_s * SEEN_REPORTS;
+pub(in crate::scheduler) fn settled_ms(settings: &Settings) -> u64 {
+    let seen_s = settings.site.workers.heartbeat_s * SEEN_REPORTS;
     ((START_COUNTS_S + seen_s) * 1000.0) as u64
 }
 
 impl Scheduler {
     /// Where a job's tasks will be once all that moves, or is planned to, has
     /// arrived. Replicas that move together may each fit where only one does.
-    pub(super) fn zones_ahead<'a>(
+    pub(in crate::scheduler) fn zones_ahead<'a>(
         &self,
         job: &Job,
         planned: impl Iterator<Item = (&'a TaskRef, &'a MachineId)>,
-    ) -> ZoneUse {
-        if !job.spec.spread && !job.spec.one_zone {
+    ) -> ZoneCounts {
+        if !job.spec.spread && !job.spec.same_zone {
             // Its tasks don't keep each other from any zone.
-            return ZoneUse::default();
+            return ZoneCounts::default();
         }
         let mut zones = job.zone_use();
         let mut arrive = |task: &TaskRef, to: &MachineId| {
             let assign = job
-                .assigns
+                .assignments
                 .get(&task.index)
                 .filter(|_| task.job == job.spec.id);
             if let (Some(assign), Some(machine)) = (assign, self.fleet.get(to)) {
@@ -49,7 +49,7 @@
                 zones.add(&machine.offer.zone);
             }
         };
-        for index in job.assigns.keys() {
+        for index in job.assignments.keys() {
             let task = job.task(*index);
             if let Some(to) = self.migration_targets.get(&task) {
                 arrive(&task, to);
@@ -62,13 +62,13 @@
     }
 
     /// How long a task has to run for its start to count for its users.
-    pub(super) fn settled_ms(&self) -> u64 {
+    pub(in crate::scheduler) fn settled_ms(&self) -> u64 {
         settled_ms(&self.settings)
     }
 
     /// Whether a task may be moved: it has run long enough that its start
     /// counts anyway, or started so late that it doesn't.
-    pub(super) fn may_move(&self, now: Now, job: &Job, assign: &Assign) -> bool {
+    pub(in crate::scheduler) fn may_move(&self, now: Now, job: &Job, assign: &Assignment) -> bool {
         let settled_ms = self.settled_ms();
         let settled = |since_ms: u64| now.ms > since_ms + settled_ms;
         // A new leader can't know better than by the job's age.
@@ -82,12 +82,12 @@
     }
 
     /// Whether a replica that fetches for so long is hardly missed.
-    pub(super) fn hardly_missed(&self, fetch_s: f64) -> bool {
-        fetch_s <= self.settings.site.workers.report_s * QUICK_FETCH_REPORTS
+    pub(in crate::scheduler) fn hardly_missed(&self, fetch_s: f64) -> bool {
+        fetch_s <= self.settings.site.workers.heartbeat_s * QUICK_FETCH_REPORTS
     }
 
     /// Whether a machine has the image, or fetches it within a few reports.
-    pub(super) fn soon_there(&self, id: &MachineId, spec: &JobSpec) -> bool {
+    pub(in crate::scheduler) fn soon_there(&self, id: &MachineId, spec: &JobSpec) -> bool {
         let machine = self.fleet.get(id);
         machine.is_some_and(|m| m.has_image(&spec.image))
             || self
@@ -99,15 +99,15 @@
     /// that its class may wait: a settled replica with that image moves to
     /// where it is missing, and leaves warm room behind. Seldom, so that the
     /// gaps stay far below what the aims allow.
-    pub(super) fn preplace_images(&mut self, now: Now, cold: Vec<Cold>) {
-        for Cold { spec, machine } in cold {
+    pub(in crate::scheduler) fn preplace_images(&mut self, now: Now, cold: Vec<ColdReservation>) {
+        for ColdReservation { spec, machine } in cold {
             let due_ms = self.preplacement_due_ms.get(&spec.class).copied();
             if due_ms.is_some_and(|due| now.ms < due) {
                 continue;
             }
             let (Some(fetch_s), Some(objective_ms)) = (
                 self.fetch_s(&machine, &spec),
-                self.settings.start_aim_ms(&spec),
+                self.settings.start_slo_ms(&spec),
             ) else {
                 continue;
             };
@@ -127,12 +127,16 @@
         }
     }
 
-    pub(super) fn fetch_s(&self, machine: &MachineId, spec: &JobSpec) -> Option<f64> {
+    pub(in crate::scheduler) fn fetch_s(&self, machine: &MachineId, spec: &JobSpec) -> Option<f64> {
         let machine_type = &self.fleet.get(machine)?.offer.machine_type;
         if spec.image_gb <= 0.0 {
             return Some(0.0);
         }
-        let rate = self.catalog.as_ref()?.find(machine_type)?.fetch_gb_per_s;
+        let rate = self
+            .catalog
+            .as_ref()?
+            .find(machine_type)?
+            .image_pull_gb_per_s;
         (rate > 0.0).then(|| spec.image_gb / rate)
     }
 
@@ -141,11 +145,11 @@
         let zone = &self.fleet.get(to)?.offer.zone;
         let jobs = self.jobs.with_image(&spec.class, &spec.image);
         for job in jobs.filter(|j| j.is_service() && j.cancelled.is_none()) {
-            for (index, assign) in &job.assigns {
+            for (index, assign) in &job.assignments {
                 let up = self
                     .fleet
                     .get(&assign.machine)
-                    .is_some_and(|m| m.phase == Phase::Up && m.notice_until_ms.is_none());
+                    .is_some_and(|m| m.phase == MachinePhase::Up && m.reclaim_at_ms.is_none());
                 let mut zones = self.zones_ahead(job, std::iter::empty());
                 zones.remove(&assign.zone);
                 if self.may_move(now, job, assign)
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -1,76 +1,50 @@
 //! The leader's loop: it joins stored jobs, the fleet's reports, the policy
 //! and the cloud. A plain struct: messages and time in, messages out.
 
-mod batch;
-mod books;
-mod changes;
-mod coming;
-mod commands;
-mod commit;
-mod consolidate;
-mod deadlines;
-mod exchange;
-mod forecasts;
-mod group_holds;
-mod group_moves;
-mod group_placing;
-mod group_room;
-mod group_search;
-mod health;
-mod inheritance;
-mod job_table;
-mod jobs;
-mod learn;
-mod learned_record;
-mod machines;
-mod moves;
-mod pipelines;
-mod placing;
-mod preempt;
-mod recovery;
-mod renting;
+mod dependencies;
+mod displacement;
+mod provisioning;
 mod replica_groups;
-mod reports;
 mod rounds;
-mod shards;
-mod teams;
+mod state;
+mod workers;
 
-pub use jobs::{Job, StoredShard};
-pub use shards::{
-    parse_shard_key, read_ranges, shard_key, tasks_per_record, write_ranges, Row, ShardName,
-    ShardRecord, Shards, PLACEMENT_PREFIX,
+pub use state::job::{Job, StoredPlacement};
+pub use state::placement_ranges::{
+    parse_placement_key, placement_key, read_ranges, tasks_per_record, write_ranges, AssignmentRow,
+    PlacementRanges, PlacementRecord, RangeName, PLACEMENT_PREFIX,
 };
 
-use crate::cloud::{Cloud, Offer};
+use crate::capacity_index::{CapacityIndex, Slot};
+use crate::cloud::{CloudClient, Offer};
 use crate::fleet::Fleet;
-use crate::gateway::TaskCounts;
-use crate::ids::{JobId, MachineId, Revision, Session, TaskRef, Term};
-use crate::limits::{Limits, LimitsInForce, RequestSize};
-use crate::msg::{Call, ConnId, Now, Reply};
-use crate::options::Options;
-use crate::rooms::{Rooms, Slot};
+use crate::gateway::TaskProgress;
+use crate::ids::{AgentEpoch, JobId, MachineId, Revision, TaskRef, Term};
+use crate::kv_client::{self, CallPriority, KvCall, KvResponse, WriteBudget};
+use crate::limits::{EffectiveLimits, RequestSize, StoreLimits};
+use crate::messages::{Call, ConnectionId, Now, Reply};
 use crate::settings::Settings;
-use crate::store::{self, Answer, StateCall, Urgency, WriteBudget};
+use crate::tuning::Tuning;
 use crate::usage::Purpose;
 use crate::wire::{Catalog, ListedMachine, Txn};
-use batch::Batch;
-use forecasts::Expected;
-use job_table::JobTable;
-use jobs::{Assign, StopPlan};
-use learn::Learning;
-use learned_record::LearnedStore;
-use lilacfork_replicas::groups::{GroupId, Groups};
-use pipelines::Pipelines;
-use recovery::HalfRead;
-use rounds::Round;
+use dependencies::Dependencies;
+use lilacfork_replica_groups::registry::{GroupId, ReplicaGroups};
+use provisioning::estimate_store::EstimateStore;
+use provisioning::online_estimates::OnlineEstimates;
+use rounds::demand_forecast::ForecastDemand;
+use rounds::round::Round;
 use serde::{Deserialize, Serialize};
+use state::job::{Assignment, StopRequest};
+use state::job_table::JobTable;
+use state::loading::PartialLoad;
+use state::transaction::PendingTransaction;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::fmt;
 use std::rc::Rc;
 
 /// Which question an answer of the state service belongs to.
 #[derive(Clone, PartialEq, Debug)]
-pub enum SchedulerCall {
+pub enum SchedulerKvCall {
     /// A page of the job records.
     ListJobs,
     /// A page of the placement records.
@@ -100,7 +74,7 @@
 
 /// The leader's regular work, counted since the process began.
 #[derive(Clone, Copy, Default, PartialEq, Eq, Debug)]
-pub struct Activity {
+pub struct ActivityCounters {
     /// Rounds of placing and renting.
     pub rounds: u64,
     /// Looks at every machine.
@@ -111,7 +85,7 @@
 
 /// What rounds have cost, for the log.
 #[derive(Clone, Copy, Default, PartialEq, Eq, Debug)]
-pub struct RoundFigures {
+pub struct RoundStats {
     /// Rounds of placing and renting.
     pub rounds: u64,
     /// Entries that they examined.
@@ -120,9 +94,9 @@
     pub longest_slice: u64,
 }
 
-impl fmt::Display for RoundFigures {
+impl fmt::Display for RoundStats {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let RoundFigures {
+        let RoundStats {
             rounds,
             examined,
             longest_slice,
@@ -134,55 +108,55 @@
     }
 }
 
-impl SchedulerCall {
+impl SchedulerKvCall {
     /// What its answer is worked on for.
     pub fn purpose(&self) -> Purpose {
         match self {
-            SchedulerCall::ListJobs
-            | SchedulerCall::ListPlacements
-            | SchedulerCall::ListProxied
-            | SchedulerCall::ReadLearned => Purpose::Recovery,
-            SchedulerCall::Watch | SchedulerCall::ReadJob(_) | SchedulerCall::ReadNeed(_) => {
-                Purpose::Changes
+            SchedulerKvCall::ListJobs
+            | SchedulerKvCall::ListPlacements
+            | SchedulerKvCall::ListProxied
+            | SchedulerKvCall::ReadLearned => Purpose::Loading,
+            SchedulerKvCall::Watch | SchedulerKvCall::ReadJob(_) | SchedulerKvCall::ReadNeed(_) => {
+                Purpose::Watch
             }
-            SchedulerCall::Commit
-            | SchedulerCall::CheckCommit
-            | SchedulerCall::Cleanup(_)
-            | SchedulerCall::StoreLearned => Purpose::Transaction,
+            SchedulerKvCall::Commit
+            | SchedulerKvCall::CheckCommit
+            | SchedulerKvCall::Cleanup(_)
+            | SchedulerKvCall::StoreLearned => Purpose::Transaction,
         }
     }
 }
 
 /// What followers say of workers whose leases they renew for the leader.
-pub const PROXIED_PREFIX: &str = "h/";
+pub const LEASE_PROXY_PREFIX: &str = "h/";
 
 /// The record of the machines whose leases a follower renews.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
-pub struct ProxiedRecord {
+pub struct LeaseProxyRecord {
     /// Time of day.
     #[serde(rename = "t")]
     pub at: u64,
     /// Each machine with its session.
     #[serde(rename = "m")]
-    pub machines: Vec<(String, Session)>,
+    pub machines: Vec<(String, AgentEpoch)>,
 }
 
 /// A call straight to a worker.
 #[derive(Clone, PartialEq, Debug)]
-pub struct WorkerCall {
+pub struct WorkerCommandCall {
     /// The machine that is called.
     pub machine: MachineId,
 }
 
 /// What the scheduler wants done.
 #[derive(Default)]
-pub struct SchedulerOut {
+pub struct SchedulerEffects {
     /// Answers to workers.
-    pub replies: Vec<(ConnId, Reply)>,
+    pub replies: Vec<(ConnectionId, Reply)>,
     /// Calls of the state service.
-    pub state: Vec<StateCall<SchedulerCall>>,
+    pub state: Vec<KvCall<SchedulerKvCall>>,
     /// Direct calls to workers.
-    pub workers: Vec<(WorkerCall, Call)>,
+    pub workers: Vec<(WorkerCommandCall, Call)>,
     /// Something can't be made sense of: lead anew from what is stored.
     pub resign: Option<&'static str>,
     /// A report showed a term above ours.
@@ -192,14 +166,14 @@
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-enum Stage {
+enum LeaderStage {
     Idle,
     Loading,
     Active,
 }
 
 /// Periods of the leader's own, in worker report intervals.
-const ROUND_REPORTS: f64 = 1.0;
+const ROUND_HEARTBEATS: f64 = 1.0;
 /// So many times in such a period machines are checked.
 const CHECKS: u64 = 4;
 /// What the state service couldn't answer is asked again after this pause.
@@ -219,41 +193,41 @@
 /// The leader's loop.
 pub struct Scheduler {
     settings: Rc<Settings>,
-    options: Options,
+    options: Tuning,
     catalog: Option<Rc<Catalog>>,
-    stage: Stage,
+    stage: LeaderStage,
     term: Term,
-    key_version: u64,
+    leader_key_revision: u64,
     elected_ms: u64,
     jobs: JobTable,
     /// Jobs that need others.
-    pipelines: Pipelines,
+    dependencies: Dependencies,
     /// Replicas that span machines.
-    groups: Groups,
+    groups: ReplicaGroups,
     /// The machines of which the round under way has promised room to the next
     /// generation of a group.
     group_holds: BTreeMap<GroupId, Vec<MachineId>>,
     fleet: Fleet,
-    rooms: Rooms,
-    learning: Learning,
-    learned_store: LearnedStore,
+    capacity: CapacityIndex,
+    estimates: OnlineEstimates,
+    estimate_store: EstimateStore,
     /// Tasks in each placement record of a job that has none yet.
-    shard_size: u32,
+    tasks_per_range: u32,
     /// What the state service takes.
-    limits: Limits,
+    limits: StoreLimits,
     /// The jobs of the last transaction that it refused as malformed.
     refused_jobs: Vec<JobId>,
     /// So many jobs go into a transaction at most.
     most_jobs: usize,
     /// Loading: a job's placement records until all of them are read.
-    half_read: Option<HalfRead>,
+    partial_load: Option<PartialLoad>,
     /// Loading: where the lists have got to.
-    list_after: Option<String>,
-    watch_from: Option<Revision>,
+    list_cursor: Option<String>,
+    watch_revision: Option<Revision>,
     watching: bool,
     watch_due_ms: u64,
     /// The transaction in flight, if any.
-    batch: Option<Batch>,
+    transaction: Option<PendingTransaction>,
     commit_due_ms: u64,
     /// Since when a transaction has waited until it can be afforded.
     saving_since_ms: Option<u64>,
@@ -278,24 +252,24 @@
     check_wanted: bool,
     /// Entries that rounds have examined, all together.
     examined: u64,
-    activity: Activity,
+    activity: ActivityCounters,
     /// What of it was logged.
-    logged: RoundFigures,
+    logged: RoundStats,
     /// Something may have to be written.
     changed: bool,
     /// Expected work, as of the last full round.
-    expected: Vec<Expected>,
+    demand_forecast: Vec<ForecastDemand>,
     /// Refused capacity: until when, and the pause that led there.
-    refused: HashMap<Offer, (u64, u64)>,
-    rentals: u64,
+    refused_offers: HashMap<Offer, (u64, u64)>,
+    orders_placed: u64,
     /// The cloud's list has come since the election.
     listed: bool,
     /// It came before all records were read.
     early_list: Option<Vec<ListedMachine>>,
     /// Machines whose commands should go out by the direct path.
-    push: BTreeSet<MachineId>,
+    machines_to_command: BTreeSet<MachineId>,
     /// The machine after which the emptying of machines goes on.
-    consolidated_to: Option<(f64, Slot)>,
+    compaction_cursor: Option<(f64, Slot)>,
     /// When followers' word on silent machines is asked for next.
     proxied_due_ms: u64,
     asking_proxied: bool,
@@ -307,10 +281,10 @@
     /// When most machines of a zone were last silent.
     zones_silent: HashMap<Rc<str>, u64>,
     /// When this process last stood still, hearing nobody.
-    stood_still_ms: u64,
+    last_pause_ms: u64,
     /// Jobs that ended under us, and until when slow answers may speak of
     /// them as if they hadn't.
-    over: HashMap<JobId, u64>,
+    finished_jobs: HashMap<JobId, u64>,
     list_retry_ms: Option<u64>,
     /// When the state service last failed us.
     state_failed_ms: Option<u64>,
@@ -320,38 +294,38 @@
 
 impl Scheduler {
     /// Leads nothing yet.
-    pub fn new(settings: Rc<Settings>, options: Options) -> Self {
+    pub fn new(settings: Rc<Settings>, options: Tuning) -> Self {
         let shard_size = tasks_per_record(settings.site.state.value_kb);
-        let limits = LimitsInForce::new(&settings.site.state);
-        let groups = Groups::new(replica_groups::timing(&settings, &options));
+        let limits = EffectiveLimits::new(&settings.site.state);
+        let groups = ReplicaGroups::new(replica_groups::timing(&settings, &options));
         let window_ms = (settings.site.workers.lease_s * 9000.0) as u64;
-        let learning = Learning::new(options.learning_rate, window_ms);
+        let learning = OnlineEstimates::new(options.learning_rate, window_ms);
         Scheduler {
             settings,
             options,
             catalog: None,
-            stage: Stage::Idle,
+            stage: LeaderStage::Idle,
             term: Term(0),
-            key_version: 0,
+            leader_key_revision: 0,
             elected_ms: 0,
             jobs: JobTable::default(),
-            pipelines: Pipelines::default(),
+            dependencies: Dependencies::default(),
             groups,
             group_holds: BTreeMap::new(),
             fleet: Fleet::default(),
-            rooms: Rooms::default(),
-            learning,
-            learned_store: LearnedStore::default(),
-            shard_size,
+            capacity: CapacityIndex::default(),
+            estimates: learning,
+            estimate_store: EstimateStore::default(),
+            tasks_per_range: shard_size,
             limits: limits.current(),
             refused_jobs: Vec::new(),
             most_jobs: usize::MAX,
-            half_read: None,
-            list_after: None,
-            watch_from: None,
+            partial_load: None,
+            list_cursor: None,
+            watch_revision: None,
             watching: false,
             watch_due_ms: 0,
-            batch: None,
+            transaction: None,
             commit_due_ms: 0,
             saving_since_ms: None,
             leisure_due_ms: 0,
@@ -368,24 +342,24 @@
             checked_ms: 0,
             check_wanted: false,
             examined: 0,
-            activity: Activity::default(),
-            logged: RoundFigures::default(),
+            activity: ActivityCounters::default(),
+            logged: RoundStats::default(),
             changed: false,
-            expected: Vec::new(),
-            refused: HashMap::new(),
-            rentals: 0,
+            demand_forecast: Vec::new(),
+            refused_offers: HashMap::new(),
+            orders_placed: 0,
             listed: false,
             early_list: None,
-            push: BTreeSet::new(),
-            consolidated_to: None,
+            machines_to_command: BTreeSet::new(),
+            compaction_cursor: None,
             proxied_due_ms: 0,
             asking_proxied: false,
             preplacement_due_ms: HashMap::new(),
             migration_targets: HashMap::new(),
             stale_due_ms: 0,
             zones_silent: HashMap::new(),
-            stood_still_ms: 0,
-            over: HashMap::new(),
+            last_pause_ms: 0,
+            finished_jobs: HashMap::new(),
             list_retry_ms: None,
             state_failed_ms: None,
             informed_ms: 0,
@@ -399,7 +373,7 @@
     }
 
     /// The state service takes this from now on.
-    pub fn set_limits(&mut self, limits: Limits) {
+    pub fn set_limits(&mut self, limits: StoreLimits) {
         self.limits = limits;
     }
 
@@ -410,12 +384,12 @@
 
     /// Whether this controller leads, loading or active.
     pub fn leading(&self) -> bool {
-        self.stage != Stage::Idle
+        self.stage != LeaderStage::Idle
     }
 
     /// Whether everything stored has been read.
     pub fn active(&self) -> bool {
-        self.stage == Stage::Active
+        self.stage == LeaderStage::Active
     }
 
     /// The term that it leads, or led last.
@@ -427,18 +401,24 @@
         (self.settings.site.workers.lease_s * 1000.0) as u64
     }
 
-    fn report_ms(&self) -> u64 {
-        (self.settings.site.workers.report_s * 1000.0) as u64
+    fn heartbeat_interval_ms(&self) -> u64 {
+        (self.settings.site.workers.heartbeat_s * 1000.0) as u64
     }
 
     /// A new leadership: everything is rebuilt from what is stored.
-    pub fn elected(&mut self, now: Now, term: Term, key_version: Revision, out: &mut SchedulerOut) {
+    pub fn elected(
+        &mut self,
+        now: Now,
+        term: Term,
+        key_version: Revision,
+        out: &mut SchedulerEffects,
+    ) {
         self.deposed();
-        self.stage = Stage::Loading;
+        self.stage = LeaderStage::Loading;
         self.term = term;
-        self.key_version = key_version.0;
+        self.leader_key_revision = key_version.0;
         self.elected_ms = now.ms;
-        self.learning.start(now.wall);
+        self.estimates.start(now.wall);
         log::info!("leader term={term} elected, loading");
         self.list(now, out);
         self.read_learned(now, out);
@@ -446,54 +426,54 @@
 
     /// Leads no longer: everything is forgotten.
     pub fn deposed(&mut self) {
-        if self.stage != Stage::Idle {
+        if self.stage != LeaderStage::Idle {
             log::info!("leader term={} ends", self.term);
         }
-        self.stage = Stage::Idle;
+        self.stage = LeaderStage::Idle;
         self.jobs.clear();
-        self.pipelines.clear();
+        self.dependencies.clear();
         self.groups.clear();
         self.group_holds.clear();
         self.fleet.clear();
-        self.rooms.clear();
+        self.capacity.clear();
         self.round = None;
-        self.consolidated_to = None;
-        self.list_after = None;
-        self.half_read = None;
+        self.compaction_cursor = None;
+        self.list_cursor = None;
+        self.partial_load = None;
         self.refused_jobs.clear();
         self.most_jobs = usize::MAX;
-        self.watch_from = None;
+        self.watch_revision = None;
         self.watching = false;
-        self.batch = None;
+        self.transaction = None;
         self.saving_since_ms = None;
         self.writes = 0;
         self.cleanup.clear();
         self.cleaning = false;
-        self.rentals = 0;
+        self.orders_placed = 0;
         self.listed = false;
         self.early_list = None;
-        self.refused.clear();
-        self.push.clear();
+        self.refused_offers.clear();
+        self.machines_to_command.clear();
         self.asking_proxied = false;
         self.list_retry_ms = None;
-        self.over.clear();
+        self.finished_jobs.clear();
         self.migration_targets.clear();
         self.zones_silent.clear();
-        self.expected.clear();
+        self.demand_forecast.clear();
     }
 
     fn ask(
         &self,
         now: Now,
-        urgency: Urgency,
+        urgency: CallPriority,
         call: Call,
         writes: usize,
-        tag: SchedulerCall,
-        out: &mut SchedulerOut,
+        tag: SchedulerKvCall,
+        out: &mut SchedulerEffects,
     ) {
-        out.state.push(StateCall {
-            urgency,
-            give_up_ms: now.ms + call.timeout_ms,
+        out.state.push(KvCall {
+            priority: urgency,
+            expires_ms: now.ms + call.timeout_ms,
             call,
             writes,
             tag,
@@ -504,12 +484,12 @@
     fn ask_transaction(
         &self,
         now: Now,
-        urgency: Urgency,
+        urgency: CallPriority,
         txn: &Txn,
-        tag: SchedulerCall,
-        out: &mut SchedulerOut,
+        tag: SchedulerKvCall,
+        out: &mut SchedulerEffects,
     ) {
-        let (call, writes) = store::txn(txn, CALL_TIMEOUT_MS);
+        let (call, writes) = kv_client::txn(txn, CALL_TIMEOUT_MS);
         self.ask(now, urgency, call, writes, tag, out);
     }
 
@@ -517,33 +497,37 @@
     pub fn state_answered(
         &mut self,
         now: Now,
-        call: SchedulerCall,
-        answer: Answer,
-        out: &mut SchedulerOut,
+        call: SchedulerKvCall,
+        answer: KvResponse,
+        out: &mut SchedulerEffects,
     ) {
-        if matches!(answer, Answer::Refused | Answer::Unclear) {
+        if matches!(answer, KvResponse::NotExecuted | KvResponse::Indeterminate) {
             self.state_failed_ms = Some(now.ms);
         }
         match (self.stage, call) {
-            (Stage::Idle, _) => {}
-            (_, SchedulerCall::ReadLearned) => self.on_learned(now, &answer),
-            (_, SchedulerCall::StoreLearned) => self.on_learned_stored(),
-            (Stage::Loading, call @ (SchedulerCall::ListJobs | SchedulerCall::ListPlacements)) => {
+            (LeaderStage::Idle, _) => {}
+            (_, SchedulerKvCall::ReadLearned) => self.on_learned(now, &answer),
+            (_, SchedulerKvCall::StoreLearned) => self.on_learned_stored(),
+            (
+                LeaderStage::Loading,
+                call @ (SchedulerKvCall::ListJobs | SchedulerKvCall::ListPlacements),
+            ) => {
                 self.on_list(now, call, &answer, out);
             }
-            (Stage::Loading, _) | (_, SchedulerCall::ListJobs | SchedulerCall::ListPlacements) => {}
-            (_, SchedulerCall::Watch) => self.on_watch(now, &answer, out),
-            (_, SchedulerCall::Commit) => self.on_commit(now, &answer, out),
-            (_, SchedulerCall::CheckCommit) => self.on_check_commit(now, &answer, out),
-            (_, SchedulerCall::ReadJob(id)) => self.on_read_job(now, &id, &answer, out),
-            (_, SchedulerCall::ReadNeed(need)) => self.on_need(now, &need, &answer),
-            (_, SchedulerCall::ListProxied) => self.on_proxied(now, &answer),
-            (_, SchedulerCall::Cleanup(keys)) => {
+            (LeaderStage::Loading, _)
+            | (_, SchedulerKvCall::ListJobs | SchedulerKvCall::ListPlacements) => {}
+            (_, SchedulerKvCall::Watch) => self.on_watch(now, &answer, out),
+            (_, SchedulerKvCall::Commit) => self.on_commit(now, &answer, out),
+            (_, SchedulerKvCall::CheckCommit) => self.on_check_commit(now, &answer, out),
+            (_, SchedulerKvCall::ReadJob(id)) => self.on_read_job(now, &id, &answer, out),
+            (_, SchedulerKvCall::ReadNeed(need)) => self.on_need(now, &need, &answer),
+            (_, SchedulerKvCall::ListProxied) => self.on_proxied(now, &answer),
+            (_, SchedulerKvCall::Cleanup(keys)) => {
                 self.cleaning = false;
                 if answer.status() == Some(400) {
                     out.refused = Some(RequestSize {
-                        changes: keys.len(),
-                        largest_value: 0,
+                        write_ops: keys.len(),
+                        largest_value_bytes: 0,
                     });
                 }
                 if answer.status() != Some(200) {
@@ -558,18 +542,18 @@
     pub fn tick(
         &mut self,
         now: Now,
-        cloud: &mut Cloud,
+        cloud: &mut CloudClient,
         budget: WriteBudget,
-        out: &mut SchedulerOut,
+        out: &mut SchedulerEffects,
     ) -> u64 {
-        if self.stage == Stage::Loading {
+        if self.stage == LeaderStage::Loading {
             let due = self.list_retry_ms.filter(|at| now.ms >= *at).is_some();
             if due {
                 self.list_retry_ms = None;
                 self.list(now, out);
             }
         }
-        if self.stage != Stage::Active {
+        if self.stage != LeaderStage::Active {
             return self.list_retry_ms.unwrap_or(now.ms + 1000);
         }
         if let Some(list) = self.early_list.take() {
@@ -578,7 +562,7 @@
         self.watch(now, out);
         self.read_stale(now, out);
         self.read_needs(now, out);
-        let every = (self.report_ms() as f64 * ROUND_REPORTS) as u64;
+        let every = (self.heartbeat_interval_ms() as f64 * ROUND_HEARTBEATS) as u64;
         // What scales in or looks after machines can wait for its turn; a
         // rush of rounds only places what has come and rents for it.
         let full = now.ms >= self.full_ms + every;
@@ -628,17 +612,17 @@
     fn gap_ms(&self, examined: u64) -> u64 {
         let cost_ms = examined as f64 * EXAMINE_MS;
         let gap = cost_ms / (self.settings.site.limits.cores * ROUNDS_SHARE);
-        (gap as u64).clamp(ROUND_GAP_MS, self.report_ms().max(ROUND_GAP_MS))
+        (gap as u64).clamp(ROUND_GAP_MS, self.heartbeat_interval_ms().max(ROUND_GAP_MS))
     }
 
     /// How much of its regular work it has done so far.
-    pub fn activity(&self) -> Activity {
+    pub fn activity(&self) -> ActivityCounters {
         self.activity
     }
 
     /// Entries that rounds have examined since the process began.
     pub fn examined(&self) -> u64 {
-        self.examined + self.rooms.examined()
+        self.examined + self.capacity.examined()
     }
 
     /// How many machines it knows.
@@ -652,14 +636,14 @@
     }
 
     /// Rounds, and what they examined, since this was last asked: for the log.
-    pub fn take_round_figures(&mut self) -> RoundFigures {
-        let now = RoundFigures {
+    pub fn take_round_figures(&mut self) -> RoundStats {
+        let now = RoundStats {
             rounds: self.activity.rounds,
             examined: self.examined(),
             longest_slice: 0,
         };
         let before = std::mem::replace(&mut self.logged, now);
-        RoundFigures {
+        RoundStats {
             rounds: now.rounds - before.rounds,
             examined: now.examined - before.examined,
             longest_slice: self.longest_slice,
@@ -672,12 +656,12 @@
     }
 
     /// Counts for display.
-    pub fn counts(&self) -> impl Iterator<Item = (&JobId, TaskCounts)> {
+    pub fn counts(&self) -> impl Iterator<Item = (&JobId, TaskProgress)> {
         self.jobs.iter().map(|(id, job)| {
-            let counts = TaskCounts {
+            let counts = TaskProgress {
                 done: job.done.len() as u32,
                 running: self.running_for_display(id, job),
-                spans: job.shape.is_some(),
+                multi_host: job.shape.is_some(),
             };
             (id, counts)
         })
--- a/src/scheduler/learned_record.rs
+++ b/src/scheduler/provisioning/estimate_store.rs
@@ -2,15 +2,15 @@
 //! begin with the catalog's figures. It is a hint: a record that is missing,
 //! old or unreadable costs nothing but the time to learn again.
 
-use super::{Scheduler, SchedulerCall, SchedulerOut, CALL_TIMEOUT_MS};
 use crate::election::LEADER_KEY;
-use crate::msg::Now;
-use crate::store::{self, Answer, Urgency};
-use crate::wire::{Item, Txn};
+use crate::kv_client::{self, CallPriority, KvResponse};
+use crate::messages::Now;
+use crate::scheduler::{Scheduler, SchedulerEffects, SchedulerKvCall, CALL_TIMEOUT_MS};
+use crate::wire::{KeyValue, Txn};
 use serde::{Deserialize, Serialize};
 
 /// The key of the record.
-pub const LEARNED_KEY: &str = "learned";
+pub const ESTIMATES_KEY: &str = "learned";
 
 /// It is stored at most once in so many report intervals.
 const STORE_REPORTS: u64 = 30;
@@ -27,7 +27,7 @@
 
 /// One learned value, by the name of its machine type or class.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
-pub struct LearnedValue {
+pub struct EstimateValue {
     /// The machine type or class.
     #[serde(rename = "n")]
     pub name: String,
@@ -39,7 +39,7 @@
     pub value: f64,
 }
 
-impl LearnedValue {
+impl EstimateValue {
     /// Whether it can be made sense of.
     pub fn plausible(&self) -> bool {
         let factor = self.value / self.start;
@@ -51,19 +51,19 @@
 
 /// The stored record.
 #[derive(Clone, PartialEq, Debug, Default, Serialize, Deserialize)]
-pub struct LearnedRecord {
+pub struct EstimateRecord {
     /// Time of day at which it was written, milliseconds.
     #[serde(rename = "t")]
     pub written_at: u64,
     /// Boot times in seconds, by machine type.
     #[serde(rename = "b", default)]
-    pub boots: Vec<LearnedValue>,
+    pub boots: Vec<EstimateValue>,
     /// Run time over estimate, by class.
     #[serde(rename = "e", default)]
-    pub estimates: Vec<LearnedValue>,
+    pub estimates: Vec<EstimateValue>,
 }
 
-impl LearnedRecord {
+impl EstimateRecord {
     fn bytes(&self) -> usize {
         serde_json::to_vec(self).map_or(usize::MAX, |text| text.len())
     }
@@ -71,14 +71,14 @@
 
 /// When the record was stored last, and what it held.
 #[derive(Debug, Default)]
-pub(super) struct LearnedStore {
+pub(in crate::scheduler) struct EstimateStore {
     /// Samples that the stored record, or one on its way, is made of.
     samples_stored: u64,
     due_ms: u64,
     writing: bool,
 }
 
-impl LearnedStore {
+impl EstimateStore {
     /// A new leadership: nothing is on its way, and the predecessor's record
     /// comes first.
     pub fn restart(&mut self, now: Now, report_ms: u64) {
@@ -89,69 +89,70 @@
 
 impl Scheduler {
     /// Asks for what the leader before has learned.
-    pub(super) fn read_learned(&mut self, now: Now, out: &mut SchedulerOut) {
-        self.learned_store.restart(now, self.report_ms());
-        let call = store::get(LEARNED_KEY, CALL_TIMEOUT_MS);
+    pub(in crate::scheduler) fn read_learned(&mut self, now: Now, out: &mut SchedulerEffects) {
+        self.estimate_store
+            .restart(now, self.heartbeat_interval_ms());
+        let call = kv_client::get(ESTIMATES_KEY, CALL_TIMEOUT_MS);
         self.ask(
             now,
-            Urgency::Background,
+            CallPriority::Background,
             call,
             0,
-            SchedulerCall::ReadLearned,
+            SchedulerKvCall::ReadLearned,
             out,
         );
     }
 
     /// Takes over what the leader before has learned.
-    pub(super) fn on_learned(&mut self, now: Now, answer: &Answer) {
-        let Some(item) = answer.read::<Item>(200) else {
+    pub(in crate::scheduler) fn on_learned(&mut self, now: Now, answer: &KvResponse) {
+        let Some(item) = answer.read::<KeyValue>(200) else {
             return;
         };
-        let record: LearnedRecord = match serde_json::from_value(item.value) {
+        let record: EstimateRecord = match serde_json::from_value(item.value) {
             Ok(record) => record,
             Err(e) => {
-                log::error!("record {LEARNED_KEY} can't be read and is ignored: {e}");
+                log::error!("record {ESTIMATES_KEY} can't be read and is ignored: {e}");
                 return;
             }
         };
         let age_ms = now.wall.saturating_sub(record.written_at);
         if age_ms > self.lease_ms() * FRESH_LEASES {
-            log::info!("record {LEARNED_KEY} is {age_ms} ms old and ignored");
+            log::info!("record {ESTIMATES_KEY} is {age_ms} ms old and ignored");
             return;
         }
-        self.learning.restore(&record);
+        self.estimates.restore(&record);
     }
 
     /// Stores what was learned since, when nothing else is to be written.
-    pub(super) fn store_learned(&mut self, now: Now, out: &mut SchedulerOut) {
-        let samples = self.learning.samples();
-        let pause_ms = self.report_ms() * STORE_REPORTS;
-        let store = &mut self.learned_store;
+    pub(in crate::scheduler) fn store_learned(&mut self, now: Now, out: &mut SchedulerEffects) {
+        let samples = self.estimates.samples();
+        let pause_ms = self.heartbeat_interval_ms() * STORE_REPORTS;
+        let store = &mut self.estimate_store;
         let due = now.ms >= store.due_ms && samples != store.samples_stored;
-        if !due || store.writing || self.batch.is_some() {
+        if !due || store.writing || self.transaction.is_some() {
             return;
         }
         store.writing = true;
         store.samples_stored = samples;
         store.due_ms = now.ms + pause_ms;
         let most_bytes = self.limits.value_bytes;
-        let mut record = self.learning.to_record(now.wall, MOST_VALUES);
+        let mut record = self.estimates.to_record(now.wall, MOST_VALUES);
         // Half a hint is better than one that isn't taken.
-        let too_long = |record: &LearnedRecord| record.bytes() > most_bytes;
+        let too_long = |record: &EstimateRecord| record.bytes() > most_bytes;
         while too_long(&record) && record.boots.len() + record.estimates.len() > 0 {
             record.boots.truncate(record.boots.len() / 2);
             record.estimates.truncate(record.estimates.len() / 2);
         }
         let value = serde_json::to_value(record).unwrap_or_default();
         let txn = Txn::default()
-            .guard(LEADER_KEY, self.key_version)
-            .put(LEARNED_KEY, value);
-        let tag = SchedulerCall::StoreLearned;
-        self.ask_transaction(now, Urgency::Background, &txn, tag, out);
+            .compare(LEADER_KEY, self.leader_key_revision)
+            .put(ESTIMATES_KEY, value);
+        let tag = SchedulerKvCall::StoreLearned;
+        self.ask_transaction(now, CallPriority::Background, &txn, tag, out);
     }
 
     /// Whether it was stored or not, the next one will hold the same and more.
-    pub(super) fn on_learned_stored(&mut self) {
-        self.learned_store.writing = false;
+    pub(in crate::scheduler) fn on_learned_stored(&mut self) {
+        self.estimate_store.writing = false;
     }
 }
--- a/src/scheduler/learn.rs
+++ b/src/scheduler/provisioning/online_estimates.rs
@@ -1,7 +1,7 @@
 //! What the leader learns from what it sees: boot times, how wrong estimates
 //! are, how fast work arrives. Small, and slow to believe outliers.
 
-use super::learned_record::{LearnedRecord, LearnedValue};
+use crate::scheduler::provisioning::estimate_store::{EstimateRecord, EstimateValue};
 use crate::wire::JobSpec;
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
@@ -16,15 +16,15 @@
 /// A mean that moves by a fixed share, fed with samples that are clamped to
 /// a few times what it knows or began with.
 #[derive(Clone, Copy, Debug)]
-pub struct Learned {
+pub struct OnlineEstimate {
     pub value: f64,
     start: f64,
     rate: f64,
 }
 
-impl Learned {
+impl OnlineEstimate {
     pub fn new(start: f64, rate: f64) -> Self {
-        Learned {
+        OnlineEstimate {
             value: start,
             start,
             rate,
@@ -38,16 +38,16 @@
         }
     }
 
-    fn to_record(self, name: &str) -> LearnedValue {
-        LearnedValue {
+    fn to_record(self, name: &str) -> EstimateValue {
+        EstimateValue {
             name: name.to_string(),
             start: self.start,
             value: self.value,
         }
     }
 
-    fn restored(stored: &LearnedValue, rate: f64) -> Self {
-        Learned {
+    fn restored(stored: &EstimateValue, rate: f64) -> Self {
+        OnlineEstimate {
             value: stored.value,
             start: stored.start,
             rate,
@@ -57,8 +57,8 @@
 
 /// What is known of the boots of a machine type.
 #[derive(Clone, Copy, Debug)]
-struct Boots {
-    took_s: Learned,
+struct BootEstimate {
+    took_s: OnlineEstimate,
     /// When the latest-rented machine was rented that has come up.
     up_rented_ms: u64,
 }
@@ -72,12 +72,12 @@
 }
 
 #[derive(Debug)]
-pub struct Learning {
+pub struct OnlineEstimates {
     rate: f64,
-    boots: BTreeMap<Rc<str>, Boots>,
-    bias: BTreeMap<Rc<str>, Learned>,
+    boots: BTreeMap<Rc<str>, BootEstimate>,
+    bias: BTreeMap<Rc<str>, OnlineEstimate>,
     /// Whole time of a job over the estimate for one task, by class.
-    stages: BTreeMap<Rc<str>, Learned>,
+    stages: BTreeMap<Rc<str>, OnlineEstimate>,
     arrivals: BTreeMap<Rc<str>, Arrivals>,
     since: u64,
     window_ms: u64,
@@ -87,7 +87,7 @@
 
 /// A class's expected come and go.
 #[derive(Clone, Debug)]
-pub struct Flow {
+pub struct ArrivalRate {
     /// The latest job of the class stands for the others.
     pub spec: Rc<JobSpec>,
     pub jobs_per_s: f64,
@@ -95,9 +95,9 @@
     pub tasks_squared: f64,
 }
 
-impl Learning {
+impl OnlineEstimates {
     pub fn new(rate: f64, window_ms: u64) -> Self {
-        Learning {
+        OnlineEstimates {
             rate,
             boots: BTreeMap::new(),
             bias: BTreeMap::new(),
@@ -116,11 +116,11 @@
         self.arrivals.clear();
     }
 
-    fn boots_of(&mut self, machine_type: &Rc<str>, nominal_s: f64) -> &mut Boots {
-        let took_s = Learned::new(nominal_s, self.rate);
+    fn boots_of(&mut self, machine_type: &Rc<str>, nominal_s: f64) -> &mut BootEstimate {
+        let took_s = OnlineEstimate::new(nominal_s, self.rate);
         self.boots
             .entry(machine_type.clone())
-            .or_insert_with(|| Boots {
+            .or_insert_with(|| BootEstimate {
                 took_s,
                 up_rented_ms: 0,
             })
@@ -164,26 +164,26 @@
             let rate = self.rate / 2.0;
             self.bias
                 .entry(class.clone())
-                .or_insert_with(|| Learned::new(1.0, rate))
+                .or_insert_with(|| OnlineEstimate::new(1.0, rate))
                 .sample(took_s / estimate_s);
         }
     }
 
     /// A job of a pipeline took so long from when it might start.
     pub fn stage_took(&mut self, spec: &JobSpec, took_s: f64) {
-        if spec.estimate_s > 0.0 {
+        if spec.estimated_run_s > 0.0 {
             let rate = self.rate / 2.0;
             self.stages
                 .entry(spec.class.clone())
-                .or_insert_with(|| Learned::new(STAGE_ESTIMATES, rate))
-                .sample(took_s / spec.estimate_s);
+                .or_insert_with(|| OnlineEstimate::new(STAGE_ESTIMATES, rate))
+                .sample(took_s / spec.estimated_run_s);
         }
     }
 
     /// How long a job of a pipeline is expected to take from when it may start.
     pub fn stage_s(&self, spec: &JobSpec) -> f64 {
         let learned = self.stages.get(&spec.class);
-        spec.estimate_s * learned.map_or(STAGE_ESTIMATES, |l| l.value)
+        spec.estimated_run_s * learned.map_or(STAGE_ESTIMATES, |l| l.value)
     }
 
     /// How many samples were taken since the process began.
@@ -192,10 +192,10 @@
     }
 
     /// What the next leader should know, of at most so many types and classes.
-    pub fn to_record(&self, written_at: u64, most: usize) -> LearnedRecord {
+    pub fn to_record(&self, written_at: u64, most: usize) -> EstimateRecord {
         let boots = self.boots.iter().take(most);
         let estimates = self.bias.iter().take(most);
-        LearnedRecord {
+        EstimateRecord {
             written_at,
             boots: boots.map(|(n, b)| b.took_s.to_record(n)).collect(),
             estimates: estimates.map(|(n, l)| l.to_record(n)).collect(),
@@ -203,16 +203,16 @@
     }
 
     /// Takes over what an earlier leader learned, as far as it makes sense.
-    pub fn restore(&mut self, record: &LearnedRecord) {
+    pub fn restore(&mut self, record: &EstimateRecord) {
         for stored in record.boots.iter().filter(|v| v.plausible()) {
-            let boots = Boots {
-                took_s: Learned::restored(stored, self.rate),
+            let boots = BootEstimate {
+                took_s: OnlineEstimate::restored(stored, self.rate),
                 up_rented_ms: 0,
             };
             self.boots.insert(Rc::from(stored.name.as_str()), boots);
         }
         for stored in record.estimates.iter().filter(|v| v.plausible()) {
-            let bias = Learned::restored(stored, self.rate / 2.0);
+            let bias = OnlineEstimate::restored(stored, self.rate / 2.0);
             self.bias.insert(Rc::from(stored.name.as_str()), bias);
         }
     }
@@ -232,7 +232,7 @@
         }
     }
 
-    pub fn flows(&mut self, wall: u64) -> Vec<Flow> {
+    pub fn arrival_rates(&mut self, wall: u64) -> Vec<ArrivalRate> {
         let from = wall.saturating_sub(self.window_ms).max(self.since);
         // A short past says little: it counts as if it had been longer.
         let span_s = (wall.saturating_sub(from).max(self.window_ms / 4)) as f64 / 1000.0;
@@ -254,7 +254,7 @@
                 .iter()
                 .map(|(_, t)| f64::from(*t).powi(2))
                 .sum();
-            flows.push(Flow {
+            flows.push(ArrivalRate {
                 spec,
                 jobs_per_s: n / span_s,
                 tasks_squared: squares / n,
