--- a/src/scheduler/renting.rs
+++ b/src/scheduler/provisioning/scaling.rs
@@ -1,17 +1,17 @@
 //! What found no room chooses rental rungs; machines that nobody needs go
 //! back.
 
-use super::coming::ComingRooms;
-use super::rounds::Unplaced;
-use super::Scheduler;
-use crate::cloud::{Cloud, Offer, RENT_MAX};
-use crate::fleet::{Machine, Phase};
+use crate::capacity_index::MachineCapacity;
+use crate::cloud::{CloudClient, Offer, MAX_MACHINES_PER_ORDER};
+use crate::fleet::{Machine, MachinePhase};
 use crate::ids::{MachineId, Term};
-use crate::msg::Now;
-use crate::placement::{offers_for, Resources, ZoneUse};
-use crate::rooms::Room;
+use crate::messages::Now;
+use crate::placement::{feasible_offers, Resources, ZoneCounts};
+use crate::scheduler::rounds::pending_capacity::PendingCapacity;
+use crate::scheduler::rounds::round::Unplaced;
+use crate::scheduler::Scheduler;
 use crate::slackfit::{self, Rung};
-use crate::wire::{Catalog, JobSpec, Kind, MachineType};
+use crate::wire::{Catalog, JobKind, JobSpec, MachineType};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
@@ -28,27 +28,31 @@
 
 /// What a round rents, while that is worked out.
 #[derive(Debug)]
-pub(super) struct Rentals {
-    pub(super) catalog: Rc<Catalog>,
-    pub(super) coming: ComingRooms,
+pub(in crate::scheduler) struct ProvisionPlan {
+    pub(in crate::scheduler) catalog: Rc<Catalog>,
+    pub(in crate::scheduler) coming: PendingCapacity,
     /// Machines in each zone, those to be rented included.
-    pub(super) crowd: BTreeMap<Rc<str>, u32>,
-    pub(super) wanted: BTreeMap<Offer, u32>,
+    pub(in crate::scheduler) crowd: BTreeMap<Rc<str>, u32>,
+    pub(in crate::scheduler) wanted: BTreeMap<Offer, u32>,
     /// The next in the list of what found no room.
-    pub(super) next: usize,
+    pub(in crate::scheduler) next: usize,
 }
 
 impl Scheduler {
     /// Begins to rent for the work that found neither free room nor room that is
     /// already coming. `None`: nothing can be rented now.
-    pub(super) fn begin_renting(&mut self, now: Now, cloud: &Cloud) -> Option<Rentals> {
+    pub(in crate::scheduler) fn begin_scale_out(
+        &mut self,
+        now: Now,
+        cloud: &CloudClient,
+    ) -> Option<ProvisionPlan> {
         let catalog = self.catalog.clone()?;
         if self.listens(now) || !cloud.reachable() {
             return None;
         }
-        Some(Rentals {
+        Some(ProvisionPlan {
             coming: self.coming(now, cloud),
-            crowd: self.rooms.machines_by_zone(),
+            crowd: self.capacity.machines_by_zone(),
             wanted: BTreeMap::new(),
             catalog,
             next: 0,
@@ -59,63 +63,73 @@
     /// their way, that it doesn't know of. Before the first leader ever nobody
     /// rented; once all that the list shows as running are heard, that is all.
     fn listens(&self, now: Now) -> bool {
-        if now.ms >= self.elected_ms + self.report_ms() * LISTEN_REPORTS {
+        if now.ms >= self.elected_ms + self.heartbeat_interval_ms() * LISTEN_REPORTS {
             return false;
         }
-        let unheard = |m: &Machine| m.listed_up && !m.evidence;
+        let unheard = |m: &Machine| m.listed_running && !m.fenced;
         self.term > Term(1) || !self.listed || self.fleet.iter().any(unheard)
     }
 
     /// Orders what covers the work that neither free nor coming room holds.
-    pub(super) fn order(&mut self, rentals: &Rentals, cloud: &mut Cloud) {
+    pub(in crate::scheduler) fn order(&mut self, rentals: &ProvisionPlan, cloud: &mut CloudClient) {
         for (offer, count) in &rentals.wanted {
             // One order of a kind at a time: its answer says what there is.
-            if cloud.ordered(offer) > 0 {
+            if cloud.pending_count(offer) > 0 {
                 continue;
             }
-            self.rentals += 1;
-            let name = format!("lf-{}-{}", self.term, self.rentals);
+            self.orders_placed += 1;
+            let name = format!("lf-{}-{}", self.term, self.orders_placed);
             log::info!(
                 "rent {count} of {} in {} spot={} order={name}",
                 offer.machine_type,
                 offer.zone,
                 offer.spot
             );
-            cloud.rent(name, offer.clone(), (*count).min(RENT_MAX));
+            cloud.provision(name, offer.clone(), (*count).min(MAX_MACHINES_PER_ORDER));
         }
     }
 
     /// Room that is on its way: machines booting, ordered, or not heard yet.
-    fn coming(&mut self, now: Now, cloud: &Cloud) -> ComingRooms {
-        let mut coming = ComingRooms::default();
+    fn coming(&mut self, now: Now, cloud: &CloudClient) -> PendingCapacity {
+        let mut coming = PendingCapacity::default();
         let fresh_ms = self.fresh_ms();
-        for machine in self.rooms.closed().filter_map(|id| self.fleet.get(id)) {
+        for machine in self
+            .capacity
+            .unschedulable()
+            .filter_map(|id| self.fleet.get(id))
+        {
             self.examined += 1;
             let usual_ms = (self.usual_boot_ms(&machine.offer) as f64 * USUAL_BOOTS) as u64;
-            let boots = machine.phase == Phase::Booting && now.ms < machine.rented_ms + usual_ms;
+            let boots = machine.phase == MachinePhase::Booting
+                && now.ms < machine.provisioned_ms + usual_ms;
             // It will be back or be given up soon.
-            let quiet = machine.phase == Phase::Up
-                && !machine.takes_work(now.ms, fresh_ms)
-                && machine.notice_until_ms.is_none()
-                && !machine.faults.suspect()
-                && now.ms < machine.heard_ms + self.lease_ms() / 2;
+            let quiet = machine.phase == MachinePhase::Up
+                && !machine.accepts_tasks(now.ms, fresh_ms)
+                && machine.reclaim_at_ms.is_none()
+                && !machine.faults.is_suspect()
+                && now.ms < machine.last_heartbeat_ms + self.lease_ms() / 2;
             if boots || quiet {
                 coming.add(&machine.offer, machine.free(), 1);
             }
         }
-        for (offer, count) in cloud.orders() {
+        for (offer, count) in cloud.pending_orders() {
             let whole = self
                 .catalog
                 .as_ref()
                 .and_then(|c| c.find(&offer.machine_type))
-                .map_or(Resources::default(), MachineType::room);
+                .map_or(Resources::default(), MachineType::capacity);
             coming.add(offer, whole, count);
         }
         coming
     }
 
     /// Covers work that found no room, by what is coming and then by rentals.
-    pub(super) fn cover(&mut self, now: Now, unplaced: &Unplaced, rentals: &mut Rentals) {
+    pub(in crate::scheduler) fn cover(
+        &mut self,
+        now: Now,
+        unplaced: &Unplaced,
+        rentals: &mut ProvisionPlan,
+    ) {
         if !unplaced.forecast && !self.jobs.contains(&unplaced.spec.id) {
             // It has ended since it was looked at.
             return;
@@ -125,7 +139,7 @@
                 return;
             }
         }
-        let need = unplaced.spec.need();
+        let need = unplaced.spec.task_request();
         let mut zones = unplaced.zones.clone();
         let mut rungs: Option<Vec<Rung>> = None;
         for _ in 0..unplaced.count {
@@ -142,8 +156,8 @@
             let mut free = rentals
                 .catalog
                 .find(&rung.offer.machine_type)
-                .map_or(Resources::default(), MachineType::room);
-            free.take(&need);
+                .map_or(Resources::default(), MachineType::capacity);
+            free.subtract(&need);
             let zone = rung.offer.zone.clone();
             zones.add(&zone);
             *rentals.crowd.entry(zone).or_insert(0) += 1;
@@ -154,11 +168,11 @@
 
     /// The rung for one more task of the work, among those in zones where it may
     /// stand.
-    pub(super) fn choose_rung(
+    pub(in crate::scheduler) fn choose_rung(
         &self,
         now: Now,
         unplaced: &Unplaced,
-        zones: &ZoneUse,
+        zones: &ZoneCounts,
         rungs: &[Rung],
         crowd: &BTreeMap<Rc<str>, u32>,
     ) -> Option<Rung> {
@@ -171,7 +185,7 @@
             ..rung.clone()
         };
         let open: Vec<Rung> = open.map(crowded).collect();
-        let rung = if spec.kind == Kind::Service {
+        let rung = if spec.kind == JobKind::Service {
             slackfit::cheapest(&open).cloned()
         } else {
             let buckets = slackfit::buckets(&open, self.options.buckets as usize);
@@ -191,21 +205,26 @@
 
     /// The rentals that could hold a task of the job and weren't refused
     /// lately.
-    pub(super) fn rungs(&self, now: Now, spec: &JobSpec, catalog: &Catalog) -> Vec<Rung> {
-        let need = spec.need();
-        let run_s = spec.estimate_s * self.learning.bias(&spec.class);
-        offers_for(spec, catalog)
+    pub(in crate::scheduler) fn rungs(
+        &self,
+        now: Now,
+        spec: &JobSpec,
+        catalog: &Catalog,
+    ) -> Vec<Rung> {
+        let need = spec.task_request();
+        let run_s = spec.estimated_run_s * self.estimates.bias(&spec.class);
+        feasible_offers(spec, catalog)
             .into_iter()
             .filter(|(offer, ..)| {
-                self.refused
+                self.refused_offers
                     .get(offer)
                     .is_none_or(|(until, _)| now.ms >= *until)
             })
             .map(|(offer, price, whole, boot_s)| {
-                let boot_s = self.learning.boot_s(&offer.machine_type, boot_s);
+                let boot_s = self.estimates.boot_s(&offer.machine_type, boot_s);
                 Rung {
                     latency_ms: ((boot_s + run_s) * 1000.0) as u64,
-                    cost: price / f64::from(whole.times(&need).clamp(1, 10_000)),
+                    cost: price / f64::from(whole.count_of(&need).clamp(1, 10_000)),
                     crowd: 0,
                     offer,
                 }
@@ -217,11 +236,13 @@
     /// needs go back. How much work comes and goes spreads with the root of
     /// the fleet: so many empty machines wait for it, and those beyond leave
     /// soon.
-    pub(super) fn return_idle(&mut self, now: Now, cloud: &mut Cloud) {
+    pub(in crate::scheduler) fn scale_in(&mut self, now: Now, cloud: &mut CloudClient) {
         let mut empty: Vec<(u64, MachineId)> = self
             .fleet
             .iter()
-            .filter(|m| matches!(m.phase, Phase::Up | Phase::Draining) && m.tasks.is_empty())
+            .filter(|m| {
+                matches!(m.phase, MachinePhase::Up | MachinePhase::Draining) && m.tasks.is_empty()
+            })
             .filter_map(|m| Some((m.idle_since_ms?, m.id.clone())))
             .collect();
         // Those that are empty for the shortest time stay.
@@ -233,10 +254,13 @@
             let Some(machine) = self.fleet.get(&id) else {
                 continue;
             };
-            let faulty = machine.faults.faulty();
-            let emptied = machine.phase == Phase::Draining;
-            let room = self.rooms.slot(&id).and_then(|slot| self.rooms.get(slot));
-            let reserved = room.is_some_and(Room::reserved);
+            let faulty = machine.faults.is_faulty();
+            let emptied = machine.phase == MachinePhase::Draining;
+            let room = self
+                .capacity
+                .slot(&id)
+                .and_then(|slot| self.capacity.get(slot));
+            let reserved = room.is_some_and(MachineCapacity::is_reserved);
             if !faulty && !emptied && !reserved {
                 spare += 1.0;
             }
@@ -248,14 +272,14 @@
             let patience = (self.boot_ms(&machine.offer) as f64 * boots) as u64;
             let unneeded = emptied || (!reserved && now.ms > since + patience);
             // The first minute is paid for in any case.
-            if faulty || (unneeded && now.ms > machine.rented_ms + 60_000) {
+            if faulty || (unneeded && now.ms > machine.provisioned_ms + 60_000) {
                 idle.push(id);
             }
         }
         for id in idle {
             if let Some(machine) = self.fleet.get_mut(&id) {
                 log::info!("machine {id} returned, idle");
-                machine.phase = Phase::Releasing;
+                machine.phase = MachinePhase::Releasing;
                 cloud.release(id);
             }
         }
--- a/src/scheduler/replica_groups.rs
+++ b/src/scheduler/replica_groups/mod.rs
@@ -1,39 +1,49 @@
 //! Replicas that span machines, seen from the scheduler: their parts go to the
 //! groups' own state machine as they are, and what it wants is carried out.
 
-use super::moves::settled_ms;
-use super::{Assign, Job, Scheduler};
-use crate::fleet::{Machine, Phase};
+pub(in crate::scheduler) mod migration;
+pub(in crate::scheduler) mod placement;
+pub(in crate::scheduler) mod provisioning;
+pub(in crate::scheduler) mod reservations;
+pub(in crate::scheduler) mod search;
+
+use crate::fleet::{Machine, MachinePhase};
 use crate::ids::{Attempt, JobId, MachineId, TaskRef};
-use crate::msg::Now;
-use crate::options::Options;
+use crate::messages::Now;
+use crate::scheduler::displacement::migration::settled_ms;
+use crate::scheduler::{Assignment, Job, Scheduler};
 use crate::settings::Settings;
+use crate::tuning::Tuning;
 use crate::wire::TaskPhase;
-use lilacfork_replicas::figures::{Figures, StateCounts};
-use lilacfork_replicas::group::{Action, GroupState, Note, StopCause, Timing};
-use lilacfork_replicas::groups::GroupId;
-use lilacfork_replicas::record::{GroupRecord, MoveIntent};
-use lilacfork_replicas::shape::Replica;
-use lilacfork_replicas::view::{Binding, MachineHealth, Part, PartState, Seen};
+use lilacfork_replica_groups::group::{
+    GroupAction, GroupEvent, GroupState, GroupTiming, StopCause,
+};
+use lilacfork_replica_groups::metrics::{GroupMetrics, StateCounts};
+use lilacfork_replica_groups::observation::{
+    Binding, MachineHealth, ObservedPart, Part, PartState,
+};
+use lilacfork_replica_groups::record::{GroupRecord, MigrationIntent};
+use lilacfork_replica_groups::registry::GroupId;
+use lilacfork_replica_groups::shape::Replica;
 use std::fmt;
 
 /// The times that decide over groups.
-pub(super) fn timing(settings: &Settings, options: &Options) -> Timing {
+pub(in crate::scheduler) fn timing(settings: &Settings, options: &Tuning) -> GroupTiming {
     let workers = &settings.site.workers;
-    Timing {
+    GroupTiming {
         hold_ms: (workers.lease_s * options.hold_leases * 1000.0) as u64,
         settled_ms: settled_ms(settings),
-        report_ms: (workers.report_s * 1000.0) as u64,
+        report_ms: (workers.heartbeat_s * 1000.0) as u64,
     }
 }
 
 /// Groups by state and what has happened to them, for the log.
-pub struct ReplicaFigures<'a> {
+pub struct ReplicaGroupStats<'a> {
     counts: StateCounts,
-    figures: &'a Figures,
+    figures: &'a GroupMetrics,
 }
 
-impl fmt::Display for ReplicaFigures<'_> {
+impl fmt::Display for ReplicaGroupStats<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{} {}", self.counts, self.figures)
     }
@@ -41,9 +51,9 @@
 
 impl Scheduler {
     /// Groups by state; `None`: there are none.
-    pub fn replica_figures(&self) -> Option<ReplicaFigures<'_>> {
+    pub fn replica_figures(&self) -> Option<ReplicaGroupStats<'_>> {
         self.groups.iter().next()?;
-        Some(ReplicaFigures {
+        Some(ReplicaGroupStats {
             counts: self.groups.counts(),
             figures: self.groups.figures(),
         })
@@ -51,18 +61,23 @@
 
     /// How many of the job's tasks its user is told to be running. A part of a
     /// replica that doesn't serve isn't.
-    pub(super) fn running_for_display(&self, id: &JobId, job: &Job) -> u32 {
+    pub(in crate::scheduler) fn running_for_display(&self, id: &JobId, job: &Job) -> u32 {
         let Some(groups) = self.groups.get(id) else {
             return job.running();
         };
         let serves = |task: &&u32| groups.serves(**task);
-        job.assigns.keys().filter(serves).count() as u32
+        job.assignments.keys().filter(serves).count() as u32
     }
 
     // ---- what groups are told ----
 
     /// Takes over what an earlier leader stored of a job's groups.
-    pub(super) fn restore_groups(&mut self, now: Now, job: &JobId, records: Vec<GroupRecord>) {
+    pub(in crate::scheduler) fn restore_groups(
+        &mut self,
+        now: Now,
+        job: &JobId,
+        records: Vec<GroupRecord>,
+    ) {
         let timing = self.groups.timing();
         for record in records {
             let id = GroupId::new(job, Replica(record.replica));
@@ -78,7 +93,11 @@
     }
 
     /// These rows of a job's groups are stored.
-    pub(super) fn group_records_stored(&mut self, job: &JobId, records: &[GroupRecord]) {
+    pub(in crate::scheduler) fn group_records_stored(
+        &mut self,
+        job: &JobId,
+        records: &[GroupRecord],
+    ) {
         for record in records {
             let id = GroupId::new(job, Replica(record.replica));
             let group = self.groups.group_mut(&id);
@@ -91,7 +110,7 @@
 
     /// A part failed by itself. The group's own breaker judges whether that is the
     /// machine's fault: the other parts' machines have nothing to do with it.
-    pub(super) fn part_failed(
+    pub(in crate::scheduler) fn part_failed(
         &mut self,
         now: Now,
         machine: &MachineId,
@@ -109,7 +128,7 @@
         if group.failures().is_open() {
             for id in group.failures().machines() {
                 if let Some(machine) = self.fleet.get_mut(id) {
-                    machine.faults.forgive(&task.job);
+                    machine.faults.exonerate(&task.job);
                 }
             }
             return;
@@ -121,7 +140,7 @@
     }
 
     /// A part's start was refused: its group waits until then.
-    pub(super) fn delay_group(&mut self, task: &TaskRef, at_ms: u64) {
+    pub(in crate::scheduler) fn delay_group(&mut self, task: &TaskRef, at_ms: u64) {
         let groups = self.groups.get_mut(&task.job);
         if let Some(group) = groups.and_then(|groups| groups.of_task(task.index)) {
             group.delay_until(at_ms);
@@ -132,7 +151,7 @@
 
     /// Judges the groups of which something may have changed. What is done by that
     /// may concern others, or the same again.
-    pub(super) fn observe_groups(&mut self, now: Now) {
+    pub(in crate::scheduler) fn observe_groups(&mut self, now: Now) {
         loop {
             let touched = self.groups.take_touched();
             if touched.is_empty() {
@@ -166,13 +185,13 @@
         self.round_wanted |= after == GroupState::Pending;
     }
 
-    fn act_on(&mut self, now: Now, id: &GroupId, action: Action) {
+    fn act_on(&mut self, now: Now, id: &GroupId, action: GroupAction) {
         match action {
-            Action::Stop { parts, cause } => self.stop_parts(now, id, &parts, cause),
-            Action::PlanMove => self.plan_move(now, id),
-            Action::Store => self.store_group(now, id, false),
-            Action::Settled => self.succeeded(&id.job),
-            Action::Note(note) => log_note(id, note),
+            GroupAction::Stop { parts, cause } => self.stop_parts(now, id, &parts, cause),
+            GroupAction::PlanMove => self.plan_move(now, id),
+            GroupAction::Store => self.store_group(now, id, false),
+            GroupAction::Settled => self.succeeded(&id.job),
+            GroupAction::Note(note) => log_note(id, note),
         }
     }
 
@@ -188,7 +207,7 @@
     }
 
     /// The record that holds the group has to be written.
-    pub(super) fn store_group(&mut self, now: Now, id: &GroupId, urgent: bool) {
+    pub(in crate::scheduler) fn store_group(&mut self, now: Now, id: &GroupId, urgent: bool) {
         if let Some(job) = self.jobs.get_mut(&id.job) {
             let first = job.shape.map(|shape| shape.tasks_of(id.replica).start);
             job.touch(first.unwrap_or_default(), now.ms, urgent);
@@ -197,13 +216,13 @@
     }
 
     /// A group's parts as they are.
-    pub(super) fn parts_of(&self, now: Now, id: &GroupId) -> Vec<Part> {
+    pub(in crate::scheduler) fn parts_of(&self, now: Now, id: &GroupId) -> Vec<Part> {
         let Some(job) = self.jobs.get(&id.job) else {
             return Vec::new();
         };
         let tasks = job.shape.map(|shape| shape.tasks_of(id.replica));
         let part = |task: u32| {
-            let state = match job.assigns.get(&task) {
+            let state = match job.assignments.get(&task) {
                 Some(assign) => PartState::Bound(self.binding_of(now, assign)),
                 None if job.done.contains(&task) => PartState::Done,
                 None => PartState::Waiting,
@@ -213,14 +232,14 @@
         tasks.into_iter().flatten().map(part).collect()
     }
 
-    fn binding_of(&self, now: Now, assign: &Assign) -> Binding {
+    fn binding_of(&self, now: Now, assign: &Assignment) -> Binding {
         let machine = self.fleet.get(&assign.machine);
         // Only the machine's current session counts, and only this term's word.
-        let current = machine.is_some_and(|m| m.evidence && m.session == assign.session);
+        let current = machine.is_some_and(|m| m.fenced && m.agent_epoch == assign.agent_epoch);
         let seen = match assign.phase.filter(|_| current) {
-            Some(TaskPhase::Running | TaskPhase::Saving) => Seen::Running,
-            Some(_) => Seen::Starting,
-            None => Seen::Not,
+            Some(TaskPhase::Running | TaskPhase::Checkpointing) => ObservedPart::Running,
+            Some(_) => ObservedPart::Starting,
+            None => ObservedPart::Not,
         };
         Binding {
             generation: assign.attempt,
@@ -232,12 +251,12 @@
     }
 
     fn health_of(&self, now: Now, machine: &Machine) -> MachineHealth {
-        let silent = now.ms >= machine.heard_ms + self.fresh_ms();
-        if machine.phase == Phase::Releasing {
+        let silent = now.ms >= machine.last_heartbeat_ms + self.fresh_ms();
+        if machine.phase == MachinePhase::Releasing {
             MachineHealth::Lost
         } else if silent || machine.unresponsive_since_ms.is_some() {
             MachineHealth::Silent
-        } else if machine.notice_until_ms.is_some() || machine.phase == Phase::Draining {
+        } else if machine.reclaim_at_ms.is_some() || machine.phase == MachinePhase::Draining {
             MachineHealth::Leaving
         } else {
             MachineHealth::Heard
@@ -249,16 +268,16 @@
         let Some(moving) = self.groups.group(id).and_then(|group| group.moving()) else {
             return false;
         };
-        let MoveIntent { targets, .. } = &moving.intent;
+        let MigrationIntent { targets, .. } = &moving.intent;
         targets.iter().all(|target| {
             let machine = self.fleet.get(&target.machine);
-            machine.is_some_and(|m| m.takes_work(now.ms, self.fresh_ms()))
+            machine.is_some_and(|m| m.accepts_tasks(now.ms, self.fresh_ms()))
         })
     }
 
     /// Compares what groups say with where their parts are; the error names what is
     /// wrong. For tests.
-    pub(super) fn check_groups(&self) -> Result<(), String> {
+    pub(in crate::scheduler) fn check_groups(&self) -> Result<(), String> {
         for (id, groups) in self.groups.iter() {
             let Some(job) = self.jobs.get(id) else {
                 return Err(format!("{id} has groups and is over"));
@@ -266,7 +285,8 @@
             for group in groups.iter().filter(|group| group.serves()) {
                 let tasks = groups.shape().tasks_of(group.replica());
                 let live = tasks.filter(|task| !job.done.contains(task));
-                let parts: Vec<Option<&Assign>> = live.map(|task| job.assigns.get(&task)).collect();
+                let parts: Vec<Option<&Assignment>> =
+                    live.map(|task| job.assignments.get(&task)).collect();
                 let generation = parts.first().and_then(|part| Some(part.as_ref()?.attempt));
                 let whole = parts
                     .iter()
@@ -283,16 +303,16 @@
     }
 }
 
-fn log_note(id: &GroupId, note: Note) {
+fn log_note(id: &GroupId, note: GroupEvent) {
     match note {
-        Note::Repaired { took_ms } => {
+        GroupEvent::Repaired { took_ms } => {
             log::info!("replica {id} serves again after_ms={took_ms}");
         }
-        Note::Interrupted => log::info!("replica {id} is heard again, nothing was stopped"),
-        Note::MoveResumed => log::info!("replica {id} move of an earlier leader resumed"),
-        Note::MoveAbandoned(why) => {
+        GroupEvent::Interrupted => log::info!("replica {id} is heard again, nothing was stopped"),
+        GroupEvent::MoveResumed => log::info!("replica {id} move of an earlier leader resumed"),
+        GroupEvent::MoveAbandoned(why) => {
             log::info!("replica {id} move abandoned: {}", why.why());
         }
-        Note::Moved => log::info!("replica {id} has moved"),
+        GroupEvent::Moved => log::info!("replica {id} has moved"),
     }
 }
--- a/src/scheduler/group_placing.rs
+++ b/src/scheduler/replica_groups/placement.rs
@@ -1,29 +1,29 @@
 //! Room for replicas that span machines: all parts of one, on different machines,
 //! or none. In one zone, unless its job has to be spread further than that.
 
-use super::group_search::{PartRoom, Reach, Search};
-use super::placing::{Wanted, ROUND_TASKS};
-use super::rounds::Round;
-use super::teams::quota_allows;
-use super::Scheduler;
+use crate::capacity_index::Slot;
 use crate::ids::{Attempt, JobId, TaskRef};
-use crate::msg::Now;
-use crate::placement::{may_stand, Resources};
-use crate::rooms::Slot;
-use lilacfork_replicas::group::Note;
-use lilacfork_replicas::groups::GroupId;
-use lilacfork_replicas::shape::Replica;
+use crate::messages::Now;
+use crate::placement::{placement_allowed, Resources};
+use crate::scheduler::replica_groups::search::{GroupSearch, PartMachine, SearchScope};
+use crate::scheduler::rounds::round::Round;
+use crate::scheduler::rounds::task_placement::{PlacementRequest, ROUND_TASKS};
+use crate::scheduler::state::quotas::within_quota;
+use crate::scheduler::Scheduler;
+use lilacfork_replica_groups::group::GroupEvent;
+use lilacfork_replica_groups::registry::GroupId;
+use lilacfork_replica_groups::shape::Replica;
 use std::collections::BTreeSet;
 
 /// Where a group goes, part by part.
-struct Plan {
-    rooms: Vec<(u32, PartRoom)>,
+struct GroupPlacement {
+    rooms: Vec<(u32, PartMachine)>,
 }
 
 impl Scheduler {
     /// Places the groups of a job that wait, in order; what finds no room is added
     /// to the round's list.
-    pub(super) fn place_groups(
+    pub(in crate::scheduler) fn place_groups(
         &mut self,
         now: Now,
         job_id: &JobId,
@@ -33,7 +33,7 @@
         let Some(job) = self.jobs.get(job_id) else {
             return;
         };
-        let mut wanted = Wanted::new(job, deadline);
+        let mut wanted = PlacementRequest::new(job, deadline);
         wanted.zones = job.zone_use();
         for replica in self.waiting_groups(now, job_id) {
             let id = GroupId::new(job_id, replica);
@@ -59,7 +59,7 @@
         &mut self,
         now: Now,
         id: &GroupId,
-        wanted: &mut Wanted,
+        wanted: &mut PlacementRequest,
         round: &mut Round,
     ) -> bool {
         let Some(tasks) = self.waiting_parts(id) else {
@@ -72,7 +72,7 @@
             .is_some_and(|group| group.failures().is_open());
         let mut used = self.used_in(&wanted.spec.team, round);
         used.add(&wanted.need.scaled(tasks.len() as f64 - 1.0));
-        if !quota_allows(&self.settings, &wanted.spec.team, &used, &wanted.need) {
+        if !within_quota(&self.settings, &wanted.spec.team, &used, &wanted.need) {
             log::debug!("replica {id} waits for quota of {}", wanted.spec.team);
             return false;
         }
@@ -105,23 +105,23 @@
         now: Now,
         id: &GroupId,
         tasks: &[u32],
-        wanted: &Wanted,
+        wanted: &PlacementRequest,
         probing: bool,
-    ) -> Option<Plan> {
+    ) -> Option<GroupPlacement> {
         let held = self.usable_held(now, id, tasks, wanted);
         if !held.is_empty() {
             if let Some(plan) = self.plan_around(id, tasks, wanted, held) {
                 return Some(plan);
             }
         }
-        let urgent = !probing && self.settings.start_aim_ms(&wanted.spec).is_some();
-        let reaches: &[Reach] = if urgent {
+        let urgent = !probing && self.settings.start_slo_ms(&wanted.spec).is_some();
+        let reaches: &[SearchScope] = if urgent {
             // What waits now goes before what is only expected.
-            &[Reach::Free, Reach::Kept]
+            &[SearchScope::Free, SearchScope::Kept]
         } else {
-            &[Reach::Free]
+            &[SearchScope::Free]
         };
-        let search = Search {
+        let search = GroupSearch {
             id,
             wanted,
             count: tasks.len(),
@@ -129,7 +129,7 @@
             taken: &[],
         };
         let rooms = reaches.iter().find_map(|r| self.find_rooms(&search, *r))?;
-        Some(Plan {
+        Some(GroupPlacement {
             rooms: tasks.iter().copied().zip(rooms).collect(),
         })
     }
@@ -140,29 +140,29 @@
         now: Now,
         id: &GroupId,
         tasks: &[u32],
-        wanted: &Wanted,
-    ) -> Vec<(u32, PartRoom)> {
+        wanted: &PlacementRequest,
+    ) -> Vec<(u32, PartMachine)> {
         let Some(group) = self.groups.group(id) else {
             return Vec::new();
         };
         let mut zones = wanted.zones.clone();
-        let mut rooms: Vec<(u32, PartRoom)> = Vec::new();
+        let mut rooms: Vec<(u32, PartMachine)> = Vec::new();
         for target in group.held(now.ms) {
-            let Some(slot) = self.rooms.slot(&target.machine) else {
+            let Some(slot) = self.capacity.slot(&target.machine) else {
                 continue;
             };
-            let Some(room) = self.rooms.get(slot) else {
+            let Some(room) = self.capacity.get(slot) else {
                 continue;
             };
             let open = self
                 .fleet
                 .get(&target.machine)
-                .is_some_and(|m| m.takes_work(now.ms, self.fresh_ms()));
-            let stands = may_stand(&wanted.spec, &zones, &room.state.offer);
-            let fits = open && stands && room.free().holds(&wanted.need);
+                .is_some_and(|m| m.accepts_tasks(now.ms, self.fresh_ms()));
+            let stands = placement_allowed(&wanted.spec, &zones, &room.state.offer);
+            let fits = open && stands && room.free().covers(&wanted.need);
             if fits && tasks.contains(&target.task) {
                 zones.add(&room.state.offer.zone);
-                let room = PartRoom {
+                let room = PartMachine {
                     slot,
                     rank: 0.0,
                     kept: false,
@@ -178,9 +178,9 @@
         &self,
         id: &GroupId,
         tasks: &[u32],
-        wanted: &Wanted,
-        held: Vec<(u32, PartRoom)>,
-    ) -> Option<Plan> {
+        wanted: &PlacementRequest,
+        held: Vec<(u32, PartMachine)>,
+    ) -> Option<GroupPlacement> {
         let placed: BTreeSet<u32> = held.iter().map(|(task, _)| *task).collect();
         let rest: Vec<u32> = tasks
             .iter()
@@ -188,31 +188,39 @@
             .filter(|task| !placed.contains(task))
             .collect();
         let taken: Vec<Slot> = held.iter().map(|(_, room)| room.slot).collect();
-        let mut around = Wanted::like(wanted);
+        let mut around = PlacementRequest::like(wanted);
         around.zones = wanted.zones.clone();
         for slot in &taken {
-            around.zones.add(&self.rooms.get(*slot)?.state.offer.zone);
+            around
+                .zones
+                .add(&self.capacity.get(*slot)?.state.offer.zone);
         }
         let zone = self.common_zone(&wanted.spec, &taken);
-        let search = Search {
+        let search = GroupSearch {
             id,
             wanted: &around,
             count: rest.len(),
             zone: zone.as_deref(),
             taken: &taken,
         };
-        let found = self.find_rooms(&search, Reach::Free)?;
+        let found = self.find_rooms(&search, SearchScope::Free)?;
         let mut rooms = held;
         rooms.extend(rest.into_iter().zip(found));
-        Some(Plan { rooms })
+        Some(GroupPlacement { rooms })
     }
 
     // ---- binding ----
 
     /// Binds all parts, in one turn and so by one write.
-    fn bind_group(&mut self, now: Now, id: &GroupId, plan: Plan, wanted: &mut Wanted) {
+    fn bind_group(
+        &mut self,
+        now: Now,
+        id: &GroupId,
+        plan: GroupPlacement,
+        wanted: &mut PlacementRequest,
+    ) {
         for (_, room) in plan.rooms.iter().filter(|(_, room)| room.kept) {
-            self.rooms.release_kept(room.slot);
+            self.capacity.release_forecast(room.slot);
         }
         if !self.plan_is_sound(now, &plan, &wanted.need) {
             log::error!("replica {id} doesn't fit where it should after all");
@@ -227,7 +235,7 @@
                 index: *index,
             };
             self.bind(now, &task, Some(generation), room.slot, wanted);
-            if let Some(room) = self.rooms.get(room.slot) {
+            if let Some(room) = self.capacity.get(room.slot) {
                 wanted.zones.add(&room.state.offer.zone);
             }
         }
@@ -235,19 +243,20 @@
             "replica {id} bound, generation={generation} parts={}",
             plan.rooms.len()
         );
-        if self.groups.placed(id) == Some(Note::Moved) {
+        if self.groups.placed(id) == Some(GroupEvent::Moved) {
             log::info!("replica {id} has moved");
         }
     }
 
-    fn plan_is_sound(&self, now: Now, plan: &Plan, need: &Resources) -> bool {
+    fn plan_is_sound(&self, now: Now, plan: &GroupPlacement, need: &Resources) -> bool {
         let mut machines = BTreeSet::new();
         plan.rooms.iter().all(|(_, part)| {
-            let machine = self.rooms.get(part.slot).map(|room| &room.id);
+            let machine = self.capacity.get(part.slot).map(|room| &room.id);
             let machine = machine.and_then(|id| self.fleet.get(id));
             machines.insert(part.slot)
-                && machine
-                    .is_some_and(|m| m.takes_work(now.ms, self.fresh_ms()) && m.free().holds(need))
+                && machine.is_some_and(|m| {
+                    m.accepts_tasks(now.ms, self.fresh_ms()) && m.free().covers(need)
+                })
         })
     }
 
--- a/src/scheduler/books.rs
+++ b/src/scheduler/rounds/capacity_sync.rs
@@ -1,43 +1,43 @@
 //! What the index of rooms is told of a machine, and whether it still says so.
 
-use super::Scheduler;
+use crate::capacity_index::CapacityState;
 use crate::fleet::Machine;
 use crate::ids::MachineId;
 use crate::placement::Resources;
-use crate::rooms::RoomState;
+use crate::scheduler::Scheduler;
 use std::collections::BTreeSet;
 
 impl Scheduler {
     /// What a machine looks like now.
-    fn room_state(&self, machine: &Machine) -> RoomState {
+    fn room_state(&self, machine: &Machine) -> CapacityState {
         let mut freeing = Resources::default();
         let mut least_important = None;
         for task in &machine.tasks {
             let Some(job) = self.jobs.get(&task.job) else {
                 continue;
             };
-            match job.assigns.get(&task.index) {
-                Some(assign) if assign.stop.is_some() => freeing.add(&job.need),
+            match job.assignments.get(&task.index) {
+                Some(assign) if assign.stop.is_some() => freeing.add(&job.task_request),
                 Some(_) => least_important = least_important.max(Some(job.spec.priority)),
                 None => {}
             }
         }
-        RoomState {
+        CapacityState {
             offer: machine.offer.clone(),
-            whole: machine.room,
+            total: machine.capacity,
             unassigned: machine.free(),
             freeing,
-            open: machine.is_open(),
+            schedulable: machine.is_schedulable(),
             occupied: !machine.tasks.is_empty(),
             least_important,
             images: machine.images().cloned().collect(),
-            coming: machine.fetching.keys().cloned().collect(),
+            pulling_images: machine.pulling_images.keys().cloned().collect(),
         }
     }
 
     /// Tells the index of rooms of the machines that have changed.
-    pub(super) fn refresh_rooms(&mut self) {
-        for id in self.fleet.take_touched() {
+    pub(in crate::scheduler) fn refresh_rooms(&mut self) {
+        for id in self.fleet.take_dirty() {
             self.refresh_room(&id);
         }
     }
@@ -47,19 +47,19 @@
         match self.fleet.get(id) {
             Some(machine) => {
                 let state = self.room_state(machine);
-                self.rooms.refresh(id, state, machine.heard_ms);
+                self.capacity.refresh(id, state, machine.last_heartbeat_ms);
             }
-            None => self.rooms.remove(id),
+            None => self.capacity.remove(id),
         }
     }
 
     /// Counts everything that is kept up from scratch and compares; the error
     /// names what is wrong. For tests.
-    pub fn check_books(&mut self) -> Result<(), String> {
+    pub fn check_invariants(&mut self) -> Result<(), String> {
         self.jobs.refresh();
         self.jobs.check()?;
         self.refresh_rooms();
-        let (open, closed) = self.rooms.contents();
+        let (open, closed) = self.capacity.contents();
         let known: BTreeSet<MachineId> = self.fleet.iter().map(|m| m.id.clone()).collect();
         let indexed: BTreeSet<MachineId> = open.keys().chain(&closed).cloned().collect();
         if indexed != known {
@@ -73,7 +73,7 @@
             }
         }
         self.check_groups()?;
-        self.rooms.check()
+        self.capacity.check_invariants()
     }
 
     /// Jobs and machines say the same of who is where.
@@ -83,9 +83,9 @@
             let assign = self
                 .jobs
                 .get(&task.job)
-                .and_then(|j| Some((j, j.assigns.get(&task.index)?)));
+                .and_then(|j| Some((j, j.assignments.get(&task.index)?)));
             match assign {
-                Some((job, assign)) if assign.machine == machine.id => used.add(&job.need),
+                Some((job, assign)) if assign.machine == machine.id => used.add(&job.task_request),
                 _ => {
                     return Err(format!(
                         "{task} is on {} by the machine's word alone",
--- a/src/scheduler/forecasts.rs
+++ b/src/scheduler/rounds/demand_forecast.rs
@@ -1,42 +1,42 @@
 //! Work that is expected, and the room that is set aside for it.
 
-use super::learn::Flow;
-use super::rounds::Round;
-use super::Scheduler;
 use crate::ids::MachineId;
-use crate::msg::Now;
+use crate::messages::Now;
+use crate::scheduler::provisioning::online_estimates::ArrivalRate;
+use crate::scheduler::rounds::round::Round;
+use crate::scheduler::Scheduler;
 
 use crate::wire::JobSpec;
 use std::rc::Rc;
 
 /// So many tasks like this may come within one boot.
 #[derive(Clone, Debug)]
-pub(super) struct Expected {
-    pub(super) spec: Rc<JobSpec>,
-    pub(super) count: u32,
+pub(in crate::scheduler) struct ForecastDemand {
+    pub(in crate::scheduler) spec: Rc<JobSpec>,
+    pub(in crate::scheduler) count: u32,
 }
 
 /// Room kept for expected work whose image isn't there.
 #[derive(Debug)]
-pub(super) struct Cold {
-    pub(super) spec: Rc<JobSpec>,
-    pub(super) machine: MachineId,
+pub(in crate::scheduler) struct ColdReservation {
+    pub(in crate::scheduler) spec: Rc<JobSpec>,
+    pub(in crate::scheduler) machine: MachineId,
 }
 
 impl Scheduler {
     /// Room for arrivals: as many standard deviations of what comes and goes
     /// during one boot as the operator wants, pooled over the classes.
-    pub(super) fn forecasts(&mut self, now: Now) -> Vec<Expected> {
+    pub(in crate::scheduler) fn forecast_demand(&mut self, now: Now) -> Vec<ForecastDemand> {
         let slowest = self.slowest_boot_s();
-        let flows: Vec<Flow> = self
-            .learning
-            .flows(now.wall)
+        let flows: Vec<ArrivalRate> = self
+            .estimates
+            .arrival_rates(now.wall)
             .into_iter()
-            .filter(|f| self.settings.start_aim_ms(&f.spec).is_some())
+            .filter(|f| self.settings.start_slo_ms(&f.spec).is_some())
             .collect();
         // In the scarcest amount's terms one class can stand in for another.
-        let weigh = |f: &Flow| {
-            let need = f.spec.need();
+        let weigh = |f: &ArrivalRate| {
+            let need = f.spec.task_request();
             let variance = 2.0 * f.jobs_per_s * slowest * f.tasks_squared;
             (variance, variance * need.gpus.max(need.cpus / 8.0).powi(2))
         };
@@ -62,7 +62,7 @@
                 let part = upto - given;
                 given = upto;
                 if part > 0 {
-                    all.push(Expected { spec, count: part });
+                    all.push(ForecastDemand { spec, count: part });
                 }
             }
         }
@@ -70,36 +70,42 @@
     }
 
     /// How long the slowest machine type is expected to boot.
-    pub(super) fn slowest_boot_s(&self) -> f64 {
+    pub(in crate::scheduler) fn slowest_boot_s(&self) -> f64 {
         let types = self.catalog.iter().flat_map(|c| &c.types);
         types
-            .map(|t| self.learning.boot_s(&t.name, t.boot_s))
+            .map(|t| self.estimates.boot_s(&t.name, t.boot_s))
             .fold(0.0, f64::max)
     }
 
     /// Sets room aside for expected work: where its image is, and then on the
     /// fullest machines, so that empty ones can be returned. Says how much
     /// found none.
-    pub(super) fn reserve(&mut self, spec: &Rc<JobSpec>, count: u32, round: &mut Round) -> u32 {
-        let need = spec.need();
+    pub(in crate::scheduler) fn reserve(
+        &mut self,
+        spec: &Rc<JobSpec>,
+        count: u32,
+        round: &mut Round,
+    ) -> u32 {
+        let need = spec.task_request();
         let mut left = count;
         while left > 0 {
-            let Some((slot, has_image)) = self.rooms.fullest(spec, &need) else {
+            let Some((slot, has_image)) = self.capacity.fullest(spec, &need) else {
                 return left;
             };
-            let Some(room) = self.rooms.get(slot) else {
+            let Some(room) = self.capacity.get(slot) else {
                 return left;
             };
             // What is kept makes it fuller: it stays the first choice while it lasts.
-            let here = room.free().times(&need).clamp(1, left);
+            let here = room.free().count_of(&need).clamp(1, left);
             if !has_image {
-                let cold = || Cold {
+                let cold = || ColdReservation {
                     spec: spec.clone(),
                     machine: room.id.clone(),
                 };
                 round.cold.extend((0..here).map(|_| cold()));
             }
-            self.rooms.keep(slot, &need.scaled(f64::from(here)));
+            self.capacity
+                .reserve_for_forecast(slot, &need.scaled(f64::from(here)));
             left -= here;
         }
         0
--- a/src/scheduler/coming.rs
+++ b/src/scheduler/rounds/pending_capacity.rs
@@ -3,7 +3,7 @@
 //! costs follows from the kinds, and not from how many machines are coming.
 
 use crate::cloud::Offer;
-use crate::placement::{allows_offer, may_stand, Resources, ZoneUse};
+use crate::placement::{offer_allowed, placement_allowed, Resources, ZoneCounts};
 use crate::wire::JobSpec;
 use std::cmp::Ordering;
 use std::rc::Rc;
@@ -13,7 +13,7 @@
 
 /// Machines that are alike.
 #[derive(Debug)]
-struct Alike {
+struct PendingMachines {
     offer: Offer,
     free: Resources,
     count: u32,
@@ -21,8 +21,8 @@
 
 /// All room that is on its way.
 #[derive(Debug, Default)]
-pub(super) struct ComingRooms {
-    kinds: Vec<Alike>,
+pub(in crate::scheduler) struct PendingCapacity {
+    kinds: Vec<PendingMachines>,
 }
 
 fn same(a: &Resources, b: &Resources) -> bool {
@@ -38,20 +38,20 @@
         .then(a.memory_gb.total_cmp(&b.memory_gb))
 }
 
-impl Alike {
+impl PendingMachines {
     /// Whether each of these machines holds a task of the job and is in this zone.
     fn holds_in(&self, spec: &JobSpec, need: &Resources, zone: &str) -> bool {
-        self.free.holds(need) && *self.offer.zone == *zone && allows_offer(spec, &self.offer)
+        self.free.covers(need) && *self.offer.zone == *zone && offer_allowed(spec, &self.offer)
     }
 }
 
-impl ComingRooms {
+impl PendingCapacity {
     /// So many machines with this much free are coming.
-    pub(super) fn add(&mut self, offer: &Offer, free: Resources, count: u32) {
-        let like = |kind: &&mut Alike| kind.offer == *offer && same(&kind.free, &free);
+    pub(in crate::scheduler) fn add(&mut self, offer: &Offer, free: Resources, count: u32) {
+        let like = |kind: &&mut PendingMachines| kind.offer == *offer && same(&kind.free, &free);
         match self.kinds.iter_mut().find(like) {
             Some(kind) => kind.count += count,
-            None => self.kinds.push(Alike {
+            None => self.kinds.push(PendingMachines {
                 offer: offer.clone(),
                 free,
                 count,
@@ -61,27 +61,33 @@
 
     /// Takes room for one task of a job; tells in which zone. `None`: nothing that
     /// is coming holds it.
-    pub(super) fn take(
+    pub(in crate::scheduler) fn take(
         &mut self,
         spec: &JobSpec,
         need: &Resources,
-        zones: &ZoneUse,
+        zones: &ZoneCounts,
     ) -> Option<Rc<str>> {
-        let holds =
-            |kind: &&mut Alike| kind.free.holds(need) && may_stand(spec, zones, &kind.offer);
+        let holds = |kind: &&mut PendingMachines| {
+            kind.free.covers(need) && placement_allowed(spec, zones, &kind.offer)
+        };
         let fitting = self.kinds.iter_mut().filter(|kind| kind.count > 0);
         let kind = fitting
             .filter(holds)
             .min_by(|a, b| fuller(&a.free, &b.free))?;
         kind.count -= 1;
         let (offer, mut left) = (kind.offer.clone(), kind.free);
-        left.take(need);
+        left.subtract(need);
         self.add(&offer, left, 1);
         Some(offer.zone)
     }
 
     /// How many machines that are coming to a zone each hold a task of the job.
-    pub(super) fn fitting(&self, spec: &JobSpec, need: &Resources, zone: &str) -> u32 {
+    pub(in crate::scheduler) fn fitting(
+        &self,
+        spec: &JobSpec,
+        need: &Resources,
+        zone: &str,
+    ) -> u32 {
         let fitting = self.kinds.iter();
         let fitting = fitting.filter(|kind| kind.holds_in(spec, need, zone));
         fitting.map(|kind| kind.count).sum()
@@ -89,7 +95,7 @@
 
     /// Takes room for a task each on up to so many different machines that are
     /// coming to a zone. Tells how many there were.
-    pub(super) fn take_apart(
+    pub(in crate::scheduler) fn take_apart(
         &mut self,
         spec: &JobSpec,
         need: &Resources,
@@ -107,14 +113,14 @@
             }
         }
         for (offer, mut free, count) in taken {
-            free.take(need);
+            free.subtract(need);
             self.add(&offer, free, count);
         }
         most - left
     }
 
     /// How many kinds there are.
-    pub(super) fn len(&self) -> usize {
+    pub(in crate::scheduler) fn len(&self) -> usize {
         self.kinds.len()
     }
 }
--- a/src/scheduler/deadlines.rs
+++ b/src/scheduler/rounds/queue_order.rs
@@ -1,8 +1,8 @@
 //! The order in which waiting work is served.
 
-use super::{Job, JobId, Scheduler};
 use crate::ids::TaskRef;
-use crate::msg::Now;
+use crate::messages::Now;
+use crate::scheduler::{Job, JobId, Scheduler};
 use crate::wire::{JobSpec, Priority};
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -13,19 +13,19 @@
 
 /// Waiting work's place in the queue, most urgent first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
-pub(super) struct QueueKey {
-    pub(super) priority: Priority,
+pub(in crate::scheduler) struct QueueKey {
+    pub(in crate::scheduler) priority: Priority,
     /// Beyond what its team is guaranteed.
-    pub(super) beyond: bool,
+    pub(in crate::scheduler) beyond: bool,
     /// Time of day.
-    pub(super) deadline: u64,
+    pub(in crate::scheduler) deadline: u64,
     /// Equals come in the order in which they were queued.
-    pub(super) number: u64,
+    pub(in crate::scheduler) number: u64,
 }
 
 /// What waits.
 #[derive(Clone, Debug)]
-pub(super) enum Work {
+pub(in crate::scheduler) enum QueuedWork {
     Job(JobId),
     /// Work that is expected, by what was seen.
     Forecast(Rc<JobSpec>, u32),
@@ -38,23 +38,23 @@
         let own = self.own_deadline(now, job);
         let run_ms = self.run_ms(&job.spec);
         let inherited = job.inherited.as_ref();
-        let mut dates = inherited.into_iter().flat_map(|urgency| &urgency.dates);
+        let mut dates = inherited.into_iter().flat_map(|urgency| &urgency.deadlines);
         let in_time = dates.find(|date| now.wall + run_ms <= **date);
         in_time.map_or(own, |date| own.min(*date))
     }
 
     /// How long one of its tasks is expected to run.
     fn run_ms(&self, spec: &JobSpec) -> u64 {
-        (spec.estimate_s * self.learning.bias(&spec.class) * 1000.0) as u64
+        (spec.estimated_run_s * self.estimates.bias(&spec.class) * 1000.0) as u64
     }
 
     fn own_deadline(&self, now: Now, job: &Job) -> u64 {
         let (spec, submitted) = (&job.spec, job.submitted);
         let Some(deadline_s) = spec.deadline_s else {
-            let ms = match self.settings.wait_objective_ms(&spec.class) {
+            let ms = match self.settings.wait_slo_ms(&spec.class) {
                 Some(ms) => ms,
                 // The design's: twice the estimate.
-                None => (spec.estimate_s * 2000.0) as u64,
+                None => (spec.estimated_run_s * 2000.0) as u64,
             };
             return job.ready + ms;
         };
@@ -65,14 +65,14 @@
         let class = &spec.class;
         let mut dates: Vec<u64> = self
             .settings
-            .deadline_times(class)
+            .deadline_multiples(class)
             .into_iter()
             .map(at)
             .collect();
-        let finish = self.settings.finish_objectives_ms(class);
+        let finish = self.settings.finish_slos_ms(class);
         dates.extend(finish.map(|ms| job.ready + ms));
         // Tasks that should begin by some time should end a run later.
-        let begin_ms = self.settings.wait_objective_ms(class);
+        let begin_ms = self.settings.wait_slo_ms(class);
         dates.extend(begin_ms.map(|ms| job.ready + ms + run_ms));
         dates.sort_unstable();
         let in_time = dates.into_iter().find(|date| now.wall + run_ms <= *date);
@@ -81,13 +81,13 @@
 
     /// The jobs of tasks on the move: they have their place already, and nothing
     /// expected may take that before they arrive.
-    pub(super) fn moving_jobs(&self) -> BTreeSet<JobId> {
+    pub(in crate::scheduler) fn moving_jobs(&self) -> BTreeSet<JobId> {
         let tasks = self.migration_targets.keys();
         tasks.map(|TaskRef { job, .. }| job.clone()).collect()
     }
 
     /// The place of a waiting job in the queue; `None`: it doesn't wait, or not yet.
-    pub(super) fn queue_key_of(
+    pub(in crate::scheduler) fn queue_key_of(
         &mut self,
         now: Now,
         id: &JobId,
@@ -101,8 +101,8 @@
             || job.pending.is_empty()
             || job.stale
             || job.unreadable
-            || job.needs_open
-            || !job.failures.may_retry(now.ms)
+            || job.dependencies_open
+            || !job.failures.allows_attempt(now.ms)
         {
             return None;
         }
--- a/src/scheduler/rounds.rs
+++ b/src/scheduler/rounds/round.rs
@@ -3,85 +3,85 @@
 //! never holds the thread: between two of them reports, renewals, cancellations
 //! and new work come first, and what has changed meanwhile is known to the next.
 
-use super::consolidate::Consolidation;
-use super::deadlines::{QueueKey, Work};
-use super::forecasts::Cold;
-use super::renting::Rentals;
-use super::Scheduler;
-use crate::cloud::Cloud;
+use crate::cloud::CloudClient;
 use crate::ids::JobId;
-use crate::msg::Now;
-use crate::placement::{Resources, ZoneUse};
+use crate::messages::Now;
+use crate::placement::{Resources, ZoneCounts};
+use crate::scheduler::displacement::compaction::Compaction;
+use crate::scheduler::provisioning::scaling::ProvisionPlan;
+use crate::scheduler::rounds::demand_forecast::ColdReservation;
+use crate::scheduler::rounds::queue_order::{QueueKey, QueuedWork};
+use crate::scheduler::Scheduler;
 use crate::wire::JobSpec;
-use lilacfork_replicas::groups::GroupId;
+use lilacfork_replica_groups::registry::GroupId;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::rc::Rc;
 
 /// A worker that has been silent for so many report intervals gets nothing new.
-pub(super) const FRESH_REPORTS: u64 = 3;
+pub(in crate::scheduler) const FRESH_HEARTBEATS: u64 = 3;
 /// A slice may take this share of the time that the leader's lease lasts.
 const SLICE_LEASES: f64 = 1.0 / 300.0;
 
 /// Tasks that found no room.
 #[derive(Debug)]
-pub(super) struct Unplaced {
-    pub(super) spec: Rc<JobSpec>,
-    pub(super) count: u32,
-    pub(super) deadline: u64,
-    pub(super) zones: ZoneUse,
-    pub(super) forecast: bool,
+pub(in crate::scheduler) struct Unplaced {
+    pub(in crate::scheduler) spec: Rc<JobSpec>,
+    pub(in crate::scheduler) count: u32,
+    pub(in crate::scheduler) deadline: u64,
+    pub(in crate::scheduler) zones: ZoneCounts,
+    pub(in crate::scheduler) forecast: bool,
     /// They are parts of one replica that spans machines: so many machines, all of
     /// them or none.
-    pub(super) group: Option<GroupDemand>,
+    pub(in crate::scheduler) group: Option<GroupDemand>,
 }
 
 /// What a replica that spans machines asks of them beside room.
 #[derive(Clone, Debug, PartialEq)]
-pub(super) struct GroupDemand {
+pub(in crate::scheduler) struct GroupDemand {
     /// The replica.
-    pub(super) id: GroupId,
+    pub(in crate::scheduler) id: GroupId,
     /// The zone in which the rest of it has its room.
-    pub(super) zone: Option<Rc<str>>,
+    pub(in crate::scheduler) zone: Option<Rc<str>>,
 }
 
 /// How far a round has got.
 #[derive(Debug)]
-enum Stage {
+enum RoundStage {
     /// The queue is served.
     Placing,
     /// Work of this place in the list of what found no room makes some.
     Preempting(usize),
     /// Replicas are gathered, so that machines become empty.
-    Consolidating(Consolidation),
+    Consolidating(Compaction),
     /// What is left is rented for; `None`: not begun yet.
-    Renting(Option<Rentals>),
+    Renting(Option<ProvisionPlan>),
 }
 
 /// A round under way.
 #[derive(Debug)]
-pub(super) struct Round {
+pub(in crate::scheduler) struct Round {
     /// It does everything, and not only place what waits.
     full: bool,
-    queue: BTreeMap<QueueKey, Work>,
+    queue: BTreeMap<QueueKey, QueuedWork>,
     queued: u64,
     /// Jobs whose tasks are on the move, as of its beginning.
     moving: BTreeSet<JobId>,
-    pub(super) unplaced: Vec<Unplaced>,
-    pub(super) cold: Vec<Cold>,
+    pub(in crate::scheduler) unplaced: Vec<Unplaced>,
+    pub(in crate::scheduler) cold: Vec<ColdReservation>,
     /// What teams were promised that isn't assigned yet.
-    pub(super) promised: HashMap<Rc<str>, Resources>,
-    stage: Stage,
+    pub(in crate::scheduler) promised: HashMap<Rc<str>, Resources>,
+    stage: RoundStage,
     /// Entries that had been examined when it began.
     examined_before: u64,
 }
 
 impl Round {
     /// How much still waits for its turn.
-    pub(super) fn queued(&self) -> usize {
+    pub(in crate::scheduler) fn queued(&self) -> usize {
         self.queue.len()
     }
 
-    fn add(&mut self, key: QueueKey, work: Work) {
+    fn add(&mut self, key: QueueKey, work: QueuedWork) {
         self.queued += 1;
         self.queue.insert(key, work);
     }
@@ -89,32 +89,35 @@
 
 impl Scheduler {
     /// After so long without a report a machine gets nothing new.
-    pub(super) fn fresh_ms(&self) -> u64 {
-        self.report_ms() * FRESH_REPORTS
+    pub(in crate::scheduler) fn fresh_ms(&self) -> u64 {
+        self.heartbeat_interval_ms() * FRESH_HEARTBEATS
     }
 
     /// Brings what is known of jobs and rooms up to date with what has changed.
-    pub(super) fn refresh(&mut self, now: Now) {
-        self.rooms.set_time(now.ms, self.fresh_ms());
+    pub(in crate::scheduler) fn refresh(&mut self, now: Now) {
+        self.capacity.set_time(now.ms, self.fresh_ms());
         self.examined += self.jobs.refresh();
         self.refresh_rooms();
     }
 
     /// Begins a round: nothing is promised yet.
-    pub(super) fn begin_round(&mut self, now: Now, full: bool) {
+    pub(in crate::scheduler) fn begin_round(&mut self, now: Now, full: bool) {
         let examined_before = self.examined();
         self.refresh(now);
-        self.rooms.begin_round();
+        self.capacity.begin_round();
         self.hold_for_groups(now);
         let jobs = &self.jobs;
         self.migration_targets.retain(|task, _| {
             jobs.get(&task.job).is_some_and(|j| {
-                let leaving = j.assigns.get(&task.index).is_some_and(|a| a.stop.is_some());
+                let leaving = j
+                    .assignments
+                    .get(&task.index)
+                    .is_some_and(|a| a.stop.is_some());
                 j.pending.contains(&task.index) || leaving
             })
         });
         if full {
-            self.expected = self.forecasts(now);
+            self.demand_forecast = self.forecast_demand(now);
         }
         let mut round = Round {
             full,
@@ -124,7 +127,7 @@
             unplaced: Vec::new(),
             cold: Vec::new(),
             promised: HashMap::new(),
-            stage: Stage::Placing,
+            stage: RoundStage::Placing,
             examined_before,
         };
         self.jobs.take_newly_waiting();
@@ -137,33 +140,36 @@
     fn queue_jobs(&mut self, now: Now, jobs: Vec<JobId>, round: &mut Round) {
         for id in jobs {
             if let Some(key) = self.queue_key_of(now, &id, &round.moving, round.queued) {
-                round.add(key, Work::Job(id));
+                round.add(key, QueuedWork::Job(id));
             }
         }
     }
 
     fn queue_forecasts(&mut self, now: Now, round: &mut Round) {
         let deadline = now.wall + (self.slowest_boot_s() * 1000.0) as u64;
-        for expected in &self.expected {
+        for expected in &self.demand_forecast {
             let key = QueueKey {
                 priority: expected.spec.priority,
                 beyond: true,
                 deadline,
                 number: round.queued,
             };
-            round.add(key, Work::Forecast(expected.spec.clone(), expected.count));
+            round.add(
+                key,
+                QueuedWork::Forecast(expected.spec.clone(), expected.count),
+            );
         }
     }
 
     /// So many entries may be examined in one slice.
     fn slice_entries(&self) -> u64 {
         let lease_ms = self.lease_ms() as f64 * self.options.lease_share;
-        let entries_per_ms = self.settings.site.limits.cores / super::EXAMINE_MS;
+        let entries_per_ms = self.settings.site.limits.cores / crate::scheduler::EXAMINE_MS;
         (lease_ms * SLICE_LEASES * entries_per_ms) as u64
     }
 
     /// Does one slice of the round under way.
-    pub(super) fn continue_round(&mut self, now: Now, cloud: &mut Cloud) {
+    pub(in crate::scheduler) fn continue_round(&mut self, now: Now, cloud: &mut CloudClient) {
         let Some(mut round) = self.round.take() else {
             return;
         };
@@ -172,7 +178,7 @@
         self.refresh(now);
         // What has come since then is served in its turn.
         let arrived = self.jobs.take_newly_waiting();
-        if matches!(round.stage, Stage::Placing) {
+        if matches!(round.stage, RoundStage::Placing) {
             self.queue_jobs(now, arrived, &mut round);
         }
         let mut goes_on = true;
@@ -189,34 +195,34 @@
     }
 
     /// Does the next piece of a round's work. `false`: it is over.
-    fn step(&mut self, now: Now, round: &mut Round, cloud: &mut Cloud) -> bool {
+    fn step(&mut self, now: Now, round: &mut Round, cloud: &mut CloudClient) -> bool {
         match &mut round.stage {
-            Stage::Placing => match round.queue.pop_first() {
+            RoundStage::Placing => match round.queue.pop_first() {
                 Some((key, work)) => self.serve(now, &key, work, round),
-                None => round.stage = Stage::Preempting(0),
+                None => round.stage = RoundStage::Preempting(0),
             },
-            Stage::Preempting(next) => match round.unplaced.get_mut(*next) {
+            RoundStage::Preempting(next) => match round.unplaced.get_mut(*next) {
                 Some(waiting) => {
                     *next += 1;
                     self.preempt(now, waiting);
                 }
                 None => self.after_preempting(round),
             },
-            Stage::Consolidating(consolidation) => {
-                if !self.consolidate_next(now, consolidation) {
+            RoundStage::Consolidating(consolidation) => {
+                if !self.compact_next(now, consolidation) {
                     let cold = std::mem::take(&mut round.cold);
                     self.preplace_images(now, cold);
-                    round.stage = Stage::Renting(None);
+                    round.stage = RoundStage::Renting(None);
                 }
             }
-            Stage::Renting(None) => {
+            RoundStage::Renting(None) => {
                 self.refresh(now);
-                let rentals = self.begin_renting(now, cloud);
+                let rentals = self.begin_scale_out(now, cloud);
                 let goes_on = rentals.is_some();
-                round.stage = Stage::Renting(rentals);
+                round.stage = RoundStage::Renting(rentals);
                 return goes_on;
             }
-            Stage::Renting(Some(rentals)) => match round.unplaced.get(rentals.next) {
+            RoundStage::Renting(Some(rentals)) => match round.unplaced.get(rentals.next) {
                 Some(unplaced) => {
                     rentals.next += 1;
                     self.cover(now, unplaced, rentals);
@@ -224,7 +230,7 @@
                 None => {
                     self.order(rentals, cloud);
                     if round.full {
-                        self.return_idle(now, cloud);
+                        self.scale_in(now, cloud);
                     }
                     return false;
                 }
@@ -233,9 +239,9 @@
         true
     }
 
-    fn serve(&mut self, now: Now, key: &QueueKey, work: Work, round: &mut Round) {
+    fn serve(&mut self, now: Now, key: &QueueKey, work: QueuedWork, round: &mut Round) {
         match work {
-            Work::Job(id) => {
+            QueuedWork::Job(id) => {
                 if self.groups.get(&id).is_some() {
                     self.place_groups(now, &id, key.deadline, round);
                 } else {
@@ -244,14 +250,14 @@
                 }
                 self.refresh(now);
             }
-            Work::Forecast(spec, count) => {
+            QueuedWork::Forecast(spec, count) => {
                 let left = self.reserve(&spec, count, round);
                 if left > 0 {
                     round.unplaced.push(Unplaced {
                         spec,
                         count: left,
                         deadline: key.deadline,
-                        zones: ZoneUse::default(),
+                        zones: ZoneCounts::default(),
                         forecast: true,
                         group: None,
                     });
@@ -263,9 +269,9 @@
     fn after_preempting(&mut self, round: &mut Round) {
         round.unplaced.retain(|waiting| waiting.count > 0);
         round.stage = if round.unplaced.is_empty() && round.full {
-            Stage::Consolidating(self.begin_consolidation())
+            RoundStage::Consolidating(self.begin_compaction())
         } else {
-            Stage::Renting(None)
+            RoundStage::Renting(None)
         };
     }
 }
--- a/src/scheduler/commit.rs
+++ b/src/scheduler/state/commit.rs
@@ -2,13 +2,13 @@
 //! jobs' changes as the limits allow. An unclear one is sent again, letter by
 //! letter, until the state service says what became of it.
 
-use super::batch::FINAL_CHANGES;
-use super::{Scheduler, SchedulerCall, SchedulerOut, CALL_TIMEOUT_MS};
 use crate::election::LEADER_KEY;
 use crate::ids::JobId;
-use crate::msg::Now;
-use crate::store::{self, Answer, Urgency, WriteBudget};
-use crate::wire::{Item, RevisionOnly, Txn};
+use crate::kv_client::{self, CallPriority, KvResponse, WriteBudget};
+use crate::messages::Now;
+use crate::scheduler::state::transaction::FINAL_CHANGES;
+use crate::scheduler::{Scheduler, SchedulerEffects, SchedulerKvCall, CALL_TIMEOUT_MS};
+use crate::wire::{KeyValue, Txn, TxnResponse};
 
 /// What the state service refuses and nothing explains is tried again after so many
 /// report intervals.
@@ -34,12 +34,12 @@
 
 impl Scheduler {
     /// Partial results are stored at leisure: one write then takes several.
-    pub(super) fn leisure_ms(&self) -> u64 {
-        self.report_ms()
+    pub(in crate::scheduler) fn leisure_ms(&self) -> u64 {
+        self.heartbeat_interval_ms()
     }
 
-    pub(super) fn commit_wake_ms(&self, now: Now) -> u64 {
-        match &self.batch {
+    pub(in crate::scheduler) fn commit_wake_ms(&self, now: Now) -> u64 {
+        match &self.transaction {
             Some(batch) if !batch.sent => batch.due_ms.max(now.ms + 1),
             Some(_) => u64::MAX,
             None if self.changed => self.commit_due_ms.max(now.ms + 1),
@@ -47,19 +47,24 @@
         }
     }
 
-    pub(super) fn commit(&mut self, now: Now, budget: WriteBudget, out: &mut SchedulerOut) {
+    pub(in crate::scheduler) fn commit(
+        &mut self,
+        now: Now,
+        budget: WriteBudget,
+        out: &mut SchedulerEffects,
+    ) {
         // Looking for what there is to write takes a walk over all jobs: it is
         // made when something happened, and now and then for what is stored at
         // leisure.
         let due = self.changed || now.ms >= self.leisure_due_ms;
-        if self.batch.is_none() && now.ms >= self.commit_due_ms && due {
+        if self.transaction.is_none() && now.ms >= self.commit_due_ms && due {
             self.activity.commits += 1;
             let unwritten = self.unwritten(now);
             match self.most_changes(now, &unwritten, budget) {
                 Some(most) => {
                     self.saving_since_ms = None;
-                    self.batch = self.build_batch(now, unwritten.jobs, most);
-                    self.changed = self.batch.is_some();
+                    self.transaction = self.build_transaction(now, unwritten.jobs, most);
+                    self.changed = self.transaction.is_some();
                 }
                 None => {
                     self.saving_since_ms.get_or_insert(now.ms);
@@ -69,20 +74,20 @@
             self.leisure_due_ms = now.ms + self.leisure_ms() / 4;
         }
         let Some(batch) = self
-            .batch
+            .transaction
             .as_mut()
             .filter(|b| !b.sent && now.ms >= b.due_ms)
         else {
             return;
         };
         batch.sent = true;
-        let (call, writes) = store::txn(&batch.txn, CALL_TIMEOUT_MS);
+        let (call, writes) = kv_client::txn(&batch.txn, CALL_TIMEOUT_MS);
         self.ask(
             now,
-            Urgency::Placement,
+            CallPriority::Placement,
             call,
             writes,
-            SchedulerCall::Commit,
+            SchedulerKvCall::Commit,
             out,
         );
     }
@@ -103,10 +108,10 @@
             if job.ending().is_some() {
                 unwritten.changes += FINAL_CHANGES;
             } else {
-                let due = job.shards.iter().filter(|s| s.due(now, leisure_ms));
+                let due = job.placements.iter().filter(|s| s.due(now, leisure_ms));
                 unwritten.changes += due.count();
-                unwritten.urgent |= job.shards.iter().any(|s| s.urgent)
-                    && self.settings.start_aim_ms(&job.spec).is_some();
+                unwritten.urgent |= job.placements.iter().any(|s| s.urgent)
+                    && self.settings.start_slo_ms(&job.spec).is_some();
             }
             order.push((job.spec.priority, job.submitted, id.clone()));
         }
@@ -128,22 +133,27 @@
         if unwritten.urgent || long_enough {
             return Some(budget.now.clamp(FINAL_CHANGES, txn_ops));
         }
-        let wanted = unwritten.changes.min(txn_ops).min(budget.most);
+        let wanted = unwritten.changes.min(txn_ops).min(budget.max);
         (budget.now >= wanted).then_some(txn_ops)
     }
 
-    pub(super) fn on_commit(&mut self, now: Now, answer: &Answer, out: &mut SchedulerOut) {
-        let Some(batch) = self.batch.as_mut() else {
+    pub(in crate::scheduler) fn on_commit(
+        &mut self,
+        now: Now,
+        answer: &KvResponse,
+        out: &mut SchedulerEffects,
+    ) {
+        let Some(batch) = self.transaction.as_mut() else {
             return;
         };
         match answer {
-            Answer::Status(200, _) => match answer.committed() {
+            KvResponse::Status(200, _) => match answer.committed() {
                 Some(revision) => self.committed(now, revision.0),
                 None => out.resign = Some("a commit's answer can't be read"),
             },
-            Answer::Status(409, _) => {
+            KvResponse::Status(409, _) => {
                 batch.failed = answer
-                    .read::<RevisionOnly>(409)
+                    .read::<TxnResponse>(409)
                     .map(|r| r.failed)
                     .unwrap_or_default();
                 if batch.unclear {
@@ -153,7 +163,7 @@
                     self.conflicted(now, out);
                 }
             }
-            Answer::Status(400, _) => {
+            KvResponse::Status(400, _) => {
                 out.refused = Some(batch.size());
                 if batch.unclear {
                     // An earlier copy may have been taken, before the limits fell.
@@ -164,35 +174,40 @@
                     self.take_back(now);
                 }
             }
-            Answer::Status(status, _) => {
+            KvResponse::Status(status, _) => {
                 log::error!("commit refused with status {status}");
                 out.resign = Some("a commit was refused");
             }
-            Answer::Unclear => {
+            KvResponse::Indeterminate => {
                 batch.unclear = true;
                 batch.sent = false;
                 batch.due_ms = now.ms + RETRY_MS;
             }
-            Answer::Refused if batch.unclear => {
+            KvResponse::NotExecuted if batch.unclear => {
                 batch.sent = false;
                 batch.due_ms = now.ms + RETRY_MS;
             }
             // Certainly not carried out: think again.
-            Answer::Refused => {
+            KvResponse::NotExecuted => {
                 self.commit_due_ms = now.ms + RETRY_MS;
                 self.take_back(now);
             }
         }
     }
 
-    pub(super) fn on_check_commit(&mut self, now: Now, answer: &Answer, out: &mut SchedulerOut) {
-        let Some(batch) = self.batch.as_ref() else {
+    pub(in crate::scheduler) fn on_check_commit(
+        &mut self,
+        now: Now,
+        answer: &KvResponse,
+        out: &mut SchedulerEffects,
+    ) {
+        let Some(batch) = self.transaction.as_ref() else {
             return;
         };
-        if let Some(item) = answer.read::<Item>(200) {
+        if let Some(item) = answer.read::<KeyValue>(200) {
             let write = item.value.get("w").and_then(|w| w.as_u64());
             if write == Some(batch.write) {
-                self.committed(now, item.version);
+                self.committed(now, item.mod_revision);
             } else {
                 self.conflicted(now, out);
             }
@@ -204,45 +219,45 @@
     }
 
     /// Reads whether the transaction in flight was carried out.
-    fn check_commit(&mut self, now: Now, out: &mut SchedulerOut) {
-        let Some(batch) = self.batch.as_ref() else {
+    fn check_commit(&mut self, now: Now, out: &mut SchedulerEffects) {
+        let Some(batch) = self.transaction.as_ref() else {
             return;
         };
-        let call = store::get(&batch.witness, CALL_TIMEOUT_MS);
-        let tag = SchedulerCall::CheckCommit;
-        self.ask(now, Urgency::Placement, call, 0, tag, out);
+        let call = kv_client::get(&batch.witness, CALL_TIMEOUT_MS);
+        let tag = SchedulerKvCall::CheckCommit;
+        self.ask(now, CallPriority::Placement, call, 0, tag, out);
     }
 
     /// Now it is stored: tasks may start, results may be forgotten by their
     /// workers.
     fn committed(&mut self, now: Now, version: u64) {
-        let Some(batch) = self.batch.take() else {
+        let Some(batch) = self.transaction.take() else {
             return;
         };
         for write in batch.shards {
             let Some(job) = self.jobs.get_mut(&write.job) else {
                 continue;
             };
-            if let Some(shard) = job.shards.get_mut(write.shard) {
-                shard.version = version;
+            if let Some(shard) = job.placements.get_mut(write.shard) {
+                shard.revision = version;
             }
             for (task, attempt) in write.assigned {
-                if let Some(assign) = job.assigns.get_mut(&task) {
+                if let Some(assign) = job.assignments.get_mut(&task) {
                     if assign.attempt == attempt && !assign.recorded {
                         assign.recorded = true;
-                        self.push.insert(assign.machine.clone());
+                        self.machines_to_command.insert(assign.machine.clone());
                     }
                 }
             }
             for ended in write.ended {
-                job.unstored.remove(&ended);
+                job.unstored_ends.remove(&ended);
             }
             self.group_records_stored(&write.job, &write.groups);
         }
         self.most_jobs = self.most_jobs.saturating_mul(2);
         self.cleanup.extend(batch.litter);
         for (id, state) in batch.finished {
-            self.over.insert(id.clone(), now.ms + OVER_MS);
+            self.finished_jobs.insert(id.clone(), now.ms + OVER_MS);
             self.forgive_unless_succeeded(&id);
             self.groups.remove(&id);
             self.stage_over(now, &id, state);
@@ -269,7 +284,7 @@
             return;
         };
         log::error!("job {alone}: the state service refuses its record, held back");
-        let pause_ms = self.report_ms() * HELD_BACK_REPORTS;
+        let pause_ms = self.heartbeat_interval_ms() * HELD_BACK_REPORTS;
         if let Some(job) = self.jobs.get_mut(alone) {
             job.held_back_until_ms = now.ms + pause_ms;
         }
@@ -278,12 +293,12 @@
     /// The batch was certainly not carried out; its contents are due again.
     fn take_back(&mut self, now: Now) {
         self.changed = true;
-        let Some(batch) = self.batch.take() else {
+        let Some(batch) = self.transaction.take() else {
             return;
         };
         for write in batch.shards {
             if let Some(job) = self.jobs.get_mut(&write.job) {
-                if let Some(shard) = job.shards.get_mut(write.shard) {
+                if let Some(shard) = job.placements.get_mut(write.shard) {
                     shard.touch(now.ms, true);
                 }
             }
@@ -295,8 +310,8 @@
         }
     }
 
-    fn conflicted(&mut self, now: Now, out: &mut SchedulerOut) {
-        let failed = match &mut self.batch {
+    fn conflicted(&mut self, now: Now, out: &mut SchedulerEffects) {
+        let failed = match &mut self.transaction {
             Some(batch) => std::mem::take(&mut batch.failed),
             None => return,
         };
@@ -316,21 +331,21 @@
         }
     }
 
-    pub(super) fn clean_up(&mut self, now: Now, out: &mut SchedulerOut) {
+    pub(in crate::scheduler) fn clean_up(&mut self, now: Now, out: &mut SchedulerEffects) {
         // Litter waits while there is more to write than the service takes.
-        let busy = self.batch.is_some() || (self.changed && self.cleanup.len() < MOST_LITTER);
+        let busy = self.transaction.is_some() || (self.changed && self.cleanup.len() < MOST_LITTER);
         let too_soon = now.ms < self.cleanup_due_ms;
         if self.cleanup.is_empty() || self.cleaning || busy || too_soon {
             return;
         }
         let max = self.limits.txn_ops.min(self.cleanup.len());
         let keys: Vec<String> = self.cleanup.drain(..max).collect();
-        let mut txn = Txn::default().guard(LEADER_KEY, self.key_version);
+        let mut txn = Txn::default().compare(LEADER_KEY, self.leader_key_revision);
         for key in &keys {
             txn = txn.delete(key.clone());
         }
         self.cleaning = true;
-        let tag = SchedulerCall::Cleanup(keys);
-        self.ask_transaction(now, Urgency::Background, &txn, tag, out);
+        let tag = SchedulerKvCall::Cleanup(keys);
+        self.ask_transaction(now, CallPriority::Background, &txn, tag, out);
     }
 }
--- a/src/scheduler/jobs.rs
+++ b/src/scheduler/state/job.rs
@@ -1,14 +1,16 @@
 //! Jobs as the leader holds them, and what of them is stored.
 
-use super::job_table::Listed;
-use super::shards::{read_ranges, write_ranges, Row, ShardName, ShardRecord, Shards};
-use crate::faults::FailureHistory;
-use crate::gateway::{Final, JobRecord};
-use crate::ids::{Attempt, MachineId, Session, TaskRef, Token};
-use crate::placement::{Resources, ZoneUse};
-use crate::wire::{JobSpec, Kind, Priority, TaskPhase};
-use lilacfork_pipelines::urgency::StageUrgency;
-use lilacfork_replicas::shape::Shape;
+use crate::faults::CircuitBreaker;
+use crate::gateway::{FinalState, JobRecord};
+use crate::ids::{AgentEpoch, Attempt, FencingToken, MachineId, TaskRef};
+use crate::placement::{Resources, ZoneCounts};
+use crate::scheduler::state::job_table::JobListing;
+use crate::scheduler::state::placement_ranges::{
+    read_ranges, write_ranges, AssignmentRow, PlacementRanges, PlacementRecord, RangeName,
+};
+use crate::wire::{JobKind, JobSpec, Priority, TaskPhase};
+use lilacfork_dependencies::propagation::StageUrgency;
+use lilacfork_replica_groups::shape::Shape;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
@@ -20,17 +22,17 @@
 
 /// How to stop a task that runs or may run.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct StopPlan {
+pub struct StopRequest {
     pub grace_s: u64,
     pub since_ms: u64,
 }
 
 /// A task that may be on a machine.
 #[derive(Clone, Debug)]
-pub struct Assign {
+pub struct Assignment {
     pub attempt: Attempt,
     pub machine: MachineId,
-    pub session: Session,
+    pub agent_epoch: AgentEpoch,
     pub zone: Rc<str>,
     /// The state service holds it: only then is it started.
     pub recorded: bool,
@@ -44,19 +46,24 @@
     pub inherited: bool,
     /// It started later than its class may wait.
     pub late: bool,
-    pub stop: Option<StopPlan>,
+    pub stop: Option<StopRequest>,
     /// Absence under at least this token proves that it isn't there and
     /// never will be.
-    pub absent_proof: Option<Token>,
+    pub absent_proof: Option<FencingToken>,
 }
 
-impl Assign {
+impl Assignment {
     /// A task that was just bound to a machine and that nothing is known of.
-    pub fn new(attempt: Attempt, machine: MachineId, session: Session, zone: Rc<str>) -> Assign {
-        Assign {
+    pub fn new(
+        attempt: Attempt,
+        machine: MachineId,
+        session: AgentEpoch,
+        zone: Rc<str>,
+    ) -> Assignment {
+        Assignment {
             attempt,
             machine,
-            session,
+            agent_epoch: session,
             zone,
             recorded: false,
             first_sent_ms: None,
@@ -77,45 +84,45 @@
     /// The job as its user described it.
     pub spec: Rc<JobSpec>,
     /// What one task takes.
-    pub need: Resources,
+    pub task_request: Resources,
     /// When it was submitted, time of day.
     pub submitted: u64,
     /// When it was cancelled, time of day.
     pub cancelled: Option<u64>,
     /// The revision of its record.
-    pub version: u64,
+    pub revision: u64,
     /// How its tasks form replicas that span machines; `None`: they don't.
     pub shape: Option<Shape>,
     /// Since when its aims count, time of day: its submission, or the end of the last
     /// job that it needs.
     pub ready: u64,
     /// A job that it needs isn't known to be done.
-    pub needs_open: bool,
+    pub dependencies_open: bool,
     /// The priority that its user gave it; `spec` holds the one that it is served by,
     /// which may be that of a job that needs it.
     pub own_priority: Priority,
     /// How urgent the jobs that need it make it.
     pub inherited: Option<StageUrgency<Priority>>,
     /// Its placement records.
-    pub shards: Shards,
+    pub placements: PlacementRanges,
     /// A placement record of it can't be read: what it may have on machines isn't
     /// known, so nothing of it is placed.
     pub unreadable: bool,
     /// The state service refused its record: until when it isn't written again.
     pub held_back_until_ms: u64,
     /// The tasks that may be on a machine.
-    pub assigns: BTreeMap<u32, Assign>,
+    pub assignments: BTreeMap<u32, Assignment>,
     /// The tasks that are done.
     pub done: BTreeSet<u32>,
     /// The tasks that wait for a place.
     pub pending: BTreeSet<u32>,
     /// Ended attempts whose end isn't stored yet; not to be forgotten by
     /// their workers.
-    pub unstored: BTreeSet<(u32, Attempt)>,
+    pub unstored_ends: BTreeSet<(u32, Attempt)>,
     /// The final record is being written.
     pub finishing: bool,
     /// Whether its tasks fail wherever they run.
-    pub failures: FailureHistory,
+    pub failures: CircuitBreaker,
     /// Tasks whose whole run was seen, and how long they took together.
     pub runs: (u32, u64),
     /// The record changed under us; read it before the next write.
@@ -123,9 +130,9 @@
     /// When this leader heard of it.
     pub arrived_ms: u64,
     /// How the table of jobs lists it.
-    pub(super) listed: Listed,
+    pub(in crate::scheduler) listed: JobListing,
     /// It may have changed since it was listed.
-    pub(super) touched: bool,
+    pub(in crate::scheduler) dirty: bool,
 }
 
 impl Job {
@@ -147,35 +154,35 @@
         let shard_size = whole.flatten().unwrap_or(shard_size);
         Job {
             shape,
-            need: record.spec.need(),
+            task_request: record.spec.task_request(),
             submitted: record.submitted,
             ready: record.submitted,
-            needs_open: false,
+            dependencies_open: false,
             own_priority: record.spec.priority,
             inherited: None,
             cancelled: record.cancelled,
-            version,
-            shards: Shards::new(tasks, shard_size),
+            revision: version,
+            placements: PlacementRanges::new(tasks, shard_size),
             unreadable: false,
             held_back_until_ms: 0,
-            assigns: BTreeMap::new(),
+            assignments: BTreeMap::new(),
             done: BTreeSet::new(),
             pending: (0..tasks).collect(),
-            unstored: BTreeSet::new(),
+            unstored_ends: BTreeSet::new(),
             finishing: false,
-            failures: FailureHistory::default(),
+            failures: CircuitBreaker::default(),
             runs: (0, 0),
             stale: false,
             arrived_ms: now_ms,
-            listed: Listed::default(),
-            touched: false,
+            listed: JobListing::default(),
+            dirty: false,
             spec: Rc::new(record.spec),
         }
     }
 
     /// Whether its tasks run until it is cancelled.
     pub fn is_service(&self) -> bool {
-        self.spec.kind == Kind::Service
+        self.spec.kind == JobKind::Service
     }
 
     /// Whether nothing is left to run.
@@ -184,10 +191,10 @@
     }
 
     /// How it has ended, if nothing of it is left to run or to stop.
-    pub fn ending(&self) -> Option<Final> {
+    pub fn ending(&self) -> Option<FinalState> {
         match self.cancelled {
-            Some(_) => self.assigns.is_empty().then_some(Final::Cancelled),
-            None => self.all_done().then_some(Final::Done),
+            Some(_) => self.assignments.is_empty().then_some(FinalState::Cancelled),
+            None => self.all_done().then_some(FinalState::Done),
         }
     }
 
@@ -195,17 +202,19 @@
     /// What a cancelled job's tasks do needs no record: whoever leads next stops
     /// them all.
     pub fn has_unwritten(&self) -> bool {
-        let dirty = |shard: &super::shards::Shard| shard.dirty_ms.is_some();
+        let dirty = |shard: &crate::scheduler::state::placement_ranges::PlacementRange| {
+            shard.dirty_ms.is_some()
+        };
         // A record that couldn't be read must not be written over.
         let may_be_written = self.cancelled.is_none() && !self.unreadable;
-        self.ending().is_some() || (may_be_written && self.shards.iter().any(dirty))
+        self.ending().is_some() || (may_be_written && self.placements.iter().any(dirty))
     }
 
     /// How many of its tasks are seen running.
     pub fn running(&self) -> u32 {
-        self.assigns
+        self.assignments
             .values()
-            .filter(|a| matches!(a.phase, Some(TaskPhase::Running | TaskPhase::Saving)))
+            .filter(|a| matches!(a.phase, Some(TaskPhase::Running | TaskPhase::Checkpointing)))
             .count() as u32
     }
 
@@ -219,14 +228,14 @@
 
     /// The record that holds the task has to be written.
     pub fn touch(&mut self, task: u32, now_ms: u64, urgent: bool) {
-        if let Some(shard) = self.shards.holding_mut(task) {
+        if let Some(shard) = self.placements.holding_mut(task) {
             shard.touch(now_ms, urgent);
         }
     }
 
     /// The next attempt of the shard that holds this task.
     pub fn next_attempt(&mut self, task: u32) -> Option<Attempt> {
-        let shard = self.shards.holding_mut(task)?;
+        let shard = self.placements.holding_mut(task)?;
         shard.next = Attempt(shard.next.0 + 1);
         Some(shard.next)
     }
@@ -243,31 +252,34 @@
     }
 
     /// Where the job's tasks may be, for spread and samePlace.
-    pub fn zone_use(&self) -> ZoneUse {
-        let mut zones = ZoneUse::default();
-        for assign in self.assigns.values() {
+    pub fn zone_use(&self) -> ZoneCounts {
+        let mut zones = ZoneCounts::default();
+        for assign in self.assignments.values() {
             zones.add(&assign.zone);
         }
         zones
     }
 
     /// What is to be stored of a record's tasks now.
-    pub fn record(&self, number: usize, write: u64, zones: &[String]) -> ShardRecord {
-        let zone_of = |a: &Assign| zones.iter().position(|z| **z == *a.zone).unwrap_or(0) as u32;
-        let stretches = self.shards.tasks_of(number);
+    pub fn record(&self, number: usize, write: u64, zones: &[String]) -> PlacementRecord {
+        let zone_of =
+            |a: &Assignment| zones.iter().position(|z| **z == *a.zone).unwrap_or(0) as u32;
+        let stretches = self.placements.tasks_of(number);
         let done = stretches.iter().flat_map(|s| self.done.range(s.clone()));
-        let assigned = stretches.iter().flat_map(|s| self.assigns.range(s.clone()));
-        ShardRecord {
-            next: self.shards.get(number).map_or(Attempt(0), |s| s.next),
+        let assigned = stretches
+            .iter()
+            .flat_map(|s| self.assignments.range(s.clone()));
+        PlacementRecord {
+            next: self.placements.get(number).map_or(Attempt(0), |s| s.next),
             write,
-            uniform: self.shards.uniform(),
+            uniform: self.placements.uniform(),
             done: write_ranges(done.copied()),
             assigned: assigned
-                .map(|(task, assign)| Row {
+                .map(|(task, assign)| AssignmentRow {
                     task: *task,
                     attempt: assign.attempt,
                     machine: assign.machine.clone(),
-                    session: assign.session,
+                    agent_epoch: assign.agent_epoch,
                     zone: zone_of(assign),
                 })
                 .collect(),
@@ -282,16 +294,16 @@
     }
 
     /// Takes over what earlier leaders stored, all of it.
-    pub fn restore(&mut self, mut stored: Vec<StoredShard>, zones: &[String]) {
+    pub fn restore(&mut self, mut stored: Vec<StoredPlacement>, zones: &[String]) {
         // How the job was cut is told by its records, not by today's settings.
         let uniform = stored.iter().map(|s| s.record.uniform).find(|z| *z > 0);
-        if let Some(uniform) = uniform.filter(|z| *z != self.shards.uniform()) {
-            self.shards = Shards::new(self.spec.tasks, uniform);
+        if let Some(uniform) = uniform.filter(|z| *z != self.placements.uniform()) {
+            self.placements = PlacementRanges::new(self.spec.tasks, uniform);
         }
         // What is finer holds, so it comes last.
         stored.sort_by_key(|s| match s.name {
-            ShardName::Uniform(_) => 0,
-            ShardName::Tasks { first, last } => u32::MAX - (last - first),
+            RangeName::Uniform(_) => 0,
+            RangeName::Tasks { first, last } => u32::MAX - (last - first),
         });
         for shard in stored {
             if self.restore_shard(shard, zones).is_none() {
@@ -301,41 +313,41 @@
     }
 
     /// `None`: the record doesn't fit the job.
-    fn restore_shard(&mut self, stored: StoredShard, zones: &[String]) -> Option<()> {
-        let StoredShard {
+    fn restore_shard(&mut self, stored: StoredPlacement, zones: &[String]) -> Option<()> {
+        let StoredPlacement {
             name,
-            version,
+            revision: version,
             record,
         } = stored;
         let number = match name {
-            ShardName::Uniform(number) => number as usize,
-            ShardName::Tasks { first, last } => {
+            RangeName::Uniform(number) => number as usize,
+            RangeName::Tasks { first, last } => {
                 self.forget_tasks(first..last.checked_add(1)?);
-                self.shards.carve(first..last + 1)?
+                self.placements.carve(first..last + 1)?
             }
         };
-        let shard = self.shards.get_mut(number)?;
-        shard.version = version;
+        let shard = self.placements.get_mut(number)?;
+        shard.revision = version;
         shard.next = record.next;
         let done = read_ranges(&record.done, self.spec.tasks)?;
         self.failures.restore(record.failures);
         for task in done {
             self.pending.remove(&task);
             self.done.insert(task);
-            self.failures.succeeded();
+            self.failures.record_success();
         }
         let mut fits = true;
         for row in record.assigned {
-            fits &= self.shards.holding(row.task) == Some(number);
+            fits &= self.placements.holding(row.task) == Some(number);
             if row.task >= self.spec.tasks {
                 continue;
             }
             self.pending.remove(&row.task);
             let zone = zones.get(row.zone as usize).map_or("", |z| z.as_str());
-            let bound = Assign::new(row.attempt, row.machine, row.session, Rc::from(zone));
-            self.assigns.insert(
+            let bound = Assignment::new(row.attempt, row.machine, row.agent_epoch, Rc::from(zone));
+            self.assignments.insert(
                 row.task,
-                Assign {
+                Assignment {
                     recorded: true,
                     inherited: true,
                     ..bound
@@ -348,7 +360,7 @@
     /// What a coarser record said of these tasks doesn't hold.
     fn forget_tasks(&mut self, tasks: std::ops::Range<u32>) {
         for task in tasks.start..tasks.end.min(self.spec.tasks) {
-            self.assigns.remove(&task);
+            self.assignments.remove(&task);
             self.done.remove(&task);
             self.pending.insert(task);
         }
@@ -357,11 +369,11 @@
 
 /// A placement record as it was read.
 #[derive(Debug)]
-pub struct StoredShard {
+pub struct StoredPlacement {
     /// Which record it is.
-    pub name: ShardName,
+    pub name: RangeName,
     /// Its version.
-    pub version: u64,
+    pub revision: u64,
     /// What it holds.
-    pub record: ShardRecord,
+    pub record: PlacementRecord,
 }
--- a/src/scheduler/job_table.rs
+++ b/src/scheduler/state/job_table.rs
@@ -3,17 +3,17 @@
 //! changes a job gets it from here, and what follows is brought up to date by
 //! [`JobTable::refresh`] for the jobs that were changed, and for no others.
 
-use super::jobs::Job;
-use super::teams::TeamBooks;
 use crate::ids::JobId;
 use crate::placement::Resources;
+use crate::scheduler::state::job::Job;
+use crate::scheduler::state::quotas::TeamAccounts;
 use crate::wire::JobSpec;
 use std::collections::{btree_map, BTreeMap, BTreeSet, HashMap};
 use std::rc::Rc;
 
 /// What is known of a job in the lists below.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub(super) struct Listed {
+pub(in crate::scheduler) struct JobListing {
     waiting: bool,
     unwritten: bool,
     stale: bool,
@@ -25,34 +25,34 @@
     left: Option<u32>,
 }
 
-impl Listed {
-    fn of(job: &Job) -> Listed {
+impl JobListing {
+    fn of(job: &Job) -> JobListing {
         let cancelled = job.cancelled.is_some();
         let readable = !job.stale && !job.unreadable;
-        let counts = !cancelled && !job.needs_open;
-        Listed {
-            waiting: !cancelled && !job.needs_open && !job.pending.is_empty() && readable,
+        let counts = !cancelled && !job.dependencies_open;
+        JobListing {
+            waiting: !cancelled && !job.dependencies_open && !job.pending.is_empty() && readable,
             unwritten: !job.stale && !job.finishing && job.has_unwritten(),
             stale: job.stale,
-            stopping: cancelled && !job.assigns.is_empty(),
-            assigned: job.assigns.len(),
+            stopping: cancelled && !job.assignments.is_empty(),
+            assigned: job.assignments.len(),
             left: counts.then(|| job.spec.tasks - job.done.len() as u32),
         }
     }
 }
 
 /// What of a job never changes.
-struct Fixed {
+struct ImmutableJobFacts {
     team: Rc<str>,
     need: Resources,
     submitted: u64,
 }
 
-impl Fixed {
-    fn of(job: &Job) -> Fixed {
-        Fixed {
+impl ImmutableJobFacts {
+    fn of(job: &Job) -> ImmutableJobFacts {
+        ImmutableJobFacts {
             team: job.spec.team.clone(),
-            need: job.need,
+            need: job.task_request,
             submitted: job.submitted,
         }
     }
@@ -63,7 +63,7 @@
 
 /// All unfinished jobs.
 #[derive(Debug, Default)]
-pub(super) struct JobTable {
+pub(in crate::scheduler) struct JobTable {
     jobs: BTreeMap<JobId, Job>,
     /// Changed since the lists were last brought up to date.
     touched: Vec<JobId>,
@@ -73,42 +73,42 @@
     unwritten: BTreeSet<JobId>,
     stale: BTreeSet<JobId>,
     stopping: BTreeSet<JobId>,
-    teams: TeamBooks,
+    teams: TeamAccounts,
     /// By class.
     images: HashMap<Rc<str>, ByImage>,
 }
 
 impl JobTable {
-    pub(super) fn clear(&mut self) {
+    pub(in crate::scheduler) fn clear(&mut self) {
         *self = JobTable::default();
     }
 
-    pub(super) fn len(&self) -> usize {
+    pub(in crate::scheduler) fn len(&self) -> usize {
         self.jobs.len()
     }
 
-    pub(super) fn contains(&self, id: &JobId) -> bool {
+    pub(in crate::scheduler) fn contains(&self, id: &JobId) -> bool {
         self.jobs.contains_key(id)
     }
 
-    pub(super) fn get(&self, id: &JobId) -> Option<&Job> {
+    pub(in crate::scheduler) fn get(&self, id: &JobId) -> Option<&Job> {
         self.jobs.get(id)
     }
 
     /// A job that is about to be changed.
-    pub(super) fn get_mut(&mut self, id: &JobId) -> Option<&mut Job> {
+    pub(in crate::scheduler) fn get_mut(&mut self, id: &JobId) -> Option<&mut Job> {
         let job = self.jobs.get_mut(id)?;
-        if !std::mem::replace(&mut job.touched, true) {
+        if !std::mem::replace(&mut job.dirty, true) {
             self.touched.push(id.clone());
         }
         Some(job)
     }
 
-    pub(super) fn iter(&self) -> btree_map::Iter<'_, JobId, Job> {
+    pub(in crate::scheduler) fn iter(&self) -> btree_map::Iter<'_, JobId, Job> {
         self.jobs.iter()
     }
 
-    pub(super) fn insert(&mut self, id: JobId, job: Job) {
+    pub(in crate::scheduler) fn insert(&mut self, id: JobId, job: Job) {
         let by_image = self.images.entry(job.spec.class.clone()).or_default();
         let with_image = by_image.entry(job.spec.image.clone()).or_default();
         with_image.insert(id.clone());
@@ -116,9 +116,14 @@
         self.get_mut(&id);
     }
 
-    pub(super) fn remove(&mut self, id: &JobId) -> Option<Job> {
+    pub(in crate::scheduler) fn remove(&mut self, id: &JobId) -> Option<Job> {
         let job = self.jobs.remove(id)?;
-        self.relist(id, &Fixed::of(&job), job.listed, Listed::default());
+        self.relist(
+            id,
+            &ImmutableJobFacts::of(&job),
+            job.listed,
+            JobListing::default(),
+        );
         if let Some(by_image) = self.images.get_mut(&job.spec.class) {
             if let Some(with_image) = by_image.get_mut(&job.spec.image) {
                 with_image.remove(id);
@@ -131,17 +136,17 @@
     }
 
     /// Brings the lists up to date. Says how many jobs had changed.
-    pub(super) fn refresh(&mut self) -> u64 {
+    pub(in crate::scheduler) fn refresh(&mut self) -> u64 {
         let touched = std::mem::take(&mut self.touched);
         for id in &touched {
             let Some(job) = self.jobs.get_mut(id) else {
                 continue;
             };
-            job.touched = false;
-            let now = Listed::of(job);
+            job.dirty = false;
+            let now = JobListing::of(job);
             let before = std::mem::replace(&mut job.listed, now);
             if now != before {
-                let fixed = Fixed::of(job);
+                let fixed = ImmutableJobFacts::of(job);
                 self.relist(id, &fixed, before, now);
             }
         }
@@ -149,7 +154,7 @@
     }
 
     /// Moves a job between the lists.
-    fn relist(&mut self, id: &JobId, job: &Fixed, before: Listed, now: Listed) {
+    fn relist(&mut self, id: &JobId, job: &ImmutableJobFacts, before: JobListing, now: JobListing) {
         if now.waiting && !before.waiting {
             self.newly_waiting.push(id.clone());
         }
@@ -179,42 +184,42 @@
     // ---- lists, as of the last refresh ----
 
     /// Jobs with tasks that wait for a place.
-    pub(super) fn waiting(&self) -> &BTreeSet<JobId> {
+    pub(in crate::scheduler) fn waiting(&self) -> &BTreeSet<JobId> {
         &self.waiting
     }
 
     /// Jobs that began to wait since this was last asked.
-    pub(super) fn take_newly_waiting(&mut self) -> Vec<JobId> {
+    pub(in crate::scheduler) fn take_newly_waiting(&mut self) -> Vec<JobId> {
         std::mem::take(&mut self.newly_waiting)
     }
 
     /// Jobs of which something has to be stored.
-    pub(super) fn unwritten(&self) -> &BTreeSet<JobId> {
+    pub(in crate::scheduler) fn unwritten(&self) -> &BTreeSet<JobId> {
         &self.unwritten
     }
 
     /// Jobs whose record changed under us.
-    pub(super) fn stale(&self) -> &BTreeSet<JobId> {
+    pub(in crate::scheduler) fn stale(&self) -> &BTreeSet<JobId> {
         &self.stale
     }
 
     /// Cancelled jobs with tasks that may be on machines.
-    pub(super) fn stopping(&self) -> &BTreeSet<JobId> {
+    pub(in crate::scheduler) fn stopping(&self) -> &BTreeSet<JobId> {
         &self.stopping
     }
 
     /// What the team's tasks may be using.
-    pub(super) fn used(&self, team: &str) -> Resources {
+    pub(in crate::scheduler) fn used(&self, team: &str) -> Resources {
         self.teams.used(team)
     }
 
-    pub(super) fn teams(&mut self) -> &mut TeamBooks {
+    pub(in crate::scheduler) fn teams(&mut self) -> &mut TeamAccounts {
         &mut self.teams
     }
 
     /// The images of a class's jobs: how many have each, and one that stands for
     /// them.
-    pub(super) fn images_of<'a>(
+    pub(in crate::scheduler) fn images_of<'a>(
         &'a self,
         class: &str,
     ) -> impl Iterator<Item = (u32, Rc<JobSpec>)> + 'a {
@@ -226,7 +231,7 @@
     }
 
     /// The jobs of a class with an image.
-    pub(super) fn with_image<'a>(
+    pub(in crate::scheduler) fn with_image<'a>(
         &'a self,
         class: &str,
         image: &str,
@@ -241,9 +246,12 @@
     }
 
     /// Counts everything anew and compares; the error names what is wrong.
-    pub(super) fn check(&self) -> Result<(), String> {
-        let listed = |holds: &dyn Fn(&Listed) -> bool| -> BTreeSet<JobId> {
-            let all = self.jobs.iter().filter(|(_, job)| holds(&Listed::of(job)));
+    pub(in crate::scheduler) fn check(&self) -> Result<(), String> {
+        let listed = |holds: &dyn Fn(&JobListing) -> bool| -> BTreeSet<JobId> {
+            let all = self
+                .jobs
+                .iter()
+                .filter(|(_, job)| holds(&JobListing::of(job)));
             all.map(|(id, _)| id.clone()).collect()
         };
         for (name, list, anew) in [
@@ -261,7 +269,7 @@
         let mut used: HashMap<Rc<str>, Resources> = HashMap::new();
         for job in self.jobs.values() {
             let sum = used.entry(job.spec.team.clone()).or_default();
-            sum.add(&job.need.scaled(job.assigns.len() as f64));
+            sum.add(&job.task_request.scaled(job.assignments.len() as f64));
         }
         for (team, kept) in self.teams.all_used() {
             let anew = used.get(team).copied().unwrap_or_default();
--- a/src/scheduler/changes.rs
+++ b/src/scheduler/state/job_watch.rs
@@ -1,16 +1,16 @@
 //! What the job records say has changed: new jobs, cancellations, and records that
 //! changed under the leader.
 
-use super::jobs::StopPlan;
-use super::{Job, Scheduler, SchedulerCall, SchedulerOut, Stage, RETRY_MS};
 use crate::gateway::{JobRecord, JOB_PREFIX};
 use crate::ids::{JobId, Revision};
-use crate::msg::Now;
-use crate::store::{self, Answer, Urgency};
-use crate::wire::{Item, WatchAnswer};
+use crate::kv_client::{self, CallPriority, KvResponse};
+use crate::messages::Now;
+use crate::scheduler::state::job::StopRequest;
+use crate::scheduler::{Job, LeaderStage, Scheduler, SchedulerEffects, SchedulerKvCall, RETRY_MS};
+use crate::wire::{KeyValue, WatchResponse};
 
 impl Scheduler {
-    pub(super) fn learn_job(
+    pub(in crate::scheduler) fn learn_job(
         &mut self,
         now: Now,
         key: &str,
@@ -27,15 +27,15 @@
         };
         let id = record.spec.id.clone();
         // What is over never comes back; this is an old answer.
-        if self.over.contains_key(&id) {
+        if self.finished_jobs.contains_key(&id) {
             return;
         }
         match self.jobs.get_mut(&id) {
             Some(job) => {
-                if version <= job.version {
+                if version <= job.revision {
                     return;
                 }
-                job.version = version;
+                job.revision = version;
                 job.stale = false;
                 if job.cancelled.is_none() {
                     job.cancelled = record.cancelled;
@@ -45,11 +45,11 @@
                 if fresh {
                     log::debug!("job {id} known to the leader");
                 }
-                let job = Job::new(record, version, self.shard_size, now.ms);
+                let job = Job::new(record, version, self.tasks_per_range, now.ms);
                 if job.is_service() {
                     // Stored jobs tell a new leader of arrivals, too.
                     let at = if fresh { now.wall } else { job.submitted };
-                    self.learning.arrived(at, &job.spec);
+                    self.estimates.arrived(at, &job.spec);
                 }
                 if let Some(shape) = job.shape {
                     self.groups.add(&id, shape);
@@ -60,58 +60,70 @@
         }
         self.round_wanted = true;
         self.changed = true;
-        if self.stage == Stage::Active {
+        if self.stage == LeaderStage::Active {
             self.enforce_cancel(now, &id);
         }
     }
 
     /// Stops what a cancelled job still has on machines.
-    pub(super) fn enforce_cancel(&mut self, now: Now, id: &JobId) {
+    pub(in crate::scheduler) fn enforce_cancel(&mut self, now: Now, id: &JobId) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
         if job.cancelled.is_none() {
             return;
         }
-        for assign in job.assigns.values_mut() {
+        for assign in job.assignments.values_mut() {
             let grace_left = assign.stop.is_none_or(|s| s.grace_s > 0);
             if grace_left {
-                assign.stop = Some(StopPlan {
+                assign.stop = Some(StopRequest {
                     grace_s: 0,
                     since_ms: now.ms,
                 });
                 // Its room is about to be free.
                 self.fleet.get_mut(&assign.machine);
-                self.push.insert(assign.machine.clone());
+                self.machines_to_command.insert(assign.machine.clone());
             }
         }
         self.groups.touch(id);
         self.cancel_dependents(now, id);
     }
 
-    pub(super) fn watch(&mut self, now: Now, out: &mut SchedulerOut) {
-        let Some(from) = self.watch_from else {
+    pub(in crate::scheduler) fn watch(&mut self, now: Now, out: &mut SchedulerEffects) {
+        let Some(from) = self.watch_revision else {
             return;
         };
-        if self.stage != Stage::Active || self.watching || now.ms < self.watch_due_ms {
+        if self.stage != LeaderStage::Active || self.watching || now.ms < self.watch_due_ms {
             return;
         }
         self.watching = true;
         let wait = self.lease_ms();
-        let call = store::watch(JOB_PREFIX, from, wait, wait * 2);
-        self.ask(now, Urgency::Leadership, call, 0, SchedulerCall::Watch, out);
+        let call = kv_client::watch(JOB_PREFIX, from, wait, wait * 2);
+        self.ask(
+            now,
+            CallPriority::Leadership,
+            call,
+            0,
+            SchedulerKvCall::Watch,
+            out,
+        );
     }
 
-    pub(super) fn on_watch(&mut self, now: Now, answer: &Answer, out: &mut SchedulerOut) {
+    pub(in crate::scheduler) fn on_watch(
+        &mut self,
+        now: Now,
+        answer: &KvResponse,
+        out: &mut SchedulerEffects,
+    ) {
         self.watching = false;
-        match answer.read::<WatchAnswer>(200) {
+        match answer.read::<WatchResponse>(200) {
             Some(seen) => {
                 for event in seen.events {
                     if let Some(key) = event.put {
-                        self.learn_job(now, &key, event.value, event.version, true);
+                        self.learn_job(now, &key, event.value, event.mod_revision, true);
                     }
                 }
-                self.watch_from = Some(Revision(seen.revision));
+                self.watch_revision = Some(Revision(seen.revision));
             }
             None if answer.status() == Some(410) => {
                 out.resign = Some("the watch fell too far behind");
@@ -121,8 +133,8 @@
     }
 
     /// A peer says that it wrote this job; the watch may be late.
-    pub fn announced(&mut self, now: Now, id: &JobId, out: &mut SchedulerOut) {
-        if self.stage == Stage::Active && !self.jobs.contains(id) {
+    pub fn announced(&mut self, now: Now, id: &JobId, out: &mut SchedulerEffects) {
+        if self.stage == LeaderStage::Active && !self.jobs.contains(id) {
             self.read_job(now, id, out);
         }
     }
@@ -130,8 +142,8 @@
     /// A peer, or this node, has stored a cancellation. Should the state
     /// service go away before the watch tells, the tasks must stop all the
     /// same; stopping them can do no harm.
-    pub fn cancelled(&mut self, now: Now, id: &JobId, out: &mut SchedulerOut) {
-        if self.stage != Stage::Active {
+    pub fn cancelled(&mut self, now: Now, id: &JobId, out: &mut SchedulerEffects) {
+        if self.stage != LeaderStage::Active {
             return;
         }
         let Some(job) = self.jobs.get_mut(id).filter(|j| j.cancelled.is_none()) else {
@@ -144,21 +156,26 @@
         self.read_job(now, id, out);
     }
 
-    pub(super) fn read_job(&mut self, now: Now, id: &JobId, out: &mut SchedulerOut) {
-        let call = store::get(&crate::gateway::job_key(id), 1000);
-        let tag = SchedulerCall::ReadJob(id.clone());
-        self.ask(now, Urgency::Placement, call, 0, tag, out);
+    pub(in crate::scheduler) fn read_job(
+        &mut self,
+        now: Now,
+        id: &JobId,
+        out: &mut SchedulerEffects,
+    ) {
+        let call = kv_client::get(&crate::gateway::job_key(id), 1000);
+        let tag = SchedulerKvCall::ReadJob(id.clone());
+        self.ask(now, CallPriority::Placement, call, 0, tag, out);
     }
 
-    pub(super) fn on_read_job(
+    pub(in crate::scheduler) fn on_read_job(
         &mut self,
         now: Now,
         id: &JobId,
-        answer: &Answer,
-        out: &mut SchedulerOut,
+        answer: &KvResponse,
+        out: &mut SchedulerEffects,
     ) {
-        if let Some(item) = answer.read::<Item>(200) {
-            self.learn_job(now, &item.key, item.value, item.version, true);
+        if let Some(item) = answer.read::<KeyValue>(200) {
+            self.learn_job(now, &item.key, item.value, item.mod_revision, true);
             if let Some(job) = self.jobs.get_mut(id) {
                 job.stale = false;
             }
@@ -171,7 +188,7 @@
 
     /// Jobs whose record changed under us are read until that succeeds, with
     /// pauses: an outage isn't shortened by asking.
-    pub(super) fn read_stale(&mut self, now: Now, out: &mut SchedulerOut) {
+    pub(in crate::scheduler) fn read_stale(&mut self, now: Now, out: &mut SchedulerEffects) {
         if now.ms < self.stale_due_ms {
             return;
         }
--- a/src/scheduler/recovery.rs
+++ b/src/scheduler/state/loading.rs
@@ -1,64 +1,64 @@
 //! A new leader rebuilds its jobs and what each machine may hold from what is
 //! stored.
 
-use super::{
-    parse_shard_key, Scheduler, SchedulerCall, SchedulerOut, ShardRecord, Stage, StoredShard,
-    PLACEMENT_PREFIX, RETRY_MS,
-};
 use crate::cloud::Offer;
-use crate::fleet::{Machine, Phase};
+use crate::fleet::{Machine, MachinePhase};
 use crate::gateway::JOB_PREFIX;
 use crate::ids::{JobId, MachineId, Revision, TaskRef};
-use crate::msg::Now;
+use crate::kv_client::{self, CallPriority, KvResponse};
+use crate::messages::Now;
 use crate::placement::Resources;
-use crate::store::{self, Answer, Urgency};
-use crate::wire::{Item, Items};
-use lilacfork_replicas::record::GroupRecord;
+use crate::scheduler::{
+    parse_placement_key, LeaderStage, PlacementRecord, Scheduler, SchedulerEffects,
+    SchedulerKvCall, StoredPlacement, PLACEMENT_PREFIX, RETRY_MS,
+};
+use crate::wire::{KeyPage, KeyValue};
+use lilacfork_replica_groups::record::GroupRecord;
 use std::rc::Rc;
 
 impl Scheduler {
-    pub(super) fn list(&mut self, now: Now, out: &mut SchedulerOut) {
-        let after = self.list_after.as_deref();
+    pub(in crate::scheduler) fn list(&mut self, now: Now, out: &mut SchedulerEffects) {
+        let after = self.list_cursor.as_deref();
         let (prefix, tag) =
-            if self.watch_from.is_none() || after.is_some_and(|a| a.starts_with(JOB_PREFIX)) {
-                (JOB_PREFIX, SchedulerCall::ListJobs)
+            if self.watch_revision.is_none() || after.is_some_and(|a| a.starts_with(JOB_PREFIX)) {
+                (JOB_PREFIX, SchedulerKvCall::ListJobs)
             } else {
-                (PLACEMENT_PREFIX, SchedulerCall::ListPlacements)
+                (PLACEMENT_PREFIX, SchedulerKvCall::ListPlacements)
             };
-        let call = store::list(prefix, after, 2000);
-        self.ask(now, Urgency::Leadership, call, 0, tag, out);
+        let call = kv_client::list(prefix, after, 2000);
+        self.ask(now, CallPriority::Leadership, call, 0, tag, out);
     }
 
-    pub(super) fn on_list(
+    pub(in crate::scheduler) fn on_list(
         &mut self,
         now: Now,
-        what: SchedulerCall,
-        answer: &Answer,
-        out: &mut SchedulerOut,
+        what: SchedulerKvCall,
+        answer: &KvResponse,
+        out: &mut SchedulerEffects,
     ) {
-        let Some(items) = answer.read::<Items>(200) else {
+        let Some(items) = answer.read::<KeyPage>(200) else {
             // Away for now; the lease decides whether we get to retry.
             self.list_retry_ms = Some(now.ms + RETRY_MS);
             return;
         };
         let last = items.items.last().map(|i| i.key.clone());
-        if what == SchedulerCall::ListJobs {
-            self.watch_from.get_or_insert(Revision(items.revision));
+        if what == SchedulerKvCall::ListJobs {
+            self.watch_revision.get_or_insert(Revision(items.revision));
             for item in items.items {
-                self.learn_job(now, &item.key, item.value, item.version, false);
+                self.learn_job(now, &item.key, item.value, item.mod_revision, false);
             }
         } else {
             for item in items.items {
                 self.restore(now, item);
             }
         }
-        self.list_after = if items.more { last } else { None };
-        if items.more || what == SchedulerCall::ListJobs {
+        self.list_cursor = if items.more { last } else { None };
+        if items.more || what == SchedulerKvCall::ListJobs {
             self.list(now, out);
             return;
         }
         self.restore_job(now);
-        self.stage = Stage::Active;
+        self.stage = LeaderStage::Active;
         self.round_wanted = true;
         self.changed = true;
         self.needs_after_loading(now);
@@ -77,11 +77,15 @@
     }
 
     /// Takes a placement record in. All of a job's come one after the other.
-    fn restore(&mut self, now: Now, item: Item) {
-        let Some((id, name)) = parse_shard_key(&item.key) else {
+    fn restore(&mut self, now: Now, item: KeyValue) {
+        let Some((id, name)) = parse_placement_key(&item.key) else {
             return;
         };
-        if self.half_read.as_ref().is_some_and(|read| read.job != id) {
+        if self
+            .partial_load
+            .as_ref()
+            .is_some_and(|read| read.job != id)
+        {
             self.restore_job(now);
         }
         let Some(job) = self.jobs.get_mut(&id) else {
@@ -89,29 +93,29 @@
             self.cleanup.push(item.key);
             return;
         };
-        let record = serde_json::from_value::<ShardRecord>(item.value);
+        let record = serde_json::from_value::<PlacementRecord>(item.value);
         let (Some(name), Ok(record)) = (name, record) else {
             log::error!("placement record {} can't be read, its job waits", item.key);
             job.unreadable = true;
             return;
         };
-        let read = self.half_read.get_or_insert_with(|| HalfRead {
+        let read = self.partial_load.get_or_insert_with(|| PartialLoad {
             job: id,
             records: Vec::new(),
         });
-        read.records.push(StoredShard {
+        read.records.push(StoredPlacement {
             name,
-            version: item.version,
+            revision: item.mod_revision,
             record,
         });
     }
 
     /// All placement records of a job are read.
     fn restore_job(&mut self, now: Now) {
-        let Some(HalfRead {
+        let Some(PartialLoad {
             job: id,
             mut records,
-        }) = self.half_read.take()
+        }) = self.partial_load.take()
         else {
             return;
         };
@@ -127,11 +131,11 @@
             log::error!("placement records of {id} don't fit it, it waits");
         }
         let tasks: Vec<(TaskRef, MachineId, Rc<str>)> = job
-            .assigns
+            .assignments
             .iter()
             .map(|(task, a)| (job.task(*task), a.machine.clone(), a.zone.clone()))
             .collect();
-        let need = job.need;
+        let need = job.task_request;
         self.restore_groups(now, &id, groups);
         for (task, machine, zone) in tasks {
             // Until it reports or is listed, all that is known is its zone.
@@ -144,7 +148,7 @@
                 };
                 let id = machine.clone();
                 let mut m = Machine::new(id, offer, Resources::default(), 0.0, term, now.ms);
-                m.phase = Phase::Up;
+                m.phase = MachinePhase::Up;
                 m
             });
             machine.assign(task, &need);
@@ -154,7 +158,7 @@
 
 /// Placement records of one job, as far as they are read.
 #[derive(Debug)]
-pub(super) struct HalfRead {
+pub(in crate::scheduler) struct PartialLoad {
     job: JobId,
-    records: Vec<StoredShard>,
+    records: Vec<StoredPlacement>,
 }
--- /dev/null
+++ b/src/scheduler/state/mod.rs
@@ -0,0 +1,10 @@
+//! What the leader holds of jobs, and how it is loaded, watched and stored.
+
+pub(super) mod commit;
+pub(super) mod job;
+pub(super) mod job_table;
+pub(super) mod job_watch;
+pub(super) mod loading;
+pub(super) mod placement_ranges;
+pub(super) mod quotas;
+pub(super) mod transaction;
--- a/src/scheduler/shards.rs
+++ b/src/scheduler/state/placement_ranges.rs
@@ -5,9 +5,9 @@
 //! both stand, the finer one holds for its tasks, so a leader may find any step of
 //! this and reads the same facts.
 
-use crate::ids::{Attempt, JobId, MachineId, Session};
-use crate::msg::Now;
-use lilacfork_replicas::record::GroupRecord;
+use crate::ids::{AgentEpoch, Attempt, JobId, MachineId};
+use crate::messages::Now;
+use lilacfork_replica_groups::record::GroupRecord;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::ops::Range;
@@ -32,7 +32,7 @@
 
 /// Which tasks a record is for.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum ShardName {
+pub enum RangeName {
     /// The range of this number in the cut into equal ranges.
     Uniform(u32),
     /// The tasks from the first to the last, whatever else stands.
@@ -45,26 +45,26 @@
 }
 
 /// The key of a placement record.
-pub fn shard_key(id: &JobId, name: ShardName) -> String {
+pub fn placement_key(id: &JobId, name: RangeName) -> String {
     match name {
-        ShardName::Uniform(number) => format!("{PLACEMENT_PREFIX}{id}/{number}"),
-        ShardName::Tasks { first, last } => format!("{PLACEMENT_PREFIX}{id}/{first}-{last}"),
+        RangeName::Uniform(number) => format!("{PLACEMENT_PREFIX}{id}/{number}"),
+        RangeName::Tasks { first, last } => format!("{PLACEMENT_PREFIX}{id}/{first}-{last}"),
     }
 }
 
 /// The job that a placement record's key names, and which record it is; `None`
 /// inside: one of a form that this version doesn't know.
-pub fn parse_shard_key(key: &str) -> Option<(JobId, Option<ShardName>)> {
+pub fn parse_placement_key(key: &str) -> Option<(JobId, Option<RangeName>)> {
     let (job, name) = key.strip_prefix(PLACEMENT_PREFIX)?.split_once('/')?;
     Some((JobId::new(job), parse_name(name)))
 }
 
-fn parse_name(name: &str) -> Option<ShardName> {
+fn parse_name(name: &str) -> Option<RangeName> {
     match name.split_once('-') {
-        None => Some(ShardName::Uniform(name.parse().ok()?)),
+        None => Some(RangeName::Uniform(name.parse().ok()?)),
         Some((first, last)) => {
             let (first, last) = (first.parse().ok()?, last.parse().ok()?);
-            (first <= last).then_some(ShardName::Tasks { first, last })
+            (first <= last).then_some(RangeName::Tasks { first, last })
         }
     }
 }
@@ -72,7 +72,7 @@
 /// A task that may be on a machine, as it is stored.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 #[serde(from = "RowFields", into = "RowFields")]
-pub struct Row {
+pub struct AssignmentRow {
     /// The task's number.
     pub task: u32,
     /// Its attempt.
@@ -80,34 +80,40 @@
     /// The machine.
     pub machine: MachineId,
     /// The machine's session when the task was bound to it.
-    pub session: Session,
+    pub agent_epoch: AgentEpoch,
     /// The machine's zone, by its place in the settings.
     pub zone: u32,
 }
 
-type RowFields = (u32, Attempt, MachineId, Session, u32);
+type RowFields = (u32, Attempt, MachineId, AgentEpoch, u32);
 
-impl From<RowFields> for Row {
-    fn from((task, attempt, machine, session, zone): RowFields) -> Row {
-        Row {
+impl From<RowFields> for AssignmentRow {
+    fn from((task, attempt, machine, session, zone): RowFields) -> AssignmentRow {
+        AssignmentRow {
             task,
             attempt,
             machine,
-            session,
+            agent_epoch: session,
             zone,
         }
     }
 }
 
-impl From<Row> for RowFields {
-    fn from(row: Row) -> RowFields {
-        (row.task, row.attempt, row.machine, row.session, row.zone)
+impl From<AssignmentRow> for RowFields {
+    fn from(row: AssignmentRow) -> RowFields {
+        (
+            row.task,
+            row.attempt,
+            row.machine,
+            row.agent_epoch,
+            row.zone,
+        )
     }
 }
 
 /// The placement record of a range of a job's tasks.
 #[derive(Clone, PartialEq, Debug, Default, Serialize, Deserialize)]
-pub struct ShardRecord {
+pub struct PlacementRecord {
     /// The next attempt; attempts are never reused within a shard.
     #[serde(rename = "n")]
     pub next: Attempt,
@@ -123,7 +129,7 @@
     pub done: String,
     /// The tasks that may be on a machine.
     #[serde(rename = "a", default, skip_serializing_if = "Vec::is_empty")]
-    pub assigned: Vec<Row>,
+    pub assigned: Vec<AssignmentRow>,
     /// Failed probes of a job that fails everywhere, plus one; 0: it doesn't.
     #[serde(rename = "f", default, skip_serializing_if = "is_zero")]
     pub failures: u32,
@@ -136,7 +142,7 @@
     *count == 0
 }
 
-impl ShardRecord {
+impl PlacementRecord {
     /// What it takes at the most when stored.
     pub fn most_bytes(&self) -> usize {
         let targets = self.groups.iter().flat_map(|g| &g.intent);
@@ -214,13 +220,13 @@
 
 /// One record of a job's placements, as its leader keeps it.
 #[derive(Clone, Debug)]
-pub struct Shard {
+pub struct PlacementRange {
     /// Which record it is.
-    pub name: ShardName,
+    pub name: RangeName,
     /// The tasks that its name says, some of which finer records may hold.
     span: Range<u32>,
     /// Version of the stored record; 0: none.
-    pub version: u64,
+    pub revision: u64,
     /// The next attempt of its tasks.
     pub next: Attempt,
     /// Something has to be written; since when.
@@ -229,12 +235,12 @@
     pub urgent: bool,
 }
 
-impl Shard {
-    fn new(name: ShardName, span: Range<u32>) -> Shard {
-        Shard {
+impl PlacementRange {
+    fn new(name: RangeName, span: Range<u32>) -> PlacementRange {
+        PlacementRange {
             name,
             span,
-            version: 0,
+            revision: 0,
             next: Attempt::default(),
             dirty_ms: None,
             urgent: false,
@@ -256,24 +262,24 @@
 
 /// All records of a job's placements.
 #[derive(Clone, Debug)]
-pub struct Shards {
+pub struct PlacementRanges {
     tasks: u32,
     uniform: u32,
-    shards: Vec<Shard>,
+    shards: Vec<PlacementRange>,
     /// Where each stretch of tasks begins, and which shard holds it.
     stretches: BTreeMap<u32, usize>,
 }
 
-impl Shards {
+impl PlacementRanges {
     /// So many tasks cut into ranges of equal length.
-    pub fn new(tasks: u32, uniform: u32) -> Shards {
+    pub fn new(tasks: u32, uniform: u32) -> PlacementRanges {
         let count = tasks.div_ceil(uniform);
         let span = |number: u32| number * uniform..((number + 1) * uniform).min(tasks);
-        Shards {
+        PlacementRanges {
             tasks,
             uniform,
             shards: (0..count)
-                .map(|n| Shard::new(ShardName::Uniform(n), span(n)))
+                .map(|n| PlacementRange::new(RangeName::Uniform(n), span(n)))
                 .collect(),
             stretches: (0..count).map(|n| (n * uniform, n as usize)).collect(),
         }
@@ -285,7 +291,7 @@
     }
 
     /// All records, by number.
-    pub fn iter(&self) -> impl Iterator<Item = &Shard> {
+    pub fn iter(&self) -> impl Iterator<Item = &PlacementRange> {
         self.shards.iter()
     }
 
@@ -300,12 +306,12 @@
     }
 
     /// The record of this number.
-    pub fn get(&self, number: usize) -> Option<&Shard> {
+    pub fn get(&self, number: usize) -> Option<&PlacementRange> {
         self.shards.get(number)
     }
 
     /// The record of this number, to be changed.
-    pub fn get_mut(&mut self, number: usize) -> Option<&mut Shard> {
+    pub fn get_mut(&mut self, number: usize) -> Option<&mut PlacementRange> {
         self.shards.get_mut(number)
     }
 
@@ -316,7 +322,7 @@
     }
 
     /// The record that holds a task, to be changed.
-    pub fn holding_mut(&mut self, task: u32) -> Option<&mut Shard> {
+    pub fn holding_mut(&mut self, task: u32) -> Option<&mut PlacementRange> {
         let number = self.holding(task)?;
         self.shards.get_mut(number)
     }
@@ -352,11 +358,11 @@
         }
         let after = self.holding(tasks.end);
         let number = self.shards.len();
-        let name = ShardName::Tasks {
+        let name = RangeName::Tasks {
             first: tasks.start,
             last: tasks.end - 1,
         };
-        self.shards.push(Shard::new(name, tasks.clone()));
+        self.shards.push(PlacementRange::new(name, tasks.clone()));
         self.stretches.retain(|start, _| !tasks.contains(start));
         self.stretches.insert(tasks.start, number);
         if let Some(holder) = after {
--- a/src/scheduler/teams.rs
+++ b/src/scheduler/state/quotas.rs
@@ -14,7 +14,7 @@
 
 /// One team's part.
 #[derive(Debug, Default)]
-struct TeamBook {
+struct TeamAccount {
     /// Its tasks that may be on machines.
     tasks: u64,
     /// What they take together.
@@ -29,8 +29,8 @@
 
 /// All teams' parts.
 #[derive(Debug, Default)]
-pub(super) struct TeamBooks {
-    teams: HashMap<Rc<str>, TeamBook>,
+pub(in crate::scheduler) struct TeamAccounts {
+    teams: HashMap<Rc<str>, TeamAccount>,
 }
 
 /// Whether amounts stay below bounds of which 0 means none.
@@ -39,13 +39,13 @@
     fits(used.cpus, cpus_most) && fits(used.gpus, gpus_most)
 }
 
-impl TeamBooks {
-    fn team(&mut self, name: &Rc<str>) -> &mut TeamBook {
+impl TeamAccounts {
+    fn team(&mut self, name: &Rc<str>) -> &mut TeamAccount {
         self.teams.entry(name.clone()).or_default()
     }
 
     /// So many tasks of a job were placed, before and now.
-    pub(super) fn set_tasks(
+    pub(in crate::scheduler) fn set_tasks(
         &mut self,
         team: &Rc<str>,
         need: &Resources,
@@ -59,12 +59,17 @@
             book.used = Resources::default();
             return;
         }
-        book.used.take(&need.scaled(before as f64));
+        book.used.subtract(&need.scaled(before as f64));
         book.used.add(&need.scaled(now as f64));
     }
 
     /// What a job has left to run; `None`: it needs no guarantee any more.
-    pub(super) fn set_left(&mut self, team: &Rc<str>, job: Submission, left: Option<Resources>) {
+    pub(in crate::scheduler) fn set_left(
+        &mut self,
+        team: &Rc<str>,
+        job: Submission,
+        left: Option<Resources>,
+    ) {
         let book = self.team(team);
         book.changed = true;
         match left {
@@ -74,7 +79,7 @@
     }
 
     /// What the team's tasks may be using.
-    pub(super) fn used(&self, team: &str) -> Resources {
+    pub(in crate::scheduler) fn used(&self, team: &str) -> Resources {
         self.teams
             .get(team)
             .map_or(Resources::default(), |book| book.used)
@@ -82,7 +87,7 @@
 
     /// Whether a job fits into its team's guarantee together with the team's
     /// earlier unfinished ones.
-    pub(super) fn is_within(
+    pub(in crate::scheduler) fn is_within(
         &mut self,
         settings: &Settings,
         team: &str,
@@ -102,12 +107,12 @@
     }
 
     /// What each team uses, for tests that count everything anew.
-    pub(super) fn all_used(&self) -> impl Iterator<Item = (&Rc<str>, &Resources)> {
+    pub(in crate::scheduler) fn all_used(&self) -> impl Iterator<Item = (&Rc<str>, &Resources)> {
         self.teams.iter().map(|(name, book)| (name, &book.used))
     }
 }
 
-impl TeamBook {
+impl TeamAccount {
     fn find_last_within(&mut self, guarantee: &Team, examined: &mut u64) {
         let mut sum = Resources::default();
         self.last_within = None;
@@ -123,7 +128,7 @@
 }
 
 /// Whether the team may take one more such task.
-pub(super) fn quota_allows(
+pub(in crate::scheduler) fn within_quota(
     settings: &Settings,
     team: &str,
     used: &Resources,
--- a/src/scheduler/batch.rs
+++ b/src/scheduler/state/transaction.rs
@@ -1,60 +1,60 @@
 //! One guarded transaction of the leader's, put together: ends of jobs and
 //! placements, most important first, as many as the limits allow.
 
-use super::jobs::Job;
-use super::shards::{shard_key, ShardRecord};
-use super::Scheduler;
 use crate::election::LEADER_KEY;
-use crate::gateway::{final_key, job_key, Final, FinalRecord};
+use crate::gateway::{final_key, job_key, FinalRecord, FinalState};
 use crate::ids::{Attempt, JobId, Revision};
-use crate::limits::{Limits, RequestSize};
-use crate::msg::Now;
+use crate::limits::{RequestSize, StoreLimits};
+use crate::messages::Now;
+use crate::scheduler::state::job::Job;
+use crate::scheduler::state::placement_ranges::{placement_key, PlacementRecord};
+use crate::scheduler::Scheduler;
 use crate::wire::Txn;
-use lilacfork_replicas::groups::Groups;
-use lilacfork_replicas::record::GroupRecord;
+use lilacfork_replica_groups::record::GroupRecord;
+use lilacfork_replica_groups::registry::ReplicaGroups;
 
 /// Room for headers and guards below the protocol's 64 KiB.
 const TXN_BYTES: usize = 52 * 1024;
 /// A job's end takes two changes: one record comes, one goes.
-pub(super) const FINAL_CHANGES: usize = 2;
+pub(in crate::scheduler) const FINAL_CHANGES: usize = 2;
 /// What a job's end takes of a transaction, in bytes, generously.
 const FINAL_BYTES: usize = 200;
 
 /// A placement record in a transaction.
 #[derive(Debug)]
-pub(super) struct ShardWrite {
-    pub(super) job: JobId,
+pub(in crate::scheduler) struct PlacementWrite {
+    pub(in crate::scheduler) job: JobId,
     /// The record's number within its job.
-    pub(super) shard: usize,
-    pub(super) assigned: Vec<(u32, Attempt)>,
-    pub(super) ended: Vec<(u32, Attempt)>,
-    pub(super) groups: Vec<GroupRecord>,
+    pub(in crate::scheduler) shard: usize,
+    pub(in crate::scheduler) assigned: Vec<(u32, Attempt)>,
+    pub(in crate::scheduler) ended: Vec<(u32, Attempt)>,
+    pub(in crate::scheduler) groups: Vec<GroupRecord>,
 }
 
 /// A transaction of the leader's, and what is true once it is stored.
 #[derive(Debug)]
-pub(super) struct Batch {
-    pub(super) write: u64,
-    pub(super) txn: Txn,
-    pub(super) shards: Vec<ShardWrite>,
-    pub(super) finished: Vec<(JobId, Final)>,
+pub(in crate::scheduler) struct PendingTransaction {
+    pub(in crate::scheduler) write: u64,
+    pub(in crate::scheduler) txn: Txn,
+    pub(in crate::scheduler) shards: Vec<PlacementWrite>,
+    pub(in crate::scheduler) finished: Vec<(JobId, FinalState)>,
     /// Placements of jobs that are over once this is stored.
-    pub(super) litter: Vec<String>,
+    pub(in crate::scheduler) litter: Vec<String>,
     /// Key whose value names this write, if it was carried out.
-    pub(super) witness: String,
-    pub(super) sent: bool,
-    pub(super) unclear: bool,
-    pub(super) failed: Vec<String>,
-    pub(super) due_ms: u64,
+    pub(in crate::scheduler) witness: String,
+    pub(in crate::scheduler) sent: bool,
+    pub(in crate::scheduler) unclear: bool,
+    pub(in crate::scheduler) failed: Vec<String>,
+    pub(in crate::scheduler) due_ms: u64,
     /// Its size, roughly.
     bytes: usize,
 }
 
-impl Batch {
-    fn new(write: u64, leader_key: Revision) -> Batch {
-        Batch {
+impl PendingTransaction {
+    fn new(write: u64, leader_key: Revision) -> PendingTransaction {
+        PendingTransaction {
             write,
-            txn: Txn::default().guard(LEADER_KEY, leader_key.0),
+            txn: Txn::default().compare(LEADER_KEY, leader_key.0),
             shards: Vec::new(),
             finished: Vec::new(),
             litter: Vec::new(),
@@ -68,12 +68,12 @@
     }
 
     /// How large it is.
-    pub(super) fn size(&self) -> RequestSize {
+    pub(in crate::scheduler) fn size(&self) -> RequestSize {
         RequestSize::of(&self.txn)
     }
 
     /// The jobs that it writes of.
-    pub(super) fn jobs(&self) -> Vec<JobId> {
+    pub(in crate::scheduler) fn jobs(&self) -> Vec<JobId> {
         let finished = self.finished.iter().map(|(id, _)| id);
         let mut jobs: Vec<JobId> = finished.cloned().collect();
         jobs.extend(self.shards.iter().map(|w| w.job.clone()));
@@ -85,7 +85,7 @@
         self.txn.writes.len() + changes <= most && self.bytes <= TXN_BYTES
     }
 
-    fn add_end(&mut self, now: Now, job: &mut Job, state: Final) {
+    fn add_end(&mut self, now: Now, job: &mut Job, state: FinalState) {
         let id = job.spec.id.clone();
         let record = FinalRecord {
             state,
@@ -95,39 +95,39 @@
         };
         let value = serde_json::to_value(record).unwrap_or_default();
         self.txn = std::mem::take(&mut self.txn)
-            .guard(job_key(&id), job.version)
+            .compare(job_key(&id), job.revision)
             .put(final_key(&id), value)
             .delete(job_key(&id));
         if self.witness.is_empty() {
             self.witness = final_key(&id);
         }
-        let stored = job.shards.iter().filter(|shard| shard.version > 0);
-        let keys = stored.map(|shard| shard_key(&id, shard.name));
+        let stored = job.placements.iter().filter(|shard| shard.revision > 0);
+        let keys = stored.map(|shard| placement_key(&id, shard.name));
         self.litter.extend(keys);
         job.finishing = true;
         self.finished.push((id, state));
         self.bytes += FINAL_BYTES;
     }
 
-    fn add_shard(&mut self, job: &mut Job, number: usize, record: ShardRecord, first: bool) {
+    fn add_shard(&mut self, job: &mut Job, number: usize, record: PlacementRecord, first: bool) {
         let id = job.spec.id.clone();
-        let stretches = job.shards.tasks_of(number);
-        let ended = job.unstored.iter();
+        let stretches = job.placements.tasks_of(number);
+        let ended = job.unstored_ends.iter();
         let ended = ended.filter(|(task, _)| stretches.iter().any(|s| s.contains(task)));
         let ended = ended.copied().collect();
-        let Some(shard) = job.shards.get_mut(number) else {
+        let Some(shard) = job.placements.get_mut(number) else {
             return;
         };
         shard.dirty_ms = None;
         shard.urgent = false;
-        let key = shard_key(&id, shard.name);
+        let key = placement_key(&id, shard.name);
         self.bytes += record.most_bytes();
         let mut txn = std::mem::take(&mut self.txn);
         if first {
             // Whoever cancelled the job meanwhile wins.
-            txn = txn.guard(job_key(&id), job.version);
+            txn = txn.compare(job_key(&id), job.revision);
         }
-        self.shards.push(ShardWrite {
+        self.shards.push(PlacementWrite {
             job: id,
             shard: number,
             assigned: record
@@ -140,7 +140,7 @@
         });
         let value = serde_json::to_value(record).unwrap_or_default();
         self.txn = txn
-            .guard(key.clone(), shard.version)
+            .compare(key.clone(), shard.revision)
             .put(key.clone(), value);
         if self.witness.is_empty() {
             self.witness = key;
@@ -153,12 +153,12 @@
     job: &Job,
     number: usize,
     write: u64,
-    groups: &Groups,
+    groups: &ReplicaGroups,
     zones: &[String],
-) -> ShardRecord {
+) -> PlacementRecord {
     let mut record = job.record(number, write, zones);
     if let Some(groups) = groups.get(&job.spec.id) {
-        let stretches = job.shards.tasks_of(number);
+        let stretches = job.placements.tasks_of(number);
         record.groups = stretches
             .into_iter()
             .flat_map(|s| groups.records(s))
@@ -169,17 +169,23 @@
 
 /// Cuts a job's due records until each is taken by the state service, or can't be
 /// cut any further.
-fn cut_to_size(job: &mut Job, due: impl Fn(&Job, usize) -> bool, groups: &Groups, limits: &Limits) {
+fn cut_to_size(
+    job: &mut Job,
+    due: impl Fn(&Job, usize) -> bool,
+    groups: &ReplicaGroups,
+    limits: &StoreLimits,
+) {
     let mut number = 0;
-    while number < job.shards.len() {
-        let may_not_fit = job.shape.is_some() || job.shards.most_bytes(number) > limits.value_bytes;
+    while number < job.placements.len() {
+        let may_not_fit =
+            job.shape.is_some() || job.placements.most_bytes(number) > limits.value_bytes;
         if may_not_fit && due(job, number) {
             // Zones take one digit or two: their numbers don't matter here.
             let record = record_of(job, number, u64::MAX, groups, &[]);
             if !record.fits(limits.value_bytes) {
                 let most = record.tasks_that_fit(limits.value_bytes);
                 let unit = job.inseparable();
-                if job.shards.split(number, most, unit) {
+                if job.placements.split(number, most, unit) {
                     log::info!("job {}: a placement record is cut", job.spec.id);
                 }
             }
@@ -190,18 +196,18 @@
 
 impl Scheduler {
     /// Puts together what is to be written next; `None`: nothing.
-    pub(super) fn build_batch(
+    pub(in crate::scheduler) fn build_transaction(
         &mut self,
         now: Now,
         jobs: Vec<JobId>,
         max_ops: usize,
-    ) -> Option<Batch> {
+    ) -> Option<PendingTransaction> {
         let leisure_ms = self.leisure_ms();
         self.writes += 1;
         let write = (self.term.0 << 32) | self.writes;
-        let mut batch = Batch::new(write, Revision(self.key_version));
+        let mut batch = PendingTransaction::new(write, Revision(self.leader_key_revision));
         let due = |job: &Job, number: usize| {
-            let shard = job.shards.get(number);
+            let shard = job.placements.get(number);
             shard.is_some_and(|shard| shard.due(now, leisure_ms))
         };
         // What doesn't fit waits for the next one.
@@ -218,7 +224,7 @@
             }
             cut_to_size(job, due, &self.groups, &self.limits);
             let mut first = true;
-            for number in 0..job.shards.len() {
+            for number in 0..job.placements.len() {
                 if !batch.takes(1, max_ops) {
                     break;
                 }
--- a/src/scheduler/commands.rs
+++ b/src/scheduler/workers/direct_commands.rs
@@ -1,22 +1,22 @@
 //! Commands that go straight to workers, and reports that followers pass on.
 
-use super::reports::Via;
-use super::{Scheduler, SchedulerOut, Stage, WorkerCall};
-use crate::ids::{MachineId, Token};
-use crate::msg::{Call, Now, Outcome, Target};
-use crate::wire::{Command, DirectCommands, Report, WORKER_COMMANDS};
+use crate::ids::{FencingToken, MachineId};
+use crate::messages::{Call, CallResult, Destination, Now};
+use crate::scheduler::workers::heartbeats::HeartbeatSource;
+use crate::scheduler::{LeaderStage, Scheduler, SchedulerEffects, WorkerCommandCall};
+use crate::wire::{Command, DirectCommands, WorkerHeartbeat, WORKER_COMMANDS_PATH};
 
 impl Scheduler {
     /// Sends commands straight to the workers that have something to do.
-    pub(super) fn push_commands(&mut self, now: Now, out: &mut SchedulerOut) {
-        for id in std::mem::take(&mut self.push) {
+    pub(in crate::scheduler) fn push_commands(&mut self, now: Now, out: &mut SchedulerEffects) {
+        for id in std::mem::take(&mut self.machines_to_command) {
             let Some(machine) = self.fleet.get(&id) else {
                 continue;
             };
             let Some(address) = machine.address.clone() else {
                 continue;
             };
-            if machine.calling {
+            if machine.command_in_flight {
                 // After the answer it looks again.
                 continue;
             }
@@ -25,53 +25,58 @@
         }
     }
 
-    pub(super) fn send_commands(
+    pub(in crate::scheduler) fn send_commands(
         &mut self,
         id: MachineId,
         address: String,
         commands: &[Command],
-        out: &mut SchedulerOut,
+        out: &mut SchedulerEffects,
     ) {
-        let timeout_ms = self.report_ms() * 2;
+        let timeout_ms = self.heartbeat_interval_ms() * 2;
         let Some(machine) = self.fleet.get_mut(&id) else {
             return;
         };
         // Without commands the token alone is news to a worker that hasn't
         // seen it.
-        if commands.is_empty() && machine.evidence {
+        if commands.is_empty() && machine.fenced {
             return;
         }
-        machine.calling = true;
+        machine.command_in_flight = true;
         let body = DirectCommands {
-            token: machine.token,
-            session: machine.session,
+            fencing_token: machine.fencing_token,
+            agent_epoch: machine.agent_epoch,
             commands,
         };
         let call = Call {
-            target: Target::Worker(address),
+            target: Destination::Worker(address),
             method: "POST",
-            path: WORKER_COMMANDS.to_string(),
+            path: WORKER_COMMANDS_PATH.to_string(),
             body: serde_json::to_vec(&body).unwrap_or_default(),
             timeout_ms,
         };
-        out.workers.push((WorkerCall { machine: id }, call));
+        out.workers.push((WorkerCommandCall { machine: id }, call));
     }
 
     /// A report that a follower has answered for us: our commands go straight
     /// to the worker.
-    pub fn forwarded(&mut self, now: Now, report: &Report, out: &mut SchedulerOut) {
-        if self.stage != Stage::Active {
+    pub fn forwarded_heartbeat(
+        &mut self,
+        now: Now,
+        report: &WorkerHeartbeat,
+        out: &mut SchedulerEffects,
+    ) {
+        if self.stage != LeaderStage::Active {
             return;
         }
-        let fresh = self.take_report(now, report, Via::Report, out);
-        if !fresh || report.token.term() != self.term {
+        let fresh = self.apply_heartbeat(now, report, HeartbeatSource::Report, out);
+        if !fresh || report.fencing_token.term() != self.term {
             return;
         }
         let id = MachineId::new(&report.machine);
         let address = self
             .fleet
             .get(&id)
-            .filter(|m| !m.calling)
+            .filter(|m| !m.command_in_flight)
             .and_then(|m| m.address.clone());
         if let Some(address) = address {
             let commands = self.commands_for(now, &id, Some(report), out);
@@ -83,30 +88,30 @@
     pub fn worker_answered(
         &mut self,
         now: Now,
-        call: WorkerCall,
-        outcome: Outcome,
-        out: &mut SchedulerOut,
+        call: WorkerCommandCall,
+        outcome: CallResult,
+        out: &mut SchedulerEffects,
     ) {
-        if self.stage != Stage::Active {
+        if self.stage != LeaderStage::Active {
             return;
         }
         if let Some(machine) = self.fleet.get_mut(&call.machine) {
-            machine.calling = false;
+            machine.command_in_flight = false;
         }
         // Both 200 and 409 carry the worker's report.
         if let Ok((200 | 409, body)) = outcome {
-            match serde_json::from_slice::<Report>(&body) {
+            match serde_json::from_slice::<WorkerHeartbeat>(&body) {
                 Ok(report) => {
-                    self.take_report(now, &report, Via::Answer, out);
+                    self.apply_heartbeat(now, &report, HeartbeatSource::Answer, out);
                 }
                 Err(e) => log::debug!("answer of {}: {e}", call.machine),
             }
         }
     }
 
-    pub(super) fn token_of(&self, id: &MachineId) -> Token {
+    pub(in crate::scheduler) fn token_of(&self, id: &MachineId) -> FencingToken {
         self.fleet
             .get(id)
-            .map_or(Token::new(self.term, 1), |m| m.token)
+            .map_or(FencingToken::new(self.term, 1), |m| m.fencing_token)
     }
 }
--- a/src/scheduler/health.rs
+++ b/src/scheduler/workers/failure_detection.rs
@@ -1,11 +1,11 @@
 //! Machines that are silent, late, unresponsive or about to be taken away: when they
 //! are given up, and when the silence is more likely a cut or this controller's own.
 
-use super::Scheduler;
-use crate::cloud::Cloud;
-use crate::fleet::{Machine, Phase};
+use crate::cloud::CloudClient;
+use crate::fleet::{Machine, MachinePhase};
 use crate::ids::MachineId;
-use crate::msg::Now;
+use crate::messages::Now;
+use crate::scheduler::Scheduler;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
@@ -21,7 +21,7 @@
 const CUT_CANCEL_SHARE: f64 = 0.9;
 
 /// How silence is judged in a zone.
-struct Silence {
+struct ZoneSilence {
     /// Most of its machines are silent.
     silent: bool,
     limit_ms: u64,
@@ -30,9 +30,9 @@
 
 impl Scheduler {
     /// Looks after every machine and every stop that is due.
-    pub(super) fn check_machines(&mut self, now: Now, cloud: &mut Cloud) {
-        self.fleet.forget_gone(now.ms);
-        self.over.retain(|_, until| now.ms < *until);
+    pub(in crate::scheduler) fn check_machines(&mut self, now: Now, cloud: &mut CloudClient) {
+        self.fleet.forget_released(now.ms);
+        self.finished_jobs.retain(|_, until| now.ms < *until);
         self.jobs.refresh();
         let cancelled: Vec<_> = self.jobs.stopping().iter().cloned().collect();
         for id in &cancelled {
@@ -44,15 +44,15 @@
         let mut give_up = self.late_boots(now);
         let mut drain = Vec::new();
         for machine in self.fleet.iter() {
-            if machine.phase != Phase::Up {
+            if machine.phase != MachinePhase::Up {
                 continue;
             }
             let Some(zone) = silent_ms.get(&machine.offer.zone) else {
                 continue;
             };
             let heard_ms = machine
-                .heard_ms
-                .max(machine.proxied_ms)
+                .last_heartbeat_ms
+                .max(machine.lease_proxied_ms)
                 .max(zone.excused_ms);
             // In an outage followers can't tell whose leases they renew, and
             // nothing could be placed anew in any case.
@@ -66,10 +66,10 @@
                 .is_some_and(|at| now.ms > at + lease_ms)
             {
                 give_up.push((machine.id.clone(), "unresponsive"));
-            } else if machine.notice_until_ms.is_some() && !machine.tasks.is_empty() {
+            } else if machine.reclaim_at_ms.is_some() && !machine.tasks.is_empty() {
                 drain.push(machine.id.clone());
             }
-            let share = if zone.silent && now.ms > machine.heard_ms + lease_ms / 2 {
+            let share = if zone.silent && now.ms > machine.last_heartbeat_ms + lease_ms / 2 {
                 CUT_CANCEL_SHARE.max(self.options.cancel_share)
             } else {
                 self.options.cancel_share
@@ -78,14 +78,14 @@
                 self.jobs.get(&task.job).is_some_and(|job| {
                     job.cancelled.is_some()
                         && job
-                            .assigns
+                            .assignments
                             .get(&task.index)
                             .and_then(|a| a.stop)
                             .is_some_and(|s| now.ms as f64 > s.since_ms as f64 + cancel_ms * share)
                 })
             });
             // Who renews a lease for us stops cancelled tasks itself.
-            let looked_after = now.ms < machine.proxied_ms + lease_ms;
+            let looked_after = now.ms < machine.lease_proxied_ms + lease_ms;
             if overdue && !looked_after {
                 give_up.push((machine.id.clone(), "doesn't stop a cancelled task"));
             }
@@ -93,14 +93,14 @@
         for (id, why) in give_up {
             if let Some(machine) = self.fleet.get_mut(&id) {
                 log::info!("machine {id} given up: {why}");
-                machine.phase = Phase::Releasing;
+                machine.phase = MachinePhase::Releasing;
             }
         }
         for id in drain {
             self.drain(now, &id);
         }
         for machine in self.fleet.iter() {
-            if machine.phase == Phase::Releasing {
+            if machine.phase == MachinePhase::Releasing {
                 cloud.release(machine.id.clone());
             }
         }
@@ -111,7 +111,7 @@
     /// told.
     fn close_silent(&mut self, now: Now) {
         let fresh_ms = self.fresh_ms();
-        let silent = |m: &&Machine| m.is_open() && !m.takes_work(now.ms, fresh_ms);
+        let silent = |m: &&Machine| m.is_schedulable() && !m.accepts_tasks(now.ms, fresh_ms);
         let silent: Vec<MachineId> = self
             .fleet
             .iter()
@@ -132,22 +132,24 @@
         let late: Vec<MachineId> = self
             .fleet
             .iter()
-            .filter(|m| m.phase == Phase::Booting && now.ms > m.heard_ms + listen_ms)
+            .filter(|m| {
+                m.phase == MachinePhase::Booting && now.ms > m.last_heartbeat_ms + listen_ms
+            })
             .filter(|m| {
                 let usual_ms = self.usual_boot_ms(&m.offer) as f64;
-                now.ms > m.rented_ms + (usual_ms * self.options.late_boots) as u64
+                now.ms > m.provisioned_ms + (usual_ms * self.options.late_boots) as u64
             })
             .map(|m| m.id.clone())
             .collect();
         for id in &late {
-            let Some(machine) = self.fleet.get(id).filter(|m| m.own_rental) else {
+            let Some(machine) = self.fleet.get(id).filter(|m| m.provisioned_this_term) else {
                 continue;
             };
             let machine_type = machine.offer.machine_type.clone();
-            let rented_ms = machine.rented_ms;
+            let rented_ms = machine.provisioned_ms;
             let waited_s = (now.ms - rented_ms) as f64 / 1000.0;
             let nominal_s = self.nominal_boot_s(&machine_type);
-            self.learning
+            self.estimates
                 .gave_up_boot(&machine_type, nominal_s, rented_ms, waited_s);
         }
         late.into_iter().map(|id| (id, "never came up")).collect()
@@ -163,29 +165,29 @@
     /// or ours, and returning them all would be the worst answer. After it
     /// they come back one by one: those that are last must not be judged by
     /// the silence that all of them kept.
-    fn silent_limits(&mut self, now: Now) -> BTreeMap<Rc<str>, Silence> {
+    fn silent_limits(&mut self, now: Now) -> BTreeMap<Rc<str>, ZoneSilence> {
         let lease_ms = self.lease_ms();
         let mut zones: BTreeMap<Rc<str>, (u32, u32)> = BTreeMap::new();
         for machine in self.fleet.iter() {
-            if machine.phase == Phase::Up {
+            if machine.phase == MachinePhase::Up {
                 let (all, silent) = zones.entry(machine.offer.zone.clone()).or_default();
                 *all += 1;
-                *silent += u32::from(now.ms > machine.heard_ms + lease_ms / 2);
+                *silent += u32::from(now.ms > machine.last_heartbeat_ms + lease_ms / 2);
             }
         }
         let limit_ms = self.silence_ms();
         let cut_ms = (limit_ms as f64 * CUT_PATIENCE) as u64;
-        let still_ms = self.stood_still_ms;
+        let still_ms = self.last_pause_ms;
         let mut limits = BTreeMap::new();
         for (zone, (all, silent)) in zones {
             let silence = if silent * 2 > all && silent > 2 {
                 self.zones_silent.insert(zone.clone(), now.ms);
-                Silence {
+                ZoneSilence {
                     silent: true,
                     // A controller in there renews its workers' leases for as
                     // long as it may, and what they run lives on.
                     limit_ms: if self.settings.has_controller(&zone) {
-                        cut_ms.max(self.settings.longest_lease_ms())
+                        cut_ms.max(self.settings.max_task_survival_ms())
                     } else {
                         cut_ms
                     },
@@ -194,7 +196,7 @@
                     excused_ms: self.state_failed_ms.unwrap_or(0).max(still_ms),
                 }
             } else {
-                Silence {
+                ZoneSilence {
                     silent: false,
                     limit_ms,
                     excused_ms: self
@@ -210,24 +212,24 @@
 
     /// Nobody was heard for a while, and that was our own fault.
     pub fn excuse_silence(&mut self, now: Now) {
-        self.stood_still_ms = now.ms;
+        self.last_pause_ms = now.ms;
     }
 
     /// Whether none of the workers is heard that report to this leader itself
     /// (`to_us`, by zone). Those that are new to it may be on their way.
     pub fn hears_no_worker(&self, now: Now, to_us: impl Fn(&str) -> bool) -> bool {
-        let patience_ms = (self.report_ms() as f64 * UNREACHABLE_REPORTS) as u64;
+        let patience_ms = (self.heartbeat_interval_ms() as f64 * UNREACHABLE_REPORTS) as u64;
         // Nobody can be heard by a process that stands still.
-        let listening_since_ms = self.elected_ms.max(self.stood_still_ms);
+        let listening_since_ms = self.elected_ms.max(self.last_pause_ms);
         if !self.active() || now.ms < listening_since_ms + patience_ms {
             return false;
         }
         let mut ours = self
             .fleet
             .iter()
-            .filter(|m| m.phase == Phase::Up && to_us(&m.offer.zone))
+            .filter(|m| m.phase == MachinePhase::Up && to_us(&m.offer.zone))
             .peekable();
-        ours.peek().is_some() && ours.all(|m| now.ms > m.heard_ms + patience_ms)
+        ours.peek().is_some() && ours.all(|m| now.ms > m.last_heartbeat_ms + patience_ms)
     }
 
     /// Whether most of a zone's machines are heard, as far as it has any.
@@ -235,9 +237,9 @@
         let heard_since_ms = now.ms.saturating_sub(self.lease_ms() / 2);
         let (mut all, mut heard) = (0, 0);
         for machine in self.fleet.iter() {
-            if machine.phase == Phase::Up && &*machine.offer.zone == zone {
+            if machine.phase == MachinePhase::Up && &*machine.offer.zone == zone {
                 all += 1;
-                heard += usize::from(machine.heard_ms >= heard_since_ms);
+                heard += usize::from(machine.last_heartbeat_ms >= heard_since_ms);
             }
         }
         heard * 2 >= all
--- a/src/scheduler/reports.rs
+++ b/src/scheduler/workers/heartbeats.rs
@@ -1,11 +1,13 @@
 //! Workers' reports: what they prove, and what the workers are told.
 
-use super::{Assign, Scheduler, SchedulerOut, StopPlan};
 use crate::cloud::Offer;
-use crate::fleet::{Machine, Phase};
-use crate::ids::{Attempt, JobId, MachineId, TaskRef, Token};
-use crate::msg::{ConnId, Now, Reply};
-use crate::wire::{Command, EndReason, Report, ReportAnswer, ReportTo, ReportedTask, TaskPhase};
+use crate::fleet::{Machine, MachinePhase};
+use crate::ids::{Attempt, FencingToken, JobId, MachineId, TaskRef};
+use crate::messages::{ConnectionId, Now, Reply};
+use crate::scheduler::{Assignment, Scheduler, SchedulerEffects, StopRequest};
+use crate::wire::{
+    Command, ExitReason, HeartbeatResponse, RedirectTo, TaskPhase, TaskStatus, WorkerHeartbeat,
+};
 use std::collections::HashMap;
 use std::rc::Rc;
 
@@ -22,7 +24,7 @@
 
 /// How a worker's word came.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub(super) enum Via {
+pub(in crate::scheduler) enum HeartbeatSource {
     /// By a report, whose answer renews its lease.
     Report,
     /// With the answer to a direct command: a worker that reaches no controller
@@ -33,25 +35,25 @@
 impl Scheduler {
     /// A worker's report: an answer goes out in any case, and with it the
     /// `stops` of cancelled jobs' tasks, whether or not the job is known yet.
-    pub fn report(
+    pub fn worker_heartbeat(
         &mut self,
         now: Now,
-        conn: ConnId,
-        report: &Report,
+        conn: ConnectionId,
+        report: &WorkerHeartbeat,
         stops: Vec<Command>,
-        out: &mut SchedulerOut,
+        out: &mut SchedulerEffects,
     ) {
-        if report.token.term() > self.term {
+        if report.fencing_token.term() > self.term {
             out.superseded = true;
             out.replies
-                .push((conn, Reply::json(421, &ReportTo { node: None })));
+                .push((conn, Reply::json(421, &RedirectTo { node: None })));
             return;
         }
         let id = MachineId::new(&report.machine);
         let mut commands = Vec::new();
-        if self.active() && !self.fleet.is_gone(&id) {
-            let fresh = self.take_report(now, report, Via::Report, out);
-            if fresh && report.token.term() == self.term {
+        if self.active() && !self.fleet.is_released(&id) {
+            let fresh = self.apply_heartbeat(now, report, HeartbeatSource::Report, out);
+            if fresh && report.fencing_token.term() == self.term {
                 commands = self.commands_for(now, &id, Some(report), out);
             }
         }
@@ -61,28 +63,28 @@
             }
         }
         // A token above ours, or below the worker's, would do no good.
-        let token = self.token_of(&id).max(report.token);
-        let answer = ReportAnswer {
-            token,
+        let token = self.token_of(&id).max(report.fencing_token);
+        let answer = HeartbeatResponse {
+            fencing_token: token,
             commands: &commands,
         };
         out.replies.push((conn, Reply::json(200, &answer)));
     }
 
     /// Learns from a report, however it came. `false`: an old copy.
-    pub(super) fn take_report(
+    pub(in crate::scheduler) fn apply_heartbeat(
         &mut self,
         now: Now,
-        report: &Report,
-        via: Via,
-        out: &mut SchedulerOut,
+        report: &WorkerHeartbeat,
+        via: HeartbeatSource,
+        out: &mut SchedulerEffects,
     ) -> bool {
-        if report.token.term() > self.term {
+        if report.fencing_token.term() > self.term {
             out.superseded = true;
             return false;
         }
         let id = MachineId::new(&report.machine);
-        if self.fleet.is_gone(&id) {
+        if self.fleet.is_released(&id) {
             return false;
         }
         let term = self.term;
@@ -98,23 +100,23 @@
         let Some(machine) = self.fleet.get_mut(&id) else {
             return false;
         };
-        if (report.session, report.seq) <= (machine.session, machine.seq) {
+        if (report.agent_epoch, report.sequence) <= (machine.agent_epoch, machine.sequence) {
             return false;
         }
-        machine.session = report.session;
-        machine.seq = report.seq;
-        if via == Via::Report {
-            machine.heard_ms = now.ms;
+        machine.agent_epoch = report.agent_epoch;
+        machine.sequence = report.sequence;
+        if via == HeartbeatSource::Report {
+            machine.last_heartbeat_ms = now.ms;
         }
         if machine.address.as_deref().unwrap_or_default() != report.address {
             machine.address = Some(report.address.clone()).filter(|a| !a.is_empty());
         }
-        machine.token = machine.token.max(report.token);
-        if machine.phase == Phase::Booting {
-            machine.phase = Phase::Up;
+        machine.fencing_token = machine.fencing_token.max(report.fencing_token);
+        if machine.phase == MachinePhase::Booting {
+            machine.phase = MachinePhase::Up;
             machine.up_ms = Some(now.ms);
             machine.idle_since_ms = Some(now.ms);
-            let took_s = (now.ms - machine.rented_ms) as f64 / 1000.0;
+            let took_s = (now.ms - machine.provisioned_ms) as f64 / 1000.0;
             let machine_type = machine.offer.machine_type.clone();
             log::info!(
                 "machine {id} up type={machine_type} spot={} took_s={took_s:.1}",
@@ -122,29 +124,29 @@
             );
             // One that was up before we led, or turned up by itself, says
             // nothing about boot times.
-            if machine.own_rental {
-                let rented_ms = machine.rented_ms;
+            if machine.provisioned_this_term {
+                let rented_ms = machine.provisioned_ms;
                 let nominal_s = self.nominal_boot_s(&machine_type);
-                self.learning
+                self.estimates
                     .booted(&machine_type, nominal_s, rented_ms, took_s);
             }
             self.round_wanted = true;
         }
         if let Some(machine) = self.fleet.get_mut(&id) {
             let notice = report
-                .notice_s
+                .preemption_notice_s
                 .filter(|s| s.is_finite())
                 .map(|s| now.ms.saturating_add((s.max(0.0) * 1000.0) as u64));
-            if notice.is_some() != machine.notice_until_ms.is_some() {
-                log::info!("machine {id} notice_s={:?}", report.notice_s);
+            if notice.is_some() != machine.reclaim_at_ms.is_some() {
+                log::info!("machine {id} notice_s={:?}", report.preemption_notice_s);
                 self.round_wanted = true;
                 self.check_wanted = true;
             }
-            machine.notice_until_ms = notice;
+            machine.reclaim_at_ms = notice;
             // Without our token the report may be any old one's echo.
-            if report.token.term() == term {
-                self.round_wanted |= !machine.evidence;
-                machine.evidence = true;
+            if report.fencing_token.term() == term {
+                self.round_wanted |= !machine.fenced;
+                machine.fenced = true;
                 self.reconcile(now, &id, report, out);
             }
         }
@@ -152,9 +154,15 @@
     }
 
     /// Compares what is assigned with what the worker has.
-    fn reconcile(&mut self, now: Now, id: &MachineId, report: &Report, out: &mut SchedulerOut) {
-        self.session_over(now, id, report.session);
-        let mut present: HashMap<(&TaskRef, Attempt), &ReportedTask> = report
+    fn reconcile(
+        &mut self,
+        now: Now,
+        id: &MachineId,
+        report: &WorkerHeartbeat,
+        out: &mut SchedulerEffects,
+    ) {
+        self.session_over(now, id, report.agent_epoch);
+        let mut present: HashMap<(&TaskRef, Attempt), &TaskStatus> = report
             .tasks
             .iter()
             .filter_map(|seen| Some(((seen.task.as_ref()?, seen.attempt), seen)))
@@ -163,7 +171,7 @@
             return;
         };
         let assigned: Vec<TaskRef> = machine.tasks.iter().cloned().collect();
-        machine.fetching.clear();
+        machine.pulling_images.clear();
         let mut unheeded = false;
         for task in &assigned {
             let Some(attempt) = self.assigned_attempt(id, task) else {
@@ -171,16 +179,16 @@
             };
             match present.remove(&(task, attempt)) {
                 Some(seen) if seen.phase == TaskPhase::Ended => {
-                    let reason = seen.reason.unwrap_or(EndReason::Other);
+                    let reason = seen.reason.unwrap_or(ExitReason::Other);
                     self.ended(now, id, task, reason);
                 }
                 Some(seen) => self.task_present(now, id, task, seen.phase),
-                None => unheeded |= self.task_absent(now, id, task, report.token, out),
+                None => unheeded |= self.task_absent(now, id, task, report.fencing_token, out),
             }
         }
         let strays = present.values().any(|t| t.phase != TaskPhase::Ended);
         if let Some(machine) = self.fleet.get_mut(id) {
-            machine.strays = strays;
+            machine.has_unassigned_tasks = strays;
             if unheeded {
                 machine.unresponsive_since_ms.get_or_insert(now.ms);
             } else {
@@ -191,7 +199,7 @@
 
     /// The attempt of the task that is assigned to this machine.
     fn assigned_attempt(&self, id: &MachineId, task: &TaskRef) -> Option<Attempt> {
-        let assign = self.jobs.get(&task.job)?.assigns.get(&task.index)?;
+        let assign = self.jobs.get(&task.job)?.assignments.get(&task.index)?;
         (assign.machine == *id).then_some(assign.attempt)
     }
 
@@ -202,15 +210,15 @@
             return;
         };
         let (is_service, spans) = (job.is_service(), job.shape.is_some());
-        let Some(assign) = job.assigns.get_mut(&task.index) else {
+        let Some(assign) = job.assignments.get_mut(&task.index) else {
             return;
         };
-        if phase != TaskPhase::Fetching && assign.running_since_ms.is_none() {
+        if phase != TaskPhase::PullingImage && assign.running_since_ms.is_none() {
             assign.running_since_ms = Some(now.ms);
             let waited_ms = now.wall.saturating_sub(job.ready);
             assign.late = self
                 .settings
-                .start_aim_ms(&job.spec)
+                .start_slo_ms(&job.spec)
                 .is_some_and(|most| waited_ms > most);
             log::info!(
                 "task {task} running attempt={} on {id} waited_ms={waited_ms}",
@@ -230,10 +238,10 @@
                 .is_some_and(|since| now.ms > since + settled_ms);
         let (image, image_gb) = (job.spec.image.clone(), job.spec.image_gb);
         if let Some(machine) = self.fleet.get_mut(id) {
-            if phase == TaskPhase::Fetching {
-                *machine.fetching.entry(image).or_insert(0) += 1;
+            if phase == TaskPhase::PullingImage {
+                *machine.pulling_images.entry(image).or_insert(0) += 1;
             } else {
-                machine.used_image(&image, image_gb);
+                machine.mark_image_used(&image, image_gb);
             }
         }
         if settled {
@@ -248,14 +256,14 @@
         now: Now,
         id: &MachineId,
         task: &TaskRef,
-        reported: Token,
-        out: &mut SchedulerOut,
+        reported: FencingToken,
+        out: &mut SchedulerEffects,
     ) -> bool {
-        let patience_ms = UNRESPONSIVE_REPORTS * self.report_ms();
+        let patience_ms = UNRESPONSIVE_REPORTS * self.heartbeat_interval_ms();
         let assign = self
             .jobs
             .get_mut(&task.job)
-            .and_then(|job| job.assigns.get_mut(&task.index));
+            .and_then(|job| job.assignments.get_mut(&task.index));
         let Some(assign) = assign else {
             return false;
         };
@@ -273,7 +281,11 @@
             (None, _) => true,
             (_, Some(token)) => reported >= token,
             (_, None) => {
-                match self.fleet.get_mut(id).and_then(|m| m.raise_token()) {
+                match self
+                    .fleet
+                    .get_mut(id)
+                    .and_then(|m| m.advance_fencing_token())
+                {
                     Some(token) => assign.absent_proof = Some(token),
                     None => out.resign = Some("tokens used up"),
                 }
@@ -287,14 +299,14 @@
     }
 
     /// The worker says that the attempt is over.
-    fn ended(&mut self, now: Now, id: &MachineId, task: &TaskRef, reason: EndReason) {
+    fn ended(&mut self, now: Now, id: &MachineId, task: &TaskRef, reason: ExitReason) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        let Some(assign) = job.assigns.remove(&task.index) else {
+        let Some(assign) = job.assignments.remove(&task.index) else {
             return;
         };
-        let (need, spans) = (job.need, job.shape.is_some());
+        let (need, spans) = (job.task_request, job.shape.is_some());
         let cancelled = job.cancelled.is_some();
         self.groups.touch_task(&task.job, task.index);
         // Of an inherited task only the end of its run was seen.
@@ -302,13 +314,13 @@
             .running_since_ms
             .filter(|_| !assign.inherited)
             .map(|since| now.ms - since);
-        let slow = reason == EndReason::Done && took_ms.is_some_and(|took| job.ran(took));
+        let slow = reason == ExitReason::Done && took_ms.is_some_and(|took| job.ran(took));
         if let Some(machine) = self.fleet.get_mut(id) {
             machine.unassign(task, &need, now.ms);
             if slow {
                 log::info!("machine {id} runs {task} far too slowly");
                 machine.faults.add(&task.job, true);
-            } else if reason == EndReason::Done {
+            } else if reason == ExitReason::Done {
                 machine.faults.clear();
             }
         }
@@ -322,14 +334,14 @@
             assign.attempt
         );
         // Its worker keeps the result until this is stored.
-        job.unstored.insert((task.index, assign.attempt));
-        if reason == EndReason::Done {
+        job.unstored_ends.insert((task.index, assign.attempt));
+        if reason == ExitReason::Done {
             job.done.insert(task.index);
             job.touch(task.index, now.ms, false);
             if let Some(took_ms) = took_ms {
                 let took_s = took_ms as f64 / 1000.0;
-                let (class, estimate) = (job.spec.class.clone(), job.spec.estimate_s);
-                self.learning.ran(&class, estimate, took_s);
+                let (class, estimate) = (job.spec.class.clone(), job.spec.estimated_run_s);
+                self.estimates.ran(&class, estimate, took_s);
             }
             self.succeeded(&task.job);
             return;
@@ -337,24 +349,24 @@
         job.pending.insert(task.index);
         job.touch(task.index, now.ms, false);
         match reason {
-            EndReason::Error if spans => self.part_failed(now, id, task, assign.attempt),
-            EndReason::Error => self.failed(now, id, task),
-            EndReason::Stopped => {}
+            ExitReason::Error if spans => self.part_failed(now, id, task, assign.attempt),
+            ExitReason::Error => self.failed(now, id, task),
+            ExitReason::Stopped => {}
             _ if spans => self.delay_group(task, now.ms + PAUSE_MS),
-            _ => job.failures.delay_until(now.ms + PAUSE_MS),
+            _ => job.failures.defer_until(now.ms + PAUSE_MS),
         }
     }
 
     /// Mostly the machine is faulty; a job that fails everywhere is not
     /// allowed to condemn machine after machine.
     fn failed(&mut self, now: Now, id: &MachineId, task: &TaskRef) {
-        let report_ms = self.report_ms();
+        let report_ms = self.heartbeat_interval_ms();
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        let last = job.assigns.is_empty();
+        let last = job.assignments.is_empty();
         let was_open = job.failures.is_open();
-        job.failures.failed(now.ms, id, last, report_ms);
+        job.failures.record_failure(now.ms, id, last, report_ms);
         if job.failures.is_open() {
             if !was_open {
                 log::info!("job {} fails wherever it runs", task.job);
@@ -365,26 +377,26 @@
         let job_succeeds = job.failures.has_succeeded();
         if let Some(machine) = self.fleet.get_mut(id) {
             machine.faults.add(&task.job, job_succeeds);
-            if machine.faults.suspect() {
+            if machine.faults.is_suspect() {
                 log::info!("machine {id} fails tasks, avoided");
             }
         }
     }
 
     /// The job's failures say nothing about the machines on which it failed.
-    pub(super) fn forgive(&mut self, job_id: &JobId) {
+    pub(in crate::scheduler) fn forgive(&mut self, job_id: &JobId) {
         let Some(job) = self.jobs.get(job_id) else {
             return;
         };
         for id in job.failures.machines() {
             if let Some(machine) = self.fleet.get_mut(id) {
-                machine.faults.forgive(job_id);
+                machine.faults.exonerate(job_id);
             }
         }
     }
 
     /// A job that ends without a success leaves nothing against machines.
-    pub(super) fn forgive_unless_succeeded(&mut self, job_id: &JobId) {
+    pub(in crate::scheduler) fn forgive_unless_succeeded(&mut self, job_id: &JobId) {
         let succeeded = self
             .jobs
             .get(job_id)
@@ -396,11 +408,11 @@
 
     /// A task of the job has succeeded: those that failed did so by the fault
     /// of their machines.
-    pub(super) fn succeeded(&mut self, job_id: &JobId) {
+    pub(in crate::scheduler) fn succeeded(&mut self, job_id: &JobId) {
         let Some(job) = self.jobs.get_mut(job_id) else {
             return;
         };
-        if !job.failures.succeeded() {
+        if !job.failures.record_success() {
             return;
         }
         for id in job.failures.machines() {
@@ -413,28 +425,28 @@
     /// What this worker is to do. With a report, ended tasks that are stored
     /// are forgotten too, under a raised token: a late copy of their start is
     /// then refused.
-    pub(super) fn commands_for(
+    pub(in crate::scheduler) fn commands_for(
         &mut self,
         now: Now,
         id: &MachineId,
-        report: Option<&Report>,
-        out: &mut SchedulerOut,
+        report: Option<&WorkerHeartbeat>,
+        out: &mut SchedulerEffects,
     ) -> Vec<Command> {
         let mut commands = Vec::new();
-        let resend_ms = (self.report_ms() as f64 * RESEND_REPORTS) as u64;
+        let resend_ms = (self.heartbeat_interval_ms() as f64 * RESEND_REPORTS) as u64;
         // Who may have missed a cancellation starts nothing.
-        let starts = now.ms <= self.informed_ms + self.report_ms() * START_REPORTS;
+        let starts = now.ms <= self.informed_ms + self.heartbeat_interval_ms() * START_REPORTS;
         let Some(machine) = self.fleet.get_mut(id) else {
             return commands;
         };
-        if !machine.evidence {
+        if !machine.fenced {
             return commands;
         }
         for task in &machine.tasks {
             let Some(assign) = self
                 .jobs
                 .get_mut(&task.job)
-                .and_then(|j| j.assigns.get_mut(&task.index))
+                .and_then(|j| j.assignments.get_mut(&task.index))
                 .filter(|a| a.machine == *id)
             else {
                 continue;
@@ -453,7 +465,7 @@
             };
             let job = self.jobs.get(&task.job);
             let assigned = job.is_some_and(|j| {
-                j.assigns
+                j.assignments
                     .get(&task.index)
                     .is_some_and(|a| a.machine == *id && a.attempt == seen.attempt)
             });
@@ -461,10 +473,11 @@
                 continue;
             }
             if seen.phase == TaskPhase::Ended {
-                let stored = job.is_none_or(|j| !j.unstored.contains(&(task.index, seen.attempt)));
+                let stored =
+                    job.is_none_or(|j| !j.unstored_ends.contains(&(task.index, seen.attempt)));
                 if stored {
                     forget = true;
-                    commands.push(Command::Forget {
+                    commands.push(Command::Acknowledge {
                         task: task.to_string(),
                         attempt: seen.attempt,
                     });
@@ -479,7 +492,7 @@
         }
         if forget {
             if let Some(machine) = self.fleet.get_mut(id) {
-                if machine.raise_token().is_none() {
+                if machine.advance_fencing_token().is_none() {
                     out.resign = Some("tokens used up");
                     return Vec::new();
                 }
@@ -489,7 +502,7 @@
     }
 
     /// Stops what a machine runs, letting it save what it can.
-    pub(super) fn drain(&mut self, now: Now, id: &MachineId) {
+    pub(in crate::scheduler) fn drain(&mut self, now: Now, id: &MachineId) {
         let tasks = self.fleet.get(id).map(|m| m.tasks.clone());
         for task in tasks.into_iter().flatten() {
             // A replica that spans machines decides as a whole.
@@ -500,18 +513,18 @@
     }
 
     /// Stops one task, letting it save what it can if it may.
-    pub(super) fn stop_task(&mut self, now: Now, task: &TaskRef, saves: bool) {
+    pub(in crate::scheduler) fn stop_task(&mut self, now: Now, task: &TaskRef, saves: bool) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        let grace_s = if saves && job.spec.checkpoint_s > 0.0 {
-            job.spec.save_s.ceil() as u64 + 1
+        let grace_s = if saves && job.spec.checkpoint_interval_s > 0.0 {
+            job.spec.checkpoint_save_s.ceil() as u64 + 1
         } else {
             0
         };
-        if let Some(assign) = job.assigns.get_mut(&task.index) {
+        if let Some(assign) = job.assignments.get_mut(&task.index) {
             if assign.stop.is_none() {
-                assign.stop = Some(StopPlan {
+                assign.stop = Some(StopRequest {
                     grace_s,
                     since_ms: now.ms,
                 });
@@ -520,7 +533,7 @@
                 let id = assign.machine.clone();
                 // Its room is about to be free.
                 self.fleet.get_mut(&id);
-                self.push.insert(id);
+                self.machines_to_command.insert(id);
             }
         }
     }
@@ -531,7 +544,7 @@
 fn wanted(
     now: Now,
     task: &TaskRef,
-    assign: &mut Assign,
+    assign: &mut Assignment,
     resend_ms: u64,
     starts: bool,
 ) -> Option<Command> {
@@ -550,7 +563,7 @@
         }
         Some(stop) => {
             // A task that saves is left alone until its grace is over.
-            let saving = assign.phase == Some(TaskPhase::Saving) && stop.grace_s > 0;
+            let saving = assign.phase == Some(TaskPhase::Checkpointing) && stop.grace_s > 0;
             if saving || (just_sent && assign.sent_ms > Some(stop.since_ms)) {
                 return None;
             }
--- /dev/null
+++ b/src/scheduler/workers/mod.rs
@@ -0,0 +1,6 @@
+//! The workers as the leader sees them: heartbeats, commands, failures.
+
+pub(super) mod direct_commands;
+pub(super) mod failure_detection;
+pub(super) mod heartbeats;
+pub(super) mod machines;
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,7 +1,7 @@
 //! The platform's settings file (TOML). Unknown fields are ignored, since new
 //! ones may come; the known ones are checked.
 
-use crate::reactor::{Bounds, Endpoints};
+use crate::reactor::{Endpoints, ResourceBounds};
 use crate::wire::JobSpec;
 use serde::Deserialize;
 use std::net::SocketAddrV4;
@@ -100,7 +100,7 @@
     pub teams: Vec<Team>,
     /// What the users expect.
     #[serde(default)]
-    pub objectives: Vec<Objective>,
+    pub objectives: Vec<ServiceLevelObjective>,
     /// The workers' intervals.
     pub workers: Workers,
     /// The state service's limits.
@@ -108,7 +108,7 @@
     /// The cloud's limits.
     pub cloud: CloudLimits,
     /// What a controller may use.
-    pub limits: Limits,
+    pub limits: ProcessLimits,
 }
 
 /// A team's guarantee and limit; 0 is none.
@@ -133,7 +133,7 @@
 /// An aim on starting or finishing. Kinds and fields that are not known are
 /// kept as they come and simply match nothing.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Objective {
+pub struct ServiceLevelObjective {
     /// What is aimed at.
     pub kind: String,
     /// The class that it is about.
@@ -150,7 +150,8 @@
 #[derive(Clone, Debug, Deserialize)]
 pub struct Workers {
     /// Between two reports.
-    pub report_s: f64,
+    #[serde(rename = "report_s")]
+    pub heartbeat_s: f64,
     /// The lease that an answered report renews.
     pub lease_s: f64,
     /// Within which a cancelled job's tasks are gone.
@@ -219,7 +220,7 @@
 
 /// What a controller may use.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Limits {
+pub struct ProcessLimits {
     /// Processor cores.
     pub cores: f64,
     /// Memory.
@@ -228,10 +229,10 @@
     pub max_connections: usize,
 }
 
-impl Limits {
+impl ProcessLimits {
     /// What the reactor may take of it.
-    pub fn bounds(&self) -> Bounds {
-        Bounds {
+    pub fn bounds(&self) -> ResourceBounds {
+        ResourceBounds {
             max_connections: self.max_connections,
             ram_mb: self.ram_mb,
         }
@@ -266,7 +267,7 @@
     fn check(&self) -> Result<(), (&'static str, &'static str)> {
         let site = &self.site;
         let positive = [
-            ("settings.workers.report_s", site.workers.report_s),
+            ("settings.workers.report_s", site.workers.heartbeat_s),
             ("settings.workers.lease_s", site.workers.lease_s),
             ("settings.workers.cancel_s", site.workers.cancel_s),
             ("settings.state.rps", site.state.rps),
@@ -339,22 +340,22 @@
     /// renewed at the end of it has to end within the time a cancellation has,
     /// with a report interval, or a twentieth of that time, to spare for a
     /// stop that was just being sent when the word stopped.
-    pub fn uninformed_ms(&self) -> u64 {
+    pub fn max_cancellation_lag_ms(&self) -> u64 {
         let workers = &self.site.workers;
-        let spare_s = workers.report_s.max(workers.cancel_s / 20.0);
+        let spare_s = workers.heartbeat_s.max(workers.cancel_s / 20.0);
         let left_s = workers.cancel_s - workers.lease_s - spare_s;
         (left_s.max(0.0) * 1000.0) as u64
     }
 
     /// How long after a machine was last heard its tasks can live on by
     /// leases that somebody without word of cancellations renews.
-    pub fn longest_lease_ms(&self) -> u64 {
+    pub fn max_task_survival_ms(&self) -> u64 {
         let workers = &self.site.workers;
-        self.uninformed_ms() + ((workers.lease_s + workers.report_s) * 1000.0) as u64
+        self.max_cancellation_lag_ms() + ((workers.lease_s + workers.heartbeat_s) * 1000.0) as u64
     }
 
     /// The class's aim on waiting, in milliseconds.
-    pub fn wait_objective_ms(&self, class: &str) -> Option<u64> {
+    pub fn wait_slo_ms(&self, class: &str) -> Option<u64> {
         self.site
             .objectives
             .iter()
@@ -368,16 +369,16 @@
     /// The aim on waiting that makes room for work: that of services, which
     /// have nothing else. Arrays with a deadline wait in its order, and their
     /// start aim is one more date in it.
-    pub fn start_aim_ms(&self, spec: &JobSpec) -> Option<u64> {
+    pub fn start_slo_ms(&self, spec: &JobSpec) -> Option<u64> {
         match spec.deadline_s {
             Some(_) => None,
-            None => self.wait_objective_ms(&spec.class),
+            None => self.wait_slo_ms(&spec.class),
         }
     }
 
     /// The times after its submission, in milliseconds, by which a job of the
     /// class should be done whatever its own deadline.
-    pub fn finish_objectives_ms<'a>(&'a self, class: &'a str) -> impl Iterator<Item = u64> + 'a {
+    pub fn finish_slos_ms<'a>(&'a self, class: &'a str) -> impl Iterator<Item = u64> + 'a {
         self.site
             .objectives
             .iter()
@@ -389,7 +390,7 @@
 
     /// The multiples of its deadline by which the class's jobs should be
     /// done, in order; the deadline itself is always one.
-    pub fn deadline_times(&self, class: &str) -> Vec<f64> {
+    pub fn deadline_multiples(&self, class: &str) -> Vec<f64> {
         let mut times: Vec<f64> = self
             .site
             .objectives
--- a/src/options.rs
+++ b/src/tuning.rs
@@ -2,16 +2,16 @@
 //! platform's file, so that one file suits every deployment. An unknown key is
 //! an error: a misspelt one must not pass for a default.
 
-use crate::limits::LimitsInForce;
+use crate::limits::EffectiveLimits;
 use crate::scheduler::tasks_per_record;
 use crate::settings::Site;
-use lilacfork_replicas::classes::Classes;
+use lilacfork_replica_groups::classes::ReplicaClasses;
 use std::path::Path;
 use thiserror::Error;
 
 /// What is wrong with the operators' settings.
 #[derive(Debug, Error)]
-pub enum OptionsError {
+pub enum TuningError {
     #[error("{file}: {why}")]
     /// The file can't be read.
     Read {
@@ -36,19 +36,19 @@
     ($($(#[$doc:meta])* $section:literal $key:ident = $default:literal in $low:literal .. $high:literal;)*) => {
         #[derive(Clone, Debug, PartialEq)]
         /// The operators' settings, checked.
-        pub struct Options {
+        pub struct Tuning {
             $($(#[$doc])* pub $key: f64,)*
             /// Which jobs span machines.
-            pub replica_classes: Classes,
+            pub replica_classes: ReplicaClasses,
         }
 
-        impl Default for Options {
+        impl Default for Tuning {
             fn default() -> Self {
-                Options { $($key: $default,)* replica_classes: Classes::default() }
+                Tuning { $($key: $default,)* replica_classes: ReplicaClasses::default() }
             }
         }
 
-        impl Options {
+        impl Tuning {
             fn set(&mut self, section: &str, key: &str, value: f64) -> Result<(), String> {
                 match (section, key) {
                     $(($section, stringify!($key)) => {
@@ -103,24 +103,24 @@
 /// The section that names the classes whose replicas span machines.
 const REPLICA_PARTS: &str = "replica_parts";
 
-impl Options {
+impl Tuning {
     /// Reads and checks a file.
-    pub fn load(path: &Path) -> Result<Options, OptionsError> {
+    pub fn load(path: &Path) -> Result<Tuning, TuningError> {
         let file = path.display().to_string();
-        let ini = ini::Ini::load_from_file(path).map_err(|e| OptionsError::Read {
+        let ini = ini::Ini::load_from_file(path).map_err(|e| TuningError::Read {
             file: file.clone(),
             why: e.to_string().replace('\n', " "),
         })?;
-        Options::from_ini(&ini, &file)
+        Tuning::from_ini(&ini, &file)
     }
 
     /// Checks what was read; `file` is named in errors.
-    pub fn from_ini(ini: &ini::Ini, file: &str) -> Result<Options, OptionsError> {
-        let mut options = Options::default();
+    pub fn from_ini(ini: &ini::Ini, file: &str) -> Result<Tuning, TuningError> {
+        let mut options = Tuning::default();
         for (section, properties) in ini.iter() {
             let section = section.unwrap_or("");
             for (key, value) in properties.iter() {
-                let fail = |why: String| OptionsError::Key {
+                let fail = |why: String| TuningError::Key {
                     file: file.to_string(),
                     key: format!("[{section}] {key}"),
                     why,
@@ -141,8 +141,8 @@
     }
 
     /// Checks what only makes sense together with the platform's settings.
-    pub fn check(&self, site: &Site, file: &str) -> Result<(), OptionsError> {
-        let least = LimitsInForce::new(&site.state).least();
+    pub fn check(&self, site: &Site, file: &str) -> Result<(), TuningError> {
+        let least = EffectiveLimits::new(&site.state).guaranteed();
         let most = tasks_per_record(least.value_bytes as f64 / 1024.0);
         for (class, parts) in self.replica_classes.iter() {
             let known = site
@@ -156,7 +156,7 @@
             } else {
                 continue;
             };
-            return Err(OptionsError::Key {
+            return Err(TuningError::Key {
                 file: file.to_string(),
                 key: format!("[{REPLICA_PARTS}] {class}"),
                 why,
--- a/src/usage.rs
+++ b/src/usage.rs
@@ -15,7 +15,7 @@
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Purpose {
     /// A worker's report.
-    Report,
+    WorkerHeartbeat,
     /// A health probe.
     Probe,
     /// A user submits a job.
@@ -25,19 +25,19 @@
     /// A user cancels a job.
     Cancellation,
     /// Another controller's heartbeat, or the answer to one of ours.
-    Heartbeat,
+    PeerHeartbeat,
     /// Workers' reports that another controller passes on.
-    ForwardedReports,
+    ForwardedHeartbeats,
     /// The state service's answer about leadership.
     Election,
     /// The state service's answer to a call made for a user.
-    UserCall,
+    UserKvCall,
     /// What the state service says has changed.
-    Changes,
+    Watch,
     /// The state service's answer to the leader's transaction.
     Transaction,
     /// The stored records that a new leader reads.
-    Recovery,
+    Loading,
     /// The cloud's answer.
     Cloud,
     /// A worker's answer to direct commands.
@@ -78,7 +78,7 @@
 
 /// How often something was done, and how long it took altogether.
 #[derive(Clone, Copy, Default, PartialEq, Eq, Debug)]
-pub struct Spent {
+pub struct PurposeStats {
     /// How often.
     pub events: u64,
     /// The time that it took.
@@ -88,7 +88,7 @@
 /// Counters since they were last logged.
 #[derive(Clone, Default, PartialEq, Eq, Debug)]
 pub struct Usage {
-    spent: [Spent; PURPOSES],
+    spent: [PurposeStats; PURPOSES],
     /// The longest event or turn, and what it was for: for so long nothing else
     /// was looked at.
     longest: Option<(Duration, Purpose)>,
@@ -116,7 +116,7 @@
     }
 
     /// What was spent on a purpose.
-    pub fn of(&self, purpose: Purpose) -> Spent {
+    pub fn of(&self, purpose: Purpose) -> PurposeStats {
         self.spent[purpose as usize]
     }
 }
