--- a/src/wire.rs
+++ b/src/wire.rs
@@ -1,37 +1,38 @@
 //! The JSON of users, workers, cloud and state service. Field names are the
 //! field's English terms; the renames are what goes over the wire.
 
-use crate::ids::{Attempt, JobId, Session, TaskRef, Token};
+use crate::ids::{AgentEpoch, Attempt, FencingToken, JobId, TaskRef};
 use crate::placement::Resources;
-use lilacfork_pipelines::needs;
+use lilacfork_dependencies::validation;
 use serde::{Deserialize, Deserializer, Serialize};
 use std::rc::Rc;
 
 /// Users' submissions; a job's own path starts with it.
-pub const USER_JOBS: &str = "/v2/runs";
+pub const USER_JOBS_PATH: &str = "/v2/runs";
 /// The load balancer's probe.
-pub const READY: &str = "/ready";
+pub const READY_PATH: &str = "/ready";
 /// Workers' reports.
-pub const WORKER_REPORT: &str = "/agent/beat";
+pub const WORKER_HEARTBEAT_PATH: &str = "/agent/beat";
 /// Direct commands to a worker.
-pub const WORKER_COMMANDS: &str = "/commands";
+pub const WORKER_COMMANDS_PATH: &str = "/commands";
 /// The cloud's machine types.
-pub const CLOUD_CATALOG: &str = "/catalog";
+pub const CLOUD_CATALOG_PATH: &str = "/catalog";
 /// The cloud's machines, and rentals.
-pub const CLOUD_MACHINES: &str = "/machines";
+pub const CLOUD_MACHINES_PATH: &str = "/machines";
 /// Returns of machines.
-pub const CLOUD_RELEASE: &str = "/machines/release";
+pub const CLOUD_RELEASE_PATH: &str = "/machines/release";
 
 /// What kind of job it is.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Kind {
+pub enum JobKind {
     /// Independent tasks that run to completion.
     Array,
     /// Replicas that run until the job is cancelled.
     Service,
     /// A gang: tasks that run together or not at all.
-    Group,
+    #[serde(rename = "group")]
+    Gang,
 }
 
 /// Most important first, so that the derived order is the serving order.
@@ -61,7 +62,7 @@
     pub team: Rc<str>,
     /// Its kind.
     #[serde(rename = "genre")]
-    pub kind: Kind,
+    pub kind: JobKind,
     /// Its priority.
     #[serde(rename = "rang")]
     pub priority: Priority,
@@ -89,7 +90,7 @@
     pub zone: Option<Rc<str>>,
     /// All tasks in one zone.
     #[serde(rename = "samePlace")]
-    pub one_zone: bool,
+    pub same_zone: bool,
     /// At most half of the tasks in one zone.
     pub spread: bool,
     /// It may use spot machines.
@@ -97,13 +98,13 @@
     pub spot: bool,
     /// The owner's estimate of a task's run time.
     #[serde(rename = "prevuS")]
-    pub estimate_s: f64,
+    pub estimated_run_s: f64,
     /// How often a task saves by itself; 0: never.
     #[serde(rename = "jalonS")]
-    pub checkpoint_s: f64,
+    pub checkpoint_interval_s: f64,
     /// How long a task takes to save when it is stopped.
     #[serde(rename = "sauvegardeS")]
-    pub save_s: f64,
+    pub checkpoint_save_s: f64,
     /// When it should be done, after its submission.
     #[serde(rename = "echeanceS", default, skip_serializing_if = "Option::is_none")]
     pub deadline_s: Option<f64>,
@@ -114,7 +115,7 @@
         skip_serializing_if = "Vec::is_empty",
         deserialize_with = "null_is_none"
     )]
-    pub needs: Vec<JobId>,
+    pub dependencies: Vec<JobId>,
 }
 
 const MAX_TASKS: u32 = 100_000;
@@ -126,7 +127,7 @@
 
 impl JobSpec {
     /// What one task takes of its machine.
-    pub fn need(&self) -> Resources {
+    pub fn task_request(&self) -> Resources {
         Resources {
             cpus: self.cpus,
             gpus: self.gpus,
@@ -148,9 +149,9 @@
             ("gpus", spec.gpus),
             ("memoryGb", spec.memory_gb),
             ("pullGb", spec.image_gb),
-            ("prevuS", spec.estimate_s),
-            ("jalonS", spec.checkpoint_s),
-            ("sauvegardeS", spec.save_s),
+            ("prevuS", spec.estimated_run_s),
+            ("jalonS", spec.checkpoint_interval_s),
+            ("sauvegardeS", spec.checkpoint_save_s),
             ("echeanceS", spec.deadline_s.unwrap_or(0.0)),
         ];
         for (name, amount) in amounts {
@@ -167,10 +168,14 @@
                 return Err(format!("{name}: empty or too long"));
             }
         }
-        if !spec.needs.iter().all(|need| valid_job_id(need.as_str())) {
+        if !spec
+            .dependencies
+            .iter()
+            .all(|need| valid_job_id(need.as_str()))
+        {
             return Err("attend: not a job id".into());
         }
-        needs::check(&spec.id, &spec.needs).map_err(|e| format!("attend: {e}"))?;
+        validation::validate(&spec.id, &spec.dependencies).map_err(|e| format!("attend: {e}"))?;
         Ok(spec)
     }
 }
@@ -178,10 +183,10 @@
 /// The id alone, from a body that may otherwise be invalid.
 pub fn peek_job_id(body: &[u8]) -> Option<JobId> {
     #[derive(Deserialize)]
-    struct Peek {
+    struct IdOnly {
         id: JobId,
     }
-    let peek: Peek = serde_json::from_slice(body).ok()?;
+    let peek: IdOnly = serde_json::from_slice(body).ok()?;
     valid_job_id(peek.id.as_str()).then_some(peek.id)
 }
 
@@ -200,7 +205,7 @@
 /// A job's state as its user sees it.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum UserState {
+pub enum JobPhase {
     /// No task runs.
     Pending,
     /// A task runs.
@@ -213,12 +218,12 @@
 
 /// The answer to a user about a job.
 #[derive(Debug, Serialize)]
-pub struct JobState<'a> {
+pub struct JobStatus<'a> {
     /// The job.
     pub id: &'a JobId,
     /// Its state.
     #[serde(rename = "etat")]
-    pub state: UserState,
+    pub state: JobPhase,
     /// Tasks that are done, for display.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub done: Option<u32>,
@@ -235,12 +240,12 @@
 pub enum TaskPhase {
     /// It waits for its image.
     #[serde(rename = "pulling")]
-    Fetching,
+    PullingImage,
     /// It runs.
     Running,
     /// It was told to stop and saves.
     #[serde(rename = "flushing")]
-    Saving,
+    Checkpointing,
     /// It ended; see [`EndReason`].
     Ended,
     /// Anything newer than this program: on the machine, as far as we know.
@@ -251,7 +256,7 @@
 /// Why a task ended.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum EndReason {
+pub enum ExitReason {
     /// It completed.
     Done,
     /// It was stopped by command.
@@ -271,7 +276,7 @@
 
 /// A task in a worker's report.
 #[derive(Clone, PartialEq, Eq, Hash, Debug, Deserialize)]
-pub struct ReportedTask {
+pub struct TaskStatus {
     /// The task. `None`: its name is none that a task can have.
     #[serde(rename = "piece", deserialize_with = "TaskRef::deserialize_name")]
     pub task: Option<TaskRef>,
@@ -283,15 +288,15 @@
     pub phase: TaskPhase,
     /// Why it ended.
     #[serde(rename = "motif", default)]
-    pub reason: Option<EndReason>,
+    pub reason: Option<ExitReason>,
     /// Whether its progress was saved.
     #[serde(rename = "stored", default)]
-    pub saved: Option<bool>,
+    pub checkpointed: Option<bool>,
 }
 
 /// A worker's report.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Report {
+pub struct WorkerHeartbeat {
     /// The machine.
     #[serde(rename = "banc")]
     pub machine: String,
@@ -309,19 +314,19 @@
     pub spot: bool,
     /// Rises each time its lease ends.
     #[serde(rename = "quart")]
-    pub session: Session,
+    pub agent_epoch: AgentEpoch,
     /// Rises with every report of a session.
     #[serde(rename = "numero")]
-    pub seq: u64,
+    pub sequence: u64,
     /// The highest token that it has seen.
     #[serde(rename = "jeton")]
-    pub token: Token,
+    pub fencing_token: FencingToken,
     /// Seconds until the cloud takes it.
     #[serde(rename = "preavisS", default)]
-    pub notice_s: Option<f64>,
+    pub preemption_notice_s: Option<f64>,
     /// All tasks on it, ended ones included.
     #[serde(rename = "pieces", default)]
-    pub tasks: Vec<ReportedTask>,
+    pub tasks: Vec<TaskStatus>,
 }
 
 /// What a worker is told to do.
@@ -352,7 +357,7 @@
     },
     /// Leave an ended task out of the reports.
     #[serde(rename = "reap")]
-    Forget {
+    Acknowledge {
         /// The task.
         #[serde(rename = "piece")]
         task: String,
@@ -364,10 +369,10 @@
 
 /// The answer to a report.
 #[derive(Debug, Serialize)]
-pub struct ReportAnswer<'a> {
+pub struct HeartbeatResponse<'a> {
     /// Who is entitled to give commands.
     #[serde(rename = "jeton")]
-    pub token: Token,
+    pub fencing_token: FencingToken,
     /// What the worker is to do, in order.
     #[serde(rename = "consignes")]
     pub commands: &'a [Command],
@@ -378,10 +383,10 @@
 pub struct DirectCommands<'a> {
     /// Who is entitled to give commands.
     #[serde(rename = "jeton")]
-    pub token: Token,
+    pub fencing_token: FencingToken,
     /// The session that they are meant for.
     #[serde(rename = "quart")]
-    pub session: Session,
+    pub agent_epoch: AgentEpoch,
     /// What the worker is to do, in order.
     #[serde(rename = "consignes")]
     pub commands: &'a [Command],
@@ -389,7 +394,7 @@
 
 /// Sends a worker elsewhere.
 #[derive(Debug, Serialize)]
-pub struct ReportTo<'a> {
+pub struct RedirectTo<'a> {
     /// The controller to report to.
     #[serde(rename = "rendreA", skip_serializing_if = "Option::is_none")]
     pub node: Option<&'a str>,
@@ -412,16 +417,16 @@
     pub memory_gb: f64,
     /// The image cache in GB.
     #[serde(rename = "cacheGb", default)]
-    pub cache_gb: f64,
+    pub image_cache_gb: f64,
     /// How fast it fetches images.
     #[serde(rename = "pullGbPerS", default)]
-    pub fetch_gb_per_s: f64,
+    pub image_pull_gb_per_s: f64,
     /// The price per hour.
     #[serde(rename = "hourly")]
-    pub price: f64,
+    pub hourly_price: f64,
     /// The price per hour as a spot machine.
     #[serde(rename = "marketPrice", default)]
-    pub spot_price: f64,
+    pub hourly_spot_price: f64,
     /// The usual boot time.
     #[serde(rename = "startupS")]
     pub boot_s: f64,
@@ -432,7 +437,7 @@
 
 impl MachineType {
     /// What a machine of the type holds.
-    pub fn room(&self) -> Resources {
+    pub fn capacity(&self) -> Resources {
         Resources {
             cpus: self.cpus,
             gpus: self.gpus,
@@ -451,20 +456,20 @@
 
 impl Catalog {
     /// The catalogue, if it makes sense.
-    pub fn checked(self) -> Option<Catalog> {
+    pub fn validated(self) -> Option<Catalog> {
         let fine = |t: &MachineType| {
             [
                 t.cpus,
                 t.gpus,
                 t.memory_gb,
-                t.cache_gb,
-                t.price,
-                t.spot_price,
+                t.image_cache_gb,
+                t.hourly_price,
+                t.hourly_spot_price,
                 t.boot_s,
             ]
             .iter()
             .all(|x| x.is_finite() && *x >= 0.0)
-                && t.fetch_gb_per_s.is_finite()
+                && t.image_pull_gb_per_s.is_finite()
         };
         (!self.types.is_empty() && self.types.iter().all(fine)).then_some(self)
     }
@@ -476,7 +481,7 @@
 
 /// A rental.
 #[derive(Debug, Serialize)]
-pub struct Rent<'a> {
+pub struct ProvisionRequest<'a> {
     /// Its name, never used twice.
     #[serde(rename = "bon")]
     pub request: &'a str,
@@ -561,7 +566,7 @@
 
 /// A key with its value.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Item {
+pub struct KeyValue {
     /// The key.
     #[serde(rename = "k")]
     pub key: String,
@@ -570,15 +575,15 @@
     pub value: Value,
     /// The revision of its last change.
     #[serde(rename = "retouche")]
-    pub version: u64,
+    pub mod_revision: u64,
 }
 
 /// A page of keys.
 #[derive(Debug, Deserialize)]
-pub struct Items {
+pub struct KeyPage {
     /// The keys, in order.
     #[serde(rename = "rows")]
-    pub items: Vec<Item>,
+    pub items: Vec<KeyValue>,
     /// There are more.
     #[serde(rename = "truncated", default)]
     pub more: bool,
@@ -589,7 +594,7 @@
 
 /// The answer to a transaction.
 #[derive(Debug, Deserialize)]
-pub struct RevisionOnly {
+pub struct TxnResponse {
     /// The revision of the state service.
     #[serde(rename = "tirage")]
     pub revision: u64,
@@ -600,19 +605,19 @@
 
 /// A condition of a transaction.
 #[derive(Clone, Debug, Serialize)]
-pub struct Guard {
+pub struct Compare {
     /// The key.
     #[serde(rename = "k")]
     pub key: String,
     /// The revision that it must have; 0: it must not exist.
     #[serde(rename = "retouche")]
-    pub version: u64,
+    pub mod_revision: u64,
 }
 
 /// A change of a transaction.
 #[derive(Clone, Debug, Serialize)]
 #[serde(untagged)]
-pub enum Write {
+pub enum WriteOp {
     /// Sets a key.
     Put {
         /// The key.
@@ -638,24 +643,24 @@
 pub struct Txn {
     /// What must hold.
     #[serde(rename = "guards")]
-    pub guards: Vec<Guard>,
+    pub compares: Vec<Compare>,
     /// What it changes.
     #[serde(rename = "writes")]
-    pub writes: Vec<Write>,
+    pub writes: Vec<WriteOp>,
 }
 
 impl Txn {
     /// Demands that a key has this revision.
-    pub fn guard(mut self, key: impl Into<String>, version: u64) -> Self {
-        self.guards.push(Guard {
+    pub fn compare(mut self, key: impl Into<String>, version: u64) -> Self {
+        self.compares.push(Compare {
             key: key.into(),
-            version,
+            mod_revision: version,
         });
         self
     }
     /// Sets a key.
     pub fn put(mut self, key: impl Into<String>, value: Value) -> Self {
-        self.writes.push(Write::Put {
+        self.writes.push(WriteOp::Put {
             key: key.into(),
             value,
             lease: None,
@@ -664,7 +669,7 @@
     }
     /// Sets a key that ends with a lease.
     pub fn put_leased(mut self, key: impl Into<String>, value: Value, lease: u64) -> Self {
-        self.writes.push(Write::Put {
+        self.writes.push(WriteOp::Put {
             key: key.into(),
             value,
             lease: Some(lease),
@@ -673,7 +678,7 @@
     }
     /// Removes a key.
     pub fn delete(mut self, key: impl Into<String>) -> Self {
-        self.writes.push(Write::Delete { key: key.into() });
+        self.writes.push(WriteOp::Delete { key: key.into() });
         self
     }
 }
@@ -700,12 +705,12 @@
     pub value: Value,
     /// The revision of the change.
     #[serde(rename = "retouche")]
-    pub version: u64,
+    pub mod_revision: u64,
 }
 
 /// The answer to a watch.
 #[derive(Debug, Deserialize)]
-pub struct WatchAnswer {
+pub struct WatchResponse {
     /// The revision up to which it tells.
     #[serde(rename = "tirage")]
     pub revision: u64,
--- a/tests/allocations.rs
+++ b/tests/allocations.rs
@@ -1,11 +1,11 @@
 //! What the message that comes most often allocates. A binary of its own: the
 //! allocator counts for the whole process.
 
-mod world;
+mod simulation;
 
-use lilacfork::msg::{ConnId, Effect, Now, Port, Request};
+use lilacfork::messages::{ConnectionId, Effect, Listener, Now, Request};
 use lilacfork::reactor::Handler;
-use world::scenes::full_fleet;
+use simulation::fixtures::full_fleet;
 
 #[global_allocator]
 static ALLOCATOR: dhat::Alloc = dhat::Alloc;
@@ -38,7 +38,13 @@
     let mut effects = Vec::new();
     let before = dhat::HeapStats::get().total_blocks;
     for request in requests {
-        node.request(now, ConnId(1), Port::Client, request, &mut effects);
+        node.request(
+            now,
+            ConnectionId(1),
+            Listener::Client,
+            request,
+            &mut effects,
+        );
         assert!(matches!(&effects[..], [Effect::Reply(_, reply)] if reply.status == 200));
         effects.clear();
     }
--- a/tests/boots.rs
+++ b/tests/boot_times.rs
@@ -1,18 +1,18 @@
 //! Kept traces: machines that come up at once, late or never.
 
-mod world;
+mod simulation;
 
 use serde_json::json;
-use world::{array, service, Worker, World};
+use simulation::{array, service, Simulation, Worker};
 
 /// An array whose tasks run for as long as the trace lasts, eight to a machine.
-fn long_array(w: &mut World, id: &str, tasks: u32) {
+fn long_array(w: &mut Simulation, id: &str, tasks: u32) {
     w.run_ms = 600_000;
     assert_eq!(w.submit(0, &array(id, tasks)), 201);
 }
 
 /// Machines that were returned before they came up.
-fn given_up(w: &World) -> usize {
+fn given_up(w: &Simulation) -> usize {
     let early = |worker: &&Worker| worker.gone && !worker.up;
     w.workers.values().filter(early).count()
 }
@@ -22,7 +22,7 @@
 /// (inc-683a, from 497 s on: twelve in a row).
 #[test]
 fn quick_boots_make_no_ordinary_one_late() {
-    let mut w = World::new(1);
+    let mut w = Simulation::new(1);
     w.boot_ms = 300;
     w.run_until(5000);
     for n in 0..8 {
@@ -48,7 +48,7 @@
 /// learned from those that were given up, too; or none would ever come up.
 #[test]
 fn boots_that_all_take_long_are_waited_for_in_the_end() {
-    let mut w = World::new(1);
+    let mut w = Simulation::new(1);
     w.boot_ms = 22_000;
     w.run_until(5000);
     long_array(&mut w, "run-1", 16);
@@ -70,7 +70,7 @@
 /// machines up, and rented others, until it had learned it again.
 #[test]
 fn a_new_leader_knows_how_long_boots_take() {
-    let mut w = World::new(3);
+    let mut w = Simulation::new(3);
     w.boot_ms = 22_000;
     w.run_until(5000);
     let leader = w.leader().unwrap();
@@ -102,7 +102,7 @@
         json!({"t": 0, "b": [{"n": "g8", "s": 5.0, "v": 400.0}]}),
         json!({"t": 1_000_000, "b": [{"n": "g8", "s": 0.0, "v": 1e300}, {"n": "g8", "s": 5.0, "v": -1.0}]}),
     ] {
-        let mut w = World::new(1);
+        let mut w = Simulation::new(1);
         w.run_until(100);
         w.state.items.insert("learned".into(), (record, 1, None));
         w.run_until(6000);
--- a/tests/cancellations.rs
+++ b/tests/cancellations.rs
@@ -1,15 +1,15 @@
 //! Kept traces: what was cancelled ends in time, whoever knows of it. The
 //! observer checks each task against the moment of the first confirmation.
 
-mod world;
+mod simulation;
 
-use lilacfork::msg::Target;
+use lilacfork::messages::Destination;
 use serde_json::json;
-use world::scenes::{cut_off, heal, node_at, up};
-use world::{service, Fate, World, CANCEL_MS};
+use simulation::fixtures::{cut_off, heal, node_at, up};
+use simulation::{service, Fate, Simulation, CANCEL_MS};
 
 /// Two services of eight on two machines.
-fn two_services() -> World {
+fn two_services() -> Simulation {
     let mut w = up(3);
     assert_eq!(w.submit(0, &service("run-1", 8)), 201);
     assert_eq!(w.submit(0, &service("run-2", 8)), 201);
@@ -20,7 +20,7 @@
 
 /// The state service refuses this node; `deaf`: nor does a peer's word reach
 /// it.
-fn refuse(w: &mut World, lone: usize, deaf: bool) {
+fn refuse(w: &mut Simulation, lone: usize, deaf: bool) {
     cut_off(w, lone, Fate::Refuse, deaf);
 }
 
@@ -39,7 +39,7 @@
 /// The gap, which broke most schedulers that the users have seen: a leader
 /// that the state service refuses alone took a later outage that all shared
 /// for a reason to believe that it had missed nothing.
-fn gap(also: Also, refused_ms: u64) -> World {
+fn gap(also: Also, refused_ms: u64) -> Simulation {
     let mut w = two_services();
     w.state.mute_watches = true;
     if also == Also::TwoChanges {
@@ -57,9 +57,11 @@
     w.run_for(refused_ms);
     if also == Also::AnswerLost {
         w.hook = Box::new(move |_, node, call| match &call.target {
-            Target::State | Target::StateWatch if node == leader => Fate::Refuse,
-            Target::Peer(addr) if node == leader || node_at(addr) == leader => Fate::LoseRequest,
-            Target::State if call.path == "/txn" && node == other => Fate::LoseAnswer,
+            Destination::KvStore | Destination::KvWatch if node == leader => Fate::Refuse,
+            Destination::Peer(addr) if node == leader || node_at(addr) == leader => {
+                Fate::LoseRequest
+            }
+            Destination::KvStore if call.path == "/txn" && node == other => Fate::LoseAnswer,
             _ => Fate::Pass,
         });
         w.ask(other, "POST", "/v2/runs/run-1/abort", json!(null));
@@ -86,7 +88,7 @@
 }
 
 /// Ends the outage: what wasn't cancelled is served, the rest stays ended.
-fn settle(mut w: World) {
+fn settle(mut w: Simulation) {
     w.state.mute_watches = false;
     w.state_returns();
     w.run_for(20_000);
@@ -176,8 +178,8 @@
     let other = (leader + 1) % 3;
     // Whoever leads next can't read the placements.
     w.hook = Box::new(move |_, _, call| match &call.target {
-        Target::State if call.path.contains("under=p/") => Fate::Refuse,
-        Target::Worker(_) => Fate::LoseRequest,
+        Destination::KvStore if call.path.contains("under=p/") => Fate::Refuse,
+        Destination::Worker(_) => Fate::LoseRequest,
         _ => Fate::Pass,
     });
     w.kill(leader);
@@ -227,11 +229,11 @@
 mod knowledge {
     //! The actor by itself: when the watermark moves, and when it must not.
 
-    use lilacfork::cancellations::{Bounds, Cancellations, CancellationsCall};
+    use lilacfork::cancellations::{CancellationBounds, Cancellations, CancellationsKvCall};
     use lilacfork::ids::JobId;
-    use lilacfork::msg::Now;
-    use lilacfork::peer::Confirmations;
-    use lilacfork::store::Answer;
+    use lilacfork::kv_client::KvResponse;
+    use lilacfork::messages::Now;
+    use lilacfork::peer::ConfirmedCancellations;
     use serde_json::json;
 
     fn at(ms: u64) -> Now {
@@ -239,7 +241,7 @@
     }
 
     fn node(name: &str, incarnation: u64) -> Cancellations {
-        let bounds = Bounds {
+        let bounds = CancellationBounds {
             report_ms: 1000,
             cancel_ms: 30_000,
             uninformed_ms: 18_500,
@@ -248,8 +250,8 @@
         Cancellations::new(name, incarnation, bounds, peers)
     }
 
-    fn ok(body: serde_json::Value) -> Answer {
-        Answer::Status(200, body.to_string().into_bytes())
+    fn ok(body: serde_json::Value) -> KvResponse {
+        KvResponse::Status(200, body.to_string().into_bytes())
     }
 
     /// A complete read, asked for and answered at these times.
@@ -258,8 +260,8 @@
         n.tick(at(asked_ms), &mut out);
         let call = out.pop().expect("it asks").tag;
         let body = match call {
-            CancellationsCall::List => json!({"rows": [], "tirage": 5}),
-            CancellationsCall::Poll => json!({"events": [], "tirage": 5}),
+            CancellationsKvCall::List => json!({"rows": [], "tirage": 5}),
+            CancellationsKvCall::Poll => json!({"events": [], "tirage": 5}),
         };
         n.answered(at(answered_ms), call, &ok(body), &mut out);
         assert!(out.is_empty());
@@ -269,7 +271,7 @@
     fn pull(n: &mut Cancellations, index: usize, peer: &Cancellations, asked_ms: u64) -> usize {
         let cursor = n.cursor(index).unwrap();
         let word = peer.confirmations(&cursor);
-        n.heard(at(asked_ms + 10), index, Some(asked_ms), &word)
+        n.receive_confirmations(at(asked_ms + 10), index, Some(asked_ms), &word)
             .len()
     }
 
@@ -369,7 +371,7 @@
         assert!(p1.unacknowledged(0).is_none());
         p1.confirm(at(2000), &id(1));
         let word = p1.unacknowledged(0).expect("something to tell");
-        assert_eq!(n.heard(at(2010), 0, None, &word).len(), 1);
+        assert_eq!(n.receive_confirmations(at(2010), 0, None, &word).len(), 1);
         pull(&mut n, 1, &p2, 2500);
         assert_eq!(n.watermark_ms(), Some(1000));
         p1.acknowledged(0, n.cursor(0).unwrap());
@@ -386,7 +388,7 @@
         pull(&mut n, 0, &p1, 3000);
         pull(&mut n, 1, &p2, 3000);
         // Asked for at 1500, before the confirmation and the end.
-        n.heard(at(3100), 0, Some(1500), &late);
+        n.receive_confirmations(at(3100), 0, Some(1500), &late);
         pull(&mut n, 1, &p2, 3200);
         assert!(n.watermark_ms() <= Some(1500), "{:?}", n.watermark_ms());
     }
@@ -397,30 +399,30 @@
         let sound = p1.confirmations(&n.cursor(0).unwrap());
         let job = vec!["run-7".to_string()];
         for word in [
-            Confirmations {
+            ConfirmedCancellations {
                 node: "n-2".into(),
                 ..sound.clone()
             },
-            Confirmations {
+            ConfirmedCancellations {
                 incarnation: 0,
                 ..sound.clone()
             },
-            Confirmations {
+            ConfirmedCancellations {
                 first: 0,
                 ..sound.clone()
             },
-            Confirmations {
+            ConfirmedCancellations {
                 first: u64::MAX,
                 jobs: job.clone(),
                 ..sound.clone()
             },
-            Confirmations {
+            ConfirmedCancellations {
                 first: 3,
                 total: 1,
                 jobs: job.clone(),
                 ..sound.clone()
             },
-            Confirmations {
+            ConfirmedCancellations {
                 first: 1,
                 total: 1,
                 jobs: vec!["a/../b".into()],
@@ -428,13 +430,16 @@
             },
         ] {
             assert!(
-                n.heard(at(2000), 0, Some(1990), &word).is_empty(),
+                n.receive_confirmations(at(2000), 0, Some(1990), &word)
+                    .is_empty(),
                 "{word:?}"
             );
         }
         pull(&mut n, 1, &p2, 2000);
         assert_eq!(n.watermark_ms(), Some(1000));
-        assert!(n.heard(at(2000), 9, Some(1990), &sound).is_empty());
+        assert!(n
+            .receive_confirmations(at(2000), 9, Some(1990), &sound)
+            .is_empty());
     }
 
     #[test]
@@ -442,19 +447,19 @@
         let (mut n, ..) = three();
         let mut out = Vec::new();
         n.tick(at(2000), &mut out);
-        let gone = Answer::Status(410, b"{}".to_vec());
-        n.answered(at(2001), CancellationsCall::Poll, &gone, &mut out);
+        let gone = KvResponse::Status(410, b"{}".to_vec());
+        n.answered(at(2001), CancellationsKvCall::Poll, &gone, &mut out);
         out.clear();
         n.tick(at(2002), &mut out);
-        assert_eq!(out.pop().unwrap().tag, CancellationsCall::List, "anew");
+        assert_eq!(out.pop().unwrap().tag, CancellationsKvCall::List, "anew");
         let page = json!({"rows": [{"k": "j/run-5", "v": {"c": 7}, "retouche": 3}],
             "truncated": true, "tirage": 9});
-        n.answered(at(2010), CancellationsCall::List, &ok(page), &mut out);
+        n.answered(at(2010), CancellationsKvCall::List, &ok(page), &mut out);
         assert_eq!(n.watermark_ms(), Some(1000), "half a list is none");
         n.answered(
             at(4000),
-            CancellationsCall::List,
-            &Answer::Unclear,
+            CancellationsKvCall::List,
+            &KvResponse::Indeterminate,
             &mut out,
         );
         assert_eq!(n.watermark_ms(), Some(1000));
--- a/tests/rooms.rs
+++ b/tests/capacity_index.rs
@@ -1,11 +1,11 @@
 //! The index of rooms against a plain reference that looks at every room, on
 //! random small fleets; and what a question costs, counted.
 
+use lilacfork::capacity_index::{CapacityIndex, CapacityState, SearchConstraint, TaskDemand};
 use lilacfork::cloud::Offer;
 use lilacfork::ids::MachineId;
-use lilacfork::placement::{allows_offer, may_stand, Fit, Resources, ZoneUse};
-use lilacfork::rooms::{Apart, Demand, RoomState, Rooms};
-use lilacfork::wire::{JobSpec, Kind, Priority};
+use lilacfork::placement::{offer_allowed, placement_allowed, FitScore, Resources, ZoneCounts};
+use lilacfork::wire::{JobKind, JobSpec, Priority};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, TestRunner};
 use std::collections::{BTreeMap, BTreeSet};
@@ -41,10 +41,10 @@
 }
 
 impl Drawn {
-    fn state(&self) -> RoomState {
+    fn state(&self) -> CapacityState {
         let machine_type = if self.eight { "g8" } else { "g4" };
         let mut unassigned = whole(machine_type);
-        unassigned.take(&task_need().scaled(f64::from(self.tasks)));
+        unassigned.subtract(&task_need().scaled(f64::from(self.tasks)));
         unassigned.cpus -= self.more_cpus;
         let images = |flags: &[bool]| -> Vec<Rc<str>> {
             let named = IMAGES.iter().zip(flags);
@@ -56,20 +56,20 @@
         let at_hand = images(&self.images);
         let mut coming = images(&self.coming);
         coming.retain(|image| !at_hand.contains(image));
-        RoomState {
+        CapacityState {
             offer: Offer {
                 machine_type: Rc::from(machine_type),
                 zone: Rc::from(ZONES[self.zone]),
                 spot: self.spot,
             },
-            whole: whole(machine_type),
+            total: whole(machine_type),
             unassigned,
             freeing: Resources::default(),
-            open: self.open,
+            schedulable: self.open,
             occupied: self.tasks > 0,
             least_important: (self.tasks > 0).then_some(Priority::Standard),
             images: at_hand,
-            coming,
+            pulling_images: coming,
         }
     }
 
@@ -96,32 +96,32 @@
 }
 
 impl Plain {
-    fn rank(&self, id: &MachineId, demand: &Demand) -> Option<f64> {
+    fn rank(&self, id: &MachineId, demand: &TaskDemand) -> Option<f64> {
         let (drawn, held) = &self.rooms[id];
         let state = drawn.state();
         let offer = &state.offer;
         let mut left = state.unassigned;
-        left.take(held);
-        let takes = drawn.open && !drawn.silent && left.holds(demand.need);
-        if !takes || !may_stand(demand.spec, demand.zones, offer) {
+        left.subtract(held);
+        let takes = drawn.open && !drawn.silent && left.covers(demand.need);
+        if !takes || !placement_allowed(demand.spec, demand.zones, offer) {
             return None;
         }
-        left.take(demand.need);
-        let fit = Fit {
-            cached: state.images.contains(&demand.spec.image),
-            coming: state.coming.contains(&demand.spec.image),
-            fetches: state.coming.len() as u32,
+        left.subtract(demand.need);
+        let fit = FitScore {
+            image_cached: state.images.contains(&demand.spec.image),
+            image_pulling: state.pulling_images.contains(&demand.spec.image),
+            concurrent_pulls: state.pulling_images.len() as u32,
             spot: offer.spot,
-            left: left.share_of(&state.whole),
+            free_share: left.dominant_share(&state.total),
             siblings: demand.siblings.get(id).copied().unwrap_or(0),
         };
-        let service = f64::from(u32::from(demand.spec.kind == Kind::Service));
+        let service = f64::from(u32::from(demand.spec.kind == JobKind::Service));
         let failed = f64::from(u32::from((demand.failed_on)(id)));
-        let crowded = service * Fit::crowded(demand.zones.count(&offer.zone));
+        let crowded = service * FitScore::zone_crowding(demand.zones.count(&offer.zone));
         Some(fit.rank() + 10.0 * failed + crowded)
     }
 
-    fn best(&self, demand: &Demand) -> Option<f64> {
+    fn best(&self, demand: &TaskDemand) -> Option<f64> {
         let ranks = self.rooms.keys().filter_map(|id| self.rank(id, demand));
         ranks.min_by(f64::total_cmp)
     }
@@ -151,13 +151,13 @@
         )
         .unwrap();
         spec.kind = if self.service {
-            Kind::Service
+            JobKind::Service
         } else {
-            Kind::Array
+            JobKind::Array
         };
         spec.tasks = self.tasks;
         spec.spread = self.spread;
-        spec.one_zone = self.one_zone && !self.spread;
+        spec.same_zone = self.one_zone && !self.spread;
         spec.zone = self.only_zone.map(|z| Rc::from(ZONES[z]));
         spec.types = self.only_eight.then(|| vec![Rc::from("g8")]);
         spec.spot = self.spot;
@@ -238,8 +238,8 @@
     TestRunner::new_with_rng(config, rng)
 }
 
-fn index(machines: &[Drawn]) -> (Rooms, Plain) {
-    let mut rooms = Rooms::default();
+fn index(machines: &[Drawn]) -> (CapacityIndex, Plain) {
+    let mut rooms = CapacityIndex::default();
     rooms.set_time(NOW_MS, FRESH_MS);
     let mut plain = Plain {
         rooms: BTreeMap::new(),
@@ -255,21 +255,25 @@
 
 /// Places the tasks of a job one by one, by index and by reference: each goes to
 /// the same room, or to one of equal rank.
-fn place_alike(rooms: &mut Rooms, plain: &mut Plain, job: &DrawnJob) -> Result<(), TestCaseError> {
+fn place_alike(
+    rooms: &mut CapacityIndex,
+    plain: &mut Plain,
+    job: &DrawnJob,
+) -> Result<(), TestCaseError> {
     let spec = job.spec();
-    let need = spec.need();
-    let mut zones = ZoneUse::default();
+    let need = spec.task_request();
+    let mut zones = ZoneCounts::default();
     let mut siblings = BTreeMap::new();
     let failed: BTreeSet<MachineId> = job.failed.iter().map(|n| machine(*n)).collect();
     let failed_on = |id: &MachineId| failed.contains(id);
     for task in 0..spec.tasks {
-        let demand = Demand {
+        let demand = TaskDemand {
             spec: &spec,
             need: &need,
             zones: &zones,
             siblings: &siblings,
             failed_on: &failed_on,
-            apart: Apart::default(),
+            constraint: SearchConstraint::default(),
         };
         let found = rooms.best(&demand);
         let expected = plain.best(&demand);
@@ -304,7 +308,7 @@
         let (mut rooms, mut plain) = index(&machines);
         for job in &jobs {
             place_alike(&mut rooms, &mut plain, job)?;
-            rooms.check().map_err(TestCaseError::fail)?;
+            rooms.check_invariants().map_err(TestCaseError::fail)?;
         }
         Ok(())
     });
@@ -317,15 +321,15 @@
     let verdict = runner(300).run(&(fleet, drawn_job()), |(machines, job)| {
         let (rooms, plain) = index(&machines);
         let spec = job.spec();
-        let need = spec.need();
+        let need = spec.task_request();
         let found: BTreeSet<MachineId> = rooms
             .holding(&spec, &need)
             .map(|(_, r)| r.id.clone())
             .collect();
         let holds = |drawn: &Drawn| {
             let state = drawn.state();
-            let takes = drawn.open && !drawn.silent && state.unassigned.holds(&need);
-            takes && allows_offer(&spec, &state.offer)
+            let takes = drawn.open && !drawn.silent && state.unassigned.covers(&need);
+            takes && offer_allowed(&spec, &state.offer)
         };
         let holding = plain.rooms.iter().filter(|(_, (drawn, _))| holds(drawn));
         let expected: BTreeSet<MachineId> = holding.map(|(id, _)| id.clone()).collect();
@@ -341,17 +345,17 @@
     let verdict = runner(300).run(&(fleet, drawn_job()), |(machines, job)| {
         let (rooms, plain) = index(&machines);
         let spec = job.spec();
-        let need = spec.need();
+        let need = spec.task_request();
         let share = |drawn: &Drawn| {
             let state = drawn.state();
-            let takes = drawn.open && !drawn.silent && state.unassigned.holds(&need);
-            let allowed = takes && allows_offer(&spec, &state.offer) && !state.offer.spot;
+            let takes = drawn.open && !drawn.silent && state.unassigned.covers(&need);
+            let allowed = takes && offer_allowed(&spec, &state.offer) && !state.offer.spot;
             let cold = if state.images.contains(&spec.image) {
                 0.0
             } else {
                 2.0
             };
-            allowed.then(|| state.unassigned.share_of(&state.whole) + cold)
+            allowed.then(|| state.unassigned.dominant_share(&state.total) + cold)
         };
         let shares = plain.rooms.values().filter_map(|(drawn, _)| share(drawn));
         let least = shares.min_by(f64::total_cmp);
@@ -395,7 +399,7 @@
     ];
     let changes = proptest::collection::vec(change, 1..60);
     let verdict = runner(400).run(&changes, |changes| {
-        let (mut rooms, mut now_ms) = (Rooms::default(), NOW_MS);
+        let (mut rooms, mut now_ms) = (CapacityIndex::default(), NOW_MS);
         rooms.set_time(now_ms, FRESH_MS);
         for change in changes {
             let some = |k: u32| task_need().scaled(f64::from(k));
@@ -409,18 +413,18 @@
                 Change::Keep(n, k) => rooms
                     .slot(&machine(n))
                     .into_iter()
-                    .for_each(|s| rooms.keep(s, &some(k))),
+                    .for_each(|s| rooms.reserve_for_forecast(s, &some(k))),
                 Change::Release(n) => rooms
                     .slot(&machine(n))
                     .into_iter()
-                    .for_each(|s| rooms.release_kept(s)),
+                    .for_each(|s| rooms.release_forecast(s)),
                 Change::NewRound => rooms.begin_round(),
                 Change::Later(ms) => {
                     now_ms += ms;
                     rooms.set_time(now_ms, FRESH_MS);
                 }
             }
-            rooms.check().map_err(TestCaseError::fail)?;
+            rooms.check_invariants().map_err(TestCaseError::fail)?;
         }
         rooms.begin_round();
         let zones: u32 = rooms.machines_by_zone().values().sum();
@@ -434,8 +438,8 @@
 
 /// A fleet as in the plan: two types, three zones, a few free amounts, images on
 /// half of the machines.
-fn large_fleet(machines: usize) -> Rooms {
-    let mut rooms = Rooms::default();
+fn large_fleet(machines: usize) -> CapacityIndex {
+    let mut rooms = CapacityIndex::default();
     rooms.set_time(NOW_MS, FRESH_MS);
     for n in 0..machines {
         let drawn = Drawn {
@@ -470,13 +474,13 @@
         failed: BTreeSet::new(),
     };
     let spec = job.spec();
-    let demand = Demand {
+    let demand = TaskDemand {
         spec: &spec,
-        need: &spec.need(),
-        zones: &ZoneUse::default(),
+        need: &spec.task_request(),
+        zones: &ZoneCounts::default(),
         siblings: &BTreeMap::new(),
         failed_on: &|_| false,
-        apart: Apart::default(),
+        constraint: SearchConstraint::default(),
     };
     let before = rooms.examined();
     assert!(rooms.best(&demand).is_some());
--- a/tests/pipelines.rs
+++ b/tests/dependencies.rs
@@ -1,12 +1,12 @@
 //! Kept traces: jobs that need others, and the troubles that they meet. The observer
 //! checks `too_early` and `orphaned` beside the other rules on each.
 
-mod world;
+mod simulation;
 
 use serde_json::{json, Value};
+use simulation::fixtures::{cut_off, heal, up};
+use simulation::{array, Fate, Simulation, CANCEL_MS};
 use std::collections::BTreeMap;
-use world::scenes::{cut_off, heal, up};
-use world::{array, Fate, World, CANCEL_MS};
 
 /// A short job that needs these.
 fn needing(id: &str, needs: &[&str]) -> Value {
@@ -18,14 +18,14 @@
     spec
 }
 
-fn submit_all(w: &mut World, jobs: &[(&str, &[&str])]) {
+fn submit_all(w: &mut Simulation, jobs: &[(&str, &[&str])]) {
     for (n, (id, needs)) in jobs.iter().enumerate() {
         assert_eq!(w.submit(n % 3, &needing(id, needs)), 201, "{id}");
     }
 }
 
 /// What every node says of every job, asked in one moment.
-fn told(w: &mut World, ids: &[&str]) -> Vec<(u16, String)> {
+fn told(w: &mut Simulation, ids: &[&str]) -> Vec<(u16, String)> {
     let mut asked = Vec::new();
     for id in ids {
         for node in 0..w.nodes.len() {
@@ -37,7 +37,7 @@
 }
 
 /// Asked until everybody answers, all nodes say the same of each job.
-fn settle(w: &mut World, ids: &[&str], state: &str) {
+fn settle(w: &mut Simulation, ids: &[&str], state: &str) {
     for _ in 0..40 {
         let all = told(w, ids);
         if all
@@ -144,7 +144,7 @@
 #[test]
 fn a_job_that_needs_a_service_is_cancelled_with_it() {
     let mut w = up(3);
-    assert_eq!(w.submit(0, &world::service("run-s", 2)), 201);
+    assert_eq!(w.submit(0, &simulation::service("run-s", 2)), 201);
     assert_eq!(w.submit(1, &needing("run-1", &["run-s"])), 201);
     w.run_for(10_000);
     assert_eq!(w.on_machines("run-1"), 0);
@@ -282,7 +282,7 @@
 #[test]
 fn a_dependent_that_an_earlier_leader_left_is_gone_on_with() {
     for (over, state) in [("c", "cancelled"), ("d", "done")] {
-        let mut w = World::new(3);
+        let mut w = Simulation::new(3);
         w.add_machine("vm-a", "a", false, true);
         w.observer.submitted(&needing("run-1", &[]));
         (0..2).for_each(|n| w.observer.finished(&format!("run-1/{n}")));
@@ -315,7 +315,7 @@
 }
 
 impl RandomDay {
-    fn submit(&mut self, w: &mut World) {
+    fn submit(&mut self, w: &mut Simulation) {
         self.submitted += 1;
         let id = format!("run-{}", self.submitted);
         let mut needs: Vec<&str> = Vec::new();
@@ -336,7 +336,7 @@
     }
 
     /// Users name jobs only that they were told are accepted.
-    fn hear(&mut self, w: &World) {
+    fn hear(&mut self, w: &Simulation) {
         let answered = self.users.iter().filter(|(user, _)| w.answer(**user).0 > 0);
         let answered: Vec<u64> = answered.map(|(user, _)| *user).collect();
         for user in answered {
@@ -347,7 +347,7 @@
         }
     }
 
-    fn trouble(&mut self, w: &mut World) {
+    fn trouble(&mut self, w: &mut Simulation) {
         let node = self.rng.usize(0..3);
         match self.rng.u32(0..8) {
             0 => w.kill(node),
--- a/tests/faults.rs
+++ b/tests/failure_attribution.rs
@@ -1,11 +1,11 @@
 //! Tasks that fail: by a job's mistake, by a faulty machine, or both at once.
 
-mod world;
+mod simulation;
 
-use lilacfork::faults::{FailureHistory, FaultEvidence};
+use lilacfork::faults::{CircuitBreaker, MachineFaults};
 use lilacfork::ids::{JobId, MachineId};
-use world::scenes::{gone, up};
-use world::{array, service, World};
+use simulation::fixtures::{gone, up};
+use simulation::{array, service, Simulation};
 
 const REPORT_MS: u64 = 1000;
 
@@ -16,58 +16,58 @@
 #[test]
 fn a_machine_is_faulty_by_two_jobs_or_by_one_that_succeeds_elsewhere() {
     let (one, other) = (JobId::new("run-1"), JobId::new("run-2"));
-    let mut evidence = FaultEvidence::default();
+    let mut evidence = MachineFaults::default();
     evidence.add(&one, false);
-    assert!(!evidence.suspect());
+    assert!(!evidence.is_suspect());
     evidence.add(&one, false);
     assert!(
-        evidence.suspect() && !evidence.faulty(),
+        evidence.is_suspect() && !evidence.is_faulty(),
         "it may be the job"
     );
     evidence.confirm(&other);
-    assert!(!evidence.faulty(), "that job never failed here");
+    assert!(!evidence.is_faulty(), "that job never failed here");
     let mut by_success = evidence.clone();
     by_success.confirm(&one);
-    assert!(by_success.faulty());
+    assert!(by_success.is_faulty());
     let mut by_two = evidence.clone();
     by_two.add(&other, false);
-    assert!(by_two.faulty());
-    by_two.forgive(&one);
-    assert!(!by_two.suspect());
+    assert!(by_two.is_faulty());
+    by_two.exonerate(&one);
+    assert!(!by_two.is_suspect());
     by_success.clear();
-    assert!(!by_success.suspect());
+    assert!(!by_success.is_suspect());
 }
 
 #[test]
 fn a_breaker_opens_after_three_machines_and_closes_by_a_success() {
-    let mut history = FailureHistory::default();
+    let mut history = CircuitBreaker::default();
     for n in [1, 1, 1, 2, 2] {
-        history.failed(0, &machine(n), true, REPORT_MS);
+        history.record_failure(0, &machine(n), true, REPORT_MS);
     }
     assert!(!history.is_open(), "two machines may both be faulty");
-    history.failed(0, &machine(3), false, REPORT_MS);
-    assert!(history.is_open() && history.may_retry(0));
+    history.record_failure(0, &machine(3), false, REPORT_MS);
+    assert!(history.is_open() && history.allows_attempt(0));
     let pauses: Vec<u64> = (0..9)
         .map(|_| {
-            history.failed(0, &machine(4), true, REPORT_MS);
-            (0..).find(|ms| history.may_retry(*ms)).unwrap_or(0)
+            history.record_failure(0, &machine(4), true, REPORT_MS);
+            (0..).find(|ms| history.allows_attempt(*ms)).unwrap_or(0)
         })
         .collect();
     assert_eq!(
         pauses,
         [500, 1000, 2000, 4000, 8000, 16_000, 32_000, 64_000, 64_000]
     );
-    let mut inherited = FailureHistory::default();
+    let mut inherited = CircuitBreaker::default();
     inherited.restore(history.to_record());
-    assert!(inherited.is_open() && inherited.may_retry(0));
-    assert!(inherited.succeeded(), "the first");
+    assert!(inherited.is_open() && inherited.allows_attempt(0));
+    assert!(inherited.record_success(), "the first");
     assert!(!inherited.is_open());
-    assert!(!inherited.succeeded(), "the second");
-    assert_eq!(FailureHistory::default().to_record(), 0);
+    assert!(!inherited.record_success(), "the second");
+    assert_eq!(CircuitBreaker::default().to_record(), 0);
 }
 
 /// Six machines, and a job of forty tasks with a mistake.
-fn with_a_mistake(nodes: usize) -> (World, Vec<String>) {
+fn with_a_mistake(nodes: usize) -> (Simulation, Vec<String>) {
     let mut w = up(nodes);
     let names: Vec<String> = (1..5).map(|n| format!("vm-c{n}")).collect();
     for name in &names {
@@ -78,7 +78,7 @@
     (w, names)
 }
 
-fn starts(w: &World, job: &str) -> usize {
+fn starts(w: &Simulation, job: &str) -> usize {
     let prefix = format!(" {job}/");
     w.trace.iter().filter(|t| t.contains(&prefix)).count()
 }
--- a/tests/meetings.rs
+++ b/tests/fault_interactions.rs
@@ -2,17 +2,17 @@
 //! operators have named and that no other file holds. The observer checks the
 //! rules at every step; a test adds what has to be served.
 
-mod world;
+mod simulation;
 
-use lilacfork::msg::Target;
+use lilacfork::messages::Destination;
 use serde_json::{json, Value};
+use simulation::fixtures::{cut_between_zones, cut_off, full_zone, gone, heal, set_silent, up};
+use simulation::{array, service, Fate, Simulation, CANCEL_MS, LEASE_MS};
 use std::cell::RefCell;
 use std::rc::Rc;
-use world::scenes::{cut_between_zones, cut_off, full_zone, gone, heal, set_silent, up};
-use world::{array, service, Fate, World, CANCEL_MS, LEASE_MS};
 
 /// Ends the leader, and returns who leads next.
-fn change_leader(w: &mut World) -> usize {
+fn change_leader(w: &mut Simulation) -> usize {
     let old = w.leader().expect("somebody leads");
     w.kill(old);
     w.run_for(4500);
@@ -222,8 +222,8 @@
     let mut w = up(3);
     w.hook = Box::new(|at, node, call| match &call.target {
         // Each node's calls take their own time.
-        Target::State => Fate::SlowAnswer((at * 7 + node as u64 * 13) % 40),
-        Target::StateWatch if node == 2 => Fate::SlowAnswer(300),
+        Destination::KvStore => Fate::SlowAnswer((at * 7 + node as u64 * 13) % 40),
+        Destination::KvWatch if node == 2 => Fate::SlowAnswer(300),
         _ => Fate::Pass,
     });
     for n in 0..24 {
@@ -396,7 +396,7 @@
         for cancel in [true, false] {
             let mut w = up(3);
             w.hook = Box::new(move |_, _, call| match call.target {
-                Target::Worker(_) => Fate::Late(held_ms),
+                Destination::Worker(_) => Fate::Late(held_ms),
                 _ => Fate::Pass,
             });
             assert_eq!(w.submit(0, &service("run-1", 8)), 201);
@@ -430,8 +430,8 @@
     let mut cancelled = Vec::new();
     for phase in 0..3 {
         w.hook = Box::new(move |at, node, call| match call.target {
-            Target::State if phase >= 1 && node == leader => Fate::Refuse,
-            Target::State => Fate::SlowAnswer(100 + (at * 31) % 900),
+            Destination::KvStore if phase >= 1 && node == leader => Fate::Refuse,
+            Destination::KvStore => Fate::SlowAnswer(100 + (at * 31) % 900),
             _ => Fate::Pass,
         });
         w.state.away = phase == 2;
@@ -581,9 +581,9 @@
 fn what_was_written_unheard_is_read_and_told_by_others() {
     for writer in 0..3 {
         let mut w = up(3);
-        let at_once = |writer: usize| -> world::Hook {
+        let at_once = |writer: usize| -> simulation::Hook {
             Box::new(move |_, node, call| match call.target {
-                Target::State if call.path == "/txn" && node == writer => Fate::LoseAnswer,
+                Destination::KvStore if call.path == "/txn" && node == writer => Fate::LoseAnswer,
                 _ => Fate::Pass,
             })
         };
@@ -652,9 +652,9 @@
     let mut w = up(3);
     w.capacity = 4;
     w.hook = Box::new(|at, _, call| match call.target {
-        Target::Worker(_) => Fate::SlowAnswer((at * 13) % 1500),
-        Target::Peer(_) => Fate::SlowAnswer((at * 7) % 300),
-        Target::State => Fate::SlowAnswer((at * 3) % 120),
+        Destination::Worker(_) => Fate::SlowAnswer((at * 13) % 1500),
+        Destination::Peer(_) => Fate::SlowAnswer((at * 7) % 300),
+        Destination::KvStore => Fate::SlowAnswer((at * 3) % 120),
         _ => Fate::Pass,
     });
     let ranks = ["idle", "standard", "high", "critical"];
@@ -691,12 +691,12 @@
 #[test]
 fn machines_up_at_once_get_work_while_writes_lag_and_the_leader_ends() {
     for offset in (0..4000).step_by(200) {
-        let mut w = World::new(3);
+        let mut w = Simulation::new(3);
         w.boot_ms = 300;
         w.run_until(4000);
         let leader = w.leader().unwrap();
         w.hook = Box::new(move |at, node, call| match call.target {
-            Target::State if call.path == "/txn" && node == leader => {
+            Destination::KvStore if call.path == "/txn" && node == leader => {
                 Fate::SlowAnswer(200 + (at * 37) % 1500)
             }
             _ => Fate::Pass,
@@ -853,7 +853,7 @@
     let reads = Rc::new(RefCell::new(0));
     let seen = reads.clone();
     w.hook = Box::new(move |_, n, call| {
-        *seen.borrow_mut() += usize::from(n == node && call.target == Target::State);
+        *seen.borrow_mut() += usize::from(n == node && call.target == Destination::KvStore);
         Fate::Pass
     });
     let mut users = Vec::new();
@@ -898,7 +898,7 @@
             let body = if method == "POST" { spec } else { json!(null) };
             // The state service answers while the controller sleeps.
             w.hook = Box::new(move |_, node, call| match call.target {
-                Target::State if node == follower => Fate::SlowAnswer(300),
+                Destination::KvStore if node == follower => Fate::SlowAnswer(300),
                 _ => Fate::Pass,
             });
             let asked = w.ask(follower, method, path, body);
--- a/tests/large_fleets.rs
+++ b/tests/large_fleets.rs
@@ -1,13 +1,13 @@
 //! Traces of large fleets, and what they ask of the state service and of rounds.
 
-mod world;
+mod simulation;
 
-use lilacfork::msg::Target;
+use lilacfork::messages::Destination;
+use simulation::fixtures::{gone, patient, set_silent};
+use simulation::{array, Fate, Simulation};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
-use world::scenes::{gone, patient, set_silent};
-use world::{array, Fate, World};
 
 /// What the state service was asked, by the second.
 #[derive(Default)]
@@ -16,11 +16,11 @@
     changes: BTreeMap<u64, usize>,
 }
 
-fn count_calls(w: &mut World) -> Rc<RefCell<Asked>> {
+fn count_calls(w: &mut Simulation) -> Rc<RefCell<Asked>> {
     let asked: Rc<RefCell<Asked>> = Rc::default();
     let counts = asked.clone();
     w.hook = Box::new(move |ms, _, call| {
-        if matches!(call.target, Target::State | Target::StateWatch) {
+        if matches!(call.target, Destination::KvStore | Destination::KvWatch) {
             *counts.borrow_mut().calls.entry(ms / 1000).or_default() += 1;
         }
         if call.path == "/txn" {
@@ -36,8 +36,8 @@
 }
 
 /// Seven controllers, full machines, thousands of tasks.
-fn large(machines: usize) -> (World, Rc<RefCell<Asked>>) {
-    let mut w = World::new(7);
+fn large(machines: usize) -> (Simulation, Rc<RefCell<Asked>>) {
+    let mut w = Simulation::new(7);
     w.capacity = 0;
     w.run_ms = 600_000;
     for n in 0..machines {
@@ -107,7 +107,7 @@
 }
 
 /// Entries that the rounds of all controllers have examined since `before`.
-fn examined_since(w: &World, before: &[u64]) -> u64 {
+fn examined_since(w: &Simulation, before: &[u64]) -> u64 {
     let now = examined(w);
     now.iter()
         .zip(before)
@@ -115,7 +115,7 @@
         .sum()
 }
 
-fn examined(w: &World) -> Vec<u64> {
+fn examined(w: &Simulation) -> Vec<u64> {
     let of = |n: &Option<lilacfork::node::Node>| n.as_ref().map_or(0, |n| n.examined());
     w.nodes.iter().map(of).collect()
 }
--- a/tests/leadership.rs
+++ b/tests/leadership.rs
@@ -1,20 +1,20 @@
 //! Kept traces: who leads, and what a change of leader must not lose.
 
-mod world;
+mod simulation;
 
-use lilacfork::msg::Target;
+use lilacfork::messages::Destination;
 use serde_json::json;
+use simulation::fixtures::{cut_off, full_zone, gone, heal, up};
+use simulation::{array, service, Fate, Simulation};
 use std::cell::Cell;
 use std::rc::Rc;
-use world::scenes::{cut_off, full_zone, gone, heal, up};
-use world::{array, service, Fate, World};
 
 /// A claim carried out late, when its author had given it up and made another
 /// lease, once passed for the newer one: the leader renewed a lease that held
 /// nothing, and the key ended under it.
 #[test]
 fn a_claim_carried_out_late_is_no_proof_of_a_lease_made_since() {
-    let mut w = World::new(1);
+    let mut w = Simulation::new(1);
     let claims = Rc::new(Cell::new(0));
     let seen = claims.clone();
     w.hook = Box::new(move |_, _, call| {
@@ -107,7 +107,7 @@
         let mut w = up(3);
         let mut rng = fastrand::Rng::with_seed(seed);
         w.hook = Box::new(move |_, _, call| match call.target {
-            Target::StateWatch => Fate::Pass,
+            Destination::KvWatch => Fate::Pass,
             _ if rng.u32(0..6) == 0 => Fate::Garble([200, 404, 409, 500][rng.usize(0..4)]),
             _ => Fate::Pass,
         });
@@ -154,8 +154,10 @@
             claimed.set(Some(node));
         }
         match call.target {
-            Target::State if claimed.get().is_some_and(|n| n != node) => Fate::SlowAnswer(900),
-            Target::StateWatch => Fate::SlowAnswer(900),
+            Destination::KvStore if claimed.get().is_some_and(|n| n != node) => {
+                Fate::SlowAnswer(900)
+            }
+            Destination::KvWatch => Fate::SlowAnswer(900),
             _ => Fate::Pass,
         }
     });
@@ -190,7 +192,7 @@
     let first = w.leader().unwrap();
     assert_eq!(w.submit(0, &service("run-1", 16)), 201);
     w.run_for(40_000);
-    let term = |w: &World| w.state.items["leader/term"].0["term"].as_u64();
+    let term = |w: &Simulation| w.state.items["leader/term"].0["term"].as_u64();
     assert_eq!(term(&w), Some(1), "no silence, no step");
     let started = w.trace.len();
     let until = w.now + 60_000;
@@ -219,7 +221,7 @@
     let until = w.now + 60_000;
     w.frozen.insert(first, until);
     w.run_for(8000);
-    let led = |w: &World, n: usize| w.nodes[n].as_ref().unwrap().is_leader();
+    let led = |w: &Simulation, n: usize| w.nodes[n].as_ref().unwrap().is_leader();
     let second = (0..3).find(|n| *n != first && led(&w, *n)).unwrap();
     let third = 3 - first - second;
     let wakes = w.now + 16_000;
--- a/tests/moving.rs
+++ b/tests/migration.rs
@@ -1,10 +1,10 @@
 //! Traces of tasks on the move: gathered, giving way, spreading images.
 
-mod world;
+mod simulation;
 
 use serde_json::json;
-use world::scenes::up;
-use world::{array, service, World};
+use simulation::fixtures::up;
+use simulation::{array, service, Simulation};
 
 /// Replicas once stayed scattered over half-empty machines until they were
 /// cancelled, and the machines were paid for.
@@ -118,7 +118,7 @@
         assert_eq!(w.submit(0, &spec), 201);
     }
     w.run_for(3000);
-    let on = |w: &World, m: &str| w.workers[m].tasks.len();
+    let on = |w: &Simulation, m: &str| w.workers[m].tasks.len();
     assert_eq!((on(&w, "vm-a"), on(&w, "vm-b")), (8, 0), "{:?}", w.trace);
     w.run_for(60_000);
     assert_eq!((on(&w, "vm-a"), on(&w, "vm-b")), (7, 1), "{:?}", w.trace);
@@ -163,7 +163,7 @@
     w.run_for(150_000);
     w.cancel(node, "run-0");
     w.run_for(1000);
-    let on = |w: &World, m: &str, job: &str| {
+    let on = |w: &Simulation, m: &str, job: &str| {
         let tasks = w.workers[m].tasks.keys();
         tasks.filter(|t| t.starts_with(job)).count()
     };
@@ -200,7 +200,7 @@
     spread["spread"] = json!(true);
     assert_eq!(w.submit(0, &spread), 201);
     w.run_for(2000);
-    let in_zone = |w: &World, zone: &str| {
+    let in_zone = |w: &Simulation, zone: &str| {
         let here = w.workers.values().filter(|m| !m.gone && m.zone == zone);
         here.map(|m| m.tasks.keys().filter(|t| t.starts_with("run-1/")).count())
             .sum::<usize>()
--- a/tests/cuts.rs
+++ b/tests/network_partitions.rs
@@ -1,14 +1,14 @@
 //! Traces of cuts and outages: zones, controllers and the state service apart.
 
-mod world;
+mod simulation;
 
-use lilacfork::msg::Target;
+use lilacfork::messages::Destination;
 use serde_json::json;
-use world::scenes::{
+use simulation::fixtures::{
     crosses, cut_between_zones, cut_zone_from_everything, cut_zones, full_zone, gone, heal,
     set_silent, up,
 };
-use world::{array, service, Fate, World};
+use simulation::{array, service, Fate, Simulation};
 
 #[test]
 fn work_lives_through_an_outage_of_the_state_service() {
@@ -48,7 +48,7 @@
 #[test]
 fn a_node_that_alone_is_cut_off_is_not_ready() {
     let mut w = up(3);
-    let ready = |w: &mut World, n| {
+    let ready = |w: &mut Simulation, n| {
         let user = w.ask(n, "GET", "/ready", json!(null));
         w.run_for(20);
         w.answer(user).0
@@ -56,7 +56,7 @@
     let lone = (w.leader().unwrap() + 1) % 3;
     assert_eq!(ready(&mut w, lone), 200);
     w.hook = Box::new(move |_, node, call| match call.target {
-        Target::State | Target::StateWatch if node == lone => Fate::LoseRequest,
+        Destination::KvStore | Destination::KvWatch if node == lone => Fate::LoseRequest,
         _ => Fate::Pass,
     });
     w.run_for(20_000);
@@ -217,7 +217,7 @@
 /// as one record holds, and the leader gave the others up.
 #[test]
 fn all_machines_that_a_follower_looks_after_are_stored() {
-    let mut w = World::new(3);
+    let mut w = Simulation::new(3);
     w.capacity = 0;
     let zone_b = 1400;
     for n in 0..zone_b {
@@ -278,9 +278,11 @@
         let leader = w.leader().unwrap();
         w.cuts = cut_zones();
         w.hook = Box::new(move |_, node, call| match &call.target {
-            Target::Peer(addr) if crosses(node, addr) => Fate::LoseRequest,
+            Destination::Peer(addr) if crosses(node, addr) => Fate::LoseRequest,
             // The far follower alone loses the state service too.
-            Target::State | Target::StateWatch if state_goes_too && node == 1 => Fate::LoseRequest,
+            Destination::KvStore | Destination::KvWatch if state_goes_too && node == 1 => {
+                Fate::LoseRequest
+            }
             _ => Fate::Pass,
         });
         w.cloud_away = true;
@@ -302,7 +304,7 @@
     assert_eq!(w.submit(0, &service("run-1", 4)), 201);
     w.run_for(3000);
     w.hook = Box::new(move |_, node, call| match call.target {
-        Target::StateWatch if node == leader => Fate::LoseRequest,
+        Destination::KvWatch if node == leader => Fate::LoseRequest,
         _ => Fate::Pass,
     });
     // The watch in flight ends unheard: it is lost with the next one.
@@ -327,7 +329,7 @@
     let sizes = std::rc::Rc::new(std::cell::RefCell::new(Vec::new()));
     let seen = sizes.clone();
     w.hook = Box::new(move |_, node, call| {
-        if node == 1 && matches!(call.target, Target::Peer(_)) {
+        if node == 1 && matches!(call.target, Destination::Peer(_)) {
             seen.borrow_mut().push(call.body.len());
         }
         Fate::Pass
--- a/tests/observer.rs
+++ b/tests/observer.rs
@@ -1,11 +1,11 @@
 //! The traces' observer, proved by a broken history for each rule: what it
 //! can't see, no trace checks.
 
-mod world;
+mod simulation;
 
 use serde_json::{json, Value};
-use world::array;
-use world::observer::{Observer, Placed, Question, Verb, Verdict};
+use simulation::array;
+use simulation::observer::{Observer, Placed, Question, Verb, Verdict};
 
 fn observer() -> Observer {
     Observer::new(30_000, &[("blue", 2.0)])
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -1,14 +1,14 @@
 //! The pure parts, as tables.
 
 use lilacfork::cloud::Offer;
-use lilacfork::ids::{Term, Token};
-use lilacfork::msg::Now;
-use lilacfork::options::Options;
-use lilacfork::placement::{Fit, Resources, ZoneUse};
+use lilacfork::ids::{FencingToken, Term};
+use lilacfork::kv_client::{self, CallPriority, KvCall, KvClient, TokenBucket};
+use lilacfork::messages::Now;
+use lilacfork::placement::{FitScore, Resources, ZoneCounts};
 use lilacfork::scheduler::{read_ranges, write_ranges};
 use lilacfork::settings::Settings;
 use lilacfork::slackfit::{buckets, cheapest, choose, Rung};
-use lilacfork::store::{self, StateCall, Store, TokenBucket, Urgency};
+use lilacfork::tuning::Tuning;
 use lilacfork::wire::{JobSpec, Txn};
 use std::rc::Rc;
 
@@ -94,7 +94,7 @@
 fn zones_are_allowed_by_what_may_already_be_there() {
     let (a, b): (Rc<str>, Rc<str>) = (Rc::from("a"), Rc::from("b"));
     let mut spec = spec();
-    let mut zones = ZoneUse::default();
+    let mut zones = ZoneCounts::default();
     for _ in 0..5 {
         assert!(zones.allows(&spec, "a"));
         zones.add(&a);
@@ -105,9 +105,9 @@
     );
     assert!(zones.allows(&spec, "b"));
     spec.spread = false;
-    spec.one_zone = true;
+    spec.same_zone = true;
     assert!(zones.allows(&spec, "a") && !zones.allows(&spec, "b"));
-    spec.one_zone = false;
+    spec.same_zone = false;
     spec.zone = Some(b);
     assert!(!zones.allows(&spec, "a") && zones.allows(&spec, "b"));
 }
@@ -124,13 +124,13 @@
         gpus: 2.0,
         memory_gb: 40.0,
     };
-    assert_eq!(whole.times(&need), 4);
+    assert_eq!(whole.count_of(&need), 4);
     let mut free = whole;
     for _ in 0..4 {
-        assert!(free.holds(&need));
-        free.take(&need);
+        assert!(free.covers(&need));
+        free.subtract(&need);
     }
-    assert!(!free.holds(&need));
+    assert!(!free.covers(&need));
     // Tenths don't add up exactly; a machine isn't lost for it.
     let tenth = Resources {
         cpus: 0.1,
@@ -140,37 +140,43 @@
         cpus: 1.0,
         ..Resources::default()
     };
-    (0..9).for_each(|_| free.take(&tenth));
-    assert!(free.holds(&tenth));
+    (0..9).for_each(|_| free.subtract(&tenth));
+    assert!(free.covers(&tenth));
 }
 
 #[test]
 fn an_image_at_hand_beats_packing_and_packing_beats_emptiness() {
-    let base = Fit {
-        cached: false,
-        coming: false,
-        fetches: 0,
+    let base = FitScore {
+        image_cached: false,
+        image_pulling: false,
+        concurrent_pulls: 0,
         spot: false,
-        left: 0.5,
+        free_share: 0.5,
         siblings: 0,
     };
     let order = [
-        Fit {
-            cached: true,
-            left: 0.9,
+        FitScore {
+            image_cached: true,
+            free_share: 0.9,
             ..base
         },
-        Fit {
-            coming: true,
+        FitScore {
+            image_pulling: true,
+            ..base
+        },
+        FitScore {
+            free_share: 0.1,
             ..base
         },
-        Fit { left: 0.1, ..base },
         base,
-        Fit {
+        FitScore {
             siblings: 2,
             ..base
         },
-        Fit { fetches: 2, ..base },
+        FitScore {
+            concurrent_pulls: 2,
+            ..base
+        },
     ];
     for pair in order.windows(2) {
         assert!(pair[0].rank() < pair[1].rank(), "{pair:?}");
@@ -191,12 +197,12 @@
 
 #[test]
 fn tokens_grow_with_terms_and_end_with_them() {
-    let t = Token::new(Term(7), 5);
+    let t = FencingToken::new(Term(7), 5);
     assert_eq!(t.term(), Term(7));
-    assert!(t.raised().unwrap() > t);
-    assert!(Token::new(Term(8), 0) > t);
+    assert!(t.next().unwrap() > t);
+    assert!(FencingToken::new(Term(8), 0) > t);
     assert_eq!(
-        Token::new(Term(7), u64::MAX).raised(),
+        FencingToken::new(Term(7), u64::MAX).next(),
         None,
         "never into the next term"
     );
@@ -214,13 +220,13 @@
         bucket.take(at(5000), 15.0),
         "more than the burst, on a full bucket"
     );
-    bucket.drain(at(5000));
+    bucket.mark_empty(at(5000));
     assert!(!bucket.take(at(5050), 1.0));
 }
 
 #[test]
 fn settings_and_options_say_what_is_wrong() {
-    let good = include_str!("world/mod.rs");
+    let good = include_str!("simulation/mod.rs");
     let good = good
         .split("r#\"")
         .nth(1)
@@ -255,12 +261,12 @@
         let error = Settings::parse(&good.replace(from, to), "f.toml").unwrap_err();
         assert_eq!(error.to_string(), says);
     }
-    let ini = |text: &str| Options::from_ini(&ini::Ini::load_from_str(text).unwrap(), "f.ini");
+    let ini = |text: &str| Tuning::from_ini(&ini::Ini::load_from_str(text).unwrap(), "f.ini");
     assert_eq!(ini("[slackfit]\nheadroom = 2\n").unwrap().headroom, 2.0);
     // Every default may be written down: one once lay outside its own bounds.
-    for line in Options::describe().lines() {
+    for line in Tuning::describe().lines() {
         let text = line.replace("] ", "]\n");
-        assert_eq!(ini(&text).unwrap(), Options::default(), "{line}");
+        assert_eq!(ini(&text).unwrap(), Tuning::default(), "{line}");
     }
     for (text, says) in [
         (
@@ -282,7 +288,7 @@
 }
 
 /// Changes that go out in ten seconds, of more than are let out.
-fn changes_sent(store: &mut Store<u32>, from_ms: u64) -> usize {
+fn changes_sent(store: &mut KvClient<u32>, from_ms: u64) -> usize {
     let mut sent = 0;
     for n in 0..1000 {
         let now = Now {
@@ -290,12 +296,12 @@
             wall: 0,
         };
         for _ in 0..2 {
-            let (call, writes) = store::txn(&Txn::default().delete("x"), 1000);
-            store.submit(StateCall {
-                urgency: Urgency::Placement,
+            let (call, writes) = kv_client::txn(&Txn::default().delete("x"), 1000);
+            store.submit(KvCall {
+                priority: CallPriority::Placement,
                 call,
                 writes,
-                give_up_ms: now.ms + 1000,
+                expires_ms: now.ms + 1000,
                 tag: 0,
             });
         }
@@ -310,17 +316,17 @@
 #[test]
 fn the_leader_takes_the_changes_that_others_leave() {
     let at = |ms| Now { ms, wall: 0 };
-    let mut store: Store<u32> = Store::new(200.0, 50.0);
+    let mut store: KvClient<u32> = KvClient::new(200.0, 50.0);
     store.set_share(at(0), 0.6, 1.0);
     let share = changes_sent(&mut store, 0);
     assert!((300..=340).contains(&share), "{share}");
-    store.leave_writes(at(20_000), 0.6, 2.0);
+    store.set_write_share_beside(at(20_000), 0.6, 2.0);
     let rest = changes_sent(&mut store, 20_000);
     assert!((430..=480).contains(&rest), "{rest}");
     let used = store.writes_per_s(at(30_000));
     assert!((38.0..48.0).contains(&used), "{used}");
     // Never less than its share, however much the others say they write.
-    store.leave_writes(at(40_000), 0.6, 1e9);
+    store.set_write_share_beside(at(40_000), 0.6, 1e9);
     let least = changes_sent(&mut store, 40_000);
     assert!((300..=340).contains(&least), "{least}");
     assert!(store.writes_per_s(at(70_000)) < 0.1, "and it is forgotten");
--- a/tests/costs.rs
+++ b/tests/processor_costs.rs
@@ -2,17 +2,17 @@
 //! examined. Each bound leaves room for change and is broken once the cost
 //! grows with the fleet.
 
-mod world;
+mod simulation;
 
-use lilacfork::msg::Target;
+use lilacfork::messages::Destination;
+use simulation::{array, fixtures, Fate, Simulation};
 use std::cell::RefCell;
 use std::rc::Rc;
-use world::{array, scenes, Fate, World};
 
 /// Two controllers in zone `a`, one of them the leader, and machines in zone `b`
 /// that report to the third controller, which passes their reports on.
-fn machines_beside_a_follower(machines: usize) -> World {
-    let mut w = scenes::up(3);
+fn machines_beside_a_follower(machines: usize) -> Simulation {
+    let mut w = fixtures::up(3);
     assert_ne!(w.leader(), Some(1), "the follower of zone b doesn't lead");
     w.capacity = 0;
     w.run_ms = 2500;
@@ -26,11 +26,11 @@
 }
 
 /// Counts the calls that the follower makes to other controllers from now on.
-fn count_peer_calls(w: &mut World) -> Rc<RefCell<usize>> {
+fn count_peer_calls(w: &mut Simulation) -> Rc<RefCell<usize>> {
     let calls = Rc::new(RefCell::new(0));
     let counter = calls.clone();
     w.hook = Box::new(move |_, node, call| {
-        if node == 1 && matches!(call.target, Target::Peer(_)) {
+        if node == 1 && matches!(call.target, Destination::Peer(_)) {
             *counter.borrow_mut() += 1;
         }
         Fate::Pass
--- a/tests/renting.rs
+++ b/tests/provisioning.rs
@@ -1,17 +1,19 @@
 //! Traces of renting and returning machines.
 
-mod world;
+mod simulation;
 
-use lilacfork::msg::Target;
-use world::scenes::{patient, up};
-use world::{array, service, Fate, World};
+use lilacfork::messages::Destination;
+use simulation::fixtures::{patient, up};
+use simulation::{array, service, Fate, Simulation};
 
 #[test]
 fn a_rental_whose_answer_is_lost_is_made_once() {
-    let mut w = World::new(1);
+    let mut w = Simulation::new(1);
     let mut lost = 0;
     w.hook = Box::new(move |_, _, call| {
-        if call.target == Target::Cloud && call.body.windows(5).any(|b| b == b"\"bon\"") && lost < 2
+        if call.target == Destination::Cloud
+            && call.body.windows(5).any(|b| b == b"\"bon\"")
+            && lost < 2
         {
             lost += 1;
             return Fate::LoseAnswer;
@@ -29,7 +31,7 @@
 /// machine.
 #[test]
 fn a_machine_that_turns_up_unasked_is_used_and_then_returned() {
-    let mut w = World::new(3);
+    let mut w = Simulation::new(3);
     w.run_until(3000);
     w.cloud_away = true;
     assert_eq!(w.submit(0, &array("run-1", 2)), 201);
@@ -98,7 +100,7 @@
     }
     w.run_for(3000);
     assert_eq!(w.submit(0, &array("run-1", 128)), 201);
-    let there = |w: &World| w.workers.values().filter(|m| !m.gone).count();
+    let there = |w: &Simulation| w.workers.values().filter(|m| !m.gone).count();
     w.run_until(82_500);
     assert_eq!((there(&w), w.on_machines("run-1")), (16, 128));
     w.run_until(87_000);
@@ -111,13 +113,13 @@
 /// nobody could have rented, and all work of the beginning waited with it.
 #[test]
 fn the_first_leader_rents_at_once_unless_machines_are_there() {
-    let mut w = World::new(1);
+    let mut w = Simulation::new(1);
     w.run_until(1000);
     assert_eq!(w.submit(0, &patient("run-1")), 201);
     w.run_for(500);
     assert_eq!(w.workers.len(), 3, "twenty replicas, eight to a machine");
     // What is there already is heard first.
-    let mut w = World::new(1);
+    let mut w = Simulation::new(1);
     for n in 0..3 {
         w.add_machine(&format!("vm-e{n}"), "a", false, true);
     }
@@ -131,7 +133,7 @@
 /// boot: they counted as room to come until twice that time.
 #[test]
 fn a_machine_that_boots_for_unusually_long_is_not_counted_on() {
-    let mut w = World::new(1);
+    let mut w = Simulation::new(1);
     w.boot_ms = 40_000;
     w.run_until(5000);
     assert_eq!(w.submit(0, &patient("run-1")), 201);
--- a/tests/storms.rs
+++ b/tests/randomized_faults.rs
@@ -2,15 +2,15 @@
 //! from fixed seeds, several at a time. The observer checks the rules at every
 //! step; once all is over, everything accepted has to be served.
 
-mod world;
+mod simulation;
 
-use lilacfork::msg::Target;
+use lilacfork::messages::Destination;
 use serde_json::{json, Value};
+use simulation::fixtures::node_at;
+use simulation::{array, service, Fate, Simulation};
 use std::cell::Cell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
-use world::scenes::node_at;
-use world::{array, service, Fate, World};
 
 /// How likely each fate is, in percent, changed as the storm goes.
 #[derive(Clone, Copy, Default)]
@@ -29,7 +29,7 @@
 }
 
 struct Storm {
-    w: World,
+    w: Simulation,
     rng: fastrand::Rng,
     weather: Rc<Cell<Weather>>,
     jobs: BTreeMap<String, Value>,
@@ -42,7 +42,7 @@
 
 impl Storm {
     fn new(seed: u64) -> Storm {
-        let mut w = World::new(3);
+        let mut w = Simulation::new(3);
         w.capacity = 12;
         w.boot_ms = 1500;
         for (n, zone) in ["a", "b", "a", "b"].into_iter().enumerate() {
@@ -54,19 +54,21 @@
         w.hook = Box::new(move |_, node, call| {
             let now = sky.get();
             let mut chance = |percent: u32| percent > 0 && rng.u32(0..100) < percent;
-            if call.target != Target::StateWatch && chance(now.garbled) {
+            if call.target != Destination::KvWatch && chance(now.garbled) {
                 return Fate::Garble([200, 404, 409, 500][rng.usize(0..4)]);
             }
             match &call.target {
-                Target::State | Target::StateWatch if now.refused == Some(node) => Fate::Refuse,
-                Target::State if call.path == "/txn" && chance(now.late_txn) => {
+                Destination::KvStore | Destination::KvWatch if now.refused == Some(node) => {
+                    Fate::Refuse
+                }
+                Destination::KvStore if call.path == "/txn" && chance(now.late_txn) => {
                     Fate::Late(2000 + rng.u64(0..10_000))
                 }
-                Target::State if call.path == "/txn" && chance(now.lost_txn_answer) => {
+                Destination::KvStore if call.path == "/txn" && chance(now.lost_txn_answer) => {
                     Fate::LoseAnswer
                 }
-                Target::State if chance(now.slow_state) => Fate::SlowAnswer(rng.u64(0..800)),
-                Target::Peer(addr) => {
+                Destination::KvStore if chance(now.slow_state) => Fate::SlowAnswer(rng.u64(0..800)),
+                Destination::Peer(addr) => {
                     let to = node_at(addr);
                     let parted = now.parted.is_some_and(|n| n == node || n == to);
                     if parted || chance(now.lost_peer) {
@@ -75,7 +77,9 @@
                         Fate::Pass
                     }
                 }
-                Target::Worker(_) if chance(now.late_command) => Fate::Late(rng.u64(500..6000)),
+                Destination::Worker(_) if chance(now.late_command) => {
+                    Fate::Late(rng.u64(500..6000))
+                }
                 _ => Fate::Pass,
             }
         });
--- a/tests/reactor.rs
+++ b/tests/reactor.rs
@@ -1,8 +1,10 @@
 //! The reactor's bounds, with real sockets on loopback: ports are the
 //! system's choice, and what is asserted doesn't depend on time.
 
-use lilacfork::msg::{Call, CallId, ConnId, Effect, Now, Outcome, Port, Reply, Request, Target};
-use lilacfork::reactor::{Bounds, Endpoints, Handler, Reactor};
+use lilacfork::messages::{
+    Call, CallId, CallResult, ConnectionId, Destination, Effect, Listener, Now, Reply, Request,
+};
+use lilacfork::reactor::{Endpoints, Handler, Reactor, ResourceBounds};
 use std::io::{Read, Write};
 use std::net::{Ipv4Addr, SocketAddrV4, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -26,7 +28,7 @@
             // All of 127/8 is this machine; to the reactor they are many.
             let address = format!("127.0.{}.{}:{}", n / 200, n % 200 + 1, self.port);
             let call = Call {
-                target: Target::Worker(address),
+                target: Destination::Worker(address),
                 method: "POST",
                 path: "/commands".into(),
                 body: b"{}".to_vec(),
@@ -38,9 +40,9 @@
 }
 
 impl Handler for Caller {
-    fn request(&mut self, _: Now, _: ConnId, _: Port, _: Request, _: &mut Vec<Effect>) {}
+    fn request(&mut self, _: Now, _: ConnectionId, _: Listener, _: Request, _: &mut Vec<Effect>) {}
 
-    fn outcome(&mut self, _: Now, _: CallId, outcome: Outcome, out: &mut Vec<Effect>) {
+    fn outcome(&mut self, _: Now, _: CallId, outcome: CallResult, out: &mut Vec<Effect>) {
         assert!(matches!(outcome, Ok((200, _))), "{outcome:?}");
         self.answered += 1;
         if self.answered == WORKERS * ROUNDS {
@@ -97,7 +99,7 @@
     });
     // A quarter of 128 for calls, less 20 for state service and cloud and two
     // for the one peer: ten for workers.
-    let bounds = Bounds {
+    let bounds = ResourceBounds {
         max_connections: 128,
         ram_mb: 40.0,
     };
@@ -126,12 +128,19 @@
 struct Obliging;
 
 impl Handler for Obliging {
-    fn request(&mut self, _: Now, conn: ConnId, _: Port, request: Request, out: &mut Vec<Effect>) {
+    fn request(
+        &mut self,
+        _: Now,
+        conn: ConnectionId,
+        _: Listener,
+        request: Request,
+        out: &mut Vec<Effect>,
+    ) {
         let reply = Reply::json(200, &request.body.len());
         out.push(Effect::Reply(conn, reply));
     }
 
-    fn outcome(&mut self, _: Now, _: CallId, _: Outcome, _: &mut Vec<Effect>) {}
+    fn outcome(&mut self, _: Now, _: CallId, _: CallResult, _: &mut Vec<Effect>) {}
 
     fn tick(&mut self, now: Now, _: &mut Vec<Effect>) -> u64 {
         now.ms + 1000
@@ -153,7 +162,7 @@
 #[test]
 fn large_unfinished_requests_are_refused_when_memory_is_short() {
     // Two megabytes: 250 kB of requests, at an even part of 5.2 kB each.
-    let bounds = Bounds {
+    let bounds = ResourceBounds {
         max_connections: 64,
         ram_mb: 2.0,
     };
--- a/tests/replicas.rs
+++ b/tests/replica_groups.rs
@@ -1,17 +1,19 @@
 //! Replicas that span machines: parts start, move and are repaired together,
 //! whatever fails.
 
-mod world;
+mod simulation;
 
-use lilacfork::msg::Target;
-use lilacfork::options::Options;
+use lilacfork::messages::Destination;
+use lilacfork::tuning::Tuning;
 use serde_json::json;
+use simulation::fixtures::{cut_zone_from_everything, heal, set_silent};
+use simulation::replica_groups::{
+    attempts, machines, options, placement, places, shown, started, wide,
+};
+use simulation::{array, Fate, Simulation};
 use std::cell::Cell;
 use std::collections::BTreeSet;
 use std::rc::Rc;
-use world::replicas::{attempts, machines, options, placement, places, shown, started, wide};
-use world::scenes::{cut_zone_from_everything, heal, set_silent};
-use world::{array, Fate, World};
 
 #[test]
 fn a_replica_starts_whole_on_different_machines_under_one_attempt() {
@@ -62,7 +64,7 @@
 
 /// A replica that was just submitted, whose second machine fails at the moment
 /// that `fails` waits for.
-fn fails_while_starting(mut w: World, fails: impl Fn(&World) -> bool) -> World {
+fn fails_while_starting(mut w: Simulation, fails: impl Fn(&Simulation) -> bool) -> Simulation {
     w.watch_replicas("run-1", 2, 2);
     let leader = w.leader().unwrap();
     w.ask(leader, "POST", "/v2/runs", wide("run-1", 2));
@@ -74,7 +76,7 @@
     let bound = placement(&w, "run-1").and_then(|p| p["a"][1][2].as_str().map(str::to_string));
     let dies = bound.unwrap_or_else(|| "vm-a".into());
     w.workers.get_mut(&dies).unwrap().silent = true;
-    let generations = |w: &World| attempts(w, "run-1").into_values().collect::<BTreeSet<_>>();
+    let generations = |w: &Simulation| attempts(w, "run-1").into_values().collect::<BTreeSet<_>>();
     for _ in 0..30 {
         w.run_for(1000);
         shown(&mut w, "run-1");
@@ -90,7 +92,7 @@
 /// what is left of its replica is stopped within two reports of that.
 const REPAIR_MS: u64 = 12_000;
 
-fn longest(w: &World) -> u64 {
+fn longest(w: &Simulation) -> u64 {
     w.watched["run-1"].longest_incomplete_ms
 }
 
@@ -119,7 +121,7 @@
     let mut w = machines(3, &["vm-a", "vm-b", "vm-c"]);
     // Commands take half a second, so that nothing has started yet.
     w.hook = Box::new(|_, _, call| match &call.target {
-        Target::Worker(_) => Fate::Late(500),
+        Destination::Worker(_) => Fate::Late(500),
         _ => Fate::Pass,
     });
     fails_while_starting(w, |w| placement(w, "run-1").is_some() && w.trace.is_empty());
@@ -141,7 +143,7 @@
     }
     w.workers.get_mut("vm-a").unwrap().stuck = false;
     w.workers.get_mut("vm-c").unwrap().stuck = false;
-    let running = |w: &World| {
+    let running = |w: &Simulation| {
         let tasks = w.workers.values().flat_map(|worker| worker.tasks.values());
         tasks.filter(|task| task.state == "running").count()
     };
@@ -149,7 +151,7 @@
     assert_eq!(shown_state(&w), 2);
 }
 
-fn shown_state(w: &World) -> usize {
+fn shown_state(w: &Simulation) -> usize {
     w.on_machines("run-1")
 }
 
@@ -157,7 +159,7 @@
 
 /// One machine of a replica is silent for so long while the cloud takes nothing
 /// back, and comes back with what it had.
-fn comes_back(silent_ms: u64) -> World {
+fn comes_back(silent_ms: u64) -> Simulation {
     let mut w = machines(3, &["vm-a", "vm-b", "vm-c", "vm-d"]);
     started(&mut w, &wide("run-1", 2));
     w.cloud_away = true;
@@ -274,7 +276,7 @@
 // ---- moves ----
 
 /// A spot notice hits the second part's machine.
-fn noticed(w: &mut World) -> String {
+fn noticed(w: &mut Simulation) -> String {
     let machine = places(w, "run-1")["run-1/1"].clone();
     w.workers.get_mut(&machine).unwrap().notice_s = Some(60.0);
     machine
@@ -360,7 +362,7 @@
     if state == StateIs::LosingAnswers {
         let mut rng = fastrand::Rng::with_seed(after_ms);
         w.hook = Box::new(move |now, _, call| match call.target {
-            Target::State if now < 40_000 && rng.bool() => Fate::LoseAnswer,
+            Destination::KvStore if now < 40_000 && rng.bool() => Fate::LoseAnswer,
             _ => Fate::Pass,
         });
     }
@@ -427,7 +429,7 @@
     let mut w = machines(3, &["vm-a", "vm-b", "vm-c", "vm-d"]);
     started(&mut w, &wide("run-1", 2));
     noticed(&mut w);
-    let intent = |w: &World| {
+    let intent = |w: &Simulation| {
         let stored = placement(w, "run-1").map(|p| p["g"][0]["m"].clone());
         stored.filter(|intent| intent.is_object())
     };
@@ -566,7 +568,7 @@
     let mut spec = wide("run-1", 2);
     spec["spread"] = json!(true);
     started(&mut w, &spec);
-    let beyond = |w: &World| {
+    let beyond = |w: &Simulation| {
         let at = places(w, "run-1");
         let found = at.values().find(|m| w.workers[*m].zone == "b").cloned();
         (found.expect("a part in zone b"), at)
@@ -716,10 +718,10 @@
 /// What operators write of replicas that span machines, and what is wrong with it.
 #[test]
 fn classes_that_span_machines_are_checked_with_file_key_and_reason() {
-    let site = world::settings("n-0", 3).site;
+    let site = simulation::settings("n-0", 3).site;
     let load = |text: &str| {
         let ini = ini::Ini::load_from_str(text).unwrap();
-        let options = Options::from_ini(&ini, "f.ini")?;
+        let options = Tuning::from_ini(&ini, "f.ini")?;
         options.check(&site, "f.ini").map(|()| options)
     };
     let fine = load("[replica_parts]\nchat = 2\n[replicas]\ngangs = 1\n").unwrap();
--- a/tests/limits.rs
+++ b/tests/resource_limits.rs
@@ -1,24 +1,24 @@
 //! Sizes at which something fixed once stood in the way.
 
-mod world;
+mod simulation;
 
-use lilacfork::gateway::{Gateway, GatewayOut, TaskCounts};
+use lilacfork::gateway::{Gateway, GatewayEffects, TaskProgress};
 use lilacfork::http::MAX_PEER_BODY;
 use lilacfork::ids::{JobId, Term};
-use lilacfork::msg::{ConnId, Now, Target};
-use lilacfork::store::Answer;
-use lilacfork_replicas::classes::Classes;
+use lilacfork::kv_client::KvResponse;
+use lilacfork::messages::{ConnectionId, Destination, Now};
+use lilacfork_replica_groups::classes::ReplicaClasses;
 use serde_json::json;
+use simulation::{service, Simulation};
 use std::cell::Cell;
 use std::rc::Rc;
-use world::{service, World};
 
 /// At 4,000 machines there may be as many jobs as tasks; a leader's first heartbeat
 /// held a count of each, and from some 18,000 jobs on no peer took it: none heard
 /// that there was a leader, at that and at every later try.
 #[test]
 fn a_leader_of_many_jobs_is_heard_by_its_peers() {
-    let mut w = World::new(3);
+    let mut w = Simulation::new(3);
     w.capacity = 0;
     // So many machines that the books aren't counted anew at every event.
     for n in 0..41 {
@@ -36,10 +36,10 @@
     let largest = Rc::new(Cell::new(0));
     let seen = largest.clone();
     w.hook = Box::new(move |_, _, call| {
-        if matches!(call.target, Target::Peer(_)) {
+        if matches!(call.target, Destination::Peer(_)) {
             seen.set(seen.get().max(call.body.len()));
         }
-        world::Fate::Pass
+        simulation::Fate::Pass
     });
     w.run_for(20_000);
     assert!(largest.get() <= MAX_PEER_BODY, "{} bytes", largest.get());
@@ -56,24 +56,24 @@
 /// ones were shown as pending.
 #[test]
 fn what_is_remembered_of_jobs_follows_the_memory() {
-    let mut settings = world::settings("n-0", 3);
+    let mut settings = simulation::settings("n-0", 3);
     settings.site.limits.ram_mb = 512.0;
-    let mut gateway = Gateway::new(Rc::new(settings), Classes::default(), 2000);
-    let running = TaskCounts {
+    let mut gateway = Gateway::new(Rc::new(settings), ReplicaClasses::default(), 2000);
+    let running = TaskProgress {
         done: 0,
         running: 1,
-        spans: false,
+        multi_host: false,
     };
     let id = |n: u32| JobId::new(&format!("run-{n}"));
     for n in 0..60_000 {
-        gateway.note_counts(&id(n), Term(1), running);
+        gateway.record_progress(&id(n), Term(1), running);
     }
     let now = Now::default();
-    let mut out = GatewayOut::default();
-    gateway.show(now, ConnId(1), "run-0", &mut out);
+    let mut out = GatewayEffects::default();
+    gateway.show(now, ConnectionId(1), "run-0", &mut out);
     let call = out.calls.pop().expect("its record is read");
     let record = json!({"k": "j/run-0", "v": {"spec": service("run-0", 1), "t": 0}, "retouche": 7});
-    let answer = Answer::Status(200, record.to_string().into_bytes());
+    let answer = KvResponse::Status(200, record.to_string().into_bytes());
     gateway.answered(now, call.tag, answer, &mut out);
     let (_, reply) = out.replies.pop().expect("an answer");
     let shown: serde_json::Value = serde_json::from_slice(&reply.body).expect("JSON");
--- a/tests/slices.rs
+++ b/tests/round_slices.rs
@@ -1,10 +1,10 @@
 //! Kept traces: rounds that take many slices, and what happens between two.
 
-mod world;
+mod simulation;
 
 use lilacfork::node::Node;
 use serde_json::{json, Value};
-use world::{array, service, World};
+use simulation::{array, service, Simulation};
 
 /// With so little of a core a slice examines thirty entries, a few jobs.
 const FEW_CORES: f64 = 0.0003;
@@ -12,14 +12,14 @@
 /// leader's lease of 3 s, at 0.1 us each.
 const SLICE_ENTRIES: u64 = 10_000;
 
-fn leader(w: &World) -> &Node {
+fn leader(w: &Simulation) -> &Node {
     let leader = w.leader().expect("somebody leads");
     w.nodes[leader].as_ref().expect("the leader is up")
 }
 
 /// Jobs of two tasks that all wait when machines come.
-fn many_jobs_wait(jobs: u32, machines: usize) -> World {
-    let mut w = World::with_cores(3, FEW_CORES);
+fn many_jobs_wait(jobs: u32, machines: usize) -> Simulation {
+    let mut w = Simulation::with_cores(3, FEW_CORES);
     w.capacity = 0;
     w.run_ms = 4000;
     w.run_until(5000);
@@ -39,7 +39,7 @@
 }
 
 /// Goes on until a round is under way in which so many jobs wait for their turn.
-fn run_into_a_round(w: &mut World, queued: usize) {
+fn run_into_a_round(w: &mut Simulation, queued: usize) {
     for _ in 0..20_000 {
         if leader(w).queued_in_round() >= queued {
             return;
@@ -49,12 +49,12 @@
     panic!("no round with {queued} in its queue");
 }
 
-fn starts(w: &World, job: &str) -> usize {
+fn starts(w: &Simulation, job: &str) -> usize {
     let prefix = format!(" {job}/");
     w.trace.iter().filter(|line| line.contains(&prefix)).count()
 }
 
-fn all_done(w: &mut World, jobs: u32) {
+fn all_done(w: &mut Simulation, jobs: u32) {
     for n in 0..jobs {
         let id = format!("run-{n:03}");
         let node = w.leader().expect("somebody leads");
@@ -132,8 +132,8 @@
 }
 
 /// A fleet of so many idle machines that report.
-fn idle_fleet(machines: usize) -> World {
-    let mut w = World::new(3);
+fn idle_fleet(machines: usize) -> Simulation {
+    let mut w = Simulation::new(3);
     w.capacity = 0;
     w.run_ms = 600_000;
     for n in 0..machines {
@@ -194,7 +194,7 @@
 
     // Controllers of a fleet of this size have a whole core: a slice of theirs
     // examines 100,000 entries.
-    let mut w = World::with_cores(3, 1.0);
+    let mut w = Simulation::with_cores(3, 1.0);
     w.capacity = 0;
     for n in 0..2700u32 {
         for (key, value) in &templates {
--- a/tests/world/cloud.rs
+++ b/tests/simulation/cloud.rs
@@ -1,11 +1,11 @@
 //! A stand-in for the cloud.
 
-use super::{Action, Worker, World};
-use lilacfork::msg::{Call, Outcome};
+use super::{Action, Simulation, Worker};
+use lilacfork::messages::{Call, CallResult};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 
-impl World {
+impl Simulation {
     pub fn add_machine(&mut self, name: &str, zone: &str, spot: bool, up: bool) {
         let worker = Worker {
             up,
@@ -36,7 +36,7 @@
         }
     }
 
-    pub(super) fn cloud_call(&mut self, call: &Call) -> Outcome {
+    pub(super) fn cloud_call(&mut self, call: &Call) -> CallResult {
         let body: Value = serde_json::from_slice(&call.body).unwrap_or(Value::Null);
         let ok = |v: Value| Ok((200, v.to_string().into_bytes()));
         if self.cloud_away {
--- a/tests/world/digest.rs
+++ b/tests/simulation/digest.rs
@@ -7,7 +7,7 @@
 //! give the same lines, but for traces in which the order of a hash map shows
 //! (docs/ARCHITECTURE.md).
 
-use lilacfork::msg::{Effect, Target};
+use lilacfork::messages::{Destination, Effect};
 use std::fs::OpenOptions;
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::io::Write;
@@ -51,13 +51,13 @@
     }
 }
 
-fn hash_target(target: &Target, hasher: &mut DefaultHasher) {
+fn hash_target(target: &Destination, hasher: &mut DefaultHasher) {
     let (kind, address) = match target {
-        Target::State => (0, ""),
-        Target::StateWatch => (1, ""),
-        Target::Cloud => (2, ""),
-        Target::Worker(address) => (3, address.as_str()),
-        Target::Peer(address) => (4, address.as_str()),
+        Destination::KvStore => (0, ""),
+        Destination::KvWatch => (1, ""),
+        Destination::Cloud => (2, ""),
+        Destination::Worker(address) => (3, address.as_str()),
+        Destination::Peer(address) => (4, address.as_str()),
     };
     (kind, address).hash(hasher);
 }
--- a/tests/world/scenes.rs
+++ b/tests/simulation/fixtures.rs
@@ -1,11 +1,11 @@
 //! Where many traces begin, and troubles that many have.
 
-use super::{array, service, Fate, World};
-use lilacfork::msg::Target;
+use super::{array, service, Fate, Simulation};
+use lilacfork::messages::Destination;
 use serde_json::{json, Value};
 
-pub fn up(nodes: usize) -> World {
-    let mut w = World::new(nodes);
+pub fn up(nodes: usize) -> Simulation {
+    let mut w = Simulation::new(nodes);
     w.add_machine("vm-a", "a", false, true);
     w.add_machine("vm-b", "b", false, true);
     w.run_until(5000);
@@ -27,28 +27,28 @@
 }
 
 /// Neither workers nor controllers hear those of the other zone.
-pub fn cut_between_zones(w: &mut World) {
+pub fn cut_between_zones(w: &mut Simulation) {
     w.cuts = cut_zones();
     w.hook = Box::new(|_, node, call| match &call.target {
-        Target::Peer(addr) if crosses(node, addr) => Fate::LoseRequest,
+        Destination::Peer(addr) if crosses(node, addr) => Fate::LoseRequest,
         _ => Fate::Pass,
     });
 }
 
 /// The second node's zone is apart from the other one, and the node from the state
 /// service too.
-pub fn cut_zone_from_everything(w: &mut World) {
+pub fn cut_zone_from_everything(w: &mut Simulation) {
     w.cuts = cut_zones();
     w.hook = Box::new(|_, node, call| match &call.target {
-        Target::Peer(addr) if crosses(node, addr) => Fate::LoseRequest,
-        Target::State | Target::StateWatch if node == 1 => Fate::LoseRequest,
+        Destination::Peer(addr) if crosses(node, addr) => Fate::LoseRequest,
+        Destination::KvStore | Destination::KvWatch if node == 1 => Fate::LoseRequest,
         _ => Fate::Pass,
     });
 }
 
 /// Three controllers and full machines of eight tasks, all in one zone.
-pub fn full_fleet(machines: usize) -> World {
-    let mut w = World::new(3);
+pub fn full_fleet(machines: usize) -> Simulation {
+    let mut w = Simulation::new(3);
     w.capacity = 0;
     w.run_ms = 600_000;
     for n in 0..machines {
@@ -67,13 +67,13 @@
 }
 
 /// Whatever was cut or lost is heard again.
-pub fn heal(w: &mut World) {
+pub fn heal(w: &mut Simulation) {
     w.cuts.clear();
     w.hook = Box::new(|_, _, _| Fate::Pass);
 }
 
 /// A zone of six full machines beside the two.
-pub fn full_zone(nodes: usize) -> (World, Vec<String>) {
+pub fn full_zone(nodes: usize) -> (Simulation, Vec<String>) {
     let mut w = up(nodes);
     w.run_ms = 600_000;
     w.capacity = 0;
@@ -89,13 +89,13 @@
     (w, names)
 }
 
-pub fn set_silent(w: &mut World, names: &[String], silent: bool) {
+pub fn set_silent(w: &mut Simulation, names: &[String], silent: bool) {
     for name in names {
         w.workers.get_mut(name).unwrap().silent = silent;
     }
 }
 
-pub fn gone<'a>(w: &World, names: &'a [String]) -> Vec<&'a String> {
+pub fn gone<'a>(w: &Simulation, names: &'a [String]) -> Vec<&'a String> {
     names.iter().filter(|n| w.workers[*n].gone).collect()
 }
 
@@ -106,10 +106,12 @@
 
 /// This node alone loses the state service, in this way, and, if `deaf`, the
 /// other controllers.
-pub fn cut_off(w: &mut World, lone: usize, from_state: Fate, deaf: bool) {
+pub fn cut_off(w: &mut Simulation, lone: usize, from_state: Fate, deaf: bool) {
     w.hook = Box::new(move |_, node, call| match &call.target {
-        Target::State | Target::StateWatch if node == lone => from_state,
-        Target::Peer(addr) if deaf && (node == lone || node_at(addr) == lone) => Fate::LoseRequest,
+        Destination::KvStore | Destination::KvWatch if node == lone => from_state,
+        Destination::Peer(addr) if deaf && (node == lone || node_at(addr) == lone) => {
+            Fate::LoseRequest
+        }
         _ => Fate::Pass,
     });
 }
--- a/tests/world/mod.rs
+++ b/tests/simulation/mod.rs
@@ -8,21 +8,22 @@
 
 mod cloud;
 mod digest;
+pub mod fixtures;
 pub mod observer;
-pub mod replicas;
-pub mod scenes;
+pub mod replica_groups;
 pub mod state;
 mod users;
 mod workers;
 
 use digest::Digest;
-use lilacfork::msg::{
-    Call, CallError, CallId, ConnId, Effect, Now, Outcome, Port, Reply, Request, Target,
+use lilacfork::messages::{
+    Call, CallError, CallId, CallResult, ConnectionId, Destination, Effect, Listener, Now, Reply,
+    Request,
 };
 use lilacfork::node::Node;
-use lilacfork::options::Options;
 use lilacfork::reactor::Handler;
 use lilacfork::settings::{NextStateLimits, Settings, StateLimits};
+use lilacfork::tuning::Tuning;
 use observer::{Observer, Placed, Question};
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -126,7 +127,7 @@
 pub const LEASE_MS: u64 = 10_000;
 pub const CANCEL_MS: u64 = 30_000;
 
-/// In worlds of so many machines the leader's books are counted anew, at one of so
+/// In simulations of so many machines the leader's books are counted anew, at one of so
 /// many events.
 const MOST_RECOUNTED: usize = 40;
 const RECOUNTED_OF: u64 = 3;
@@ -150,12 +151,12 @@
         node: usize,
         epoch: u64,
         id: CallId,
-        outcome: Outcome,
+        outcome: CallResult,
     },
     Request {
         node: usize,
         origin: Origin,
-        port: Port,
+        port: Listener,
         request: Request,
     },
     Report(String),
@@ -211,14 +212,14 @@
 
 pub type Hook = Box<dyn FnMut(u64, usize, &Call) -> Fate>;
 
-pub struct World {
+pub struct Simulation {
     pub now: u64,
     queue: BTreeMap<(u64, u64), Action>,
     order: u64,
     pub nodes: Vec<Option<Node>>,
     epochs: Vec<u64>,
     ticks: Vec<u64>,
-    conns: HashMap<(usize, u64, ConnId), Origin>,
+    conns: HashMap<(usize, u64, ConnectionId), Origin>,
     next_conn: u64,
     pub state: State,
     pub workers: BTreeMap<String, Worker>,
@@ -240,7 +241,7 @@
     pub stagger_ms: u64,
     /// How long an image is fetched.
     pub fetch_ms: u64,
-    options: Options,
+    options: Tuning,
     /// What settings say of the state service, if not the usual.
     state_limits: Option<StateLimits>,
     /// Jobs, or tasks of them, that were submitted with a mistake: their tasks fail everywhere.
@@ -261,27 +262,27 @@
     /// Events at which the books could have been counted anew.
     recounts: u64,
     /// Jobs whose replicas span machines.
-    pub watched: BTreeMap<String, replicas::Watched>,
+    pub watched: BTreeMap<String, replica_groups::Watched>,
     /// What the controllers send, if a digest of it was asked for.
     digest: Option<Digest>,
 }
 
-impl World {
-    pub fn new(nodes: usize) -> World {
-        World::with_cores(nodes, CORES)
+impl Simulation {
+    pub fn new(nodes: usize) -> Simulation {
+        Simulation::with_cores(nodes, CORES)
     }
 
     /// Controllers that are told that they have this share of a core: with very
     /// little their rounds take many slices.
-    pub fn with_cores(nodes: usize, cores: f64) -> World {
-        World::with(nodes, cores, Options::default(), None)
+    pub fn with_cores(nodes: usize, cores: f64) -> Simulation {
+        Simulation::with(nodes, cores, Tuning::default(), None)
     }
 
     /// Controllers that are told of lower limits of the state service to come.
-    pub fn announcing(nodes: usize, next: NextStateLimits) -> World {
+    pub fn announcing(nodes: usize, next: NextStateLimits) -> Simulation {
         let mut limits = settings("n-0", nodes).site.state;
         limits.next = Some(next);
-        World::with(nodes, CORES, Options::default(), Some(limits))
+        Simulation::with(nodes, CORES, Tuning::default(), Some(limits))
     }
 
     /// From now on nodes are started with this said of the state service.
@@ -290,17 +291,17 @@
     }
 
     /// Controllers with settings of their operators.
-    pub fn with_options(nodes: usize, options: Options) -> World {
-        World::with(nodes, CORES, options, None)
+    pub fn with_options(nodes: usize, options: Tuning) -> Simulation {
+        Simulation::with(nodes, CORES, options, None)
     }
 
     fn with(
         nodes: usize,
         cores: f64,
-        options: Options,
+        options: Tuning,
         state_limits: Option<StateLimits>,
-    ) -> World {
-        let mut world = World {
+    ) -> Simulation {
+        let mut simulation = Simulation {
             cores,
             recounts: 0,
             watched: BTreeMap::new(),
@@ -341,10 +342,10 @@
             digest: Digest::from_environment(),
         };
         for n in 0..nodes {
-            world.nodes.push(None);
-            world.start(n);
+            simulation.nodes.push(None);
+            simulation.start(n);
         }
-        world
+        simulation
     }
 
     pub fn start(&mut self, n: usize) {
@@ -360,7 +361,7 @@
     }
 
     /// From now on nodes are started with these settings of their operators.
-    pub fn set_options(&mut self, options: Options) {
+    pub fn set_options(&mut self, options: Tuning) {
         self.options = options;
     }
 
@@ -409,7 +410,7 @@
         // fleet, and hide what isn't brought up to date before it is used.
         self.recounts += 1;
         if self.workers.len() <= MOST_RECOUNTED && self.recounts.is_multiple_of(RECOUNTED_OF) {
-            if let Err(why) = node.check_books() {
+            if let Err(why) = node.check_invariants() {
                 panic!("node {n} at {}: {why}", self.now);
             }
         }
@@ -437,7 +438,7 @@
             node,
             epoch,
             id,
-            outcome: Err(CallError::Unclear),
+            outcome: Err(CallError::Indeterminate),
         };
         let (delay, answer) = match fate {
             Fate::Pass => (2, true),
@@ -490,7 +491,7 @@
         );
     }
 
-    fn replied(&mut self, n: usize, conn: ConnId, reply: Reply) {
+    fn replied(&mut self, n: usize, conn: ConnectionId, reply: Reply) {
         match self.conns.remove(&(n, self.epochs[n], conn)) {
             Some(Origin::User(user)) => {
                 self.answers.insert(user, reply);
@@ -561,7 +562,7 @@
     /// From now on the replicas of this job are watched.
     pub fn watch_replicas(&mut self, job: &str, parts: u32, tasks: u32) {
         self.watched
-            .insert(job.into(), replicas::Watched::new(parts, tasks));
+            .insert(job.into(), replica_groups::Watched::new(parts, tasks));
     }
 
     fn look_at_replicas(&mut self) {
@@ -615,7 +616,7 @@
             let report = matches!(
                 &action,
                 Action::Request {
-                    port: Port::Client,
+                    port: Listener::Client,
                     ..
                 }
             );
@@ -638,7 +639,7 @@
                 request,
             } => {
                 self.next_conn += 1;
-                let conn = ConnId(self.next_conn);
+                let conn = ConnectionId(self.next_conn);
                 if self.nodes[node].is_none() {
                     return;
                 }
@@ -717,16 +718,18 @@
 
     fn arrive(&mut self, node: usize, epoch: u64, id: CallId, call: Call, answer: bool) {
         let outcome = match &call.target {
-            Target::State | Target::StateWatch => match self.state_call(node, epoch, id, &call) {
-                Some(outcome) => outcome,
-                None => return,
-            },
-            Target::Cloud => self.cloud_call(&call),
-            Target::Worker(addr) => match self.direct(node, &addr.clone(), &call) {
+            Destination::KvStore | Destination::KvWatch => {
+                match self.state_call(node, epoch, id, &call) {
+                    Some(outcome) => outcome,
+                    None => return,
+                }
+            }
+            Destination::Cloud => self.cloud_call(&call),
+            Destination::Worker(addr) => match self.direct(node, &addr.clone(), &call) {
                 Some(outcome) => outcome,
                 None => {
                     // Nobody answers: the caller's patience ends it.
-                    let outcome = Err(CallError::Unclear);
+                    let outcome = Err(CallError::Indeterminate);
                     self.at(
                         self.now + call.timeout_ms,
                         Action::Return {
@@ -739,8 +742,8 @@
                     return;
                 }
             },
-            Target::Peer(addr) => {
-                let to = scenes::node_at(addr);
+            Destination::Peer(addr) => {
+                let to = fixtures::node_at(addr);
                 let origin = Origin::Peer { node, epoch, id };
                 let request = Request {
                     method: call.method.into(),
@@ -765,7 +768,7 @@
                     Action::Request {
                         node: to,
                         origin,
-                        port: Port::Peer,
+                        port: Listener::Peer,
                         request,
                     },
                 );
--- a/tests/world/replicas.rs
+++ b/tests/simulation/replica_groups.rs
@@ -1,9 +1,9 @@
 //! Replicas that span machines, watched from outside: which are whole, what users
 //! are told of them, and how long an incomplete one has parts on machines.
 
-use super::{service, World};
+use super::{service, Simulation};
 use ini::Ini;
-use lilacfork::options::Options;
+use lilacfork::tuning::Tuning;
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 
@@ -69,19 +69,19 @@
 }
 
 /// Settings of operators, as they would write them.
-pub fn options(text: &str) -> Options {
+pub fn options(text: &str) -> Tuning {
     let ini = Ini::load_from_str(text).expect("an INI file");
-    Options::from_ini(&ini, "test.ini").expect("sound settings")
+    Tuning::from_ini(&ini, "test.ini").expect("sound settings")
 }
 
 /// Replicas of the traces' services have two parts.
-pub fn pairs() -> Options {
+pub fn pairs() -> Tuning {
     options("[replica_parts]\nchat = 2\n[replicas]\ngangs = 1\n")
 }
 
 /// Controllers, and machines in zone `a`, one replica's part to a machine.
-pub fn machines(nodes: usize, names: &[&str]) -> World {
-    let mut w = World::with_options(nodes, pairs());
+pub fn machines(nodes: usize, names: &[&str]) -> Simulation {
+    let mut w = Simulation::with_options(nodes, pairs());
     w.capacity = 0;
     for name in names {
         w.add_machine(name, "a", false, true);
@@ -100,7 +100,7 @@
 }
 
 /// Submits a service and waits until all of it runs.
-pub fn started(w: &mut World, spec: &Value) {
+pub fn started(w: &mut Simulation, spec: &Value) {
     let id = spec["id"].as_str().expect("an id").to_string();
     let tasks = spec["pieces"].as_u64().expect("a number");
     w.watch_replicas(&id, 2, tasks as u32);
@@ -111,14 +111,14 @@
 }
 
 /// How many tasks users are told to be running, on any node.
-pub fn shown(w: &mut World, id: &str) -> u64 {
-    let up = |w: &World, n: &usize| w.nodes[*n].is_some();
+pub fn shown(w: &mut Simulation, id: &str) -> u64 {
+    let up = |w: &Simulation, n: &usize| w.nodes[*n].is_some();
     let node = w.leader().or((0..w.nodes.len()).find(|n| up(w, n)));
     w.running_told(node.expect("a node is up"), id)
 }
 
 /// Machines that have a task of the job, by task.
-pub fn places(w: &World, id: &str) -> BTreeMap<String, String> {
+pub fn places(w: &Simulation, id: &str) -> BTreeMap<String, String> {
     let prefix = format!("{id}/");
     let mut places = BTreeMap::new();
     for (name, worker) in &w.workers {
@@ -132,7 +132,7 @@
 }
 
 /// The attempts of a job's tasks that are on machines, by task.
-pub fn attempts(w: &World, id: &str) -> BTreeMap<String, u64> {
+pub fn attempts(w: &Simulation, id: &str) -> BTreeMap<String, u64> {
     let prefix = format!("{id}/");
     let tasks = w.workers.values().flat_map(|worker| &worker.tasks);
     tasks
@@ -142,6 +142,6 @@
 }
 
 /// The first write of this job's placements, or `None`.
-pub fn placement<'a>(w: &'a World, id: &str) -> Option<&'a Value> {
+pub fn placement<'a>(w: &'a Simulation, id: &str) -> Option<&'a Value> {
     w.state.items.get(&format!("p/{id}/0")).map(|item| &item.0)
 }
--- a/tests/world/state.rs
+++ b/tests/simulation/state.rs
@@ -1,7 +1,7 @@
 //! A stand-in for the state service.
 
-use super::{Action, World, PAGE};
-use lilacfork::msg::{Call, CallId, Outcome};
+use super::{Action, Simulation, PAGE};
+use lilacfork::messages::{Call, CallId, CallResult};
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, HashMap};
 
@@ -44,7 +44,7 @@
     }
 }
 
-impl World {
+impl Simulation {
     pub(super) fn expire_leases(&mut self) {
         if self.state.away {
             return;
@@ -124,7 +124,7 @@
         epoch: u64,
         id: CallId,
         call: &Call,
-    ) -> Option<Outcome> {
+    ) -> Option<CallResult> {
         let ok = |status: u16, v: Value| Some(Ok((status, v.to_string().into_bytes())));
         let (path, query) = call.path.split_once('?').unwrap_or((&call.path, ""));
         let param = |name: &str| {
--- a/tests/world/users.rs
+++ b/tests/simulation/users.rs
@@ -1,11 +1,11 @@
 //! Users, by the published protocol; the observer hears what they ask and are told.
 
 use super::observer::{Question, Verb};
-use super::{Action, Origin, World};
-use lilacfork::msg::{Port, Request};
+use super::{Action, Origin, Simulation};
+use lilacfork::messages::{Listener, Request};
 use serde_json::Value;
 
-impl World {
+impl Simulation {
     pub fn ask(&mut self, node: usize, method: &str, path: &str, body: Value) -> u64 {
         let bytes = if body.is_null() {
             Vec::new()
@@ -29,7 +29,7 @@
             Action::Request {
                 node,
                 origin: Origin::User(user),
-                port: Port::Client,
+                port: Listener::Client,
                 request,
             },
         );
--- a/tests/world/workers.rs
+++ b/tests/simulation/workers.rs
@@ -1,8 +1,8 @@
 //! Stand-ins for workers: reports, leases, tokens and commands.
 
 use super::observer::Placed;
-use super::{hold, on_machines, Action, Origin, World, LEASE_MS};
-use lilacfork::msg::{Call, Outcome, Port, Reply, Request};
+use super::{hold, on_machines, Action, Origin, Simulation, LEASE_MS};
+use lilacfork::messages::{Call, CallResult, Listener, Reply, Request};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 
@@ -53,7 +53,7 @@
     }
 }
 
-impl World {
+impl Simulation {
     pub fn worker_report(&mut self, name: &str) -> Value {
         let Some(w) = self.workers.get_mut(name) else {
             return Value::Null;
@@ -116,7 +116,7 @@
             Action::Request {
                 node,
                 origin,
-                port: Port::Client,
+                port: Listener::Client,
                 request,
             },
         );
@@ -165,7 +165,7 @@
         }
     }
 
-    pub(super) fn direct(&mut self, node: usize, addr: &str, call: &Call) -> Option<Outcome> {
+    pub(super) fn direct(&mut self, node: usize, addr: &str, call: &Call) -> Option<CallResult> {
         let name = addr.strip_prefix("w/")?.to_string();
         let body: Value = serde_json::from_slice(&call.body).unwrap_or(Value::Null);
         if self.workers.contains_key(&name) && self.is_cut(node, &name) {
@@ -339,7 +339,7 @@
             Action::Request {
                 node,
                 origin,
-                port: Port::Client,
+                port: Listener::Client,
                 request,
             },
         );
--- a/tests/traces.rs
+++ b/tests/traces.rs
@@ -1,12 +1,12 @@
 //! Kept traces: whole controllers against stand-ins, with messages lost, late
 //! and repeated. The stand-in workers check `ran_twice` and `ran_cancelled`.
 
-mod world;
+mod simulation;
 
-use lilacfork::msg::Target;
+use lilacfork::messages::Destination;
 use serde_json::json;
-use world::scenes::up;
-use world::{array, service, Fate};
+use simulation::fixtures::up;
+use simulation::{array, service, Fate};
 
 #[test]
 fn a_job_runs_and_is_done_within_three_seconds_of_its_end() {
@@ -58,7 +58,7 @@
     // Nothing reaches workers by the direct path, and the leader dies as soon
     // as the assignment is stored.
     w.hook = Box::new(|_, _, call| match call.target {
-        Target::Worker(_) => Fate::LoseRequest,
+        Destination::Worker(_) => Fate::LoseRequest,
         _ => Fate::Pass,
     });
     for worker in w.workers.values_mut() {
@@ -89,7 +89,9 @@
     w.run_for(2000);
     // The leader alone loses the state service and its peers.
     w.hook = Box::new(move |_, node, call| match call.target {
-        Target::State | Target::StateWatch | Target::Peer(_) if node == old => Fate::LoseRequest,
+        Destination::KvStore | Destination::KvWatch | Destination::Peer(_) if node == old => {
+            Fate::LoseRequest
+        }
         _ => Fate::Pass,
     });
     let other = (old + 1) % 3;
@@ -107,7 +109,7 @@
     // Every start is also delivered again half a minute later.
     let mut first = true;
     w.hook = Box::new(move |_, _, call| match call.target {
-        Target::Worker(_) if first && call.body.windows(5).any(|b| b == b"start") => {
+        Destination::Worker(_) if first && call.body.windows(5).any(|b| b == b"start") => {
             first = false;
             Fate::Late(30_000)
         }
@@ -153,7 +155,7 @@
     let mut w = up(1);
     let mut left = 3;
     w.hook = Box::new(move |_, _, call| {
-        if call.target == Target::State && call.path == "/txn" && left > 0 {
+        if call.target == Destination::KvStore && call.path == "/txn" && left > 0 {
             left -= 1;
             return Fate::LoseAnswer;
         }
--- a/tests/versions.rs
+++ b/tests/version_compatibility.rs
@@ -1,19 +1,19 @@
 //! Two versions on one set of data, and limits of the state service that fall while
 //! the service runs.
 
-mod world;
+mod simulation;
 
 use lilacfork::gateway::JobRecord;
 use lilacfork::ids::JobId;
 use lilacfork::scheduler::{
-    parse_shard_key, read_ranges, shard_key, tasks_per_record, Job, ShardName, ShardRecord, Shards,
-    StoredShard,
+    parse_placement_key, placement_key, read_ranges, tasks_per_record, Job, PlacementRanges,
+    PlacementRecord, RangeName, StoredPlacement,
 };
 use lilacfork::settings::{NextStateLimits, Settings};
 use serde_json::{json, Value};
+use simulation::state::SizeLimits;
+use simulation::{array, service, Fate, Simulation, SETTINGS};
 use std::collections::BTreeMap;
-use world::state::SizeLimits;
-use world::{array, service, Fate, World, SETTINGS};
 
 const LOWERED: SizeLimits = SizeLimits {
     value_bytes: 2048,
@@ -39,10 +39,10 @@
 }
 
 /// Three controllers and machines with room for 400 small tasks.
-fn wide(next: Option<NextStateLimits>) -> World {
+fn wide(next: Option<NextStateLimits>) -> Simulation {
     let mut w = match next {
-        Some(next) => World::announcing(3, next),
-        None => World::new(3),
+        Some(next) => Simulation::announcing(3, next),
+        None => Simulation::new(3),
     };
     for n in 0..4 {
         w.add_machine(&format!("vm-{n}"), "a", false, true);
@@ -57,7 +57,7 @@
 
 /// How version 0.1 reads the records: ranges of a length that it works out from its
 /// settings, and nothing that it doesn't know.
-fn read_by_the_old_version(w: &World) -> Facts {
+fn read_by_the_old_version(w: &Simulation) -> Facts {
     let tasks_per_record = tasks_per_record(32.0) as u64;
     let mut facts = Facts::new();
     for (key, (record, ..)) in &w.state.items {
@@ -82,26 +82,28 @@
 }
 
 /// How this version reads them.
-fn read_by_this_version(w: &World) -> Facts {
+fn read_by_this_version(w: &Simulation) -> Facts {
     let mut facts = Facts::new();
     for (key, (record, version, _)) in w.state.items.iter().filter(|(k, _)| k.starts_with("j/")) {
         let record: JobRecord = serde_json::from_value(record.clone()).unwrap();
         let mut job = Job::new(record, *version, tasks_per_record(32.0), 0);
         let prefix = key.replace("j/", "p/") + "/";
         let stored = w.state.items.iter().filter(|(k, _)| k.starts_with(&prefix));
-        let stored = stored.map(|(key, (record, version, _))| StoredShard {
-            name: parse_shard_key(key).and_then(|(_, name)| name).expect(key),
-            version: *version,
-            record: serde_json::from_value::<ShardRecord>(record.clone()).expect(key),
+        let stored = stored.map(|(key, (record, version, _))| StoredPlacement {
+            name: parse_placement_key(key)
+                .and_then(|(_, name)| name)
+                .expect(key),
+            revision: *version,
+            record: serde_json::from_value::<PlacementRecord>(record.clone()).expect(key),
         });
         job.restore(stored.collect(), &["a".into(), "b".into()]);
         assert!(!job.unreadable, "{key}");
-        let rows = job.assigns.iter();
+        let rows = job.assignments.iter();
         let rows = rows.map(|(task, a)| (*task, a.attempt.0, a.machine.to_string()));
         let both = job
             .done
             .iter()
-            .filter(|task| job.assigns.contains_key(task));
+            .filter(|task| job.assignments.contains_key(task));
         assert_eq!(both.count(), 0, "{key}: done, and on a machine");
         let known = (job.done.iter().copied().collect(), rows.collect());
         if known != Default::default() {
@@ -112,7 +114,7 @@
 }
 
 /// Makes of the records what version 0.1 leaves behind when it has written them all.
-fn rewrite_by_the_old_version(w: &mut World) {
+fn rewrite_by_the_old_version(w: &mut Simulation) {
     for (key, (record, ..)) in &mut w.state.items {
         let Some(fields) = record.as_object_mut() else {
             continue;
@@ -257,7 +259,7 @@
 }
 
 /// Whether a job's placements stand in a coarse record and in finer ones.
-fn is_half_cut(w: &World, id: &str) -> bool {
+fn is_half_cut(w: &Simulation, id: &str) -> bool {
     let prefix = format!("p/{id}/");
     let names = w.state.items.keys().filter_map(|k| k.strip_prefix(&prefix));
     let (fine, coarse): (Vec<_>, Vec<_>) = names.partition(|name| name.contains('-'));
@@ -297,7 +299,7 @@
     assert_eq!(w.submit(0, &many("run-1", 200)), 201);
     w.run_for(3000);
     w.state.limits = Some(LOWERED);
-    let mut now = world::settings("n-0", 3).site.state;
+    let mut now = simulation::settings("n-0", 3).site.state;
     now.value_kb = 2.0;
     now.txn_ops = 6;
     w.set_state_limits(now);
@@ -349,7 +351,7 @@
         ("p/run-1/0", json!({"later": true})),
         ("p/run-1/0", too_far),
     ] {
-        let mut w = World::new(3);
+        let mut w = Simulation::new(3);
         w.add_machine("vm-a", "a", false, true);
         let spec = array("run-1", 2);
         w.observer.submitted(&spec);
@@ -405,7 +407,7 @@
 #[test]
 fn ranges_are_cut_into_finer_ones_that_hold_for_their_tasks() {
     let tasks = 1000;
-    let mut shards = Shards::new(tasks, 409);
+    let mut shards = PlacementRanges::new(tasks, 409);
     let mut rng = fastrand::Rng::with_seed(7);
     for _ in 0..200 {
         let number = rng.usize(..shards.len());
@@ -421,15 +423,15 @@
         let mut held = vec![0; tasks as usize];
         for number in 0..shards.len() {
             let name = shards.get(number).unwrap().name;
-            let key = shard_key(&JobId::new("run-1"), name);
+            let key = placement_key(&JobId::new("run-1"), name);
             assert_eq!(
-                parse_shard_key(&key),
+                parse_placement_key(&key),
                 Some((JobId::new("run-1"), Some(name)))
             );
             for task in shards.tasks_of(number).into_iter().flatten() {
                 held[task as usize] += 1;
                 assert_eq!(shards.holding(task), Some(number));
-                if let ShardName::Tasks { first, last } = name {
+                if let RangeName::Tasks { first, last } = name {
                     assert!((first..=last).contains(&task));
                 }
             }
@@ -484,7 +486,7 @@
 /// A catalogue that was refused was written again with every turn.
 #[test]
 fn a_catalogue_that_is_refused_is_not_written_without_a_pause() {
-    let mut w = World::new(3);
+    let mut w = Simulation::new(3);
     w.state.limits = Some(SizeLimits {
         value_bytes: 150,
         txn_ops: 16,
--- a/tests/writes.rs
+++ b/tests/write_batching.rs
@@ -1,13 +1,13 @@
 //! Kept traces: what the leader writes when there is more to write than the
 //! state service takes.
 
-mod world;
+mod simulation;
 
-use world::scenes::up;
-use world::{array, service, World};
+use simulation::fixtures::up;
+use simulation::{array, service, Simulation};
 
 /// When each job's first task was started.
-fn started_at(w: &World, job: &str) -> Option<u64> {
+fn started_at(w: &Simulation, job: &str) -> Option<u64> {
     let prefix = format!(" {job}/");
     let line = w.trace.iter().find(|line| line.contains(&prefix))?;
     line.split(' ').next()?.parse().ok()
