--- a/loadtest/src/checker.rs
+++ b/loadtest/src/checker.rs
@@ -5,7 +5,7 @@
 use crate::replica_groups::{ReplicaFigures, Replicas};
 use crate::scenario::Scenario;
 use lilacfork::ids::TaskRef;
-use lilacfork::wire::JobSpec;
+use lilacfork::wire::users::JobSpec;
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
--- a/loadtest/src/harness.rs
+++ b/loadtest/src/harness.rs
@@ -364,7 +364,9 @@
     fn wait_ready(&self, clients: &[SocketAddrV4]) -> Result<(), RunError> {
         let until_us = now_us() + READY_PATIENCE_US;
         for address in clients {
-            while control::request(*address, "GET", lilacfork::wire::READY_PATH, b"").is_err() {
+            while control::request(*address, "GET", lilacfork::wire::users::READY_PATH, b"")
+                .is_err()
+            {
                 if now_us() > until_us {
                     let source = io::ErrorKind::TimedOut.into();
                     return Err(RunError::Process {
--- a/loadtest/src/scenario.rs
+++ b/loadtest/src/scenario.rs
@@ -3,7 +3,8 @@
 //! another.
 
 use lilacfork::ids::JobId;
-use lilacfork::wire::{Catalog, JobKind, JobSpec, MachineType, Priority};
+use lilacfork::wire::cloud::{Catalog, MachineType};
+use lilacfork::wire::users::{JobKind, JobSpec, Priority};
 use serde::{Deserialize, Serialize};
 use std::path::Path;
 use std::rc::Rc;
--- a/loadtest/src/users.rs
+++ b/loadtest/src/users.rs
@@ -8,7 +8,7 @@
 use crate::scenario::Scenario;
 use hdrhistogram::Histogram;
 use lilacfork::ids::JobId;
-use lilacfork::wire::{JobKind, READY_PATH, USER_JOBS_PATH};
+use lilacfork::wire::users::{JobKind, READY_PATH, USER_JOBS_PATH};
 use serde::Deserialize;
 use std::collections::{BTreeSet, HashMap, HashSet};
 use std::io;
--- a/src/cancellations.rs
+++ b/src/cancellations.rs
@@ -20,12 +20,15 @@
 //! That nobody reaches the state service now says nothing of what somebody
 //! confirmed a second ago, so it moves nothing.
 
-use crate::gateway::JOB_PREFIX;
 use crate::ids::{JobId, Revision};
 use crate::kv_client::{self, CallPriority, KvCall, KvResponse};
 use crate::messages::Now;
-use crate::peer::{ConfirmationCursor, ConfirmedCancellations};
-use crate::wire::{self, Command, KeyPage, TaskPhase, WatchResponse, WorkerHeartbeat};
+use crate::records::jobs::JOB_PREFIX;
+use crate::records::jobs::{dependencies_in, is_cancelled, job_of_key};
+use crate::wire::kv::{KeyPage, WatchResponse};
+use crate::wire::peers::{ConfirmationCursor, ConfirmedCancellations};
+use crate::wire::users::valid_job_id;
+use crate::wire::workers::{Command, TaskPhase, WorkerHeartbeat};
 use std::collections::{HashMap, HashSet, VecDeque};
 
 /// Confirmations kept for peers. One that has fallen further behind has to
@@ -383,13 +386,13 @@
         listing.from.get_or_insert(Revision(items.revision));
         let last = items.items.last().map(|i| i.key.clone());
         for item in items.items {
-            let Some(id) = job_of(&item.key) else {
+            let Some(id) = job_of_key(&item.key) else {
                 continue;
             };
             if is_cancelled(&item.value) {
                 listing.cancelled.insert(id.clone());
             }
-            listing.unfinished.insert(id, needs_in(&item.value));
+            listing.unfinished.insert(id, dependencies_in(&item.value));
         }
         if let (true, Some(last)) = (items.more, last) {
             self.listing = Some(listing);
@@ -421,15 +424,15 @@
         };
         let mut new = Vec::new();
         for event in seen.events {
-            if let Some(id) = event.delete.as_deref().and_then(job_of) {
+            if let Some(id) = event.delete.as_deref().and_then(job_of_key) {
                 // It is over: nothing of it is on a machine.
                 self.known.remove(&id);
                 self.unfinished.remove(&id);
-            } else if let Some(id) = event.put.as_deref().and_then(job_of) {
+            } else if let Some(id) = event.put.as_deref().and_then(job_of_key) {
                 if is_cancelled(&event.value) && self.learn(now, &id, true) {
                     new.push(id.clone());
                 }
-                self.unfinished.insert(id, needs_in(&event.value));
+                self.unfinished.insert(id, dependencies_in(&event.value));
             }
         }
         self.read_up_to = Some(Revision(seen.revision));
@@ -502,7 +505,7 @@
         let count = word.jobs.len() as u64;
         let last = word.first.checked_sub(1).and_then(|n| n.checked_add(count));
         let sound = last.is_some_and(|last| last <= word.total) && word.incarnation != 0;
-        if !sound || word.node != peer.name || !word.jobs.iter().all(|j| wire::valid_job_id(j)) {
+        if !sound || word.node != peer.name || !word.jobs.iter().all(|j| valid_job_id(j)) {
             log::warn!(
                 "dropped a senseless word of cancellations from {}",
                 peer.name
@@ -562,18 +565,3 @@
         }
     }
 }
-
-fn job_of(key: &str) -> Option<JobId> {
-    key.strip_prefix(JOB_PREFIX).map(JobId::new)
-}
-
-fn is_cancelled(record: &serde_json::Value) -> bool {
-    record.get("c").is_some_and(|c| !c.is_null())
-}
-
-fn needs_in(record: &serde_json::Value) -> Box<[JobId]> {
-    let needs = record.get("spec").and_then(|spec| spec.get("attend"));
-    let needs = needs.and_then(|needs| needs.as_array());
-    let names = needs.into_iter().flatten().filter_map(|need| need.as_str());
-    names.map(JobId::new).collect()
-}
--- a/src/capacity_index/mod.rs
+++ b/src/capacity_index/mod.rs
@@ -14,7 +14,7 @@
 use crate::cloud::Offer;
 use crate::ids::MachineId;
 use crate::placement::Resources;
-use crate::wire::Priority;
+use crate::wire::users::Priority;
 use levels::{FreeLevels, IndexKey, ShareKey};
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
--- a/src/capacity_index/search.rs
+++ b/src/capacity_index/search.rs
@@ -6,7 +6,7 @@
 use super::{count, CapacityIndex, MachineCapacity, OfferGroup, Slot};
 use crate::ids::MachineId;
 use crate::placement::{offer_allowed, FitScore, Resources, ZoneCounts};
-use crate::wire::{JobKind, JobSpec};
+use crate::wire::users::{JobKind, JobSpec};
 use std::collections::BTreeMap;
 
 /// Ranks that differ by less are equal.
--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -2,9 +2,10 @@
 //! calls are paced, repeated until clear, and boot times are learned.
 
 use crate::ids::MachineId;
-use crate::kv_client::TokenBucket;
 use crate::messages::{Call, CallError, CallResult, Destination, Now};
-use crate::wire::{self, Catalog, ListedMachine, MachineList, MachineNames, ProvisionRequest};
+use crate::token_bucket::TokenBucket;
+use crate::wire::cloud::{Catalog, ListedMachine, MachineList, MachineNames, ProvisionRequest};
+use crate::wire::cloud::{CLOUD_CATALOG_PATH, CLOUD_MACHINES_PATH, CLOUD_RELEASE_PATH};
 use std::collections::{BTreeSet, VecDeque};
 use std::rc::Rc;
 
@@ -190,10 +191,7 @@
             && self.bucket.take(now, 1.0)
         {
             self.in_flight.push_back(CloudCall::Catalog);
-            send(
-                CloudCall::Catalog,
-                get(wire::CLOUD_CATALOG_PATH.to_string()),
-            );
+            send(CloudCall::Catalog, get(CLOUD_CATALOG_PATH.to_string()));
         }
         if !self.leading {
             return;
@@ -215,10 +213,7 @@
                 machines: names.iter().map(|m| m.to_string()).collect(),
             };
             let body = serde_json::to_vec(&body).unwrap_or_default();
-            send(
-                CloudCall::Release(names),
-                post(wire::CLOUD_RELEASE_PATH, body),
-            );
+            send(CloudCall::Release(names), post(CLOUD_RELEASE_PATH, body));
         }
         for order in &mut self.orders {
             if order.in_flight || now.ms < order.retry_ms || !self.bucket.take(now, 1.0) {
@@ -235,7 +230,7 @@
             let body = serde_json::to_vec(&body).unwrap_or_default();
             send(
                 CloudCall::Provision(order.name.clone()),
-                post(wire::CLOUD_MACHINES_PATH, body),
+                post(CLOUD_MACHINES_PATH, body),
             );
         }
         if now.ms >= self.list_due_ms
@@ -250,10 +245,7 @@
                 .unwrap_or_default();
             send(
                 CloudCall::List,
-                get(format!(
-                    "{}?{after}limit={LIST_PAGE}",
-                    wire::CLOUD_MACHINES_PATH
-                )),
+                get(format!("{}?{after}limit={LIST_PAGE}", CLOUD_MACHINES_PATH)),
             );
         }
     }
--- a/src/gateway/admission.rs
+++ b/src/gateway/admission.rs
@@ -1,11 +1,14 @@
 //! Which submissions are taken, and what is stored of them.
 
-use super::records::{final_key, job_key, FinalRecord, FinalState, JobRecord};
 use crate::limits::StoreLimits;
 use crate::messages::{Now, Reply};
-use crate::scheduler::tasks_per_record;
+use crate::placement::fits_machine_type;
+use crate::records::jobs::{final_key, job_key, FinalRecord, FinalState, JobRecord};
+use crate::records::placements::tasks_per_record;
 use crate::settings::Settings;
-use crate::wire::{Catalog, JobKind, JobSpec, MachineType, Txn};
+use crate::wire::cloud::Catalog;
+use crate::wire::kv::Txn;
+use crate::wire::users::{JobKind, JobSpec};
 use lilacfork_replica_groups::classes::{GroupingRequest, ReplicaClasses};
 use lilacfork_replica_groups::shape::Shape;
 use std::rc::Rc;
@@ -149,19 +152,3 @@
         shape.map_err(|why| why.to_string())
     }
 }
-
-/// Whether a task of the job could ever stand on a machine of this type.
-pub fn fits_machine_type(spec: &JobSpec, t: &MachineType) -> bool {
-    let allowed = spec
-        .types
-        .as_ref()
-        .is_none_or(|types| types.contains(&t.name));
-    let zone = spec
-        .zone
-        .as_ref()
-        .is_none_or(|zone| t.zones.iter().any(|z| z == zone));
-    let room = spec.cpus <= t.cpus + 1e-9
-        && spec.gpus <= t.gpus + 1e-9
-        && spec.memory_gb <= t.memory_gb + 1e-9;
-    allowed && zone && room
-}
--- a/src/gateway/dependencies.rs
+++ b/src/gateway/dependencies.rs
@@ -1,15 +1,16 @@
 //! Jobs that need others: whether a submission may name them, and whether an
 //! unfinished job is cancelled because one that it needs is.
 
-use super::records::{read_final, FinalState, JobLookup};
+use super::job_lookup::{read_final, JobLookup};
 use super::{
-    final_key, Gateway, GatewayEffects, PendingRequest, RequestKind, RequestNumber, RequestStep,
-    SettledFact, MAX_TRIES,
+    Gateway, GatewayEffects, PendingRequest, RequestKind, RequestNumber, RequestStep, SettledFact,
+    MAX_TRIES,
 };
 use crate::cancellations::{Cancellations, RecordStatus};
 use crate::ids::JobId;
 use crate::kv_client::{self, CallPriority, KvCall, KvResponse};
 use crate::messages::{Now, Reply};
+use crate::records::jobs::{final_key, FinalState};
 use lilacfork_dependencies::status::{dependency_status, DependencyState, DependencyStatus};
 
 /// A read of how a needed job has ended.
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -3,25 +3,25 @@
 
 mod admission;
 mod dependencies;
-mod records;
-
-pub use admission::fits_machine_type;
-pub use records::{
-    final_key, job_key, FinalRecord, FinalState, JobRecord, FINAL_PREFIX, JOB_PREFIX,
-};
+mod job_lookup;
 
 use crate::bounded_map::BoundedMap;
 use crate::cancellations::{Cancellations, RecordStatus};
 use crate::ids::{JobId, Term};
 use crate::kv_client::{self, CallPriority, KvCall, KvResponse};
 use crate::limits::{EffectiveLimits, RequestSize, StoreLimits};
+use crate::messages::TaskProgress;
 use crate::messages::{ConnectionId, Now, Reply};
+use crate::records::jobs::{final_key, job_key, FinalState};
 use crate::settings::Settings;
-use crate::wire::{self, Catalog, JobPhase, JobStatus, Txn};
+use crate::wire::cloud::Catalog;
+use crate::wire::kv::Txn;
+use crate::wire::users::{peek_job_id, valid_job_id};
+use crate::wire::users::{JobPhase, JobStatus};
 use admission::{Admission, Submission};
 use dependencies::DependencyRead;
+use job_lookup::{read_final, read_live, JobLookup};
 use lilacfork_replica_groups::classes::ReplicaClasses;
-use records::{read_final, read_live, JobLookup};
 use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
 
@@ -95,18 +95,6 @@
 const LEAST_REMEMBERED: usize = 20_000;
 const REMEMBERED_PER_MB: f64 = 500.0;
 
-/// How far a job is, for display.
-#[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
-pub struct TaskProgress {
-    /// Tasks that are done.
-    pub done: u32,
-    /// Tasks that run.
-    pub running: u32,
-    /// They are parts of replicas that span machines. That such a replica serves is
-    /// only true as long as the leader that says so leads.
-    pub multi_host: bool,
-}
-
 /// What a leader said of a job.
 #[derive(Clone, Copy, Debug)]
 struct LeaderCounts {
@@ -197,7 +185,7 @@
         let id = match &goal {
             RequestKind::Submit(submission) => Some(submission.spec.id.clone()),
             // A known job gets its 200 whatever else is wrong with the retry.
-            _ => wire::peek_job_id(body),
+            _ => peek_job_id(body),
         };
         match (id, goal) {
             (Some(id), goal) => self.begin(now, conn, id, goal, out),
@@ -224,7 +212,7 @@
         goal: RequestKind,
         out: &mut GatewayEffects,
     ) {
-        if wire::valid_job_id(id) {
+        if valid_job_id(id) {
             self.begin(now, conn, JobId::new(id), goal, out);
         } else {
             out.replies.push((conn, Reply::error(404, "no such job")));
@@ -657,7 +645,7 @@
 fn final_reply(id: &JobId, state: FinalState, tasks: u32) -> Reply {
     let body = JobStatus {
         id,
-        state: state.state(),
+        state: state.phase(),
         done: (state == FinalState::Done).then_some(tasks),
         running: Some(0),
     };
--- a/src/limits.rs
+++ b/src/limits.rs
@@ -8,7 +8,7 @@
 //! is too large is refused as a whole and written again in smaller pieces.
 
 use crate::settings::StateLimits;
-use crate::wire::{Txn, WriteOp};
+use crate::wire::kv::{Txn, WriteOp};
 use std::fmt;
 
 /// What the state service takes.
--- a/src/messages.rs
+++ b/src/messages.rs
@@ -113,3 +113,15 @@
     /// Make this call.
     Call(CallId, Call),
 }
+
+/// How far a job is, for display.
+#[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
+pub struct TaskProgress {
+    /// Tasks that are done.
+    pub done: u32,
+    /// Tasks that run.
+    pub running: u32,
+    /// They are parts of replicas that span machines. That such a replica serves is
+    /// only true as long as the leader that says so leads.
+    pub multi_host: bool,
+}
--- a/src/node/catalog.rs
+++ b/src/node/catalog.rs
@@ -1,11 +1,13 @@
 //! The machine types: asked of the cloud, stored for the time when it is away.
 
-use super::{KvCallOwner, Node, CATALOG_KEY};
+use super::{KvCallOwner, Node};
 use crate::election::Role;
 use crate::kv_client::{self, CallPriority, KvCall};
 use crate::limits::RequestSize;
 use crate::messages::Now;
-use crate::wire::{Catalog, Txn};
+use crate::records::catalog::CATALOG_KEY;
+use crate::wire::cloud::Catalog;
+use crate::wire::kv::Txn;
 use std::rc::Rc;
 
 /// It is tried so often to store the catalogue.
@@ -41,7 +43,7 @@
             self.catalog_stored = true;
             let value = serde_json::to_value(&**catalog).unwrap_or_default();
             let txn = Txn::default()
-                .compare(crate::election::LEADER_KEY, key_version.0)
+                .compare(crate::records::leadership::LEADER_KEY, key_version.0)
                 .put(CATALOG_KEY, value);
             let bytes = RequestSize::of(&txn).largest_value_bytes;
             if bytes > self.limits.guaranteed().value_bytes {
--- a/src/node/heartbeat_forwarding.rs
+++ b/src/node/heartbeat_forwarding.rs
@@ -3,7 +3,7 @@
 //! with nothing new wait for one another.
 
 use crate::http::MAX_PEER_BODY;
-use crate::wire::WorkerHeartbeat;
+use crate::wire::workers::WorkerHeartbeat;
 use std::collections::HashMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
--- a/src/node/lease_proxy.rs
+++ b/src/node/lease_proxy.rs
@@ -7,18 +7,16 @@
 use crate::ids::{AgentEpoch, FencingToken, Term};
 use crate::kv_client::{self, CallPriority, KvCall};
 use crate::messages::{Call, Destination, Effect, Now, Reply};
-use crate::peer::{self, PeerHeartbeat, PEER_PATH};
-use crate::scheduler::{LeaseProxyRecord, LEASE_PROXY_PREFIX};
-use crate::wire::{Command, HeartbeatResponse, RedirectTo, Txn, WorkerHeartbeat};
+use crate::records::lease_proxies::LeaseProxyRecord;
+use crate::records::lease_proxies::{divide, lease_proxy_key};
+use crate::wire::kv::Txn;
+use crate::wire::peers;
+use crate::wire::peers::{PeerHeartbeat, PEER_PATH};
+use crate::wire::workers::{Command, HeartbeatResponse, RedirectTo, WorkerHeartbeat};
 
 /// Who hasn't been heard for so many heartbeat intervals is quiet.
 pub(super) const QUIET_HEARTBEATS: u64 = 3;
 
-/// What a record of held machines takes beside its rows, and a row beside the
-/// machine's name, generously.
-const PROXIED_HEAD_BYTES: usize = 128;
-const PROXIED_ROW_BYTES: usize = 28;
-
 impl Node {
     /// The follower that takes this zone's reports for us: one in the zone
     /// itself, so that a cut between zones parts no worker from its node.
@@ -79,7 +77,7 @@
             target: Destination::Peer(addr),
             method: "POST",
             path: PEER_PATH.to_string(),
-            body: peer::encode(&heartbeat),
+            body: peers::encode(&heartbeat),
             timeout_ms: self.heartbeat_every_ms * 2,
         };
         self.send(OutgoingCall::Peer(index, now.ms), call, out);
@@ -174,25 +172,10 @@
             .map(|(name, (_, session))| (name.clone(), *session))
             .collect();
         machines.sort();
-        // As many records as a record's size asks for; a truncated list would
-        // have the leader give up machines that are well looked after.
-        let most = self.limits.guaranteed().value_bytes;
-        let most = most.saturating_sub(PROXIED_HEAD_BYTES);
-        let mut records: Vec<Vec<(String, AgentEpoch)>> = Vec::new();
-        let mut bytes = most;
-        for (name, session) in machines {
-            bytes += name.len() + PROXIED_ROW_BYTES;
-            if bytes > most {
-                records.push(Vec::new());
-                bytes = name.len() + PROXIED_ROW_BYTES;
-            }
-            if let Some(record) = records.last_mut() {
-                record.push((name, session));
-            }
-        }
+        let records = divide(machines, self.limits.guaranteed().value_bytes);
         let stored = std::mem::replace(&mut self.proxied_stored, records.len());
         let node = self.settings.node_name.clone();
-        let key = |n: usize| format!("{LEASE_PROXY_PREFIX}{node}/{n}");
+        let key = |n: usize| lease_proxy_key(&node, n);
         let mut txns: Vec<Txn> = Vec::new();
         for (n, machines) in records.into_iter().enumerate() {
             let record = LeaseProxyRecord {
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -12,28 +12,26 @@
 use crate::cancellations::{self, Cancellations, CancellationsKvCall};
 use crate::cloud::{CloudCall, CloudClient, CloudEvent};
 use crate::election::{Election, ElectionKvCall, LeadershipChange};
-use crate::gateway::{Gateway, GatewayEffects, RequestNumber, TaskProgress};
+use crate::gateway::{Gateway, GatewayEffects, RequestNumber};
 use crate::ids::{AgentEpoch, JobId, Term};
 use crate::kv_client::{KvCall, KvClient, KvResponse};
 use crate::limits::EffectiveLimits;
+use crate::messages::TaskProgress;
 use crate::messages::{Call, CallId, CallResult, ConnectionId, Effect, Listener, Now, Request};
-use crate::peer::{self};
 use crate::reactor::Handler;
 use crate::scheduler::{Scheduler, SchedulerEffects, SchedulerKvCall, WorkerCommandCall};
 use crate::settings::Settings;
 use crate::tuning::Tuning;
 use crate::usage::Purpose;
-use crate::wire::{Catalog, KeyValue};
+use crate::wire::cloud::Catalog;
+use crate::wire::kv::KeyValue;
+use crate::wire::peers::{self};
 use heartbeat_forwarding::HeartbeatForwarder;
 use heartbeat_routes::HeartbeatRoutes;
 use lease_proxy::QUIET_HEARTBEATS;
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// Where every controller finds the machine types, even while the cloud is
-/// away.
-pub const CATALOG_KEY: &str = "catalog";
-
 #[derive(Clone, Debug, PartialEq)]
 enum KvCallOwner {
     Election(ElectionKvCall),
@@ -664,7 +662,7 @@
                 }
                 if let (Ok((_, body)), Some(peer)) = (outcome, self.peers.get_mut(index)) {
                     peer.reached_ms = Some(now.ms);
-                    let answer = peer::decode_response(&body).unwrap_or_default();
+                    let answer = peers::decode_response(&body).unwrap_or_default();
                     if let Some(word) = answer.confirmations {
                         if self.cancellations.cursor(index).map(|c| c.incarnation)
                             != Some(word.incarnation)
--- a/src/node/peer_heartbeats.rs
+++ b/src/node/peer_heartbeats.rs
@@ -3,15 +3,17 @@
 
 use super::{Node, OutgoingCall, PeerStatus, VERSION};
 use crate::election::Role;
-use crate::gateway::TaskProgress;
 use crate::http::MAX_PEER_BODY;
 use crate::ids::{JobId, Term};
 use crate::limits::LimitEvidence;
+use crate::messages::TaskProgress;
 use crate::messages::{Call, Destination, Effect, Now, Reply};
-use crate::peer::{self, JobProgress, PeerHeartbeat, PeerHeartbeatResponse, PEER_PATH};
 use crate::scheduler::SchedulerEffects;
 use crate::usage::Purpose;
-use crate::wire::{self, WorkerHeartbeat};
+use crate::wire::peers;
+use crate::wire::peers::{JobProgress, PeerHeartbeat, PeerHeartbeatResponse, PEER_PATH};
+use crate::wire::users::valid_job_id;
+use crate::wire::workers::WorkerHeartbeat;
 use std::collections::HashMap;
 
 /// Counts for display take so much of a heartbeat at most. A new leader has all
@@ -35,7 +37,7 @@
         body: &[u8],
         out: &mut Vec<Effect>,
     ) -> Reply {
-        let Some(heartbeat) = peer::decode(body) else {
+        let Some(heartbeat) = peers::decode(body) else {
             return Reply::error(400, "not a heartbeat");
         };
         if let Some(peer) = self.peers.iter_mut().find(|p| p.name == heartbeat.node) {
@@ -81,11 +83,7 @@
             }
         }
         let mut scheduler = SchedulerEffects::default();
-        for job in heartbeat
-            .announced
-            .iter()
-            .filter(|id| wire::valid_job_id(id))
-        {
+        for job in heartbeat.announced.iter().filter(|id| valid_job_id(id)) {
             self.scheduler
                 .announced(now, &JobId::new(job), &mut scheduler);
         }
@@ -128,7 +126,7 @@
         }
         Reply {
             status: 200,
-            body: peer::encode_response(&answer),
+            body: peers::encode_response(&answer),
             retry_after_s: None,
         }
     }
@@ -260,7 +258,7 @@
                 target: Destination::Peer(self.peers[index].addr.clone()),
                 method: "POST",
                 path: PEER_PATH.to_string(),
-                body: peer::encode(&heartbeat),
+                body: peers::encode(&heartbeat),
                 timeout_ms,
             };
             self.send(OutgoingCall::Peer(index, now.ms), call, out);
--- a/src/node/requests.rs
+++ b/src/node/requests.rs
@@ -4,10 +4,12 @@
 use super::Node;
 use crate::gateway::GatewayEffects;
 use crate::messages::{ConnectionId, Effect, Listener, Now, Reply, Request};
-use crate::peer::PEER_PATH;
 use crate::scheduler::SchedulerEffects;
 use crate::usage::Purpose;
-use crate::wire::{self, RedirectTo, WorkerHeartbeat};
+use crate::wire::peers::PEER_PATH;
+use crate::wire::users::{READY_PATH, USER_JOBS_PATH};
+use crate::wire::workers::WORKER_HEARTBEAT_PATH;
+use crate::wire::workers::{RedirectTo, WorkerHeartbeat};
 
 impl Node {
     pub(super) fn route(
@@ -31,21 +33,21 @@
         let method = request.method.as_str();
         let mut gateway = GatewayEffects::default();
         let allowed = match path {
-            wire::READY_PATH => {
+            READY_PATH => {
                 self.purpose = Purpose::Probe;
                 if method == "GET" {
                     out.push(Effect::Reply(conn, self.ready(now)));
                 }
                 method == "GET"
             }
-            wire::WORKER_HEARTBEAT_PATH => {
+            WORKER_HEARTBEAT_PATH => {
                 self.purpose = Purpose::WorkerHeartbeat;
                 if method == "POST" {
                     self.on_worker_heartbeat(now, conn, &request.body, out);
                 }
                 method == "POST"
             }
-            wire::USER_JOBS_PATH => {
+            USER_JOBS_PATH => {
                 self.purpose = Purpose::Submission;
                 if method == "POST" {
                     self.gateway.submit(now, conn, &request.body, &mut gateway);
@@ -161,7 +163,7 @@
 
 /// `/v2/runs/ID` or `/v2/runs/ID/VERB`.
 fn job_path(path: &str) -> Option<(&str, Option<&str>)> {
-    let rest = path.strip_prefix(wire::USER_JOBS_PATH)?.strip_prefix('/')?;
+    let rest = path.strip_prefix(USER_JOBS_PATH)?.strip_prefix('/')?;
     match rest.split_once('/') {
         Some((id, verb)) => Some((id, Some(verb))),
         None => Some((rest, None)),
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -2,8 +2,8 @@
 //! machines is taken. No state, no clock.
 
 use crate::cloud::Offer;
-use crate::gateway::fits_machine_type;
-use crate::wire::{Catalog, JobSpec};
+use crate::wire::cloud::{Catalog, MachineType};
+use crate::wire::users::JobSpec;
 use std::rc::Rc;
 
 pub use lilacfork_common::resources::Resources;
@@ -64,6 +64,22 @@
     offer_allowed(spec, offer) && zones.allows(spec, &offer.zone)
 }
 
+/// Whether a task of the job could ever stand on a machine of this type.
+pub fn fits_machine_type(spec: &JobSpec, t: &MachineType) -> bool {
+    let allowed = spec
+        .types
+        .as_ref()
+        .is_none_or(|types| types.contains(&t.name));
+    let zone = spec
+        .zone
+        .as_ref()
+        .is_none_or(|zone| t.zones.iter().any(|z| z == zone));
+    let room = spec.cpus <= t.cpus + 1e-9
+        && spec.gpus <= t.gpus + 1e-9
+        && spec.memory_gb <= t.memory_gb + 1e-9;
+    allowed && zone && room
+}
+
 /// Every rental that could hold a task of the job, with its nominal price.
 pub fn feasible_offers(spec: &JobSpec, catalog: &Catalog) -> Vec<(Offer, f64, Resources, f64)> {
     let mut offers = Vec::new();
--- /dev/null
+++ b/src/records/jobs.rs
@@ -0,0 +1,97 @@
+//! Records of jobs: unfinished ones (`j/ID`), and those that are over (`f/ID`).
+
+use crate::ids::JobId;
+use crate::wire::users::{JobPhase, JobSpec};
+use serde::{Deserialize, Serialize};
+
+/// Unfinished and cancelled-but-not-yet-cleared jobs.
+pub const JOB_PREFIX: &str = "j/";
+/// Jobs that are over, for good.
+pub const FINAL_PREFIX: &str = "f/";
+
+/// The key of an unfinished job's record.
+pub fn job_key(id: &JobId) -> String {
+    format!("{JOB_PREFIX}{id}")
+}
+
+/// The key of the record of a job that is over.
+pub fn final_key(id: &JobId) -> String {
+    format!("{FINAL_PREFIX}{id}")
+}
+
+/// The record of an unfinished job.
+#[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
+pub struct JobRecord {
+    /// The job as its user described it.
+    pub spec: JobSpec,
+    /// Time of day of the submission, milliseconds.
+    #[serde(rename = "t")]
+    pub submitted: u64,
+    /// Time of day of the cancellation.
+    #[serde(rename = "c", default, skip_serializing_if = "Option::is_none")]
+    pub cancelled: Option<u64>,
+    /// Parts of a replica, if its replicas span machines. It was settled when the
+    /// job was accepted, and is never judged again.
+    #[serde(rename = "g", default, skip_serializing_if = "Option::is_none")]
+    pub replica_parts: Option<u32>,
+}
+
+/// How a job ended.
+#[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
+pub enum FinalState {
+    /// All its tasks are done.
+    #[serde(rename = "d")]
+    Done,
+    /// Its user cancelled it.
+    #[serde(rename = "c")]
+    Cancelled,
+}
+
+impl FinalState {
+    /// The state that the job's user is told.
+    pub fn phase(self) -> JobPhase {
+        match self {
+            FinalState::Done => JobPhase::Done,
+            FinalState::Cancelled => JobPhase::Cancelled,
+        }
+    }
+}
+
+/// The record of a job that is over.
+#[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
+pub struct FinalRecord {
+    /// How it ended.
+    #[serde(rename = "s")]
+    pub state: FinalState,
+    /// How many tasks it had.
+    #[serde(rename = "n")]
+    pub tasks: u32,
+    /// Names the write, so that its author knows it again.
+    #[serde(rename = "w", default)]
+    pub write: u64,
+    /// Time of day of its end, milliseconds; 0: not told, as by versions before 0.2.
+    #[serde(rename = "t", default, skip_serializing_if = "is_zero")]
+    pub ended: u64,
+}
+
+fn is_zero(time: &u64) -> bool {
+    *time == 0
+}
+
+/// The job that an unfinished job's key names.
+pub fn job_of_key(key: &str) -> Option<JobId> {
+    key.strip_prefix(JOB_PREFIX).map(JobId::new)
+}
+
+/// Whether an unfinished job's record, of any version, says that it is cancelled.
+pub fn is_cancelled(record: &serde_json::Value) -> bool {
+    record.get("c").is_some_and(|c| !c.is_null())
+}
+
+/// The jobs that an unfinished job's record, of any version, depends on.
+pub fn dependencies_in(record: &serde_json::Value) -> Box<[JobId]> {
+    let field = record.get("spec").and_then(|spec| spec.get("attend"));
+    let list = field.and_then(|field| field.as_array());
+    let names = list.into_iter().flatten().filter_map(|name| name.as_str());
+    names.map(JobId::new).collect()
+}
--- a/src/scheduler/dependencies/mod.rs
+++ b/src/scheduler/dependencies/mod.rs
@@ -4,14 +4,14 @@
 
 pub(in crate::scheduler) mod propagation;
 
-use crate::gateway::{final_key, FinalRecord, FinalState};
 use crate::ids::JobId;
 use crate::kv_client::{self, CallPriority, KvResponse};
 use crate::messages::Now;
+use crate::records::jobs::{final_key, FinalRecord, FinalState};
 use crate::scheduler::{
     LeaderStage, Scheduler, SchedulerEffects, SchedulerKvCall, CALL_TIMEOUT_MS, RETRY_MS,
 };
-use crate::wire::KeyValue;
+use crate::wire::kv::KeyValue;
 use lilacfork_dependencies::graph::DependencyGraph;
 use std::collections::BTreeMap;
 
--- a/src/scheduler/dependencies/propagation.rs
+++ b/src/scheduler/dependencies/propagation.rs
@@ -4,7 +4,7 @@
 use crate::ids::JobId;
 use crate::messages::Now;
 use crate::scheduler::Scheduler;
-use crate::wire::{JobSpec, Priority};
+use crate::wire::users::{JobSpec, Priority};
 use lilacfork_dependencies::propagation::StageUrgency;
 use std::rc::Rc;
 
--- a/src/scheduler/displacement/image_displacement.rs
+++ b/src/scheduler/displacement/image_displacement.rs
@@ -11,7 +11,7 @@
 use crate::placement::{Resources, ZoneCounts};
 use crate::scheduler::rounds::task_placement::PlacementRequest;
 use crate::scheduler::{Job, Scheduler};
-use crate::wire::JobSpec;
+use crate::wire::users::JobSpec;
 use std::collections::HashMap;
 
 /// A fetch takes up to so many times its nominal time (PROTOCOL: give or take
--- a/src/scheduler/displacement/migration.rs
+++ b/src/scheduler/displacement/migration.rs
@@ -8,7 +8,7 @@
 use crate::scheduler::rounds::demand_forecast::ColdReservation;
 use crate::scheduler::{Assignment, Job, Scheduler};
 use crate::settings::Settings;
-use crate::wire::JobSpec;
+use crate::wire::users::JobSpec;
 
 /// A start counts for the users once it has lasted for this long (PROTOCOL,
 /// "How aims are counted"); moving a replica before would make it late.
--- a/src/scheduler/displacement/preemption.rs
+++ b/src/scheduler/displacement/preemption.rs
@@ -7,7 +7,7 @@
 use crate::scheduler::displacement::image_displacement::MOST_CANDIDATES;
 use crate::scheduler::rounds::round::Unplaced;
 use crate::scheduler::{Assignment, Job, Scheduler};
-use crate::wire::JobSpec;
+use crate::wire::users::JobSpec;
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -10,30 +10,28 @@
 mod workers;
 
 pub use state::job::{Job, StoredPlacement};
-pub use state::placement_ranges::{
-    parse_placement_key, placement_key, read_ranges, tasks_per_record, write_ranges, AssignmentRow,
-    PlacementRanges, PlacementRecord, RangeName, PLACEMENT_PREFIX,
-};
+pub use state::placement_ranges::PlacementRanges;
 
 use crate::capacity_index::{CapacityIndex, Slot};
 use crate::cloud::{CloudClient, Offer};
 use crate::fleet::Fleet;
-use crate::gateway::TaskProgress;
-use crate::ids::{AgentEpoch, JobId, MachineId, Revision, TaskRef, Term};
+use crate::ids::{JobId, MachineId, Revision, TaskRef, Term};
 use crate::kv_client::{self, CallPriority, KvCall, KvResponse, WriteBudget};
 use crate::limits::{EffectiveLimits, RequestSize, StoreLimits};
+use crate::messages::TaskProgress;
 use crate::messages::{Call, ConnectionId, Now, Reply};
+use crate::records::placements::tasks_per_record;
 use crate::settings::Settings;
 use crate::tuning::Tuning;
 use crate::usage::Purpose;
-use crate::wire::{Catalog, ListedMachine, Txn};
+use crate::wire::cloud::{Catalog, ListedMachine};
+use crate::wire::kv::Txn;
 use dependencies::Dependencies;
 use lilacfork_replica_groups::registry::{GroupId, ReplicaGroups};
 use provisioning::estimate_store::EstimateStore;
 use provisioning::online_estimates::OnlineEstimates;
 use rounds::demand_forecast::ForecastDemand;
 use rounds::round::Round;
-use serde::{Deserialize, Serialize};
 use state::job::{Assignment, StopRequest};
 use state::job_table::JobTable;
 use state::loading::PartialLoad;
@@ -127,20 +125,6 @@
     }
 }
 
-/// What followers say of workers whose leases they renew for the leader.
-pub const LEASE_PROXY_PREFIX: &str = "h/";
-
-/// The record of the machines whose leases a follower renews.
-#[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
-pub struct LeaseProxyRecord {
-    /// Time of day.
-    #[serde(rename = "t")]
-    pub at: u64,
-    /// Each machine with its session.
-    #[serde(rename = "m")]
-    pub machines: Vec<(String, AgentEpoch)>,
-}
-
 /// A call straight to a worker.
 #[derive(Clone, PartialEq, Debug)]
 pub struct WorkerCommandCall {
--- a/src/scheduler/provisioning/estimate_store.rs
+++ b/src/scheduler/provisioning/estimate_store.rs
@@ -2,15 +2,12 @@
 //! begin with the catalog's figures. It is a hint: a record that is missing,
 //! old or unreadable costs nothing but the time to learn again.
 
-use crate::election::LEADER_KEY;
 use crate::kv_client::{self, CallPriority, KvResponse};
 use crate::messages::Now;
+use crate::records::estimates::{EstimateRecord, ESTIMATES_KEY};
+use crate::records::leadership::LEADER_KEY;
 use crate::scheduler::{Scheduler, SchedulerEffects, SchedulerKvCall, CALL_TIMEOUT_MS};
-use crate::wire::{KeyValue, Txn};
-use serde::{Deserialize, Serialize};
-
-/// The key of the record.
-pub const ESTIMATES_KEY: &str = "learned";
+use crate::wire::kv::{KeyValue, Txn};
 
 /// It is stored at most once in so many report intervals.
 const STORE_REPORTS: u64 = 30;
@@ -22,53 +19,6 @@
 /// At most so many values of a kind are stored.
 const MOST_VALUES: usize = 64;
 
-/// How far from where it began a stored value may lie, as a factor.
-const MOST_FACTOR: f64 = 100.0;
-
-/// One learned value, by the name of its machine type or class.
-#[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
-pub struct EstimateValue {
-    /// The machine type or class.
-    #[serde(rename = "n")]
-    pub name: String,
-    /// What it was taken for before anything was learned.
-    #[serde(rename = "s")]
-    pub start: f64,
-    /// What it is taken for now.
-    #[serde(rename = "v")]
-    pub value: f64,
-}
-
-impl EstimateValue {
-    /// Whether it can be made sense of.
-    pub fn plausible(&self) -> bool {
-        let factor = self.value / self.start;
-        self.start > 0.0
-            && self.start.is_finite()
-            && (1.0 / MOST_FACTOR..=MOST_FACTOR).contains(&factor)
-    }
-}
-
-/// The stored record.
-#[derive(Clone, PartialEq, Debug, Default, Serialize, Deserialize)]
-pub struct EstimateRecord {
-    /// Time of day at which it was written, milliseconds.
-    #[serde(rename = "t")]
-    pub written_at: u64,
-    /// Boot times in seconds, by machine type.
-    #[serde(rename = "b", default)]
-    pub boots: Vec<EstimateValue>,
-    /// Run time over estimate, by class.
-    #[serde(rename = "e", default)]
-    pub estimates: Vec<EstimateValue>,
-}
-
-impl EstimateRecord {
-    fn bytes(&self) -> usize {
-        serde_json::to_vec(self).map_or(usize::MAX, |text| text.len())
-    }
-}
-
 /// When the record was stored last, and what it held.
 #[derive(Debug, Default)]
 pub(in crate::scheduler) struct EstimateStore {
--- a/src/scheduler/provisioning/online_estimates.rs
+++ b/src/scheduler/provisioning/online_estimates.rs
@@ -1,8 +1,8 @@
 //! What the leader learns from what it sees: boot times, how wrong estimates
 //! are, how fast work arrives. Small, and slow to believe outliers.
 
-use crate::scheduler::provisioning::estimate_store::{EstimateRecord, EstimateValue};
-use crate::wire::JobSpec;
+use crate::records::estimates::{EstimateRecord, EstimateValue};
+use crate::wire::users::JobSpec;
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
--- a/src/scheduler/provisioning/scaling.rs
+++ b/src/scheduler/provisioning/scaling.rs
@@ -11,7 +11,8 @@
 use crate::scheduler::rounds::round::Unplaced;
 use crate::scheduler::Scheduler;
 use crate::slackfit::{self, Rung};
-use crate::wire::{Catalog, JobKind, JobSpec, MachineType};
+use crate::wire::cloud::{Catalog, MachineType};
+use crate::wire::users::{JobKind, JobSpec};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
--- a/src/scheduler/replica_groups/mod.rs
+++ b/src/scheduler/replica_groups/mod.rs
@@ -14,7 +14,7 @@
 use crate::scheduler::{Assignment, Job, Scheduler};
 use crate::settings::Settings;
 use crate::tuning::Tuning;
-use crate::wire::TaskPhase;
+use crate::wire::workers::TaskPhase;
 use lilacfork_replica_groups::group::{
     GroupAction, GroupEvent, GroupState, GroupTiming, StopCause,
 };
--- a/src/scheduler/replica_groups/search.rs
+++ b/src/scheduler/replica_groups/search.rs
@@ -5,7 +5,7 @@
 use crate::placement::{placement_allowed, ZoneCounts};
 use crate::scheduler::rounds::task_placement::PlacementRequest;
 use crate::scheduler::Scheduler;
-use crate::wire::JobSpec;
+use crate::wire::users::JobSpec;
 use lilacfork_replica_groups::registry::GroupId;
 use std::rc::Rc;
 
--- a/src/scheduler/rounds/demand_forecast.rs
+++ b/src/scheduler/rounds/demand_forecast.rs
@@ -6,7 +6,7 @@
 use crate::scheduler::rounds::round::Round;
 use crate::scheduler::Scheduler;
 
-use crate::wire::JobSpec;
+use crate::wire::users::JobSpec;
 use std::rc::Rc;
 
 /// So many tasks like this may come within one boot.
--- a/src/scheduler/rounds/pending_capacity.rs
+++ b/src/scheduler/rounds/pending_capacity.rs
@@ -4,7 +4,7 @@
 
 use crate::cloud::Offer;
 use crate::placement::{offer_allowed, placement_allowed, Resources, ZoneCounts};
-use crate::wire::JobSpec;
+use crate::wire::users::JobSpec;
 use std::cmp::Ordering;
 use std::rc::Rc;
 
--- a/src/scheduler/rounds/queue_order.rs
+++ b/src/scheduler/rounds/queue_order.rs
@@ -3,7 +3,7 @@
 use crate::ids::TaskRef;
 use crate::messages::Now;
 use crate::scheduler::{Job, JobId, Scheduler};
-use crate::wire::{JobSpec, Priority};
+use crate::wire::users::{JobSpec, Priority};
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
--- a/src/scheduler/rounds/round.rs
+++ b/src/scheduler/rounds/round.rs
@@ -12,7 +12,7 @@
 use crate::scheduler::rounds::demand_forecast::ColdReservation;
 use crate::scheduler::rounds::queue_order::{QueueKey, QueuedWork};
 use crate::scheduler::Scheduler;
-use crate::wire::JobSpec;
+use crate::wire::users::JobSpec;
 use lilacfork_replica_groups::registry::GroupId;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::rc::Rc;
--- a/src/scheduler/rounds/task_placement.rs
+++ b/src/scheduler/rounds/task_placement.rs
@@ -8,7 +8,7 @@
 use crate::scheduler::rounds::round::{Round, Unplaced};
 use crate::scheduler::state::quotas::within_quota;
 use crate::scheduler::{Assignment, Job, Scheduler};
-use crate::wire::{JobKind, JobSpec};
+use crate::wire::users::{JobKind, JobSpec};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
--- a/src/scheduler/state/commit.rs
+++ b/src/scheduler/state/commit.rs
@@ -2,13 +2,13 @@
 //! jobs' changes as the limits allow. An unclear one is sent again, letter by
 //! letter, until the state service says what became of it.
 
-use crate::election::LEADER_KEY;
 use crate::ids::JobId;
 use crate::kv_client::{self, CallPriority, KvResponse, WriteBudget};
 use crate::messages::Now;
+use crate::records::leadership::LEADER_KEY;
 use crate::scheduler::state::transaction::FINAL_CHANGES;
 use crate::scheduler::{Scheduler, SchedulerEffects, SchedulerKvCall, CALL_TIMEOUT_MS};
-use crate::wire::{KeyValue, Txn, TxnResponse};
+use crate::wire::kv::{KeyValue, Txn, TxnResponse};
 
 /// What the state service refuses and nothing explains is tried again after so many
 /// report intervals.
@@ -317,7 +317,7 @@
         };
         self.take_back(now);
         for key in failed {
-            match key.strip_prefix(crate::gateway::JOB_PREFIX) {
+            match key.strip_prefix(crate::records::jobs::JOB_PREFIX) {
                 Some(id) => {
                     let id = JobId::new(id);
                     if let Some(job) = self.jobs.get_mut(&id) {
--- a/src/scheduler/state/job.rs
+++ b/src/scheduler/state/job.rs
@@ -1,14 +1,16 @@
 //! Jobs as the leader holds them, and what of them is stored.
 
 use crate::faults::CircuitBreaker;
-use crate::gateway::{FinalState, JobRecord};
 use crate::ids::{AgentEpoch, Attempt, FencingToken, MachineId, TaskRef};
 use crate::placement::{Resources, ZoneCounts};
-use crate::scheduler::state::job_table::JobListing;
-use crate::scheduler::state::placement_ranges::{
-    read_ranges, write_ranges, AssignmentRow, PlacementRanges, PlacementRecord, RangeName,
+use crate::records::jobs::{FinalState, JobRecord};
+use crate::records::placements::{
+    read_ranges, write_ranges, AssignmentRow, PlacementRecord, RangeName,
 };
-use crate::wire::{JobKind, JobSpec, Priority, TaskPhase};
+use crate::scheduler::state::job_table::JobListing;
+use crate::scheduler::state::placement_ranges::PlacementRanges;
+use crate::wire::users::{JobKind, JobSpec, Priority};
+use crate::wire::workers::TaskPhase;
 use lilacfork_dependencies::propagation::StageUrgency;
 use lilacfork_replica_groups::shape::Shape;
 use std::collections::{BTreeMap, BTreeSet};
--- a/src/scheduler/state/job_table.rs
+++ b/src/scheduler/state/job_table.rs
@@ -7,7 +7,7 @@
 use crate::placement::Resources;
 use crate::scheduler::state::job::Job;
 use crate::scheduler::state::quotas::TeamAccounts;
-use crate::wire::JobSpec;
+use crate::wire::users::JobSpec;
 use std::collections::{btree_map, BTreeMap, BTreeSet, HashMap};
 use std::rc::Rc;
 
--- a/src/scheduler/state/job_watch.rs
+++ b/src/scheduler/state/job_watch.rs
@@ -1,13 +1,13 @@
 //! What the job records say has changed: new jobs, cancellations, and records that
 //! changed under the leader.
 
-use crate::gateway::{JobRecord, JOB_PREFIX};
 use crate::ids::{JobId, Revision};
 use crate::kv_client::{self, CallPriority, KvResponse};
 use crate::messages::Now;
+use crate::records::jobs::{JobRecord, JOB_PREFIX};
 use crate::scheduler::state::job::StopRequest;
 use crate::scheduler::{Job, LeaderStage, Scheduler, SchedulerEffects, SchedulerKvCall, RETRY_MS};
-use crate::wire::{KeyValue, WatchResponse};
+use crate::wire::kv::{KeyValue, WatchResponse};
 
 impl Scheduler {
     pub(in crate::scheduler) fn learn_job(
@@ -162,7 +162,7 @@
         id: &JobId,
         out: &mut SchedulerEffects,
     ) {
-        let call = kv_client::get(&crate::gateway::job_key(id), 1000);
+        let call = kv_client::get(&crate::records::jobs::job_key(id), 1000);
         let tag = SchedulerKvCall::ReadJob(id.clone());
         self.ask(now, CallPriority::Placement, call, 0, tag, out);
     }
--- a/src/scheduler/state/loading.rs
+++ b/src/scheduler/state/loading.rs
@@ -3,16 +3,16 @@
 
 use crate::cloud::Offer;
 use crate::fleet::{Machine, MachinePhase};
-use crate::gateway::JOB_PREFIX;
 use crate::ids::{JobId, MachineId, Revision, TaskRef};
 use crate::kv_client::{self, CallPriority, KvResponse};
 use crate::messages::Now;
 use crate::placement::Resources;
+use crate::records::jobs::JOB_PREFIX;
+use crate::records::placements::{parse_placement_key, PlacementRecord, PLACEMENT_PREFIX};
 use crate::scheduler::{
-    parse_placement_key, LeaderStage, PlacementRecord, Scheduler, SchedulerEffects,
-    SchedulerKvCall, StoredPlacement, PLACEMENT_PREFIX, RETRY_MS,
+    LeaderStage, Scheduler, SchedulerEffects, SchedulerKvCall, StoredPlacement, RETRY_MS,
 };
-use crate::wire::{KeyPage, KeyValue};
+use crate::wire::kv::{KeyPage, KeyValue};
 use lilacfork_replica_groups::record::GroupRecord;
 use std::rc::Rc;
 
--- a/src/scheduler/state/transaction.rs
+++ b/src/scheduler/state/transaction.rs
@@ -1,15 +1,15 @@
 //! One guarded transaction of the leader's, put together: ends of jobs and
 //! placements, most important first, as many as the limits allow.
 
-use crate::election::LEADER_KEY;
-use crate::gateway::{final_key, job_key, FinalRecord, FinalState};
 use crate::ids::{Attempt, JobId, Revision};
 use crate::limits::{RequestSize, StoreLimits};
 use crate::messages::Now;
+use crate::records::jobs::{final_key, job_key, FinalRecord, FinalState};
+use crate::records::leadership::LEADER_KEY;
+use crate::records::placements::{placement_key, PlacementRecord};
 use crate::scheduler::state::job::Job;
-use crate::scheduler::state::placement_ranges::{placement_key, PlacementRecord};
 use crate::scheduler::Scheduler;
-use crate::wire::Txn;
+use crate::wire::kv::Txn;
 use lilacfork_replica_groups::record::GroupRecord;
 use lilacfork_replica_groups::registry::ReplicaGroups;
 
--- a/src/scheduler/workers/direct_commands.rs
+++ b/src/scheduler/workers/direct_commands.rs
@@ -4,7 +4,7 @@
 use crate::messages::{Call, CallResult, Destination, Now};
 use crate::scheduler::workers::heartbeats::HeartbeatSource;
 use crate::scheduler::{LeaderStage, Scheduler, SchedulerEffects, WorkerCommandCall};
-use crate::wire::{Command, DirectCommands, WorkerHeartbeat, WORKER_COMMANDS_PATH};
+use crate::wire::workers::{Command, DirectCommands, WorkerHeartbeat, WORKER_COMMANDS_PATH};
 
 impl Scheduler {
     /// Sends commands straight to the workers that have something to do.
--- a/src/scheduler/workers/heartbeats.rs
+++ b/src/scheduler/workers/heartbeats.rs
@@ -5,7 +5,7 @@
 use crate::ids::{Attempt, FencingToken, JobId, MachineId, TaskRef};
 use crate::messages::{ConnectionId, Now, Reply};
 use crate::scheduler::{Assignment, Scheduler, SchedulerEffects, StopRequest};
-use crate::wire::{
+use crate::wire::workers::{
     Command, ExitReason, HeartbeatResponse, RedirectTo, TaskPhase, TaskStatus, WorkerHeartbeat,
 };
 use std::collections::HashMap;
--- a/src/scheduler/workers/machines.rs
+++ b/src/scheduler/workers/machines.rs
@@ -6,10 +6,10 @@
 use crate::kv_client::{self, CallPriority, KvResponse};
 use crate::messages::Now;
 use crate::placement::Resources;
-use crate::scheduler::{
-    LeaderStage, LeaseProxyRecord, Scheduler, SchedulerEffects, SchedulerKvCall, LEASE_PROXY_PREFIX,
-};
-use crate::wire::{KeyPage, ListedMachine, ListedState};
+use crate::records::lease_proxies::{LeaseProxyRecord, LEASE_PROXY_PREFIX};
+use crate::scheduler::{LeaderStage, Scheduler, SchedulerEffects, SchedulerKvCall};
+use crate::wire::cloud::{ListedMachine, ListedState};
+use crate::wire::kv::KeyPage;
 use std::rc::Rc;
 
 impl Scheduler {
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -2,7 +2,7 @@
 //! ones may come; the known ones are checked.
 
 use crate::reactor::{Endpoints, ResourceBounds};
-use crate::wire::JobSpec;
+use crate::wire::users::JobSpec;
 use serde::Deserialize;
 use std::net::SocketAddrV4;
 use std::path::Path;
--- a/src/tuning.rs
+++ b/src/tuning.rs
@@ -3,7 +3,7 @@
 //! an error: a misspelt one must not pass for a default.
 
 use crate::limits::EffectiveLimits;
-use crate::scheduler::tasks_per_record;
+use crate::records::placements::tasks_per_record;
 use crate::settings::Site;
 use lilacfork_replica_groups::classes::ReplicaClasses;
 use std::path::Path;
--- a/src/peer.rs
+++ b/src/wire/peers.rs
@@ -1,5 +1,5 @@
-//! What controllers tell each other, in protocol buffers: hints, and what each
-//! vouches for of its own, the cancellations that it has confirmed.
+//! The other controllers, in protocol buffers: hints, and the cancellations that each
+//! has confirmed to users, for which it vouches.
 
 use prost::Message;
 
--- a/tests/cancellations.rs
+++ b/tests/cancellations.rs
@@ -233,7 +233,7 @@
     use lilacfork::ids::JobId;
     use lilacfork::kv_client::KvResponse;
     use lilacfork::messages::Now;
-    use lilacfork::peer::ConfirmedCancellations;
+    use lilacfork::wire::peers::ConfirmedCancellations;
     use serde_json::json;
 
     fn at(ms: u64) -> Now {
--- a/tests/capacity_index.rs
+++ b/tests/capacity_index.rs
@@ -5,7 +5,7 @@
 use lilacfork::cloud::Offer;
 use lilacfork::ids::MachineId;
 use lilacfork::placement::{offer_allowed, placement_allowed, FitScore, Resources, ZoneCounts};
-use lilacfork::wire::{JobKind, JobSpec, Priority};
+use lilacfork::wire::users::{JobKind, JobSpec, Priority};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, TestRunner};
 use std::collections::{BTreeMap, BTreeSet};
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -2,14 +2,16 @@
 
 use lilacfork::cloud::Offer;
 use lilacfork::ids::{FencingToken, Term};
-use lilacfork::kv_client::{self, CallPriority, KvCall, KvClient, TokenBucket};
+use lilacfork::kv_client::{self, CallPriority, KvCall, KvClient};
 use lilacfork::messages::Now;
 use lilacfork::placement::{FitScore, Resources, ZoneCounts};
-use lilacfork::scheduler::{read_ranges, write_ranges};
+use lilacfork::records::placements::{read_ranges, write_ranges};
 use lilacfork::settings::Settings;
 use lilacfork::slackfit::{buckets, cheapest, choose, Rung};
+use lilacfork::token_bucket::TokenBucket;
 use lilacfork::tuning::Tuning;
-use lilacfork::wire::{JobSpec, Txn};
+use lilacfork::wire::kv::Txn;
+use lilacfork::wire::users::JobSpec;
 use std::rc::Rc;
 
 fn rung(name: &str, latency_ms: u64, cost: f64) -> Rung {
--- a/tests/resource_limits.rs
+++ b/tests/resource_limits.rs
@@ -2,10 +2,11 @@
 
 mod simulation;
 
-use lilacfork::gateway::{Gateway, GatewayEffects, TaskProgress};
+use lilacfork::gateway::{Gateway, GatewayEffects};
 use lilacfork::http::MAX_PEER_BODY;
 use lilacfork::ids::{JobId, Term};
 use lilacfork::kv_client::KvResponse;
+use lilacfork::messages::TaskProgress;
 use lilacfork::messages::{ConnectionId, Destination, Now};
 use lilacfork_replica_groups::classes::ReplicaClasses;
 use serde_json::json;
--- a/tests/version_compatibility.rs
+++ b/tests/version_compatibility.rs
@@ -3,12 +3,12 @@
 
 mod simulation;
 
-use lilacfork::gateway::JobRecord;
 use lilacfork::ids::JobId;
-use lilacfork::scheduler::{
-    parse_placement_key, placement_key, read_ranges, tasks_per_record, Job, PlacementRanges,
-    PlacementRecord, RangeName, StoredPlacement,
+use lilacfork::records::jobs::JobRecord;
+use lilacfork::records::placements::{
+    parse_placement_key, placement_key, read_ranges, tasks_per_record, PlacementRecord, RangeName,
 };
+use lilacfork::scheduler::{Job, PlacementRanges, StoredPlacement};
 use lilacfork::settings::{NextStateLimits, Settings};
 use serde_json::{json, Value};
 use simulation::state::SizeLimits;
