--- a/benches/events.rs
+++ b/benches/events.rs
@@ -1,7 +1,7 @@
 //! What one event costs a leader of a full fleet: time, allocations and bytes.
 //! `cargo bench` prints them; only the counts are the same everywhere.
 
-#[path = "../tests/simulation/mod.rs"]
+#[path = "../tests/integration/simulation/mod.rs"]
 mod simulation;
 
 use divan::{AllocProfiler, Bencher};
--- a/tests/allocations.rs
+++ b/tests/allocations.rs
@@ -1,6 +1,7 @@
 //! What the message that comes most often allocates. A binary of its own: the
 //! allocator counts for the whole process.
 
+#[path = "integration/simulation/mod.rs"]
 mod simulation;
 
 use lilacfork::messages::{ConnectionId, Effect, Listener, Now, Request};
--- a/tests/boot_times.rs
+++ b/tests/integration/boot_times.rs
@@ -1,9 +1,7 @@
 //! Kept traces: machines that come up at once, late or never.
 
-mod simulation;
-
+use crate::simulation::{array, service, Simulation, Worker};
 use serde_json::json;
-use simulation::{array, service, Simulation, Worker};
 
 /// An array whose tasks run for as long as the trace lasts, eight to a machine.
 fn long_array(w: &mut Simulation, id: &str, tasks: u32) {
--- a/tests/cancellations.rs
+++ b/tests/integration/cancellations.rs
@@ -1,12 +1,10 @@
 //! Kept traces: what was cancelled ends in time, whoever knows of it. The
 //! observer checks each task against the moment of the first confirmation.
 
-mod simulation;
-
+use crate::simulation::fixtures::{cut_off, heal, node_at, up};
+use crate::simulation::{service, Fate, Simulation, CANCEL_MS};
 use lilacfork::messages::Destination;
 use serde_json::json;
-use simulation::fixtures::{cut_off, heal, node_at, up};
-use simulation::{service, Fate, Simulation, CANCEL_MS};
 
 /// Two services of eight on two machines.
 fn two_services() -> Simulation {
--- a/tests/dependencies.rs
+++ b/tests/integration/dependencies.rs
@@ -1,11 +1,9 @@
 //! Kept traces: jobs that need others, and the troubles that they meet. The observer
 //! checks `too_early` and `orphaned` beside the other rules on each.
 
-mod simulation;
-
+use crate::simulation::fixtures::{cut_off, heal, up};
+use crate::simulation::{array, Fate, Simulation, CANCEL_MS};
 use serde_json::{json, Value};
-use simulation::fixtures::{cut_off, heal, up};
-use simulation::{array, Fate, Simulation, CANCEL_MS};
 use std::collections::BTreeMap;
 
 /// A short job that needs these.
@@ -144,7 +142,7 @@
 #[test]
 fn a_job_that_needs_a_service_is_cancelled_with_it() {
     let mut w = up(3);
-    assert_eq!(w.submit(0, &simulation::service("run-s", 2)), 201);
+    assert_eq!(w.submit(0, &crate::simulation::service("run-s", 2)), 201);
     assert_eq!(w.submit(1, &needing("run-1", &["run-s"])), 201);
     w.run_for(10_000);
     assert_eq!(w.on_machines("run-1"), 0);
--- a/tests/failure_attribution.rs
+++ b/tests/integration/failure_attribution.rs
@@ -1,11 +1,9 @@
 //! Tasks that fail: by a job's mistake, by a faulty machine, or both at once.
 
-mod simulation;
-
+use crate::simulation::fixtures::{gone, up};
+use crate::simulation::{array, service, Simulation};
 use lilacfork::faults::{CircuitBreaker, MachineFaults};
 use lilacfork::ids::{JobId, MachineId};
-use simulation::fixtures::{gone, up};
-use simulation::{array, service, Simulation};
 
 const REPORT_MS: u64 = 1000;
 
--- a/tests/fault_interactions.rs
+++ b/tests/integration/fault_interactions.rs
@@ -2,12 +2,12 @@
 //! operators have named and that no other file holds. The observer checks the
 //! rules at every step; a test adds what has to be served.
 
-mod simulation;
-
+use crate::simulation::fixtures::{
+    cut_between_zones, cut_off, full_zone, gone, heal, set_silent, up,
+};
+use crate::simulation::{array, service, Fate, Simulation, CANCEL_MS, LEASE_MS};
 use lilacfork::messages::Destination;
 use serde_json::{json, Value};
-use simulation::fixtures::{cut_between_zones, cut_off, full_zone, gone, heal, set_silent, up};
-use simulation::{array, service, Fate, Simulation, CANCEL_MS, LEASE_MS};
 use std::cell::RefCell;
 use std::rc::Rc;
 
@@ -581,7 +581,7 @@
 fn what_was_written_unheard_is_read_and_told_by_others() {
     for writer in 0..3 {
         let mut w = up(3);
-        let at_once = |writer: usize| -> simulation::Hook {
+        let at_once = |writer: usize| -> crate::simulation::Hook {
             Box::new(move |_, node, call| match call.target {
                 Destination::KvStore if call.path == "/txn" && node == writer => Fate::LoseAnswer,
                 _ => Fate::Pass,
--- a/tests/large_fleets.rs
+++ b/tests/integration/large_fleets.rs
@@ -1,10 +1,8 @@
 //! Traces of large fleets, and what they ask of the state service and of rounds.
 
-mod simulation;
-
+use crate::simulation::fixtures::{gone, patient, set_silent};
+use crate::simulation::{array, Fate, Simulation};
 use lilacfork::messages::Destination;
-use simulation::fixtures::{gone, patient, set_silent};
-use simulation::{array, Fate, Simulation};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
--- a/tests/leadership.rs
+++ b/tests/integration/leadership.rs
@@ -1,11 +1,9 @@
 //! Kept traces: who leads, and what a change of leader must not lose.
 
-mod simulation;
-
+use crate::simulation::fixtures::{cut_off, full_zone, gone, heal, up};
+use crate::simulation::{array, service, Fate, Simulation};
 use lilacfork::messages::Destination;
 use serde_json::json;
-use simulation::fixtures::{cut_off, full_zone, gone, heal, up};
-use simulation::{array, service, Fate, Simulation};
 use std::cell::Cell;
 use std::rc::Rc;
 
--- a/tests/migration.rs
+++ b/tests/integration/migration.rs
@@ -1,10 +1,8 @@
 //! Traces of tasks on the move: gathered, giving way, spreading images.
 
-mod simulation;
-
+use crate::simulation::fixtures::up;
+use crate::simulation::{array, service, Simulation};
 use serde_json::json;
-use simulation::fixtures::up;
-use simulation::{array, service, Simulation};
 
 /// Replicas once stayed scattered over half-empty machines until they were
 /// cancelled, and the machines were paid for.
--- a/tests/network_partitions.rs
+++ b/tests/integration/network_partitions.rs
@@ -1,14 +1,12 @@
 //! Traces of cuts and outages: zones, controllers and the state service apart.
 
-mod simulation;
-
-use lilacfork::messages::Destination;
-use serde_json::json;
-use simulation::fixtures::{
+use crate::simulation::fixtures::{
     crosses, cut_between_zones, cut_zone_from_everything, cut_zones, full_zone, gone, heal,
     set_silent, up,
 };
-use simulation::{array, service, Fate, Simulation};
+use crate::simulation::{array, service, Fate, Simulation};
+use lilacfork::messages::Destination;
+use serde_json::json;
 
 #[test]
 fn work_lives_through_an_outage_of_the_state_service() {
--- a/tests/observer.rs
+++ b/tests/integration/observer.rs
@@ -1,11 +1,9 @@
 //! The traces' observer, proved by a broken history for each rule: what it
 //! can't see, no trace checks.
 
-mod simulation;
-
+use crate::simulation::array;
+use crate::simulation::observer::{Observer, Placed, Question, Verb, Verdict};
 use serde_json::{json, Value};
-use simulation::array;
-use simulation::observer::{Observer, Placed, Question, Verb, Verdict};
 
 fn observer() -> Observer {
     Observer::new(30_000, &[("blue", 2.0)])
--- a/tests/processor_costs.rs
+++ b/tests/integration/processor_costs.rs
@@ -2,10 +2,8 @@
 //! examined. Each bound leaves room for change and is broken once the cost
 //! grows with the fleet.
 
-mod simulation;
-
+use crate::simulation::{array, fixtures, Fate, Simulation};
 use lilacfork::messages::Destination;
-use simulation::{array, fixtures, Fate, Simulation};
 use std::cell::RefCell;
 use std::rc::Rc;
 
--- a/tests/provisioning.rs
+++ b/tests/integration/provisioning.rs
@@ -1,10 +1,8 @@
 //! Traces of renting and returning machines.
 
-mod simulation;
-
+use crate::simulation::fixtures::{patient, up};
+use crate::simulation::{array, service, Fate, Simulation};
 use lilacfork::messages::Destination;
-use simulation::fixtures::{patient, up};
-use simulation::{array, service, Fate, Simulation};
 
 #[test]
 fn a_rental_whose_answer_is_lost_is_made_once() {
--- a/tests/randomized_faults.rs
+++ b/tests/integration/randomized_faults.rs
@@ -2,12 +2,10 @@
 //! from fixed seeds, several at a time. The observer checks the rules at every
 //! step; once all is over, everything accepted has to be served.
 
-mod simulation;
-
+use crate::simulation::fixtures::node_at;
+use crate::simulation::{array, service, Fate, Simulation};
 use lilacfork::messages::Destination;
 use serde_json::{json, Value};
-use simulation::fixtures::node_at;
-use simulation::{array, service, Fate, Simulation};
 use std::cell::Cell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
--- a/tests/replica_groups.rs
+++ b/tests/integration/replica_groups.rs
@@ -1,16 +1,14 @@
 //! Replicas that span machines: parts start, move and are repaired together,
 //! whatever fails.
 
-mod simulation;
-
+use crate::simulation::fixtures::{cut_zone_from_everything, heal, set_silent};
+use crate::simulation::replica_groups::{
+    attempts, machines, options, placement, places, shown, started, wide,
+};
+use crate::simulation::{array, Fate, Simulation};
 use lilacfork::messages::Destination;
 use lilacfork::tuning::Tuning;
 use serde_json::json;
-use simulation::fixtures::{cut_zone_from_everything, heal, set_silent};
-use simulation::replica_groups::{
-    attempts, machines, options, placement, places, shown, started, wide,
-};
-use simulation::{array, Fate, Simulation};
 use std::cell::Cell;
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -718,7 +716,7 @@
 /// What operators write of replicas that span machines, and what is wrong with it.
 #[test]
 fn classes_that_span_machines_are_checked_with_file_key_and_reason() {
-    let site = simulation::settings("n-0", 3).site;
+    let site = crate::simulation::settings("n-0", 3).site;
     let load = |text: &str| {
         let ini = ini::Ini::load_from_str(text).unwrap();
         let options = Tuning::from_ini(&ini, "f.ini")?;
@@ -766,7 +764,7 @@
     ] {
         assert_eq!(load(text).unwrap_err().to_string(), says);
     }
-    load(include_str!("../deploy/replicas.ini")).expect("what is shipped can be used");
+    load(include_str!("../../deploy/replicas.ini")).expect("what is shipped can be used");
 }
 
 #[test]
--- a/tests/resource_limits.rs
+++ b/tests/integration/resource_limits.rs
@@ -1,7 +1,6 @@
 //! Sizes at which something fixed once stood in the way.
 
-mod simulation;
-
+use crate::simulation::{service, Simulation};
 use lilacfork::gateway::{Gateway, GatewayEffects};
 use lilacfork::http::MAX_PEER_BODY;
 use lilacfork::ids::{JobId, Term};
@@ -10,7 +9,6 @@
 use lilacfork::messages::{ConnectionId, Destination, Now};
 use lilacfork_replica_groups::classes::ReplicaClasses;
 use serde_json::json;
-use simulation::{service, Simulation};
 use std::cell::Cell;
 use std::rc::Rc;
 
@@ -40,7 +38,7 @@
         if matches!(call.target, Destination::Peer(_)) {
             seen.set(seen.get().max(call.body.len()));
         }
-        simulation::Fate::Pass
+        crate::simulation::Fate::Pass
     });
     w.run_for(20_000);
     assert!(largest.get() <= MAX_PEER_BODY, "{} bytes", largest.get());
@@ -57,7 +55,7 @@
 /// ones were shown as pending.
 #[test]
 fn what_is_remembered_of_jobs_follows_the_memory() {
-    let mut settings = simulation::settings("n-0", 3);
+    let mut settings = crate::simulation::settings("n-0", 3);
     settings.site.limits.ram_mb = 512.0;
     let mut gateway = Gateway::new(Rc::new(settings), ReplicaClasses::default(), 2000);
     let running = TaskProgress {
--- a/tests/round_slices.rs
+++ b/tests/integration/round_slices.rs
@@ -1,10 +1,8 @@
 //! Kept traces: rounds that take many slices, and what happens between two.
 
-mod simulation;
-
+use crate::simulation::{array, service, Simulation};
 use lilacfork::node::Node;
 use serde_json::{json, Value};
-use simulation::{array, service, Simulation};
 
 /// With so little of a core a slice examines thirty entries, a few jobs.
 const FEW_CORES: f64 = 0.0003;
--- a/tests/traces.rs
+++ b/tests/integration/traces.rs
@@ -1,12 +1,10 @@
 //! Kept traces: whole controllers against stand-ins, with messages lost, late
 //! and repeated. The stand-in workers check `ran_twice` and `ran_cancelled`.
 
-mod simulation;
-
+use crate::simulation::fixtures::up;
+use crate::simulation::{array, service, Fate};
 use lilacfork::messages::Destination;
 use serde_json::json;
-use simulation::fixtures::up;
-use simulation::{array, service, Fate};
 
 #[test]
 fn a_job_runs_and_is_done_within_three_seconds_of_its_end() {
--- a/tests/version_compatibility.rs
+++ b/tests/integration/version_compatibility.rs
@@ -1,8 +1,8 @@
 //! Two versions on one set of data, and limits of the state service that fall while
 //! the service runs.
 
-mod simulation;
-
+use crate::simulation::state::SizeLimits;
+use crate::simulation::{array, service, Fate, Simulation, SETTINGS};
 use lilacfork::ids::JobId;
 use lilacfork::records::jobs::JobRecord;
 use lilacfork::records::placements::{
@@ -11,8 +11,6 @@
 use lilacfork::scheduler::{Job, PlacementRanges, StoredPlacement};
 use lilacfork::settings::{NextStateLimits, Settings};
 use serde_json::{json, Value};
-use simulation::state::SizeLimits;
-use simulation::{array, service, Fate, Simulation, SETTINGS};
 use std::collections::BTreeMap;
 
 const LOWERED: SizeLimits = SizeLimits {
@@ -299,7 +297,7 @@
     assert_eq!(w.submit(0, &many("run-1", 200)), 201);
     w.run_for(3000);
     w.state.limits = Some(LOWERED);
-    let mut now = simulation::settings("n-0", 3).site.state;
+    let mut now = crate::simulation::settings("n-0", 3).site.state;
     now.value_kb = 2.0;
     now.txn_ops = 6;
     w.set_state_limits(now);
--- a/tests/write_batching.rs
+++ b/tests/integration/write_batching.rs
@@ -1,10 +1,8 @@
 //! Kept traces: what the leader writes when there is more to write than the
 //! state service takes.
 
-mod simulation;
-
-use simulation::fixtures::up;
-use simulation::{array, service, Simulation};
+use crate::simulation::fixtures::up;
+use crate::simulation::{array, service, Simulation};
 
 /// When each job's first task was started.
 fn started_at(w: &Simulation, job: &str) -> Option<u64> {
