--- a/src/cancellations.rs
+++ b/src/cancellations.rs
@@ -25,6 +25,7 @@
 use crate::messages::Now;
 use crate::records::jobs::JOB_PREFIX;
 use crate::records::jobs::{dependencies_in, is_cancelled, job_of_key};
+use crate::settings::Settings;
 use crate::wire::kv::{KeyPage, WatchResponse};
 use crate::wire::peers::{ConfirmationCursor, ConfirmedCancellations};
 use crate::wire::users::valid_job_id;
@@ -60,6 +61,18 @@
     pub uninformed_ms: u64,
 }
 
+impl CancellationBounds {
+    /// The bounds that follow from the settings.
+    pub fn new(settings: &Settings) -> CancellationBounds {
+        let workers = &settings.site.workers;
+        CancellationBounds {
+            report_ms: (workers.heartbeat_s * 1000.0) as u64,
+            cancel_ms: (workers.cancel_s * 1000.0) as u64,
+            uninformed_ms: settings.max_cancellation_lag_ms(),
+        }
+    }
+}
+
 /// Which question to the state service an answer belongs to.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum CancellationsKvCall {
--- a/src/node/catalog.rs
+++ b/src/node/catalog.rs
@@ -10,6 +10,16 @@
 use crate::wire::kv::Txn;
 use std::rc::Rc;
 
+/// The machine types, as far as they are known here.
+#[derive(Debug, Default)]
+pub(super) struct CatalogCache {
+    pub(super) catalog: Option<Rc<Catalog>>,
+    /// This leader has stored them, or is about to.
+    pub(super) stored: bool,
+    pub(super) read_due_ms: u64,
+    write_due_ms: u64,
+}
+
 /// It is tried so often to store the catalogue.
 const WRITE_EVERY_MS: u64 = 1000;
 
@@ -18,13 +28,13 @@
         let catalog = Rc::new(catalog);
         self.gateway.set_catalog(catalog.clone());
         self.scheduler.set_catalog(catalog.clone());
-        self.catalog = Some(catalog);
+        self.catalog_cache.catalog = Some(catalog);
     }
 
     /// Reads the stored catalogue until there is one; stores it as leader.
     pub(super) fn maintain_catalog(&mut self, now: Now) {
-        if self.catalog.is_none() && now.ms >= self.catalog_read_ms {
-            self.catalog_read_ms = now.ms + 1000;
+        if self.catalog_cache.catalog.is_none() && now.ms >= self.catalog_cache.read_due_ms {
+            self.catalog_cache.read_due_ms = now.ms + 1000;
             self.kv.submit(KvCall {
                 priority: CallPriority::Submission,
                 call: kv_client::get(CATALOG_KEY, 1000),
@@ -36,22 +46,22 @@
         let Role::Leader { key_version, .. } = self.election.role else {
             return;
         };
-        if self.catalog_stored || now.ms < self.catalog_due_ms {
+        if self.catalog_cache.stored || now.ms < self.catalog_cache.write_due_ms {
             return;
         }
-        if let Some(catalog) = &self.catalog {
-            self.catalog_stored = true;
+        if let Some(catalog) = &self.catalog_cache.catalog {
+            self.catalog_cache.stored = true;
             let value = serde_json::to_value(&**catalog).unwrap_or_default();
             let txn = Txn::default()
                 .compare(crate::records::leadership::LEADER_KEY, key_version.0)
                 .put(CATALOG_KEY, value);
             let bytes = RequestSize::of(&txn).largest_value_bytes;
-            if bytes > self.limits.guaranteed().value_bytes {
+            if bytes > self.limits_tracker.effective.guaranteed().value_bytes {
                 log::warn!("the catalogue takes {bytes} bytes and isn't stored");
                 return;
             }
             // One that is refused must not be written again and again at once.
-            self.catalog_due_ms = now.ms + WRITE_EVERY_MS;
+            self.catalog_cache.write_due_ms = now.ms + WRITE_EVERY_MS;
             let (call, writes) = kv_client::txn(&txn, 1000);
             self.kv.submit(KvCall {
                 priority: CallPriority::Background,
--- a/src/node/lease_proxy.rs
+++ b/src/node/lease_proxy.rs
@@ -2,7 +2,8 @@
 //! reports are taken, passes reports on, and renews leases in the leader's
 //! stead when that can't be heard. It never starts anything.
 
-use super::{KvCallOwner, Node, OutgoingCall};
+use super::outgoing_calls::OutgoingCall;
+use super::{KvCallOwner, Node};
 use crate::election::Role;
 use crate::ids::{AgentEpoch, FencingToken, Term};
 use crate::kv_client::{self, CallPriority, KvCall};
@@ -13,6 +14,26 @@
 use crate::wire::peers;
 use crate::wire::peers::{PeerHeartbeat, PEER_PATH};
 use crate::wire::workers::{Command, HeartbeatResponse, RedirectTo, WorkerHeartbeat};
+use std::collections::HashMap;
+
+/// A lease that was renewed in the leader's stead.
+#[derive(Clone, Copy, Debug)]
+struct ProxiedLease {
+    renewed_ms: u64,
+    epoch: AgentEpoch,
+}
+
+/// The leases that this controller renews in the leader's stead.
+#[derive(Debug, Default)]
+pub(super) struct LeaseProxy {
+    leases: HashMap<String, ProxiedLease>,
+    /// When the records of them are written next.
+    store_due_ms: u64,
+    /// How many records of them are stored.
+    records_stored: usize,
+    /// When a worker was last answered in the leader's stead.
+    pub(super) last_answer_ms: Option<u64>,
+}
 
 /// Who hasn't been heard for so many heartbeat intervals is quiet.
 pub(super) const QUIET_HEARTBEATS: u64 = 3;
@@ -24,8 +45,8 @@
         if zone == self.settings.zone {
             return None;
         }
-        let recent = self.heartbeat_every_ms * 2;
-        self.peers.iter().position(|p| {
+        let recent = self.peer_links.heartbeat_interval_ms * 2;
+        self.peer_links.all.iter().position(|p| {
             // One that reaches neither us nor the state service would
             // send the worker back, round and round.
             let seen = |at: Option<u64>| at.is_some_and(|at| now.ms < at + recent);
@@ -38,8 +59,9 @@
     /// for one that says that no worker reaches it.
     pub(super) fn forwards(&self, now: Now, zone: &str) -> Option<Term> {
         let quiet = self.quiet_ms();
-        let reach = quiet + self.heartbeat_every_ms;
-        self.peers
+        let reach = quiet + self.peer_links.heartbeat_interval_ms;
+        self.peer_links
+            .all
             .iter()
             .filter(|p| p.leads_ms.is_some_and(|at| now.ms < at + quiet))
             .max_by_key(|p| p.leads_term)
@@ -59,12 +81,13 @@
             return;
         }
         let leader = self
-            .peers
+            .peer_links
+            .all
             .iter()
             .enumerate()
             .filter(|(_, p)| p.leads_ms.is_some())
             .max_by_key(|(_, p)| p.leads_term);
-        let Some((index, addr)) = leader.map(|(i, p)| (i, p.addr.clone())) else {
+        let Some((index, addr)) = leader.map(|(i, p)| (i, p.address.clone())) else {
             return;
         };
         let heartbeat = PeerHeartbeat {
@@ -78,9 +101,16 @@
             method: "POST",
             path: PEER_PATH.to_string(),
             body: peers::encode(&heartbeat),
-            timeout_ms: self.heartbeat_every_ms * 2,
+            timeout_ms: self.peer_links.heartbeat_interval_ms * 2,
         };
-        self.send(OutgoingCall::Peer(index, now.ms), call, out);
+        self.send(
+            OutgoingCall::Peer {
+                index,
+                sent_ms: now.ms,
+            },
+            call,
+            out,
+        );
     }
 
     /// Sends a worker to whoever leads by the latest word: a peer that says so
@@ -93,7 +123,8 @@
             .other_leader()
             .map(|node| (self.election.known_term(), node));
         let heard = self
-            .peers
+            .peer_links
+            .all
             .iter()
             .filter(|p| p.leads_ms.is_some_and(|at| now.ms < at + quiet))
             .map(|p| (p.leads_term, p.name.as_str()));
@@ -105,7 +136,7 @@
 
     /// Peers send heartbeats several times within this period.
     pub(super) fn quiet_ms(&self) -> u64 {
-        self.heartbeat_every_ms * QUIET_HEARTBEATS
+        self.peer_links.heartbeat_interval_ms * QUIET_HEARTBEATS
     }
 
     /// Whether workers' leases are to be renewed here in the leader's stead,
@@ -115,24 +146,24 @@
     pub(super) fn proxies_leases(&mut self, now: Now) -> bool {
         let quiet = self.quiet_ms();
         let recent = |at: Option<u64>| at.is_some_and(|at| now.ms < at + quiet);
-        if self.peers.iter().any(|p| recent(p.leads_ms)) {
+        if self.peer_links.all.iter().any(|p| recent(p.leads_ms)) {
             return false;
         }
-        let heard = self.peers.iter().any(|p| recent(p.heard_ms));
+        let heard = self.peer_links.all.iter().any(|p| recent(p.heard_ms));
         let stands = if self.kv.reachable() {
             // The state service knows a leader whom this node can't hear.
             self.election.follows(now)
         } else if heard {
-            !self.peers.iter().any(|p| recent(p.state_seen_ms))
+            !self.peer_links.all.iter().any(|p| recent(p.state_seen_ms))
         } else {
             // Alone. If it answered its zone's workers before that, the zone
             // is cut off with it and they have nobody else; the watermark bounds how
             // long that may last. If they had reported elsewhere, the fault
             // is here, and it would only keep workers from others.
-            recent(self.proxied_lease_ms)
+            recent(self.lease_proxy.last_answer_ms)
         };
         if stands {
-            self.proxied_lease_ms = Some(now.ms);
+            self.lease_proxy.last_answer_ms = Some(now.ms);
         }
         stands
     }
@@ -150,30 +181,40 @@
             _ => report.fencing_token.term(),
         };
         let reply = proxy_answer(report, term, stops)?;
-        self.proxied_leases
-            .insert(report.machine.clone(), (now.ms, report.agent_epoch));
+        let lease = ProxiedLease {
+            renewed_ms: now.ms,
+            epoch: report.agent_epoch,
+        };
+        self.lease_proxy
+            .leases
+            .insert(report.machine.clone(), lease);
         Some(reply)
     }
 
     /// Tells the leader, by way of the state service, whose leases are kept.
     pub(super) fn store_proxied(&mut self, now: Now) {
         let quiet = self.quiet_ms();
-        self.proxied_leases
-            .retain(|_, (at, _)| now.ms < *at + quiet);
-        if now.ms < self.proxied_due_ms
-            || (self.proxied_leases.is_empty() && self.proxied_stored == 0)
+        self.lease_proxy
+            .leases
+            .retain(|_, lease| now.ms < lease.renewed_ms + quiet);
+        if now.ms < self.lease_proxy.store_due_ms
+            || (self.lease_proxy.leases.is_empty() && self.lease_proxy.records_stored == 0)
         {
             return;
         }
-        self.proxied_due_ms = now.ms + quiet;
+        self.lease_proxy.store_due_ms = now.ms + quiet;
         let mut machines: Vec<(String, AgentEpoch)> = self
-            .proxied_leases
+            .lease_proxy
+            .leases
             .iter()
-            .map(|(name, (_, session))| (name.clone(), *session))
+            .map(|(name, lease)| (name.clone(), lease.epoch))
             .collect();
         machines.sort();
-        let records = divide(machines, self.limits.guaranteed().value_bytes);
-        let stored = std::mem::replace(&mut self.proxied_stored, records.len());
+        let records = divide(
+            machines,
+            self.limits_tracker.effective.guaranteed().value_bytes,
+        );
+        let stored = std::mem::replace(&mut self.lease_proxy.records_stored, records.len());
         let node = self.settings.node_name.clone();
         let key = |n: usize| lease_proxy_key(&node, n);
         let mut txns: Vec<Txn> = Vec::new();
@@ -185,7 +226,9 @@
             let value = serde_json::to_value(record).unwrap_or_default();
             txns.push(Txn::default().put(key(n), value));
         }
-        txns.extend((self.proxied_stored..stored).map(|n| Txn::default().delete(key(n))));
+        txns.extend(
+            (self.lease_proxy.records_stored..stored).map(|n| Txn::default().delete(key(n))),
+        );
         for txn in txns {
             let (call, writes) = kv_client::txn(&txn, 1000);
             self.kv.submit(KvCall {
--- a/src/node/limits.rs
+++ b/src/node/limits.rs
@@ -2,10 +2,27 @@
 
 use super::{KvCallOwner, Node, VERSION};
 use crate::kv_client::{self, CallPriority, KvCall, KvResponse};
-use crate::limits::{LimitEvidence, RequestSize};
+use crate::limits::{EffectiveLimits, LimitEvidence, RequestSize};
 use crate::messages::Now;
 use serde::Serialize;
 
+/// Which limits of the key-value store apply, and whether that is stored.
+#[derive(Debug)]
+pub(super) struct LimitsTracker {
+    pub(super) effective: EffectiveLimits,
+    /// When it may next be stored that the announced limits apply.
+    store_due_ms: u64,
+}
+
+impl LimitsTracker {
+    pub(super) fn new(effective: EffectiveLimits) -> LimitsTracker {
+        LimitsTracker {
+            effective,
+            store_due_ms: 0,
+        }
+    }
+}
+
 /// It is tried so often to store that the announced limits are in force.
 const STORE_EVERY_MS: u64 = 1000;
 
@@ -27,7 +44,7 @@
         NodeInfo {
             ready: true,
             version: VERSION,
-            limits: if self.limits.announced_apply() {
+            limits: if self.limits_tracker.effective.announced_apply() {
                 "announced"
             } else {
                 "present"
@@ -37,13 +54,13 @@
 
     /// There is a sign that the announced limits are in force.
     pub(super) fn learn_limits(&mut self, now: Now, evidence: LimitEvidence) {
-        if self.limits.apply_announced(evidence) {
+        if self.limits_tracker.effective.apply_announced(evidence) {
             self.apply_limits(now);
         }
     }
 
     fn apply_limits(&mut self, now: Now) {
-        let limits = self.limits.current();
+        let limits = self.limits_tracker.effective.current();
         self.kv.set_limits(&limits);
         self.scheduler.set_limits(limits);
         self.set_share(now, self.election.is_leader());
@@ -51,7 +68,7 @@
 
     /// The state service answered 400 to a transaction of the leader's.
     pub(super) fn transaction_refused(&mut self, now: Now, size: RequestSize) {
-        if self.limits.refused(size) {
+        if self.limits_tracker.effective.refused(size) {
             self.apply_limits(now);
         } else {
             self.scheduler.refused_without_cause(now);
@@ -60,7 +77,7 @@
 
     /// The state service answered 400 to a user's write.
     pub(super) fn submission_refused(&mut self, now: Now, size: RequestSize) {
-        if self.limits.refused(size) {
+        if self.limits_tracker.effective.refused(size) {
             self.apply_limits(now);
         } else {
             log::error!("the state service refuses a user's write: {size:?}");
@@ -74,13 +91,15 @@
             self.learn_limits(now, LimitEvidence::Stored);
             return;
         }
-        if !self.limits.announced_apply() || now.ms < self.limits_due_ms {
+        if !self.limits_tracker.effective.announced_apply()
+            || now.ms < self.limits_tracker.store_due_ms
+        {
             return;
         }
         let Some(txn) = self.election.store_limits_lowered() else {
             return;
         };
-        self.limits_due_ms = now.ms + STORE_EVERY_MS;
+        self.limits_tracker.store_due_ms = now.ms + STORE_EVERY_MS;
         let (call, writes) = kv_client::txn(&txn, STORE_EVERY_MS);
         self.kv.submit(KvCall {
             priority: CallPriority::Leadership,
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -2,34 +2,40 @@
 //! time in, messages out; the reactor does the rest.
 
 mod catalog;
+mod handover;
 mod heartbeat_forwarding;
 mod heartbeat_routes;
 mod lease_proxy;
 mod limits;
+mod outgoing_calls;
 mod peer_heartbeats;
+mod peers;
 mod requests;
 
-use crate::cancellations::{self, Cancellations, CancellationsKvCall};
-use crate::cloud::{CloudCall, CloudClient, CloudEvent};
+use crate::cancellations::{CancellationBounds, Cancellations, CancellationsKvCall};
+use crate::cloud::{CloudClient, CloudEvent};
 use crate::election::{Election, ElectionKvCall, LeadershipChange};
 use crate::gateway::{Gateway, GatewayEffects, RequestNumber};
-use crate::ids::{AgentEpoch, JobId, Term};
+use crate::ids::{JobId, Term};
 use crate::kv_client::{KvCall, KvClient, KvResponse};
 use crate::limits::EffectiveLimits;
-use crate::messages::TaskProgress;
 use crate::messages::{Call, CallId, CallResult, ConnectionId, Effect, Listener, Now, Request};
 use crate::reactor::Handler;
-use crate::scheduler::{Scheduler, SchedulerEffects, SchedulerKvCall, WorkerCommandCall};
+use crate::scheduler::{Scheduler, SchedulerEffects, SchedulerKvCall};
 use crate::settings::Settings;
 use crate::tuning::Tuning;
 use crate::usage::Purpose;
 use crate::wire::cloud::Catalog;
 use crate::wire::kv::KeyValue;
-use crate::wire::peers::{self};
+use crate::wire::peers::decode_response;
+use catalog::CatalogCache;
+use handover::Handover;
 use heartbeat_forwarding::HeartbeatForwarder;
 use heartbeat_routes::HeartbeatRoutes;
-use lease_proxy::QUIET_HEARTBEATS;
-use std::collections::HashMap;
+use lease_proxy::{LeaseProxy, QUIET_HEARTBEATS};
+use limits::LimitsTracker;
+use outgoing_calls::{OutgoingCall, OutgoingCalls};
+use peers::Peers;
 use std::rc::Rc;
 
 #[derive(Clone, Debug, PartialEq)]
@@ -61,51 +67,12 @@
     }
 }
 
-#[derive(Clone, Debug)]
-enum OutgoingCall {
-    State(u64),
-    Cloud(CloudCall),
-    Worker(Term, WorkerCommandCall),
-    /// Of which peer, and when it was asked.
-    Peer(usize, u64),
-}
-
-#[derive(Debug)]
-struct PeerStatus {
-    name: String,
-    zone: String,
-    addr: String,
-    heard_ms: Option<u64>,
-    /// When it last answered a call of ours.
-    reached_ms: Option<u64>,
-    /// When it last said that the state service answers it.
-    state_seen_ms: Option<u64>,
-    /// When it last said that it leads.
-    leads_ms: Option<u64>,
-    leads_term: Term,
-    /// It said that workers don't reach it.
-    unreachable: bool,
-    /// When it last named us as its leader.
-    follows_ms: Option<u64>,
-    /// Changes that it makes to the state service.
-    writes_per_s: f64,
-    /// Its version, as it last said; empty: none, as before 0.2.
-    version: String,
-}
-
-impl PeerStatus {
-    /// Which version runs where, for operators.
-    fn note_version(&mut self, version: &str) {
-        if self.version != version {
-            log::info!("node {} runs version {version}", self.name);
-            self.version = version.to_string();
-        }
-    }
-}
-
 /// This program's version, as it is told to peers and operators.
 pub const VERSION: &str = env!("CARGO_PKG_VERSION");
 
+/// Bounds of the lease of the leader's key.
+const MIN_LEADER_LEASE_MS: u64 = 200;
+const MAX_LEADER_LEASE_MS: u64 = 600_000;
 /// Heartbeats within the lease of the leader's key.
 const HEARTBEATS: u64 = 4;
 /// For so many seconds a follower saves up the changes that it doesn't use.
@@ -117,147 +84,88 @@
 /// One controller.
 pub struct Node {
     settings: Rc<Settings>,
+    /// The leader's share of the key-value store's rates.
+    leader_share: f64,
     election: Election,
+    handover: Handover,
     cancellations: Cancellations,
     /// Who had asked when the poll under way was sent.
     polled_for: RequestNumber,
     kv: KvClient<KvCallOwner>,
-    limits: EffectiveLimits,
-    /// When it may next be stored that the announced limits are in force.
-    limits_due_ms: u64,
+    limits_tracker: LimitsTracker,
     gateway: Gateway,
     scheduler: Scheduler,
     cloud: CloudClient,
-    catalog: Option<Rc<Catalog>>,
-    catalog_stored: bool,
-    catalog_read_ms: u64,
-    /// When it may next be written.
-    catalog_due_ms: u64,
-    peers: Vec<PeerStatus>,
-    calls: HashMap<CallId, OutgoingCall>,
-    next_call: u64,
-    heartbeat_due_ms: u64,
-    heartbeat_every_ms: u64,
-    /// What peers were last told, so that only changes go out.
-    sent_counts: HashMap<JobId, TaskProgress>,
-    announced: Vec<JobId>,
-    /// The peers should hear of cancellations before the next heartbeat is due.
-    cancelled_here: bool,
-    leader_share: f64,
-    /// When it last did anything.
-    last_turn_ms: u64,
-    led_since_ms: Option<u64>,
-    /// The silent successor for which it stepped aside.
-    handed_over_for: Option<String>,
-    /// It stepped aside as leader, and no worker has reached it since.
-    unreached: bool,
-    /// Workers whose leases this node renews in the leader's stead, and when
-    /// it last did.
-    proxied_leases: HashMap<String, (u64, AgentEpoch)>,
-    /// Reports answered here and not yet passed on to the leader.
+    catalog_cache: CatalogCache,
+    peer_links: Peers,
+    calls: OutgoingCalls,
+    lease_proxy: LeaseProxy,
+    /// Heartbeats answered here and not yet forwarded to the leader.
     forwarding: HeartbeatForwarder,
     routes: HeartbeatRoutes,
-    proxied_due_ms: u64,
-    /// How many records of them are stored.
-    proxied_stored: usize,
-    /// When it last answered a worker in the leader's stead.
-    proxied_lease_ms: Option<u64>,
+    /// When it last did anything.
+    last_turn_ms: u64,
     /// What it last worked on.
     purpose: Purpose,
 }
 
+/// How long a leader's lease of its key lasts.
+fn leader_lease_ms(settings: &Settings, tuning: &Tuning) -> u64 {
+    let lease_ms = settings.site.workers.lease_s * 1000.0 * tuning.lease_share;
+    (lease_ms as u64).clamp(MIN_LEADER_LEASE_MS, MAX_LEADER_LEASE_MS)
+}
+
+/// Spreads candidates, so that they don't all claim in one moment.
+fn election_stagger_ms(settings: &Settings, lease_ms: u64) -> u64 {
+    let mut names: Vec<&str> = settings.peers.iter().map(|p| p.name.as_str()).collect();
+    names.push(&settings.node_name);
+    names.sort_unstable();
+    let rank = names.iter().position(|name| *name == settings.node_name);
+    rank.unwrap_or(0) as u64 * lease_ms / 30
+}
+
 impl Node {
     /// `incarnation` tells this process from earlier ones of the same name.
-    pub fn new(settings: Settings, options: Tuning, incarnation: u64) -> Node {
+    pub fn new(settings: Settings, tuning: Tuning, incarnation: u64) -> Node {
         let settings = Rc::new(settings);
         let site = &settings.site;
-        let ttl_ms = (site.workers.lease_s * 1000.0 * options.lease_share) as u64;
-        let ttl_ms = ttl_ms.clamp(200, 600_000);
-        let mut names: Vec<&str> = settings.peers.iter().map(|p| p.name.as_str()).collect();
-        names.push(&settings.node_name);
-        names.sort_unstable();
-        let rank = names
-            .iter()
-            .position(|n| *n == settings.node_name)
-            .unwrap_or(0) as u64;
-        let election = Election::new(&settings.node_name, incarnation, ttl_ms, rank * ttl_ms / 30);
-        let limits = EffectiveLimits::new(&site.state);
-        let store = KvClient::new(site.state.rps, site.state.write_rps);
-        let cloud = CloudClient::new(site.cloud.rps, site.cloud.list_lag_s);
-        let peers = settings
-            .peers
-            .iter()
-            .filter(|p| p.name != settings.node_name)
-            .map(|p| PeerStatus {
-                name: p.name.clone(),
-                zone: p.zone.clone(),
-                addr: p.addr.to_string(),
-                heard_ms: None,
-                reached_ms: None,
-                state_seen_ms: None,
-                leads_ms: None,
-                leads_term: Term(0),
-                unreachable: false,
-                follows_ms: None,
-                writes_per_s: 0.0,
-                version: String::new(),
-            })
-            .collect();
-        let workers = &site.workers;
-        let bounds = cancellations::CancellationBounds {
-            report_ms: (workers.heartbeat_s * 1000.0) as u64,
-            cancel_ms: (workers.cancel_s * 1000.0) as u64,
-            uninformed_ms: settings.max_cancellation_lag_ms(),
-        };
-        let peers: Vec<PeerStatus> = peers;
-        let cancellations = Cancellations::new(
-            &settings.node_name,
-            incarnation,
-            bounds,
-            peers.iter().map(|p| p.name.as_str()),
-        );
-        let leader_share = options.leader_share;
-        let forwarding = HeartbeatForwarder::new(workers.heartbeat_s);
-        let routes = HeartbeatRoutes::new((workers.lease_s * 1000.0) as u64);
+        let lease_ms = leader_lease_ms(&settings, &tuning);
+        let heartbeat_interval_ms = lease_ms / HEARTBEATS;
+        let peers = Peers::new(&settings, heartbeat_interval_ms);
         let mut node = Node {
+            leader_share: tuning.leader_share,
+            election: Election::new(
+                &settings.node_name,
+                incarnation,
+                lease_ms,
+                election_stagger_ms(&settings, lease_ms),
+            ),
+            handover: Handover::default(),
+            cancellations: Cancellations::new(
+                &settings.node_name,
+                incarnation,
+                CancellationBounds::new(&settings),
+                peers.all.iter().map(|p| p.name.as_str()),
+            ),
+            polled_for: 0,
+            kv: KvClient::new(site.state.rps, site.state.write_rps),
+            limits_tracker: LimitsTracker::new(EffectiveLimits::new(&site.state)),
             gateway: Gateway::new(
                 settings.clone(),
-                options.replica_classes.clone(),
-                ttl_ms / HEARTBEATS * QUIET_HEARTBEATS,
+                tuning.replica_classes.clone(),
+                heartbeat_interval_ms * QUIET_HEARTBEATS,
             ),
-            scheduler: Scheduler::new(settings.clone(), options),
-            settings,
-            election,
-            cancellations,
-            polled_for: 0,
-            kv: store,
-            limits,
-            limits_due_ms: 0,
-            cloud,
-            catalog: None,
-            catalog_stored: false,
-            catalog_read_ms: 0,
-            catalog_due_ms: 0,
-            peers,
-            calls: HashMap::new(),
-            next_call: 0,
-            heartbeat_due_ms: 0,
-            heartbeat_every_ms: ttl_ms / HEARTBEATS,
-            sent_counts: HashMap::new(),
-            announced: Vec::new(),
-            cancelled_here: false,
-            leader_share,
+            cloud: CloudClient::new(site.cloud.rps, site.cloud.list_lag_s),
+            catalog_cache: CatalogCache::default(),
+            peer_links: peers,
+            calls: OutgoingCalls::default(),
+            lease_proxy: LeaseProxy::default(),
+            forwarding: HeartbeatForwarder::new(site.workers.heartbeat_s),
+            routes: HeartbeatRoutes::new((site.workers.lease_s * 1000.0) as u64),
             last_turn_ms: 0,
-            led_since_ms: None,
-            handed_over_for: None,
-            unreached: false,
-            proxied_leases: HashMap::new(),
-            forwarding,
-            routes,
-            proxied_due_ms: 0,
-            proxied_stored: 0,
-            proxied_lease_ms: None,
             purpose: Purpose::Other,
+            scheduler: Scheduler::new(settings.clone(), tuning),
+            settings,
         };
         node.set_share(Now::default(), false);
         node
@@ -297,8 +205,8 @@
     /// Everybody's rates together stay near what the services take; a 429
     /// mends what is over.
     fn set_share(&mut self, now: Now, leading: bool) {
-        let others = self.peers.len().max(1) as f64;
-        let share = if self.peers.is_empty() {
+        let others = self.peer_links.all.len().max(1) as f64;
+        let share = if self.peer_links.all.is_empty() {
             1.0
         } else if leading {
             self.leader_share
@@ -313,12 +221,13 @@
 
     /// As leader, takes what the others leave of the state service's changes.
     fn share_writes(&mut self, now: Now) {
-        if !self.election.is_leader() || self.peers.is_empty() {
+        if !self.election.is_leader() || self.peer_links.all.is_empty() {
             return;
         }
         let quiet = self.quiet_ms();
         let others: f64 = self
-            .peers
+            .peer_links
+            .all
             .iter()
             .filter(|p| p.heard_ms.is_some_and(|at| now.ms < at + quiet))
             .map(|p| p.writes_per_s)
@@ -330,9 +239,7 @@
     // ---- between the actors ----
 
     fn send(&mut self, tag: OutgoingCall, call: Call, out: &mut Vec<Effect>) {
-        self.next_call += 1;
-        let id = CallId(self.next_call);
-        self.calls.insert(id, tag);
+        let id = self.calls.register(tag);
         out.push(Effect::Call(id, call));
     }
 
@@ -346,7 +253,7 @@
         for call in gateway.calls {
             self.kv.submit(retag(call, KvCallOwner::Gateway));
         }
-        self.announced.extend(gateway.announced);
+        self.peer_links.announcements.extend(gateway.announced);
         if let Some(size) = gateway.refused {
             self.submission_refused(now, size);
         }
@@ -357,7 +264,7 @@
         for id in &gateway.cancelled {
             self.cancellations.confirm(now, id);
         }
-        self.cancelled_here |= !gateway.cancelled.is_empty();
+        self.peer_links.cancellations_pending |= !gateway.cancelled.is_empty();
         let mut scheduler = SchedulerEffects::default();
         self.learned_cancelled(now, &gateway.cancelled, &mut scheduler);
         self.apply_scheduler_effects(now, scheduler, out);
@@ -443,10 +350,10 @@
     fn on_leadership_change(&mut self, now: Now, change: LeadershipChange, out: &mut Vec<Effect>) {
         match change {
             LeadershipChange::Elected { term, key_version } => {
-                self.led_since_ms = Some(now.ms);
+                self.handover.led_since_ms = Some(now.ms);
                 self.routes.clear();
                 self.set_share(now, true);
-                self.sent_counts.clear();
+                self.peer_links.sent_progress.clear();
                 self.cloud.set_leading(now, true);
                 let mut scheduler = SchedulerEffects::default();
                 self.scheduler
@@ -454,14 +361,14 @@
                 self.apply_scheduler_effects(now, scheduler, out);
             }
             LeadershipChange::Deposed => {
-                self.led_since_ms = None;
+                self.handover.led_since_ms = None;
                 self.set_share(now, false);
                 self.cloud.set_leading(now, false);
                 self.scheduler.deposed();
             }
         }
         // The others should know where to send workers.
-        self.heartbeat_due_ms = now.ms;
+        self.peer_links.heartbeat_due_ms = now.ms;
     }
 
     fn on_kv_response(
@@ -500,7 +407,8 @@
                     let catalog = serde_json::from_value::<Catalog>(item.value)
                         .ok()
                         .and_then(Catalog::validated);
-                    if let Some(catalog) = catalog.filter(|_| self.catalog.is_none()) {
+                    if let Some(catalog) = catalog.filter(|_| self.catalog_cache.catalog.is_none())
+                    {
                         self.set_catalog(catalog);
                     }
                 }
@@ -520,7 +428,7 @@
                 self.learned_cancelled(now, &new, &mut scheduler);
                 self.apply_scheduler_effects(now, scheduler, out);
             }
-            KvCallOwner::WriteCatalog => self.catalog_stored = answer.status() == Some(200),
+            KvCallOwner::WriteCatalog => self.catalog_cache.stored = answer.status() == Some(200),
         }
     }
 
@@ -529,10 +437,10 @@
     /// may lead; and that nobody was heard is no fault of theirs.
     fn detect_process_pause(&mut self, now: Now, out: &mut Vec<Effect>) {
         // Peers send heartbeats, and a leader renews, four times in this period.
-        let limit_ms = self.heartbeat_every_ms * 4;
+        let limit_ms = self.peer_links.heartbeat_interval_ms * 4;
         let still = self.last_turn_ms > 0 && now.ms > self.last_turn_ms + limit_ms;
         self.last_turn_ms = now.ms;
-        if !still || self.peers.is_empty() {
+        if !still || self.peer_links.all.is_empty() {
             return;
         }
         let mut gateway = GatewayEffects::default();
@@ -578,13 +486,13 @@
         }
         wake = wake.min(self.cloud.wake_ms(now));
         self.send_heartbeats(now, out);
-        wake = wake.min(self.heartbeat_due_ms);
+        wake = wake.min(self.peer_links.heartbeat_due_ms);
         let mut sent = Vec::new();
         let mut given_up = Vec::new();
         self.kv
             .dispatch(now, |id, call| sent.push((id, call)), &mut given_up);
         for (id, call) in sent {
-            self.send(OutgoingCall::State(id), call, out);
+            self.send(OutgoingCall::KvStore(id), call, out);
         }
         let gave_up = !given_up.is_empty();
         for tag in given_up {
@@ -593,8 +501,8 @@
         if gave_up || self.kv.has_queued() {
             wake = wake.min(now.ms + 10);
         }
-        if self.catalog.is_none() {
-            wake = wake.min(self.catalog_read_ms);
+        if self.catalog_cache.catalog.is_none() {
+            wake = wake.min(self.catalog_cache.read_due_ms);
         }
         wake.max(now.ms + 1)
     }
@@ -627,8 +535,8 @@
     fn outcome(&mut self, now: Now, call: CallId, outcome: CallResult, out: &mut Vec<Effect>) {
         self.purpose = Purpose::Other;
         self.detect_process_pause(now, out);
-        match self.calls.remove(&call) {
-            Some(OutgoingCall::State(id)) => {
+        match self.calls.finish(call) {
+            Some(OutgoingCall::KvStore(id)) => {
                 if let Some((tag, answer)) = self.kv.answered(now, id, outcome) {
                     self.purpose = tag.purpose();
                     self.on_kv_response(now, tag, answer, out);
@@ -638,8 +546,8 @@
                 self.purpose = Purpose::Cloud;
                 match self.cloud.answered(now, tag, outcome) {
                     Some(CloudEvent::Catalog(catalog)) => {
-                        if self.catalog.is_none() {
-                            self.catalog_stored = false;
+                        if self.catalog_cache.catalog.is_none() {
+                            self.catalog_cache.stored = false;
                         }
                         self.set_catalog(catalog);
                     }
@@ -654,26 +562,30 @@
                     .worker_answered(now, tag, outcome, &mut scheduler);
                 self.apply_scheduler_effects(now, scheduler, out);
             }
-            Some(OutgoingCall::Peer(index, asked_ms)) => {
+            Some(OutgoingCall::Peer { index, sent_ms }) => {
                 self.purpose = Purpose::PeerHeartbeat;
-                let leads = self.peers.get(index).is_some_and(|p| p.leads_ms.is_some());
+                let leads = self
+                    .peer_links
+                    .all
+                    .get(index)
+                    .is_some_and(|p| p.leads_ms.is_some());
                 if outcome.is_err() && leads {
                     self.forwarding.forget_content();
                 }
-                if let (Ok((_, body)), Some(peer)) = (outcome, self.peers.get_mut(index)) {
+                if let (Ok((_, body)), Some(peer)) = (outcome, self.peer_links.all.get_mut(index)) {
                     peer.reached_ms = Some(now.ms);
-                    let answer = peers::decode_response(&body).unwrap_or_default();
+                    let answer = decode_response(&body).unwrap_or_default();
                     if let Some(word) = answer.confirmations {
                         if self.cancellations.cursor(index).map(|c| c.incarnation)
                             != Some(word.incarnation)
                         {
                             // A new process there knows no counts at all.
-                            self.sent_counts.clear();
+                            self.peer_links.sent_progress.clear();
                         }
                         let new = self.cancellations.receive_confirmations(
                             now,
                             index,
-                            Some(asked_ms),
+                            Some(sent_ms),
                             &word,
                         );
                         let mut scheduler = SchedulerEffects::default();
--- a/src/node/peer_heartbeats.rs
+++ b/src/node/peer_heartbeats.rs
@@ -1,7 +1,8 @@
 //! What controllers tell each other: heartbeats, and whether a leader should step
 //! aside.
 
-use super::{Node, OutgoingCall, PeerStatus, VERSION};
+use super::outgoing_calls::OutgoingCall;
+use super::{Node, VERSION};
 use crate::election::Role;
 use crate::http::MAX_PEER_BODY;
 use crate::ids::{JobId, Term};
@@ -24,13 +25,6 @@
 const COUNT_BYTES: usize = 24;
 
 impl Node {
-    /// Whether none of the workers that should report to this leader itself
-    /// is heard. While it leads on, nobody else may serve them.
-    pub(super) fn unreachable(&self, now: Now) -> bool {
-        let to_us = |zone: &str| self.forwarder_for(now, zone).is_none();
-        self.scheduler.hears_no_worker(now, to_us)
-    }
-
     pub(super) fn on_peer_heartbeat(
         &mut self,
         now: Now,
@@ -40,7 +34,12 @@
         let Some(heartbeat) = peers::decode(body) else {
             return Reply::error(400, "not a heartbeat");
         };
-        if let Some(peer) = self.peers.iter_mut().find(|p| p.name == heartbeat.node) {
+        if let Some(peer) = self
+            .peer_links
+            .all
+            .iter_mut()
+            .find(|p| p.name == heartbeat.node)
+        {
             peer.heard_ms = Some(now.ms);
             if heartbeat.state_reachable {
                 peer.state_seen_ms = Some(now.ms);
@@ -62,7 +61,7 @@
         if heartbeat.limits_lowered {
             self.learn_limits(now, LimitEvidence::Peer);
         }
-        let known = |name: &str| self.peers.iter().any(|p| p.name == name);
+        let known = |name: &str| self.peer_links.all.iter().any(|p| p.name == name);
         if heartbeat.state_reachable && known(&heartbeat.node) && known(&heartbeat.leader) {
             let (leader, term) = (heartbeat.leader.as_str(), Term(heartbeat.term));
             if let Some(change) = self.election.observe_later_term(now, leader, term) {
@@ -87,7 +86,11 @@
             self.scheduler
                 .announced(now, &JobId::new(job), &mut scheduler);
         }
-        let index = self.peers.iter().position(|p| p.name == heartbeat.node);
+        let index = self
+            .peer_links
+            .all
+            .iter()
+            .position(|p| p.name == heartbeat.node);
         let mut answer = PeerHeartbeatResponse::default();
         if let Some(cursor) = heartbeat.cursor {
             answer.confirmations = Some(self.cancellations.confirmations(&cursor));
@@ -121,7 +124,7 @@
         if aside && self.election.is_leader() && !self.election.leadership_unconfirmed() {
             // Workers of ours reach another and not us, nor do commands.
             log::error!("leader steps aside: workers reach {} only", heartbeat.node);
-            self.unreached = true;
+            self.handover.unreached = true;
             self.step_aside(now, out);
         }
         Reply {
@@ -131,72 +134,15 @@
         }
     }
 
-    pub(super) fn step_aside(&mut self, now: Now, out: &mut Vec<Effect>) {
-        let mut calls = Vec::new();
-        let change = self.election.yield_leadership(now, &mut calls);
-        self.submit_election_calls(calls);
-        if let Some(change) = change {
-            self.on_leadership_change(now, change, out);
-        }
-    }
-
-    /// A worker that its node doesn't answer waits for 4 s and goes on to the
-    /// next one a second later; two silent nodes in a row cost it its lease.
-    /// So a leader whose successor in that order has been silent for long leaves
-    /// the lead, once, to one with a successor that isn't.
-    pub(super) fn check_successor(&mut self, now: Now, out: &mut Vec<Effect>) {
-        let lease_ms = (self.settings.site.workers.lease_s * 1000.0) as u64;
-        let led_for_long = self
-            .led_since_ms
-            .is_some_and(|since| now.ms > since + lease_ms);
-        if !led_for_long || self.election.leadership_unconfirmed() {
-            return;
-        }
-        let me = self.settings.node_name.as_str();
-        // As nodes are numbered; the peers' list may leave this one out.
-        let mut order: Vec<&str> = self.peers.iter().map(|p| p.name.as_str()).collect();
-        order.push(me);
-        order.sort_by_key(|name| (name.len(), *name));
-        let successor = |name: &str| {
-            let at = order.iter().position(|n| *n == name)?;
-            let next = order[(at + 1) % order.len()];
-            self.peers.iter().find(|p| p.name == next)
-        };
-        let quiet = self.quiet_ms();
-        let recent = |at: Option<u64>| at.is_some_and(|at| now.ms < at + quiet);
-        let silent = |p: &PeerStatus| p.heard_ms.is_some_and(|at| now.ms > at + lease_ms);
-        let exposed = successor(me).filter(|p| silent(p));
-        let Some(next) = exposed.map(|p| (p.name.clone(), p.zone.clone())) else {
-            self.handed_over_for = None;
-            return;
-        };
-        let better = self
-            .peers
-            .iter()
-            .filter(|p| recent(p.heard_ms) && recent(p.reached_ms) && recent(p.state_seen_ms))
-            .any(|p| !p.unreachable && successor(&p.name).is_none_or(|s| !silent(s)));
-        // One whose whole zone is silent is beyond a cut: a new leader would
-        // only have to find that out again.
-        let cut = !self.scheduler.hears_zone(now, &next.1);
-        if better && !cut && self.handed_over_for.as_ref() != Some(&next.0) {
-            log::info!(
-                "leader steps aside: its workers' next node {} is silent",
-                next.0
-            );
-            self.handed_over_for = Some(next.0);
-            self.step_aside(now, out);
-        }
-    }
-
     pub(super) fn send_heartbeats(&mut self, now: Now, out: &mut Vec<Effect>) {
         // The leader hears its own word; what is cancelled, all should know.
-        let announced = !self.announced.is_empty() && !self.election.is_leader();
-        let urgent = announced || self.cancelled_here;
-        if now.ms < self.heartbeat_due_ms && !urgent {
+        let announced = !self.peer_links.announcements.is_empty() && !self.election.is_leader();
+        let urgent = announced || self.peer_links.cancellations_pending;
+        if now.ms < self.peer_links.heartbeat_due_ms && !urgent {
             return;
         }
-        if now.ms >= self.heartbeat_due_ms {
-            self.heartbeat_due_ms = now.ms + self.heartbeat_every_ms;
+        if now.ms >= self.peer_links.heartbeat_due_ms {
+            self.peer_links.heartbeat_due_ms = now.ms + self.peer_links.heartbeat_interval_ms;
             self.share_writes(now);
             self.routes.forget_old(now.ms);
             self.check_successor(now, out);
@@ -211,17 +157,22 @@
             leader,
             term: self.election.known_term().0,
             state_reachable: self.kv.reachable(),
-            unreachable: self.unreached || self.unreachable(now),
+            unreachable: self.handover.unreached || self.unreachable(now),
             job_progress: Vec::new(),
-            announced: self.announced.drain(..).map(|id| id.to_string()).collect(),
+            announced: self
+                .peer_links
+                .announcements
+                .drain(..)
+                .map(|id| id.to_string())
+                .collect(),
             writes_per_s: self.kv.writes_per_s(now),
             cursor: None,
             confirmations: None,
             worker_heartbeats: Vec::new(),
-            limits_lowered: self.limits.announced_apply(),
+            limits_lowered: self.limits_tracker.effective.announced_apply(),
             version: VERSION.to_string(),
         };
-        self.cancelled_here = false;
+        self.peer_links.cancellations_pending = false;
         if self.scheduler.leading() && !self.election.leadership_unconfirmed() {
             self.gateway.leader_heard(now, self.scheduler.term());
         }
@@ -231,7 +182,7 @@
             for (id, counts) in self.scheduler.counts() {
                 self.gateway
                     .record_progress(id, self.scheduler.term(), counts);
-                let sent = self.sent_counts.get(id).copied();
+                let sent = self.peer_links.sent_progress.get(id).copied();
                 if sent == Some(counts) {
                     sent_counts.insert(id.clone(), counts);
                 } else if bytes < MAX_COUNT_BYTES {
@@ -248,20 +199,27 @@
                     sent_counts.insert(id.clone(), sent);
                 }
             }
-            self.sent_counts = sent_counts;
+            self.peer_links.sent_progress = sent_counts;
         }
-        let timeout_ms = self.heartbeat_every_ms * 2;
-        for index in 0..self.peers.len() {
+        let timeout_ms = self.peer_links.heartbeat_interval_ms * 2;
+        for index in 0..self.peer_links.all.len() {
             heartbeat.cursor = self.cancellations.cursor(index);
             heartbeat.confirmations = self.cancellations.unacknowledged(index);
             let call = Call {
-                target: Destination::Peer(self.peers[index].addr.clone()),
+                target: Destination::Peer(self.peer_links.all[index].address.clone()),
                 method: "POST",
                 path: PEER_PATH.to_string(),
                 body: peers::encode(&heartbeat),
                 timeout_ms,
             };
-            self.send(OutgoingCall::Peer(index, now.ms), call, out);
+            self.send(
+                OutgoingCall::Peer {
+                    index,
+                    sent_ms: now.ms,
+                },
+                call,
+                out,
+            );
         }
     }
 }
--- a/src/node/requests.rs
+++ b/src/node/requests.rs
@@ -89,14 +89,15 @@
         if !self.gateway.has_catalog() {
             return Reply::retry_later(503, "machine types unknown yet", 1);
         }
-        let patience_ms = self.heartbeat_every_ms * 4;
+        let patience_ms = self.peer_links.heartbeat_interval_ms * 4;
         let cut_off = !self.kv.reachable()
             && self
                 .kv
                 .last_success_ms()
                 .is_none_or(|ok| now.ms > ok + patience_ms);
         let others_reach = self
-            .peers
+            .peer_links
+            .all
             .iter()
             .any(|p| p.state_seen_ms.is_some_and(|at| now.ms < at + patience_ms));
         if cut_off && others_reach {
@@ -119,7 +120,7 @@
                 return;
             }
         };
-        self.unreached = false;
+        self.handover.unreached = false;
         // Who may have missed cancellations for long renews no lease, whatever
         // its part; nor may a worker be kept by answers that it has to drop.
         let informed = self.cancellations.may_renew(now);
@@ -133,7 +134,7 @@
                 .forwarder_for(now, &report.zone)
                 .filter(|peer| self.routes.send_to(now.ms, &report.machine, *peer))
             {
-                let node = Some(self.peers[peer].name.as_str());
+                let node = Some(self.peer_links.all[peer].name.as_str());
                 let reply = Reply::json(421, &RedirectTo { node });
                 out.push(Effect::Reply(conn, reply));
                 return;
@@ -146,7 +147,7 @@
         }
         let forwards = self.forwards(now, &report.zone).filter(|_| informed);
         let reply = if let Some(term) = forwards {
-            self.proxied_lease_ms = Some(now.ms);
+            self.lease_proxy.last_answer_ms = Some(now.ms);
             self.forwarding.add(now.ms, &report, body);
             proxy_answer(&report, term, &stops)
         } else if informed && self.proxies_leases(now) {
--- a/src/scheduler/dependencies/mod.rs
+++ b/src/scheduler/dependencies/mod.rs
@@ -107,7 +107,7 @@
                 job.spec.class
             );
         }
-        self.round_wanted = true;
+        self.pacing.requested = true;
     }
 
     /// A job that others need is over, and that is stored.
@@ -157,7 +157,7 @@
         }
         log::info!("job {id} is cancelled with a job that it needs");
         job.cancelled = Some(now.wall);
-        self.changed = true;
+        self.commits.has_changes = true;
     }
 
     /// A job is over, and that is stored: it needs nothing any more, and what needs it
--- a/src/scheduler/dependencies/propagation.rs
+++ b/src/scheduler/dependencies/propagation.rs
@@ -36,7 +36,7 @@
             let dependents = self.dependencies.graph.dependents_of(&id);
             let urgencies = dependents.filter_map(|dependent| self.urgency_before(dependent));
             let inherited = urgencies.reduce(StageUrgency::merge);
-            self.examined += 1;
+            self.pacing.examined += 1;
             if self
                 .jobs
                 .get(&id)
@@ -93,6 +93,6 @@
             // What may give way to whom is filed by machine.
             self.fleet.get_mut(&assign.machine);
         }
-        self.round_wanted = true;
+        self.pacing.requested = true;
     }
 }
--- a/src/scheduler/displacement/compaction.rs
+++ b/src/scheduler/displacement/compaction.rs
@@ -45,12 +45,12 @@
             moving +=
                 usize::from(machine.phase == MachinePhase::Draining && !machine.tasks.is_empty());
         }
-        self.examined += taking_none as u64;
+        self.pacing.examined += taking_none as u64;
         let most = ((self.fleet.len() - taking_none) / CONSOLIDATED_OF).max(1);
         Compaction {
             left: most.saturating_sub(moving),
             tries: MOST_TRIED,
-            after: self.compaction_cursor.take(),
+            after: self.migrations.compaction_cursor.take(),
         }
     }
 
@@ -76,7 +76,7 @@
         }
         progress.tries -= 1;
         if progress.tries == 0 {
-            self.compaction_cursor = progress.after;
+            self.migrations.compaction_cursor = progress.after;
         }
         progress.tries > 0
     }
@@ -94,7 +94,7 @@
         for TaskMigration { task, to, machine } in moves {
             // Room that is promised is nobody else's.
             self.capacity.reserve_all_free(to);
-            self.migration_targets.insert(task, machine);
+            self.migrations.targets.insert(task, machine);
         }
         log::info!("machine {id} emptied, its replicas move");
         if let Some(machine) = self.fleet.get_mut(&id) {
--- a/src/scheduler/displacement/image_displacement.rs
+++ b/src/scheduler/displacement/image_displacement.rs
@@ -91,7 +91,7 @@
             log::info!("task {} makes place for {}", moving.task, spec.id);
             self.capacity.reserve_for_incoming(moving.to, &moving.need);
             self.stop_task(now, &moving.task, true);
-            self.migration_targets.insert(moving.task, moving.machine);
+            self.migrations.targets.insert(moving.task, moving.machine);
         }
         self.capacity.hold(slot, &wanted.need);
         self.refresh(now);
--- a/src/scheduler/displacement/migration.rs
+++ b/src/scheduler/displacement/migration.rs
@@ -1,6 +1,7 @@
 //! Tasks on the move: which replicas may move, where to, and how long they would
 //! be missed; and moves that spread images.
 
+use crate::capacity_index::Slot;
 use crate::fleet::MachinePhase;
 use crate::ids::{MachineId, TaskRef};
 use crate::messages::Now;
@@ -9,6 +10,27 @@
 use crate::scheduler::{Assignment, Job, Scheduler};
 use crate::settings::Settings;
 use crate::wire::users::JobSpec;
+use std::collections::HashMap;
+use std::rc::Rc;
+
+/// Migrations under way, and what limits further ones.
+#[derive(Debug, Default)]
+pub(in crate::scheduler) struct Migrations {
+    /// Where tasks that are being migrated are to go.
+    pub(in crate::scheduler) targets: HashMap<TaskRef, MachineId>,
+    /// When a replica of a class may next migrate to spread its image.
+    preplacement_due_ms: HashMap<Rc<str>, u64>,
+    /// The machine after which compaction goes on.
+    pub(in crate::scheduler) compaction_cursor: Option<(f64, Slot)>,
+}
+
+impl Migrations {
+    /// The leader was deposed.
+    pub(in crate::scheduler) fn reset(&mut self) {
+        self.targets.clear();
+        self.compaction_cursor = None;
+    }
+}
 
 /// A start counts for the users once it has lasted for this long (PROTOCOL,
 /// "How aims are counted"); moving a replica before would make it late.
@@ -51,7 +73,7 @@
         };
         for index in job.assignments.keys() {
             let task = job.task(*index);
-            if let Some(to) = self.migration_targets.get(&task) {
+            if let Some(to) = self.migrations.targets.get(&task) {
                 arrive(&task, to);
             }
         }
@@ -101,7 +123,11 @@
     /// gaps stay far below what the aims allow.
     pub(in crate::scheduler) fn preplace_images(&mut self, now: Now, cold: Vec<ColdReservation>) {
         for ColdReservation { spec, machine } in cold {
-            let due_ms = self.preplacement_due_ms.get(&spec.class).copied();
+            let due_ms = self
+                .migrations
+                .preplacement_due_ms
+                .get(&spec.class)
+                .copied();
             if due_ms.is_some_and(|due| now.ms < due) {
                 continue;
             }
@@ -121,9 +147,11 @@
             };
             log::info!("task {task} moves to {machine}, to leave warm room behind");
             let due_ms = now.ms + (fetch_s * 1000.0 * PREPLACEMENT_FETCHES) as u64;
-            self.preplacement_due_ms.insert(spec.class.clone(), due_ms);
+            self.migrations
+                .preplacement_due_ms
+                .insert(spec.class.clone(), due_ms);
             self.stop_task(now, &task, true);
-            self.migration_targets.insert(task, machine);
+            self.migrations.targets.insert(task, machine);
         }
     }
 
--- a/src/scheduler/displacement/preemption.rs
+++ b/src/scheduler/displacement/preemption.rs
@@ -107,7 +107,7 @@
             offer: self.preemption_offer(now, slot, waiting),
         });
         let candidates: Vec<PreemptionCandidate> = offers.filter(|c| c.offer.is_some()).collect();
-        self.examined += candidates.len() as u64;
+        self.pacing.examined += candidates.len() as u64;
         candidates
     }
 
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -12,10 +12,10 @@
 pub use state::job::{Job, StoredPlacement};
 pub use state::placement_ranges::PlacementRanges;
 
-use crate::capacity_index::{CapacityIndex, Slot};
-use crate::cloud::{CloudClient, Offer};
+use crate::capacity_index::CapacityIndex;
+use crate::cloud::CloudClient;
 use crate::fleet::Fleet;
-use crate::ids::{JobId, MachineId, Revision, TaskRef, Term};
+use crate::ids::{JobId, MachineId, Revision, Term};
 use crate::kv_client::{self, CallPriority, KvCall, KvResponse, WriteBudget};
 use crate::limits::{EffectiveLimits, RequestSize, StoreLimits};
 use crate::messages::TaskProgress;
@@ -24,21 +24,28 @@
 use crate::settings::Settings;
 use crate::tuning::Tuning;
 use crate::usage::Purpose;
-use crate::wire::cloud::{Catalog, ListedMachine};
+use crate::wire::cloud::Catalog;
 use crate::wire::kv::Txn;
 use dependencies::Dependencies;
+use displacement::migration::Migrations;
 use lilacfork_replica_groups::registry::{GroupId, ReplicaGroups};
 use provisioning::estimate_store::EstimateStore;
+use provisioning::offers::Provisioning;
 use provisioning::online_estimates::OnlineEstimates;
 use rounds::demand_forecast::ForecastDemand;
+use rounds::pacing::RoundPacing;
 use rounds::round::Round;
+use state::cleanup::RecordCleanup;
+use state::commit::CommitState;
 use state::job::{Assignment, StopRequest};
 use state::job_table::JobTable;
-use state::loading::PartialLoad;
-use state::transaction::PendingTransaction;
+use state::job_watch::JobWatch;
+use state::loading::Loading;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::fmt;
 use std::rc::Rc;
+use workers::failure_detection::FailureDetection;
+use workers::lease_proxies::LeaseProxyPoll;
 
 /// Which question an answer of the state service belongs to.
 #[derive(Clone, PartialEq, Debug)]
@@ -156,6 +163,8 @@
     Active,
 }
 
+/// Arrivals are counted over so many worker leases.
+const ARRIVAL_WINDOW_LEASES: f64 = 9.0;
 /// Periods of the leader's own, in worker report intervals.
 const ROUND_HEARTBEATS: f64 = 1.0;
 /// So many times in such a period machines are checked.
@@ -177,183 +186,95 @@
 /// The leader's loop.
 pub struct Scheduler {
     settings: Rc<Settings>,
-    options: Tuning,
+    tuning: Tuning,
     catalog: Option<Rc<Catalog>>,
     stage: LeaderStage,
     term: Term,
+    /// The revision of the leader key, which guards every write.
     leader_key_revision: u64,
     elected_ms: u64,
+    /// What the key-value store takes.
+    limits: StoreLimits,
+    /// Up to when every confirmed cancellation is known.
+    cancellations_known_ms: u64,
+    loading: Loading,
+    job_watch: JobWatch,
     jobs: JobTable,
-    /// Jobs that need others.
+    /// Jobs that ended under this leader, and until when slow answers may speak of
+    /// them as if they hadn't.
+    finished_jobs: HashMap<JobId, u64>,
+    /// Tasks in each placement range of a job that has no record yet.
+    tasks_per_range: u32,
+    commits: CommitState,
+    cleanup: RecordCleanup,
+    /// Which jobs depend on which.
     dependencies: Dependencies,
-    /// Replicas that span machines.
-    groups: ReplicaGroups,
-    /// The machines of which the round under way has promised room to the next
-    /// generation of a group.
-    group_holds: BTreeMap<GroupId, Vec<MachineId>>,
     fleet: Fleet,
+    /// Machines whose commands should go out by the direct path.
+    machines_to_command: BTreeSet<MachineId>,
+    failure_detection: FailureDetection,
+    lease_proxies: LeaseProxyPoll,
     capacity: CapacityIndex,
-    estimates: OnlineEstimates,
-    estimate_store: EstimateStore,
-    /// Tasks in each placement record of a job that has none yet.
-    tasks_per_range: u32,
-    /// What the state service takes.
-    limits: StoreLimits,
-    /// The jobs of the last transaction that it refused as malformed.
-    refused_jobs: Vec<JobId>,
-    /// So many jobs go into a transaction at most.
-    most_jobs: usize,
-    /// Loading: a job's placement records until all of them are read.
-    partial_load: Option<PartialLoad>,
-    /// Loading: where the lists have got to.
-    list_cursor: Option<String>,
-    watch_revision: Option<Revision>,
-    watching: bool,
-    watch_due_ms: u64,
-    /// The transaction in flight, if any.
-    transaction: Option<PendingTransaction>,
-    commit_due_ms: u64,
-    /// Since when a transaction has waited until it can be afforded.
-    saving_since_ms: Option<u64>,
-    /// When what is stored at leisure is looked for next.
-    leisure_due_ms: u64,
-    writes: u64,
-    cleanup: Vec<String>,
-    cleaning: bool,
-    cleanup_due_ms: u64,
-    round_wanted: bool,
-    round_ms: u64,
-    round_gap_ms: u64,
+    pacing: RoundPacing,
     /// The round under way, if any.
     round: Option<Round>,
-    /// The most entries that one slice of a round has examined.
-    longest_slice: u64,
-    /// The last round that did everything.
-    full_ms: u64,
-    /// When machines were last checked, and whether they should be
-    /// before that's due again.
-    checked_ms: u64,
-    check_wanted: bool,
-    /// Entries that rounds have examined, all together.
-    examined: u64,
-    activity: ActivityCounters,
-    /// What of it was logged.
-    logged: RoundStats,
-    /// Something may have to be written.
-    changed: bool,
-    /// Expected work, as of the last full round.
+    /// Expected demand, as of the last full round.
     demand_forecast: Vec<ForecastDemand>,
-    /// Refused capacity: until when, and the pause that led there.
-    refused_offers: HashMap<Offer, (u64, u64)>,
-    orders_placed: u64,
-    /// The cloud's list has come since the election.
-    listed: bool,
-    /// It came before all records were read.
-    early_list: Option<Vec<ListedMachine>>,
-    /// Machines whose commands should go out by the direct path.
-    machines_to_command: BTreeSet<MachineId>,
-    /// The machine after which the emptying of machines goes on.
-    compaction_cursor: Option<(f64, Slot)>,
-    /// When followers' word on silent machines is asked for next.
-    proxied_due_ms: u64,
-    asking_proxied: bool,
-    /// When a replica of a class may next move to spread its image.
-    preplacement_due_ms: HashMap<Rc<str>, u64>,
-    /// Where tasks that are being moved are to go.
-    migration_targets: HashMap<TaskRef, MachineId>,
-    stale_due_ms: u64,
-    /// When most machines of a zone were last silent.
-    zones_silent: HashMap<Rc<str>, u64>,
-    /// When this process last stood still, hearing nobody.
-    last_pause_ms: u64,
-    /// Jobs that ended under us, and until when slow answers may speak of
-    /// them as if they hadn't.
-    finished_jobs: HashMap<JobId, u64>,
-    list_retry_ms: Option<u64>,
-    /// When the state service last failed us.
-    state_failed_ms: Option<u64>,
-    /// Up to when every confirmed cancellation is known.
-    informed_ms: u64,
+    migrations: Migrations,
+    provisioning: Provisioning,
+    estimates: OnlineEstimates,
+    estimate_store: EstimateStore,
+    /// Replica groups that span machines.
+    groups: ReplicaGroups,
+    /// The machines on which the round under way holds capacity for the next
+    /// generation of a group.
+    group_reservations: BTreeMap<GroupId, Vec<MachineId>>,
 }
 
 impl Scheduler {
     /// Leads nothing yet.
-    pub fn new(settings: Rc<Settings>, options: Tuning) -> Self {
-        let shard_size = tasks_per_record(settings.site.state.value_kb);
-        let limits = EffectiveLimits::new(&settings.site.state);
-        let groups = ReplicaGroups::new(replica_groups::timing(&settings, &options));
-        let window_ms = (settings.site.workers.lease_s * 9000.0) as u64;
-        let learning = OnlineEstimates::new(options.learning_rate, window_ms);
+    pub fn new(settings: Rc<Settings>, tuning: Tuning) -> Self {
+        let site = &settings.site;
+        let window_ms = (site.workers.lease_s * (ARRIVAL_WINDOW_LEASES * 1000.0)) as u64;
         Scheduler {
-            settings,
-            options,
             catalog: None,
             stage: LeaderStage::Idle,
             term: Term(0),
             leader_key_revision: 0,
             elected_ms: 0,
+            limits: EffectiveLimits::new(&site.state).current(),
+            cancellations_known_ms: 0,
+            loading: Loading::default(),
+            job_watch: JobWatch::default(),
             jobs: JobTable::default(),
+            finished_jobs: HashMap::new(),
+            tasks_per_range: tasks_per_record(site.state.value_kb),
+            commits: CommitState::default(),
+            cleanup: RecordCleanup::default(),
             dependencies: Dependencies::default(),
-            groups,
-            group_holds: BTreeMap::new(),
             fleet: Fleet::default(),
+            machines_to_command: BTreeSet::new(),
+            failure_detection: FailureDetection::default(),
+            lease_proxies: LeaseProxyPoll::default(),
             capacity: CapacityIndex::default(),
-            estimates: learning,
-            estimate_store: EstimateStore::default(),
-            tasks_per_range: shard_size,
-            limits: limits.current(),
-            refused_jobs: Vec::new(),
-            most_jobs: usize::MAX,
-            partial_load: None,
-            list_cursor: None,
-            watch_revision: None,
-            watching: false,
-            watch_due_ms: 0,
-            transaction: None,
-            commit_due_ms: 0,
-            saving_since_ms: None,
-            leisure_due_ms: 0,
-            writes: 0,
-            cleanup: Vec::new(),
-            cleaning: false,
-            cleanup_due_ms: 0,
-            round_wanted: false,
-            round_ms: 0,
-            round_gap_ms: ROUND_GAP_MS,
+            pacing: RoundPacing::default(),
             round: None,
-            longest_slice: 0,
-            full_ms: 0,
-            checked_ms: 0,
-            check_wanted: false,
-            examined: 0,
-            activity: ActivityCounters::default(),
-            logged: RoundStats::default(),
-            changed: false,
             demand_forecast: Vec::new(),
-            refused_offers: HashMap::new(),
-            orders_placed: 0,
-            listed: false,
-            early_list: None,
-            machines_to_command: BTreeSet::new(),
-            compaction_cursor: None,
-            proxied_due_ms: 0,
-            asking_proxied: false,
-            preplacement_due_ms: HashMap::new(),
-            migration_targets: HashMap::new(),
-            stale_due_ms: 0,
-            zones_silent: HashMap::new(),
-            last_pause_ms: 0,
-            finished_jobs: HashMap::new(),
-            list_retry_ms: None,
-            state_failed_ms: None,
-            informed_ms: 0,
+            migrations: Migrations::default(),
+            provisioning: Provisioning::default(),
+            estimates: OnlineEstimates::new(tuning.learning_rate, window_ms),
+            estimate_store: EstimateStore::default(),
+            groups: ReplicaGroups::new(replica_groups::timing(&settings, &tuning)),
+            group_reservations: BTreeMap::new(),
+            settings,
+            tuning,
         }
     }
 
     /// The machine types are known.
     pub fn set_catalog(&mut self, catalog: Rc<Catalog>) {
         self.catalog = Some(catalog);
-        self.round_wanted = true;
+        self.pacing.requested = true;
     }
 
     /// The state service takes this from now on.
@@ -363,7 +284,7 @@
 
     /// Every cancellation confirmed up to then is known.
     pub fn informed(&mut self, watermark_ms: Option<u64>) {
-        self.informed_ms = self.informed_ms.max(watermark_ms.unwrap_or(0));
+        self.cancellations_known_ms = self.cancellations_known_ms.max(watermark_ms.unwrap_or(0));
     }
 
     /// Whether this controller leads, loading or active.
@@ -414,36 +335,24 @@
             log::info!("leader term={} ends", self.term);
         }
         self.stage = LeaderStage::Idle;
+        self.loading = Loading::default();
+        self.job_watch.reset();
         self.jobs.clear();
+        self.finished_jobs.clear();
+        self.commits.reset();
+        self.cleanup.reset();
         self.dependencies.clear();
-        self.groups.clear();
-        self.group_holds.clear();
         self.fleet.clear();
+        self.machines_to_command.clear();
+        self.failure_detection.reset();
+        self.lease_proxies.reset();
         self.capacity.clear();
         self.round = None;
-        self.compaction_cursor = None;
-        self.list_cursor = None;
-        self.partial_load = None;
-        self.refused_jobs.clear();
-        self.most_jobs = usize::MAX;
-        self.watch_revision = None;
-        self.watching = false;
-        self.transaction = None;
-        self.saving_since_ms = None;
-        self.writes = 0;
-        self.cleanup.clear();
-        self.cleaning = false;
-        self.orders_placed = 0;
-        self.listed = false;
-        self.early_list = None;
-        self.refused_offers.clear();
-        self.machines_to_command.clear();
-        self.asking_proxied = false;
-        self.list_retry_ms = None;
-        self.finished_jobs.clear();
-        self.migration_targets.clear();
-        self.zones_silent.clear();
         self.demand_forecast.clear();
+        self.migrations.reset();
+        self.provisioning.reset();
+        self.groups.clear();
+        self.group_reservations.clear();
     }
 
     fn ask(
@@ -486,7 +395,7 @@
         out: &mut SchedulerEffects,
     ) {
         if matches!(answer, KvResponse::NotExecuted | KvResponse::Indeterminate) {
-            self.state_failed_ms = Some(now.ms);
+            self.failure_detection.store_failed_ms = Some(now.ms);
         }
         match (self.stage, call) {
             (LeaderStage::Idle, _) => {}
@@ -506,19 +415,7 @@
             (_, SchedulerKvCall::ReadJob(id)) => self.on_read_job(now, &id, &answer, out),
             (_, SchedulerKvCall::ReadNeed(need)) => self.on_need(now, &need, &answer),
             (_, SchedulerKvCall::ListProxied) => self.on_proxied(now, &answer),
-            (_, SchedulerKvCall::Cleanup(keys)) => {
-                self.cleaning = false;
-                if answer.status() == Some(400) {
-                    out.refused = Some(RequestSize {
-                        write_ops: keys.len(),
-                        largest_value_bytes: 0,
-                    });
-                }
-                if answer.status() != Some(200) {
-                    self.cleanup.extend(keys);
-                    self.cleanup_due_ms = now.ms + RETRY_MS;
-                }
-            }
+            (_, SchedulerKvCall::Cleanup(keys)) => self.on_cleaned_up(now, keys, &answer, out),
         }
     }
 
@@ -531,16 +428,16 @@
         out: &mut SchedulerEffects,
     ) -> u64 {
         if self.stage == LeaderStage::Loading {
-            let due = self.list_retry_ms.filter(|at| now.ms >= *at).is_some();
+            let due = self.loading.retry_ms.filter(|at| now.ms >= *at).is_some();
             if due {
-                self.list_retry_ms = None;
+                self.loading.retry_ms = None;
                 self.list(now, out);
             }
         }
         if self.stage != LeaderStage::Active {
-            return self.list_retry_ms.unwrap_or(now.ms + 1000);
+            return self.loading.retry_ms.unwrap_or(now.ms + 1000);
         }
-        if let Some(list) = self.early_list.take() {
+        if let Some(list) = self.loading.early_cloud_list.take() {
             self.on_listed(now, list, cloud);
         }
         self.watch(now, out);
@@ -549,23 +446,23 @@
         let every = (self.heartbeat_interval_ms() as f64 * ROUND_HEARTBEATS) as u64;
         // What scales in or looks after machines can wait for its turn; a
         // rush of rounds only places what has come and rents for it.
-        let full = now.ms >= self.full_ms + every;
-        let check_ms = self.checked_ms + every / CHECKS;
-        if now.ms >= check_ms || std::mem::take(&mut self.check_wanted) {
-            self.checked_ms = now.ms;
-            self.activity.checks += 1;
+        let full = now.ms >= self.pacing.last_full_ms + every;
+        let check_ms = self.failure_detection.last_check_ms + every / CHECKS;
+        if now.ms >= check_ms || std::mem::take(&mut self.failure_detection.check_requested) {
+            self.failure_detection.last_check_ms = now.ms;
+            self.pacing.activity.checks += 1;
             self.check_machines(now, cloud);
             // Silence and held room have no event of their own.
             self.groups.touch_all();
         }
         self.observe_groups(now);
-        let wanted = self.round_wanted && now.ms >= self.round_ms + self.round_gap_ms;
+        let wanted = self.pacing.requested && now.ms >= self.pacing.began_ms + self.pacing.gap_ms;
         if self.round.is_none() && (full || wanted) {
-            self.round_wanted = false;
-            self.activity.rounds += 1;
-            self.round_ms = now.ms;
+            self.pacing.requested = false;
+            self.pacing.activity.rounds += 1;
+            self.pacing.began_ms = now.ms;
             if full {
-                self.full_ms = now.ms;
+                self.pacing.last_full_ms = now.ms;
                 self.ask_proxied(now, out);
             }
             self.begin_round(now, full);
@@ -577,18 +474,18 @@
         self.store_learned(now, out);
         let next = if self.round.is_some() {
             now.ms + 1
-        } else if self.round_wanted {
-            self.round_ms + self.round_gap_ms
+        } else if self.pacing.requested {
+            self.pacing.began_ms + self.pacing.gap_ms
         } else {
-            self.full_ms + every
+            self.pacing.last_full_ms + every
         };
-        let check_ms = self.checked_ms + every / CHECKS;
+        let check_ms = self.failure_detection.last_check_ms + every / CHECKS;
         next.min(self.commit_wake_ms(now)).min(check_ms)
     }
 
     /// Counts numbers that are only gone through.
     fn count_scanned(&mut self, numbers: usize) {
-        self.examined += (numbers as u64).div_ceil(SCANNED_AS_ONE);
+        self.pacing.examined += (numbers as u64).div_ceil(SCANNED_AS_ONE);
     }
 
     /// The pause after a round follows what it cost, so that a rush on a large
@@ -601,12 +498,12 @@
 
     /// How much of its regular work it has done so far.
     pub fn activity(&self) -> ActivityCounters {
-        self.activity
+        self.pacing.activity
     }
 
     /// Entries that rounds have examined since the process began.
     pub fn examined(&self) -> u64 {
-        self.examined + self.capacity.examined()
+        self.pacing.examined + self.capacity.examined()
     }
 
     /// How many machines it knows.
@@ -622,21 +519,21 @@
     /// Rounds, and what they examined, since this was last asked: for the log.
     pub fn take_round_figures(&mut self) -> RoundStats {
         let now = RoundStats {
-            rounds: self.activity.rounds,
+            rounds: self.pacing.activity.rounds,
             examined: self.examined(),
             longest_slice: 0,
         };
-        let before = std::mem::replace(&mut self.logged, now);
+        let before = std::mem::replace(&mut self.pacing.logged, now);
         RoundStats {
             rounds: now.rounds - before.rounds,
             examined: now.examined - before.examined,
-            longest_slice: self.longest_slice,
+            longest_slice: self.pacing.longest_slice,
         }
     }
 
     /// The most entries that one slice of a round has examined.
     pub fn longest_slice(&self) -> u64 {
-        self.longest_slice
+        self.pacing.longest_slice
     }
 
     /// Counts for display.
--- a/src/scheduler/provisioning/estimate_store.rs
+++ b/src/scheduler/provisioning/estimate_store.rs
@@ -79,7 +79,7 @@
         let pause_ms = self.heartbeat_interval_ms() * STORE_REPORTS;
         let store = &mut self.estimate_store;
         let due = now.ms >= store.due_ms && samples != store.samples_stored;
-        if !due || store.writing || self.transaction.is_some() {
+        if !due || store.writing || self.commits.transaction.is_some() {
             return;
         }
         store.writing = true;
--- a/src/scheduler/provisioning/scaling.rs
+++ b/src/scheduler/provisioning/scaling.rs
@@ -68,7 +68,7 @@
             return false;
         }
         let unheard = |m: &Machine| m.listed_running && !m.fenced;
-        self.term > Term(1) || !self.listed || self.fleet.iter().any(unheard)
+        self.term > Term(1) || !self.provisioning.fleet_listed || self.fleet.iter().any(unheard)
     }
 
     /// Orders what covers the work that neither free nor coming room holds.
@@ -78,8 +78,8 @@
             if cloud.pending_count(offer) > 0 {
                 continue;
             }
-            self.orders_placed += 1;
-            let name = format!("lf-{}-{}", self.term, self.orders_placed);
+            self.provisioning.orders_placed += 1;
+            let name = format!("lf-{}-{}", self.term, self.provisioning.orders_placed);
             log::info!(
                 "rent {count} of {} in {} spot={} order={name}",
                 offer.machine_type,
@@ -99,7 +99,7 @@
             .unschedulable()
             .filter_map(|id| self.fleet.get(id))
         {
-            self.examined += 1;
+            self.pacing.examined += 1;
             let usual_ms = (self.usual_boot_ms(&machine.offer) as f64 * USUAL_BOOTS) as u64;
             let boots = machine.phase == MachinePhase::Booting
                 && now.ms < machine.provisioned_ms + usual_ms;
@@ -189,7 +189,7 @@
         let rung = if spec.kind == JobKind::Service {
             slackfit::cheapest(&open).cloned()
         } else {
-            let buckets = slackfit::buckets(&open, self.options.buckets as usize);
+            let buckets = slackfit::buckets(&open, self.tuning.buckets as usize);
             slackfit::choose(&buckets, slack_ms).cloned()
         }?;
         log::debug!(
@@ -216,11 +216,7 @@
         let run_s = spec.estimated_run_s * self.estimates.bias(&spec.class);
         feasible_offers(spec, catalog)
             .into_iter()
-            .filter(|(offer, ..)| {
-                self.refused_offers
-                    .get(offer)
-                    .is_none_or(|(until, _)| now.ms >= *until)
-            })
+            .filter(|(offer, ..)| self.provisioning.may_order(offer, now.ms))
             .map(|(offer, price, whole, boot_s)| {
                 let boot_s = self.estimates.boot_s(&offer.machine_type, boot_s);
                 Rung {
@@ -266,9 +262,9 @@
                 spare += 1.0;
             }
             let boots = if spare <= waiting {
-                self.options.idle_boots
+                self.tuning.idle_boots
             } else {
-                self.options.idle_boots * SOONER
+                self.tuning.idle_boots * SOONER
             };
             let patience = (self.boot_ms(&machine.offer) as f64 * boots) as u64;
             let unneeded = emptied || (!reserved && now.ms > since + patience);
--- a/src/scheduler/replica_groups/mod.rs
+++ b/src/scheduler/replica_groups/mod.rs
@@ -182,7 +182,7 @@
     fn changed_state(&mut self, id: &GroupId, before: GroupState, after: GroupState) {
         log::info!("replica {id} {} after {}", after.name(), before.name());
         // One that waits for a place should get it soon.
-        self.round_wanted |= after == GroupState::Pending;
+        self.pacing.requested |= after == GroupState::Pending;
     }
 
     fn act_on(&mut self, now: Now, id: &GroupId, action: GroupAction) {
@@ -212,7 +212,7 @@
             let first = job.shape.map(|shape| shape.tasks_of(id.replica).start);
             job.touch(first.unwrap_or_default(), now.ms, urgent);
         }
-        self.changed = true;
+        self.commits.has_changes = true;
     }
 
     /// A group's parts as they are.
--- a/src/scheduler/replica_groups/reservations.rs
+++ b/src/scheduler/replica_groups/reservations.rs
@@ -13,7 +13,7 @@
     /// Holds room for the next generations of groups that had it: once a round
     /// has begun nothing is promised otherwise.
     pub(in crate::scheduler) fn hold_for_groups(&mut self, now: Now) {
-        self.group_holds.clear();
+        self.group_reservations.clear();
         for id in self.groups.holding(now.ms) {
             self.hold_for(now, &id);
         }
@@ -39,7 +39,7 @@
     }
 
     pub(in crate::scheduler) fn hold_for(&mut self, now: Now, id: &GroupId) {
-        if self.group_holds.contains_key(id) {
+        if self.group_reservations.contains_key(id) {
             return;
         }
         let Some(need) = self.jobs.get(&id.job).map(|job| job.task_request) else {
@@ -50,7 +50,7 @@
             machines.extend(self.capacity.get(slot).map(|room| room.id.clone()));
             self.capacity.reserve_for_incoming(slot, &need);
         }
-        self.group_holds.insert(id.clone(), machines);
+        self.group_reservations.insert(id.clone(), machines);
     }
 
     /// A group that is being placed may use what is held for it.
@@ -58,7 +58,7 @@
         let Some(need) = self.jobs.get(&id.job).map(|job| job.task_request) else {
             return;
         };
-        for machine in self.group_holds.remove(id).into_iter().flatten() {
+        for machine in self.group_reservations.remove(id).into_iter().flatten() {
             // One that has gone took what was held along.
             if let Some(slot) = self.capacity.slot(&machine) {
                 self.capacity.release(slot, &need);
--- a/src/scheduler/rounds/demand_forecast.rs
+++ b/src/scheduler/rounds/demand_forecast.rs
@@ -45,9 +45,9 @@
         let ratio = if apart > 0.0 { pooled / apart } else { 0.0 };
         let mut all = Vec::new();
         for f in &flows {
-            let units = self.options.headroom * weigh(f).0.sqrt() * ratio;
+            let units = self.tuning.headroom * weigh(f).0.sqrt() * ratio;
             let mut images: Vec<(u32, Rc<JobSpec>)> = self.jobs.images_of(&f.spec.class).collect();
-            self.examined += images.len() as u64;
+            self.pacing.examined += images.len() as u64;
             let total: u32 = images.iter().map(|(n, _)| n).sum();
             images.sort_by_key(|(n, _)| std::cmp::Reverse(*n));
             if images.is_empty() {
--- a/src/scheduler/rounds/mod.rs
+++ b/src/scheduler/rounds/mod.rs
@@ -2,6 +2,7 @@
 
 pub(super) mod capacity_sync;
 pub(super) mod demand_forecast;
+pub(super) mod pacing;
 pub(super) mod pending_capacity;
 pub(super) mod queue_order;
 pub(super) mod round;
--- a/src/scheduler/rounds/queue_order.rs
+++ b/src/scheduler/rounds/queue_order.rs
@@ -82,7 +82,7 @@
     /// The jobs of tasks on the move: they have their place already, and nothing
     /// expected may take that before they arrive.
     pub(in crate::scheduler) fn moving_jobs(&self) -> BTreeSet<JobId> {
-        let tasks = self.migration_targets.keys();
+        let tasks = self.migrations.targets.keys();
         tasks.map(|TaskRef { job, .. }| job.clone()).collect()
     }
 
@@ -94,7 +94,7 @@
         moving: &BTreeSet<JobId>,
         number: u64,
     ) -> Option<QueueKey> {
-        self.examined += 1;
+        self.pacing.examined += 1;
         self.raise_if_pressed(now, id);
         let job = self.jobs.get(id)?;
         if job.cancelled.is_some()
@@ -123,7 +123,12 @@
         let spec = job.spec.clone();
         let submission = (job.submitted, id.clone());
         let teams = self.jobs.teams();
-        let within = teams.is_within(&self.settings, &spec.team, &submission, &mut self.examined);
+        let within = teams.is_within(
+            &self.settings,
+            &spec.team,
+            &submission,
+            &mut self.pacing.examined,
+        );
         Some(QueueKey {
             priority,
             beyond: !is_moving && !within,
--- a/src/scheduler/rounds/round.rs
+++ b/src/scheduler/rounds/round.rs
@@ -96,7 +96,7 @@
     /// Brings what is known of jobs and rooms up to date with what has changed.
     pub(in crate::scheduler) fn refresh(&mut self, now: Now) {
         self.capacity.set_time(now.ms, self.fresh_ms());
-        self.examined += self.jobs.refresh();
+        self.pacing.examined += self.jobs.refresh();
         self.refresh_rooms();
     }
 
@@ -107,7 +107,7 @@
         self.capacity.begin_round();
         self.hold_for_groups(now);
         let jobs = &self.jobs;
-        self.migration_targets.retain(|task, _| {
+        self.migrations.targets.retain(|task, _| {
             jobs.get(&task.job).is_some_and(|j| {
                 let leaving = j
                     .assignments
@@ -163,7 +163,7 @@
 
     /// So many entries may be examined in one slice.
     fn slice_entries(&self) -> u64 {
-        let lease_ms = self.lease_ms() as f64 * self.options.lease_share;
+        let lease_ms = self.lease_ms() as f64 * self.tuning.lease_share;
         let entries_per_ms = self.settings.site.limits.cores / crate::scheduler::EXAMINE_MS;
         (lease_ms * SLICE_LEASES * entries_per_ms) as u64
     }
@@ -185,12 +185,12 @@
         while goes_on && self.examined() < stop_at {
             goes_on = self.step(now, &mut round, cloud);
         }
-        self.longest_slice = self.longest_slice.max(self.examined() - before);
-        self.changed = true;
+        self.pacing.longest_slice = self.pacing.longest_slice.max(self.examined() - before);
+        self.commits.has_changes = true;
         if goes_on {
             self.round = Some(round);
         } else {
-            self.round_gap_ms = self.gap_ms(self.examined() - round.examined_before);
+            self.pacing.gap_ms = self.gap_ms(self.examined() - round.examined_before);
         }
     }
 
--- a/src/scheduler/rounds/task_placement.rs
+++ b/src/scheduler/rounds/task_placement.rs
@@ -171,7 +171,7 @@
             let slot = match self.choose_room(now, wanted, &task) {
                 PlacementChoice::Promised(slot) => {
                     if let Some(room) = self.capacity.get(slot) {
-                        self.migration_targets.insert(task, room.id.clone());
+                        self.migrations.targets.insert(task, room.id.clone());
                     }
                     round
                         .promised
@@ -214,7 +214,7 @@
         wanted: &mut PlacementRequest,
         task: &TaskRef,
     ) -> PlacementChoice {
-        let target = self.migration_targets.remove(task);
+        let target = self.migrations.targets.remove(task);
         if let Some(slot) = target.and_then(|to| self.capacity.slot(&to)) {
             if let Some(choice) = self.choose_target(now, wanted, slot) {
                 return choice;
@@ -279,7 +279,7 @@
             constraint: SearchConstraint::default(),
         };
         let again = wanted.last.filter(|_| !job.is_service()).and_then(|last| {
-            self.examined += 1;
+            self.pacing.examined += 1;
             let rank = self.capacity.rank(last.slot, &demand)?;
             (rank <= last.rank).then_some(BestFit { rank, ..last })
         });
--- a/src/scheduler/state/commit.rs
+++ b/src/scheduler/state/commit.rs
@@ -5,10 +5,56 @@
 use crate::ids::JobId;
 use crate::kv_client::{self, CallPriority, KvResponse, WriteBudget};
 use crate::messages::Now;
-use crate::records::leadership::LEADER_KEY;
+use crate::scheduler::state::transaction::PendingTransaction;
 use crate::scheduler::state::transaction::FINAL_CHANGES;
 use crate::scheduler::{Scheduler, SchedulerEffects, SchedulerKvCall, CALL_TIMEOUT_MS};
-use crate::wire::kv::{KeyValue, Txn, TxnResponse};
+use crate::wire::kv::{KeyValue, TxnResponse};
+
+/// What decides when the leader writes, and how much at once.
+#[derive(Debug)]
+pub(in crate::scheduler) struct CommitState {
+    /// The transaction in flight, if any.
+    pub(in crate::scheduler) transaction: Option<PendingTransaction>,
+    /// Something may have to be written.
+    pub(in crate::scheduler) has_changes: bool,
+    due_ms: u64,
+    /// Since when a transaction has waited until it can be afforded.
+    deferred_since_ms: Option<u64>,
+    /// When what may be stored lazily is looked for next.
+    lazy_due_ms: u64,
+    /// How many transactions were put together in this term.
+    pub(in crate::scheduler) writes: u64,
+    /// The jobs of the last transaction that the store refused as malformed.
+    refused_jobs: Vec<JobId>,
+    /// So many jobs go into a transaction at most.
+    pub(in crate::scheduler) max_jobs: usize,
+}
+
+impl Default for CommitState {
+    fn default() -> Self {
+        CommitState {
+            transaction: None,
+            has_changes: false,
+            due_ms: 0,
+            deferred_since_ms: None,
+            lazy_due_ms: 0,
+            writes: 0,
+            refused_jobs: Vec::new(),
+            max_jobs: usize::MAX,
+        }
+    }
+}
+
+impl CommitState {
+    /// The leader was deposed: whatever is in flight can't be carried out any more.
+    pub(in crate::scheduler) fn reset(&mut self) {
+        self.refused_jobs.clear();
+        self.max_jobs = usize::MAX;
+        self.transaction = None;
+        self.deferred_since_ms = None;
+        self.writes = 0;
+    }
+}
 
 /// What the state service refuses and nothing explains is tried again after so many
 /// report intervals.
@@ -18,8 +64,6 @@
 const RETRY_MS: u64 = 200;
 /// Longer than any call's patience.
 const OVER_MS: u64 = 60_000;
-/// Records to be removed at leisure: as many as a new leader reads in one call.
-const MOST_LITTER: usize = 500;
 
 /// What the leader has yet to write.
 #[derive(Debug, Default)]
@@ -39,11 +83,15 @@
     }
 
     pub(in crate::scheduler) fn commit_wake_ms(&self, now: Now) -> u64 {
-        match &self.transaction {
+        match &self.commits.transaction {
             Some(batch) if !batch.sent => batch.due_ms.max(now.ms + 1),
             Some(_) => u64::MAX,
-            None if self.changed => self.commit_due_ms.max(now.ms + 1),
-            None => self.commit_due_ms.max(self.leisure_due_ms).max(now.ms + 1),
+            None if self.commits.has_changes => self.commits.due_ms.max(now.ms + 1),
+            None => self
+                .commits
+                .due_ms
+                .max(self.commits.lazy_due_ms)
+                .max(now.ms + 1),
         }
     }
 
@@ -56,24 +104,25 @@
         // Looking for what there is to write takes a walk over all jobs: it is
         // made when something happened, and now and then for what is stored at
         // leisure.
-        let due = self.changed || now.ms >= self.leisure_due_ms;
-        if self.transaction.is_none() && now.ms >= self.commit_due_ms && due {
-            self.activity.commits += 1;
+        let due = self.commits.has_changes || now.ms >= self.commits.lazy_due_ms;
+        if self.commits.transaction.is_none() && now.ms >= self.commits.due_ms && due {
+            self.pacing.activity.commits += 1;
             let unwritten = self.unwritten(now);
             match self.most_changes(now, &unwritten, budget) {
                 Some(most) => {
-                    self.saving_since_ms = None;
-                    self.transaction = self.build_transaction(now, unwritten.jobs, most);
-                    self.changed = self.transaction.is_some();
+                    self.commits.deferred_since_ms = None;
+                    self.commits.transaction = self.build_transaction(now, unwritten.jobs, most);
+                    self.commits.has_changes = self.commits.transaction.is_some();
                 }
                 None => {
-                    self.saving_since_ms.get_or_insert(now.ms);
-                    self.commit_due_ms = now.ms + SAVE_UP_MS;
+                    self.commits.deferred_since_ms.get_or_insert(now.ms);
+                    self.commits.due_ms = now.ms + SAVE_UP_MS;
                 }
             }
-            self.leisure_due_ms = now.ms + self.leisure_ms() / 4;
+            self.commits.lazy_due_ms = now.ms + self.leisure_ms() / 4;
         }
         let Some(batch) = self
+            .commits
             .transaction
             .as_mut()
             .filter(|b| !b.sent && now.ms >= b.due_ms)
@@ -128,7 +177,8 @@
         let txn_ops = self.limits.txn_ops;
         // Submissions may take whatever comes into the bucket.
         let long_enough = self
-            .saving_since_ms
+            .commits
+            .deferred_since_ms
             .is_some_and(|since| now.ms >= since + self.leisure_ms());
         if unwritten.urgent || long_enough {
             return Some(budget.now.clamp(FINAL_CHANGES, txn_ops));
@@ -143,7 +193,7 @@
         answer: &KvResponse,
         out: &mut SchedulerEffects,
     ) {
-        let Some(batch) = self.transaction.as_mut() else {
+        let Some(batch) = self.commits.transaction.as_mut() else {
             return;
         };
         match answer {
@@ -167,10 +217,10 @@
                 out.refused = Some(batch.size());
                 if batch.unclear {
                     // An earlier copy may have been taken, before the limits fell.
-                    self.refused_jobs.clear();
+                    self.commits.refused_jobs.clear();
                     self.check_commit(now, out);
                 } else {
-                    self.refused_jobs = batch.jobs();
+                    self.commits.refused_jobs = batch.jobs();
                     self.take_back(now);
                 }
             }
@@ -189,7 +239,7 @@
             }
             // Certainly not carried out: think again.
             KvResponse::NotExecuted => {
-                self.commit_due_ms = now.ms + RETRY_MS;
+                self.commits.due_ms = now.ms + RETRY_MS;
                 self.take_back(now);
             }
         }
@@ -201,7 +251,7 @@
         answer: &KvResponse,
         out: &mut SchedulerEffects,
     ) {
-        let Some(batch) = self.transaction.as_ref() else {
+        let Some(batch) = self.commits.transaction.as_ref() else {
             return;
         };
         if let Some(item) = answer.read::<KeyValue>(200) {
@@ -220,7 +270,7 @@
 
     /// Reads whether the transaction in flight was carried out.
     fn check_commit(&mut self, now: Now, out: &mut SchedulerEffects) {
-        let Some(batch) = self.transaction.as_ref() else {
+        let Some(batch) = self.commits.transaction.as_ref() else {
             return;
         };
         let call = kv_client::get(&batch.witness, CALL_TIMEOUT_MS);
@@ -231,7 +281,7 @@
     /// Now it is stored: tasks may start, results may be forgotten by their
     /// workers.
     fn committed(&mut self, now: Now, version: u64) {
-        let Some(batch) = self.transaction.take() else {
+        let Some(batch) = self.commits.transaction.take() else {
             return;
         };
         for write in batch.shards {
@@ -254,8 +304,8 @@
             }
             self.group_records_stored(&write.job, &write.groups);
         }
-        self.most_jobs = self.most_jobs.saturating_mul(2);
-        self.cleanup.extend(batch.litter);
+        self.commits.max_jobs = self.commits.max_jobs.saturating_mul(2);
+        self.cleanup.keys.extend(batch.litter);
         for (id, state) in batch.finished {
             self.finished_jobs.insert(id.clone(), now.ms + OVER_MS);
             self.forgive_unless_succeeded(&id);
@@ -275,12 +325,12 @@
     /// in halves, until what is wrong stands alone; that is held back, and
     /// everything else goes on.
     pub fn refused_without_cause(&mut self, now: Now) {
-        let refused = std::mem::take(&mut self.refused_jobs);
+        let refused = std::mem::take(&mut self.commits.refused_jobs);
         if refused.is_empty() {
             return;
         }
         let [alone] = refused.as_slice() else {
-            self.most_jobs = (refused.len() / 2).max(1);
+            self.commits.max_jobs = (refused.len() / 2).max(1);
             return;
         };
         log::error!("job {alone}: the state service refuses its record, held back");
@@ -292,8 +342,8 @@
 
     /// The batch was certainly not carried out; its contents are due again.
     fn take_back(&mut self, now: Now) {
-        self.changed = true;
-        let Some(batch) = self.transaction.take() else {
+        self.commits.has_changes = true;
+        let Some(batch) = self.commits.transaction.take() else {
             return;
         };
         for write in batch.shards {
@@ -311,7 +361,7 @@
     }
 
     fn conflicted(&mut self, now: Now, out: &mut SchedulerEffects) {
-        let failed = match &mut self.transaction {
+        let failed = match &mut self.commits.transaction {
             Some(batch) => std::mem::take(&mut batch.failed),
             None => return,
         };
@@ -330,22 +380,4 @@
             }
         }
     }
-
-    pub(in crate::scheduler) fn clean_up(&mut self, now: Now, out: &mut SchedulerEffects) {
-        // Litter waits while there is more to write than the service takes.
-        let busy = self.transaction.is_some() || (self.changed && self.cleanup.len() < MOST_LITTER);
-        let too_soon = now.ms < self.cleanup_due_ms;
-        if self.cleanup.is_empty() || self.cleaning || busy || too_soon {
-            return;
-        }
-        let max = self.limits.txn_ops.min(self.cleanup.len());
-        let keys: Vec<String> = self.cleanup.drain(..max).collect();
-        let mut txn = Txn::default().compare(LEADER_KEY, self.leader_key_revision);
-        for key in &keys {
-            txn = txn.delete(key.clone());
-        }
-        self.cleaning = true;
-        let tag = SchedulerKvCall::Cleanup(keys);
-        self.ask_transaction(now, CallPriority::Background, &txn, tag, out);
-    }
 }
--- a/src/scheduler/state/job_watch.rs
+++ b/src/scheduler/state/job_watch.rs
@@ -9,6 +9,25 @@
 use crate::scheduler::{Job, LeaderStage, Scheduler, SchedulerEffects, SchedulerKvCall, RETRY_MS};
 use crate::wire::kv::{KeyValue, WatchResponse};
 
+/// The watch on the job records.
+#[derive(Debug, Default)]
+pub(in crate::scheduler) struct JobWatch {
+    /// Changes up to this revision are known; `None`: nothing has been read.
+    pub(in crate::scheduler) revision: Option<Revision>,
+    waiting: bool,
+    due_ms: u64,
+    /// When records that changed under the leader are read again.
+    reread_due_ms: u64,
+}
+
+impl JobWatch {
+    /// The leader was deposed.
+    pub(in crate::scheduler) fn reset(&mut self) {
+        self.revision = None;
+        self.waiting = false;
+    }
+}
+
 impl Scheduler {
     pub(in crate::scheduler) fn learn_job(
         &mut self,
@@ -58,8 +77,8 @@
                 self.await_needs(now, &id);
             }
         }
-        self.round_wanted = true;
-        self.changed = true;
+        self.pacing.requested = true;
+        self.commits.has_changes = true;
         if self.stage == LeaderStage::Active {
             self.enforce_cancel(now, &id);
         }
@@ -90,13 +109,16 @@
     }
 
     pub(in crate::scheduler) fn watch(&mut self, now: Now, out: &mut SchedulerEffects) {
-        let Some(from) = self.watch_revision else {
+        let Some(from) = self.job_watch.revision else {
             return;
         };
-        if self.stage != LeaderStage::Active || self.watching || now.ms < self.watch_due_ms {
+        if self.stage != LeaderStage::Active
+            || self.job_watch.waiting
+            || now.ms < self.job_watch.due_ms
+        {
             return;
         }
-        self.watching = true;
+        self.job_watch.waiting = true;
         let wait = self.lease_ms();
         let call = kv_client::watch(JOB_PREFIX, from, wait, wait * 2);
         self.ask(
@@ -115,7 +137,7 @@
         answer: &KvResponse,
         out: &mut SchedulerEffects,
     ) {
-        self.watching = false;
+        self.job_watch.waiting = false;
         match answer.read::<WatchResponse>(200) {
             Some(seen) => {
                 for event in seen.events {
@@ -123,12 +145,12 @@
                         self.learn_job(now, &key, event.value, event.mod_revision, true);
                     }
                 }
-                self.watch_revision = Some(Revision(seen.revision));
+                self.job_watch.revision = Some(Revision(seen.revision));
             }
             None if answer.status() == Some(410) => {
                 out.resign = Some("the watch fell too far behind");
             }
-            None => self.watch_due_ms = now.ms + 200,
+            None => self.job_watch.due_ms = now.ms + 200,
         }
     }
 
@@ -179,7 +201,7 @@
             if let Some(job) = self.jobs.get_mut(id) {
                 job.stale = false;
             }
-            self.changed = true;
+            self.commits.has_changes = true;
         } else if answer.status() == Some(404) && self.jobs.get(id).is_some_and(|j| j.stale) {
             out.resign = Some("a live job's record is gone");
         }
@@ -189,10 +211,10 @@
     /// Jobs whose record changed under us are read until that succeeds, with
     /// pauses: an outage isn't shortened by asking.
     pub(in crate::scheduler) fn read_stale(&mut self, now: Now, out: &mut SchedulerEffects) {
-        if now.ms < self.stale_due_ms {
+        if now.ms < self.job_watch.reread_due_ms {
             return;
         }
-        self.stale_due_ms = now.ms + RETRY_MS;
+        self.job_watch.reread_due_ms = now.ms + RETRY_MS;
         self.jobs.refresh();
         let stale: Vec<JobId> = self.jobs.stale().iter().cloned().collect();
         for id in &stale {
--- a/src/scheduler/state/loading.rs
+++ b/src/scheduler/state/loading.rs
@@ -12,19 +12,34 @@
 use crate::scheduler::{
     LeaderStage, Scheduler, SchedulerEffects, SchedulerKvCall, StoredPlacement, RETRY_MS,
 };
+use crate::wire::cloud::ListedMachine;
 use crate::wire::kv::{KeyPage, KeyValue};
 use lilacfork_replica_groups::record::GroupRecord;
 use std::rc::Rc;
 
+/// How far a new leader has got in reading what is stored.
+#[derive(Debug, Default)]
+pub(in crate::scheduler) struct Loading {
+    /// The placement records of the job that is being read.
+    partial: Option<PartialLoad>,
+    /// The last key that was read.
+    cursor: Option<String>,
+    /// When a list that failed is asked for again.
+    pub(in crate::scheduler) retry_ms: Option<u64>,
+    /// The cloud's list, if it came before everything was read.
+    pub(in crate::scheduler) early_cloud_list: Option<Vec<ListedMachine>>,
+}
+
 impl Scheduler {
     pub(in crate::scheduler) fn list(&mut self, now: Now, out: &mut SchedulerEffects) {
-        let after = self.list_cursor.as_deref();
-        let (prefix, tag) =
-            if self.watch_revision.is_none() || after.is_some_and(|a| a.starts_with(JOB_PREFIX)) {
-                (JOB_PREFIX, SchedulerKvCall::ListJobs)
-            } else {
-                (PLACEMENT_PREFIX, SchedulerKvCall::ListPlacements)
-            };
+        let after = self.loading.cursor.as_deref();
+        let (prefix, tag) = if self.job_watch.revision.is_none()
+            || after.is_some_and(|a| a.starts_with(JOB_PREFIX))
+        {
+            (JOB_PREFIX, SchedulerKvCall::ListJobs)
+        } else {
+            (PLACEMENT_PREFIX, SchedulerKvCall::ListPlacements)
+        };
         let call = kv_client::list(prefix, after, 2000);
         self.ask(now, CallPriority::Leadership, call, 0, tag, out);
     }
@@ -38,12 +53,14 @@
     ) {
         let Some(items) = answer.read::<KeyPage>(200) else {
             // Away for now; the lease decides whether we get to retry.
-            self.list_retry_ms = Some(now.ms + RETRY_MS);
+            self.loading.retry_ms = Some(now.ms + RETRY_MS);
             return;
         };
         let last = items.items.last().map(|i| i.key.clone());
         if what == SchedulerKvCall::ListJobs {
-            self.watch_revision.get_or_insert(Revision(items.revision));
+            self.job_watch
+                .revision
+                .get_or_insert(Revision(items.revision));
             for item in items.items {
                 self.learn_job(now, &item.key, item.value, item.mod_revision, false);
             }
@@ -52,15 +69,15 @@
                 self.restore(now, item);
             }
         }
-        self.list_cursor = if items.more { last } else { None };
+        self.loading.cursor = if items.more { last } else { None };
         if items.more || what == SchedulerKvCall::ListJobs {
             self.list(now, out);
             return;
         }
         self.restore_job(now);
         self.stage = LeaderStage::Active;
-        self.round_wanted = true;
-        self.changed = true;
+        self.pacing.requested = true;
+        self.commits.has_changes = true;
         self.needs_after_loading(now);
         self.jobs.refresh();
         let stopping: Vec<JobId> = self.jobs.stopping().iter().cloned().collect();
@@ -82,7 +99,8 @@
             return;
         };
         if self
-            .partial_load
+            .loading
+            .partial
             .as_ref()
             .is_some_and(|read| read.job != id)
         {
@@ -90,7 +108,7 @@
         }
         let Some(job) = self.jobs.get_mut(&id) else {
             // Its job is over; the record is only litter.
-            self.cleanup.push(item.key);
+            self.cleanup.keys.push(item.key);
             return;
         };
         let record = serde_json::from_value::<PlacementRecord>(item.value);
@@ -99,7 +117,7 @@
             job.unreadable = true;
             return;
         };
-        let read = self.partial_load.get_or_insert_with(|| PartialLoad {
+        let read = self.loading.partial.get_or_insert_with(|| PartialLoad {
             job: id,
             records: Vec::new(),
         });
@@ -115,7 +133,7 @@
         let Some(PartialLoad {
             job: id,
             mut records,
-        }) = self.partial_load.take()
+        }) = self.loading.partial.take()
         else {
             return;
         };
--- a/src/scheduler/state/transaction.rs
+++ b/src/scheduler/state/transaction.rs
@@ -203,15 +203,15 @@
         max_ops: usize,
     ) -> Option<PendingTransaction> {
         let leisure_ms = self.leisure_ms();
-        self.writes += 1;
-        let write = (self.term.0 << 32) | self.writes;
+        self.commits.writes += 1;
+        let write = (self.term.0 << 32) | self.commits.writes;
         let mut batch = PendingTransaction::new(write, Revision(self.leader_key_revision));
         let due = |job: &Job, number: usize| {
             let shard = job.placements.get(number);
             shard.is_some_and(|shard| shard.due(now, leisure_ms))
         };
         // What doesn't fit waits for the next one.
-        for id in jobs.into_iter().take(self.most_jobs) {
+        for id in jobs.into_iter().take(self.commits.max_jobs) {
             let Some(job) = self.jobs.get_mut(&id) else {
                 continue;
             };
--- a/src/scheduler/workers/failure_detection.rs
+++ b/src/scheduler/workers/failure_detection.rs
@@ -6,9 +6,31 @@
 use crate::ids::MachineId;
 use crate::messages::Now;
 use crate::scheduler::Scheduler;
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
 
+/// What is known of silences beside each machine's own.
+#[derive(Debug, Default)]
+pub(in crate::scheduler) struct FailureDetection {
+    /// When all machines were last checked.
+    pub(in crate::scheduler) last_check_ms: u64,
+    /// They should be checked before that is due again.
+    pub(in crate::scheduler) check_requested: bool,
+    /// When most machines of a zone were last silent.
+    zones_silent_ms: HashMap<Rc<str>, u64>,
+    /// When this process was last paused, hearing nobody.
+    process_paused_ms: u64,
+    /// When the key-value store last failed to answer.
+    pub(in crate::scheduler) store_failed_ms: Option<u64>,
+}
+
+impl FailureDetection {
+    /// The leader was deposed.
+    pub(in crate::scheduler) fn reset(&mut self) {
+        self.zones_silent_ms.clear();
+    }
+}
+
 /// When most machines of a zone are silent, they are waited for this many
 /// times as long.
 const CUT_PATIENCE: f64 = 2.5;
@@ -57,7 +79,8 @@
             // In an outage followers can't tell whose leases they renew, and
             // nothing could be placed anew in any case.
             let blind = self
-                .state_failed_ms
+                .failure_detection
+                .store_failed_ms
                 .is_some_and(|at| now.ms < at + lease_ms / 2);
             if !blind && now.ms > heard_ms + zone.limit_ms {
                 give_up.push((machine.id.clone(), "silent"));
@@ -70,9 +93,9 @@
                 drain.push(machine.id.clone());
             }
             let share = if zone.silent && now.ms > machine.last_heartbeat_ms + lease_ms / 2 {
-                CUT_CANCEL_SHARE.max(self.options.cancel_share)
+                CUT_CANCEL_SHARE.max(self.tuning.cancel_share)
             } else {
-                self.options.cancel_share
+                self.tuning.cancel_share
             };
             let overdue = machine.tasks.iter().any(|task| {
                 self.jobs.get(&task.job).is_some_and(|job| {
@@ -137,7 +160,7 @@
             })
             .filter(|m| {
                 let usual_ms = self.usual_boot_ms(&m.offer) as f64;
-                now.ms > m.provisioned_ms + (usual_ms * self.options.late_boots) as u64
+                now.ms > m.provisioned_ms + (usual_ms * self.tuning.late_boots) as u64
             })
             .map(|m| m.id.clone())
             .collect();
@@ -157,7 +180,7 @@
 
     /// How long a machine may be silent by itself.
     fn silence_ms(&self) -> u64 {
-        (self.lease_ms() as f64 * self.options.silent_leases) as u64
+        (self.lease_ms() as f64 * self.tuning.silent_leases) as u64
     }
 
     /// How long a zone's machines may be silent, and until when they were all
@@ -177,11 +200,13 @@
         }
         let limit_ms = self.silence_ms();
         let cut_ms = (limit_ms as f64 * CUT_PATIENCE) as u64;
-        let still_ms = self.last_pause_ms;
+        let still_ms = self.failure_detection.process_paused_ms;
         let mut limits = BTreeMap::new();
         for (zone, (all, silent)) in zones {
             let silence = if silent * 2 > all && silent > 2 {
-                self.zones_silent.insert(zone.clone(), now.ms);
+                self.failure_detection
+                    .zones_silent_ms
+                    .insert(zone.clone(), now.ms);
                 ZoneSilence {
                     silent: true,
                     // A controller in there renews its workers' leases for as
@@ -193,14 +218,19 @@
                     },
                     // Nor does silence count while followers can't store whose
                     // leases they renew, or while this process stood still.
-                    excused_ms: self.state_failed_ms.unwrap_or(0).max(still_ms),
+                    excused_ms: self
+                        .failure_detection
+                        .store_failed_ms
+                        .unwrap_or(0)
+                        .max(still_ms),
                 }
             } else {
                 ZoneSilence {
                     silent: false,
                     limit_ms,
                     excused_ms: self
-                        .zones_silent
+                        .failure_detection
+                        .zones_silent_ms
                         .get(&zone)
                         .map_or(still_ms, |at| still_ms.max(*at)),
                 }
@@ -212,7 +242,7 @@
 
     /// Nobody was heard for a while, and that was our own fault.
     pub fn excuse_silence(&mut self, now: Now) {
-        self.last_pause_ms = now.ms;
+        self.failure_detection.process_paused_ms = now.ms;
     }
 
     /// Whether none of the workers is heard that report to this leader itself
@@ -220,7 +250,9 @@
     pub fn hears_no_worker(&self, now: Now, to_us: impl Fn(&str) -> bool) -> bool {
         let patience_ms = (self.heartbeat_interval_ms() as f64 * UNREACHABLE_REPORTS) as u64;
         // Nobody can be heard by a process that stands still.
-        let listening_since_ms = self.elected_ms.max(self.last_pause_ms);
+        let listening_since_ms = self
+            .elected_ms
+            .max(self.failure_detection.process_paused_ms);
         if !self.active() || now.ms < listening_since_ms + patience_ms {
             return false;
         }
--- a/src/scheduler/workers/heartbeats.rs
+++ b/src/scheduler/workers/heartbeats.rs
@@ -130,7 +130,7 @@
                 self.estimates
                     .booted(&machine_type, nominal_s, rented_ms, took_s);
             }
-            self.round_wanted = true;
+            self.pacing.requested = true;
         }
         if let Some(machine) = self.fleet.get_mut(&id) {
             let notice = report
@@ -139,13 +139,13 @@
                 .map(|s| now.ms.saturating_add((s.max(0.0) * 1000.0) as u64));
             if notice.is_some() != machine.reclaim_at_ms.is_some() {
                 log::info!("machine {id} notice_s={:?}", report.preemption_notice_s);
-                self.round_wanted = true;
-                self.check_wanted = true;
+                self.pacing.requested = true;
+                self.failure_detection.check_requested = true;
             }
             machine.reclaim_at_ms = notice;
             // Without our token the report may be any old one's echo.
             if report.fencing_token.term() == term {
-                self.round_wanted |= !machine.fenced;
+                self.pacing.requested |= !machine.fenced;
                 machine.fenced = true;
                 self.reconcile(now, &id, report, out);
             }
@@ -324,8 +324,8 @@
                 machine.faults.clear();
             }
         }
-        self.round_wanted = true;
-        self.changed = true;
+        self.pacing.requested = true;
+        self.commits.has_changes = true;
         if cancelled {
             return;
         }
@@ -435,7 +435,8 @@
         let mut commands = Vec::new();
         let resend_ms = (self.heartbeat_interval_ms() as f64 * RESEND_REPORTS) as u64;
         // Who may have missed a cancellation starts nothing.
-        let starts = now.ms <= self.informed_ms + self.heartbeat_interval_ms() * START_REPORTS;
+        let starts =
+            now.ms <= self.cancellations_known_ms + self.heartbeat_interval_ms() * START_REPORTS;
         let Some(machine) = self.fleet.get_mut(id) else {
             return commands;
         };
--- a/src/scheduler/workers/machines.rs
+++ b/src/scheduler/workers/machines.rs
@@ -3,77 +3,22 @@
 use crate::cloud::{CloudClient, CloudEvent, Offer};
 use crate::fleet::{Machine, MachinePhase};
 use crate::ids::{AgentEpoch, MachineId, TaskRef};
-use crate::kv_client::{self, CallPriority, KvResponse};
 use crate::messages::Now;
 use crate::placement::Resources;
-use crate::records::lease_proxies::{LeaseProxyRecord, LEASE_PROXY_PREFIX};
-use crate::scheduler::{LeaderStage, Scheduler, SchedulerEffects, SchedulerKvCall};
+use crate::scheduler::{LeaderStage, Scheduler};
 use crate::wire::cloud::{ListedMachine, ListedState};
-use crate::wire::kv::KeyPage;
 use std::rc::Rc;
 
 impl Scheduler {
-    /// Asks for followers' word when machines are silent.
-    pub(in crate::scheduler) fn ask_proxied(&mut self, now: Now, out: &mut SchedulerEffects) {
-        let quiet_ms = self.heartbeat_interval_ms() * 3;
-        let silent = self
-            .fleet
-            .iter()
-            .any(|m| m.phase == MachinePhase::Up && now.ms > m.last_heartbeat_ms + quiet_ms);
-        if !silent || self.asking_proxied || now.ms < self.proxied_due_ms {
-            return;
-        }
-        self.asking_proxied = true;
-        self.proxied_due_ms = now.ms + quiet_ms / 2;
-        let call = kv_client::list(LEASE_PROXY_PREFIX, None, 1000);
-        self.ask(
-            now,
-            CallPriority::Leadership,
-            call,
-            0,
-            SchedulerKvCall::ListProxied,
-            out,
-        );
-    }
-
-    pub(in crate::scheduler) fn on_proxied(&mut self, now: Now, answer: &KvResponse) {
-        self.asking_proxied = false;
-        let Some(items) = answer.read::<KeyPage>(200) else {
-            return;
-        };
-        for item in items.items {
-            let Ok(record) = serde_json::from_value::<LeaseProxyRecord>(item.value) else {
-                continue;
-            };
-            // Clocks differ a little; an old word says nothing.
-            let age_ms = now.wall.saturating_sub(record.at);
-            if age_ms > self.lease_ms() {
-                continue;
-            }
-            for (name, session) in record.machines {
-                let id = MachineId::new(&name);
-                let Some(machine) = self.fleet.get_mut(&id) else {
-                    continue;
-                };
-                machine.lease_proxied_ms =
-                    machine.lease_proxied_ms.max(now.ms.saturating_sub(age_ms));
-                // A later session is proof, whoever saw the report.
-                if session > machine.agent_epoch {
-                    self.session_over(now, &id, session);
-                }
-            }
-        }
-    }
-
     /// Takes in what the cloud says.
     pub fn cloud_event(&mut self, now: Now, event: CloudEvent, cloud: &mut CloudClient) {
         if self.stage != LeaderStage::Active {
             if let (LeaderStage::Loading, CloudEvent::Listed(list)) = (self.stage, event) {
-                self.early_list = Some(list);
+                self.loading.early_cloud_list = Some(list);
             }
             return;
         }
-        self.round_wanted = true;
+        self.pacing.requested = true;
         match event {
             CloudEvent::Catalog(_) => {}
             CloudEvent::Provisioned(offer, names) => {
@@ -88,25 +33,13 @@
                     self.add_machine(now, name, offer.clone(), 0.0)
                         .provisioned_this_term = true;
                 }
-                self.refused_offers.remove(&offer);
+                self.provisioning.refused.remove(&offer);
             }
             CloudEvent::NoCapacity(offer) => {
-                // Twice the pause at each refusal in a row, within bounds
-                // that a boot time sets.
                 let boot_ms = self.boot_ms(&offer);
-                let pause = self
-                    .refused_offers
-                    .get(&offer)
-                    .map_or(boot_ms / 8, |(_, p)| p * 2)
-                    .clamp(1000, boot_ms.max(1000));
-                self.refused_offers.insert(offer, (now.ms + pause, pause));
-            }
-            CloudEvent::OrderFailed(offer) => {
-                self.refused_offers
-                    .entry(offer)
-                    .and_modify(|(until, _)| *until = (*until).max(now.ms + 1000))
-                    .or_insert((now.ms + 1000, 500));
+                self.provisioning.capacity_refused(offer, now.ms, boot_ms);
             }
+            CloudEvent::OrderFailed(offer) => self.provisioning.order_failed(offer, now.ms),
             CloudEvent::Released(names) => {
                 for name in names {
                     self.machine_gone(now, &name);
@@ -173,7 +106,7 @@
         list: Vec<ListedMachine>,
         cloud: &mut CloudClient,
     ) {
-        self.listed = true;
+        self.provisioning.fleet_listed = true;
         for listed in list {
             let id = MachineId::new(&listed.id);
             if self.fleet.is_released(&id) {
@@ -210,7 +143,7 @@
             return;
         };
         // Its place is free again, whatever was refused before.
-        self.refused_offers.remove(&machine.offer);
+        self.provisioning.refused.remove(&machine.offer);
         log::info!("machine {id} gone, tasks={}", machine.tasks.len());
         for task in machine.tasks {
             self.drop_assign(now, &task, "machine gone");
@@ -240,8 +173,8 @@
             machine.unassign(task, &need, now.ms);
         }
         self.groups.touch_task(&task.job, task.index);
-        self.round_wanted = true;
-        self.changed = true;
+        self.pacing.requested = true;
+        self.commits.has_changes = true;
     }
 
     /// All that was assigned in an earlier session is gone: with its session
--- a/src/scheduler/workers/mod.rs
+++ b/src/scheduler/workers/mod.rs
@@ -3,4 +3,5 @@
 pub(super) mod direct_commands;
 pub(super) mod failure_detection;
 pub(super) mod heartbeats;
+pub(super) mod lease_proxies;
 pub(super) mod machines;
