--- a/loadtest/src/control.rs
+++ b/loadtest/src/control.rs
@@ -90,14 +90,15 @@
 
 /// Makes one request and waits for the body of a good answer.
 pub fn request(to: SocketAddrV4, method: &str, path: &str, body: &[u8]) -> io::Result<Vec<u8>> {
-    match ask(to, method, path, body)? {
-        (200, body) => Ok(body),
-        (status, _) => Err(io::Error::other(format!("status {status}"))),
+    let response = ask(to, method, path, body)?;
+    match response.status {
+        200 => Ok(response.body),
+        status => Err(io::Error::other(format!("status {status}"))),
     }
 }
 
 /// Makes one request and waits for the answer: its status and body.
-pub fn ask(to: SocketAddrV4, method: &str, path: &str, body: &[u8]) -> io::Result<(u16, Vec<u8>)> {
+pub fn ask(to: SocketAddrV4, method: &str, path: &str, body: &[u8]) -> io::Result<http::Response> {
     let mut stream = TcpStream::connect(to)?;
     stream.set_read_timeout(Some(PATIENCE))?;
     let mut output = Vec::new();
--- a/loadtest/src/users.rs
+++ b/loadtest/src/users.rs
@@ -7,6 +7,7 @@
 use crate::part::{Part, PartConfig};
 use crate::scenario::Scenario;
 use hdrhistogram::Histogram;
+use lilacfork::http::Response;
 use lilacfork::ids::JobId;
 use lilacfork::wire::users::{JobKind, READY_PATH, USER_JOBS_PATH};
 use serde::Deserialize;
@@ -230,14 +231,9 @@
         Ok(())
     }
 
-    fn answered(
-        &mut self,
-        net: &mut Net,
-        link: Link,
-        answer: Option<(u16, Vec<u8>)>,
-    ) -> io::Result<()> {
+    fn answered(&mut self, net: &mut Net, link: Link, answer: Option<Response>) -> io::Result<()> {
         let now = now_us();
-        let (status, body) = answer.unwrap_or_default();
+        let Response { status, body } = answer.unwrap_or_default();
         let body: StateBody = serde_json::from_slice(&body).unwrap_or_default();
         let state = body.etat;
         let elsewhere = self.healthy();
@@ -331,10 +327,10 @@
         Ok(())
     }
 
-    fn probed(&mut self, link: Link, answer: Option<(u16, Vec<u8>)>) {
+    fn probed(&mut self, link: Link, answer: Option<Response>) {
         let now = now_us();
         let probe = &mut self.probes[link as usize];
-        if matches!(answer, Some((200, _))) {
+        if answer.is_some_and(|response| response.status == 200) {
             if probe.seen {
                 probe.longest_us = probe.longest_us.max(now - probe.answered_us);
             }
--- a/loadtest/src/workers.rs
+++ b/loadtest/src/workers.rs
@@ -7,6 +7,7 @@
 use crate::net::{now_us, Asker, Incoming, Link, Net};
 use crate::part::{Part, PartConfig, Role, CONTROL_LISTENER};
 use crate::scenario::{Machine, Scenario};
+use lilacfork::http::Response;
 use lilacfork::ids::TaskRef;
 use lilacfork::messages::{Reply, Request};
 use lilacfork::placement::Resources;
@@ -299,7 +300,7 @@
         self.schedule_report(index, now + NEXT_CONTROLLER_US);
     }
 
-    fn answered(&mut self, index: usize, answer: Option<(u16, Vec<u8>)>) -> io::Result<()> {
+    fn answered(&mut self, index: usize, answer: Option<Response>) -> io::Result<()> {
         let now = now_us();
         let Some((sent_us, session)) = self.workers[index].asked.take() else {
             return Ok(());
@@ -308,7 +309,7 @@
             return Ok(());
         }
         let answer = answer.filter(|_| !self.is_cut(index, now));
-        let (status, body) = answer.unwrap_or_default();
+        let Response { status, body } = answer.unwrap_or_default();
         let body: Option<AnswerBody> = serde_json::from_slice(&body).ok();
         match (status, body) {
             (200, Some(body)) => {
--- a/loadtest/tests/loopback.rs
+++ b/loadtest/tests/loopback.rs
@@ -183,7 +183,7 @@
     let body = serde_json::to_vec(&spec).expect("a submission");
     until("the job is accepted", || {
         let answer = control::ask(client, "POST", "/v2/runs", &body).ok();
-        answer.filter(|(status, _)| matches!(status, 200 | 201))
+        answer.filter(|answer| matches!(answer.status, 200 | 201))
     });
     until("both replicas serve", || {
         running(client).filter(|running| *running == 4)
--- a/src/http.rs
+++ b/src/http.rs
@@ -1,246 +1,309 @@
-//! HTTP/1.1, as much as the protocols need: bounded and incremental. A parser
-//! is fed whatever bytes have come and says whether a message is complete.
+//! HTTP/1.1, as far as the protocols need it: bounded and incremental. The
+//! parsers get all bytes received so far and tell whether a message is complete.
 
 use crate::messages::{Reply, Request};
+use std::io::Write;
 use thiserror::Error;
 
-/// A request or status line with all headers may take this much.
+/// The largest request or status line with all headers, in bytes.
 pub const MAX_HEAD: usize = 16 * 1024;
-/// The protocol's limit on request bodies.
+/// The protocol's limit on request bodies, in bytes.
 pub const MAX_REQUEST_BODY: usize = 64 * 1024;
-/// Controllers pass several reports on in one message.
+/// The limit on bodies between controllers, which forward several heartbeats in one
+/// message.
 pub const MAX_PEER_BODY: usize = 4 * MAX_REQUEST_BODY;
-/// Watches have no limit of their own; this one guards memory.
+/// Responses to watches have no limit in the protocol; this one protects memory.
 pub const MAX_RESPONSE_BODY: usize = 6 * 1024 * 1024;
 
-/// Why a message can't be taken.
+const LINE_END: &[u8] = b"\r\n";
+const HEAD_END: &[u8] = b"\r\n\r\n";
+
+/// Why a message is rejected.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Error)]
 pub enum HttpError {
-    /// It breaks the grammar.
+    /// It violates the grammar.
     #[error("malformed message")]
     Malformed,
-    /// Its head is larger than is taken.
+    /// Its head exceeds [`MAX_HEAD`].
     #[error("head too large")]
     HeadTooLarge,
-    /// Its body is larger than is taken.
+    /// Its body exceeds the limit for its kind of message.
     #[error("body too large")]
     BodyTooLarge,
-    /// It has a transfer coding that isn't supported.
+    /// It has a transfer coding other than `chunked`.
     #[error("transfer coding not supported")]
-    Coding,
+    UnsupportedTransferCoding,
 }
 
 impl HttpError {
-    /// The status that tells a client what was wrong.
+    /// The status of the response that rejects a request for this reason.
     pub fn status(self) -> u16 {
         match self {
             HttpError::Malformed => 400,
             HttpError::HeadTooLarge => 431,
             HttpError::BodyTooLarge => 413,
-            HttpError::Coding => 501,
+            HttpError::UnsupportedTransferCoding => 501,
         }
     }
 }
 
-/// A parsed head, before its body.
+/// A parsed head, without the body.
 #[derive(Debug, PartialEq, Eq)]
 struct Head {
-    first: [String; 3],
-    length: Option<usize>,
+    /// The three parts of the request or status line.
+    start_line: [String; 3],
+    content_length: Option<usize>,
     chunked: bool,
+    /// The sender closes the connection after this message.
     close: bool,
+    /// How many bytes the head takes.
     size: usize,
 }
 
 fn find(haystack: &[u8], needle: &[u8]) -> Option<usize> {
-    haystack.windows(needle.len()).position(|w| w == needle)
+    haystack
+        .windows(needle.len())
+        .position(|window| window == needle)
 }
 
-fn parse_head(buf: &[u8]) -> Result<Option<Head>, HttpError> {
-    let Some(end) = find(&buf[..buf.len().min(MAX_HEAD)], b"\r\n\r\n") else {
-        return if buf.len() >= MAX_HEAD {
-            Err(HttpError::HeadTooLarge)
-        } else {
-            Ok(None)
-        };
+/// Where `needle` is within the first `limit` bytes. Once the buffer holds
+/// [`MAX_HEAD`] bytes without it, the message is rejected for this reason.
+fn find_or_reject(
+    buffer: &[u8],
+    needle: &[u8],
+    limit: usize,
+    reason: HttpError,
+) -> Result<Option<usize>, HttpError> {
+    match find(&buffer[..buffer.len().min(limit)], needle) {
+        None if buffer.len() >= MAX_HEAD => Err(reason),
+        position => Ok(position),
+    }
+}
+
+fn parse_head(buffer: &[u8]) -> Result<Option<Head>, HttpError> {
+    let Some(end) = find_or_reject(buffer, HEAD_END, MAX_HEAD, HttpError::HeadTooLarge)? else {
+        return Ok(None);
     };
-    let text = std::str::from_utf8(&buf[..end]).map_err(|_| HttpError::Malformed)?;
+    let text = std::str::from_utf8(&buffer[..end]).map_err(|_| HttpError::Malformed)?;
     let mut lines = text.split("\r\n");
     let mut parts = lines.next().unwrap_or("").splitn(3, ' ');
-    let mut part = || parts.next().unwrap_or("").to_string();
-    let first = [part(), part(), part()];
-    if first[0].is_empty() || first[1].is_empty() {
+    let mut next_part = || parts.next().unwrap_or("").to_string();
+    let start_line = [next_part(), next_part(), next_part()];
+    if start_line[0].is_empty() || start_line[1].is_empty() {
         return Err(HttpError::Malformed);
     }
     let mut head = Head {
-        close: first[0] == "HTTP/1.0" || first[2] == "HTTP/1.0",
-        first,
-        length: None,
+        close: start_line[0] == "HTTP/1.0" || start_line[2] == "HTTP/1.0",
+        start_line,
+        content_length: None,
         chunked: false,
-        size: end + 4,
+        size: end + HEAD_END.len(),
     };
     for line in lines {
         let (name, value) = line.split_once(':').ok_or(HttpError::Malformed)?;
-        let value = value.trim();
-        if name.eq_ignore_ascii_case("content-length") {
-            // `parse` would take a sign; the grammar has digits alone.
-            if value.is_empty() || !value.bytes().all(|b| b.is_ascii_digit()) {
-                return Err(HttpError::Malformed);
-            }
-            let n = value.parse().map_err(|_| HttpError::BodyTooLarge)?;
-            if head.length.is_some_and(|old| old != n) {
-                return Err(HttpError::Malformed);
-            }
-            head.length = Some(n);
-        } else if name.eq_ignore_ascii_case("transfer-encoding") {
-            if !value.eq_ignore_ascii_case("chunked") {
-                return Err(HttpError::Coding);
-            }
-            head.chunked = true;
-        } else if name.eq_ignore_ascii_case("connection") {
-            head.close |= value.eq_ignore_ascii_case("close");
-        }
+        apply_header(&mut head, name, value.trim())?;
     }
-    // Both at once is how requests get smuggled.
-    if head.chunked && head.length.is_some() {
+    // A message with both is a means of request smuggling.
+    if head.chunked && head.content_length.is_some() {
         return Err(HttpError::Malformed);
     }
     Ok(Some(head))
 }
 
-/// The body of a chunked message and the bytes it took, once all is there.
-fn parse_chunks(buf: &[u8], max: usize) -> Result<Option<(Vec<u8>, usize)>, HttpError> {
-    let mut body = Vec::new();
-    let mut at = 0;
-    loop {
-        let rest = &buf[at..];
-        let Some(line) = find(&rest[..rest.len().min(MAX_HEAD)], b"\r\n") else {
-            return if rest.len() >= MAX_HEAD {
-                Err(HttpError::Malformed)
-            } else {
-                Ok(None)
-            };
-        };
-        let text = std::str::from_utf8(&rest[..line]).map_err(|_| HttpError::Malformed)?;
-        let digits = text.split(';').next().unwrap_or("").trim();
-        if digits.is_empty() || !digits.bytes().all(|b| b.is_ascii_hexdigit()) {
+fn apply_header(head: &mut Head, name: &str, value: &str) -> Result<(), HttpError> {
+    if name.eq_ignore_ascii_case("content-length") {
+        let length = parse_content_length(value)?;
+        if head.content_length.is_some_and(|other| other != length) {
             return Err(HttpError::Malformed);
         }
-        let n = usize::from_str_radix(digits, 16).map_err(|_| HttpError::BodyTooLarge)?;
-        if n > max || body.len() + n > max {
+        head.content_length = Some(length);
+    } else if name.eq_ignore_ascii_case("transfer-encoding") {
+        if !value.eq_ignore_ascii_case("chunked") {
+            return Err(HttpError::UnsupportedTransferCoding);
+        }
+        head.chunked = true;
+    } else if name.eq_ignore_ascii_case("connection") {
+        head.close |= value.eq_ignore_ascii_case("close");
+    }
+    Ok(())
+}
+
+fn parse_content_length(value: &str) -> Result<usize, HttpError> {
+    // `parse` would accept a sign; the grammar has digits only.
+    if value.is_empty() || !value.bytes().all(|byte| byte.is_ascii_digit()) {
+        return Err(HttpError::Malformed);
+    }
+    value.parse().map_err(|_| HttpError::BodyTooLarge)
+}
+
+/// A body with the number of bytes that it took, framing included.
+struct Body {
+    bytes: Vec<u8>,
+    size: usize,
+}
+
+/// The body of a chunked message, once all of it has arrived.
+fn parse_chunks(buffer: &[u8], max_body: usize) -> Result<Option<Body>, HttpError> {
+    let mut bytes = Vec::new();
+    let mut position = 0;
+    loop {
+        let rest = &buffer[position..];
+        let Some(line) = find_or_reject(rest, LINE_END, MAX_HEAD, HttpError::Malformed)? else {
+            return Ok(None);
+        };
+        let chunk_size = parse_chunk_size(&rest[..line])?;
+        if chunk_size > max_body || bytes.len() + chunk_size > max_body {
             return Err(HttpError::BodyTooLarge);
         }
-        at += line + 2;
-        if n == 0 {
-            // Trailers, if any, up to the empty line.
-            loop {
-                let rest = &buf[at..];
-                let Some(line) = find(rest, b"\r\n") else {
-                    return if rest.len() >= MAX_HEAD {
-                        Err(HttpError::HeadTooLarge)
-                    } else {
-                        Ok(None)
-                    };
-                };
-                at += line + 2;
-                if line == 0 {
-                    return Ok(Some((body, at)));
-                }
-            }
+        position += line + LINE_END.len();
+        if chunk_size == 0 {
+            let trailers = skip_trailers(&buffer[position..])?;
+            return Ok(trailers.map(|size| Body {
+                bytes,
+                size: position + size,
+            }));
         }
-        if buf.len() < at + n + 2 {
+        let chunk_end = position + chunk_size;
+        let next = chunk_end + LINE_END.len();
+        if buffer.len() < next {
             return Ok(None);
         }
-        if &buf[at + n..at + n + 2] != b"\r\n" {
+        if &buffer[chunk_end..next] != LINE_END {
             return Err(HttpError::Malformed);
         }
-        body.extend_from_slice(&buf[at..at + n]);
-        at += n + 2;
+        bytes.extend_from_slice(&buffer[position..chunk_end]);
+        position = next;
+    }
+}
+
+fn parse_chunk_size(line: &[u8]) -> Result<usize, HttpError> {
+    let text = std::str::from_utf8(line).map_err(|_| HttpError::Malformed)?;
+    let digits = text.split(';').next().unwrap_or("").trim();
+    if digits.is_empty() || !digits.bytes().all(|byte| byte.is_ascii_hexdigit()) {
+        return Err(HttpError::Malformed);
     }
+    usize::from_str_radix(digits, 16).map_err(|_| HttpError::BodyTooLarge)
 }
 
-/// A whole message, how many bytes it took, and whether the sender closes.
+/// The size of the trailers up to and with the empty line that ends them, once that
+/// has arrived.
+fn skip_trailers(buffer: &[u8]) -> Result<Option<usize>, HttpError> {
+    let mut position = 0;
+    loop {
+        let rest = &buffer[position..];
+        let Some(line) = find_or_reject(rest, LINE_END, usize::MAX, HttpError::HeadTooLarge)?
+        else {
+            return Ok(None);
+        };
+        position += line + LINE_END.len();
+        if line == 0 {
+            return Ok(Some(position));
+        }
+    }
+}
+
+/// A complete message with its framing.
 #[derive(Debug)]
 pub struct Parsed<T> {
     /// The message itself.
     pub message: T,
     /// How many bytes it took.
     pub size: usize,
-    /// The other side closes the connection after it.
+    /// The sender closes the connection after it.
     pub close: bool,
 }
 
 fn parse_body(
     head: &Head,
-    buf: &[u8],
-    length: usize,
-    max: usize,
-) -> Result<Option<(Vec<u8>, usize)>, HttpError> {
+    buffer: &[u8],
+    content_length: usize,
+    max_body: usize,
+) -> Result<Option<Body>, HttpError> {
     if head.chunked {
-        let chunks = parse_chunks(&buf[head.size..], max)?;
-        return Ok(chunks.map(|(body, n)| (body, head.size + n)));
+        let chunks = parse_chunks(&buffer[head.size..], max_body)?;
+        return Ok(chunks.map(|body| Body {
+            size: head.size + body.size,
+            ..body
+        }));
     }
-    if length > max {
+    if content_length > max_body {
         return Err(HttpError::BodyTooLarge);
     }
-    if buf.len() < head.size + length {
+    let size = head.size + content_length;
+    if buffer.len() < size {
         return Ok(None);
     }
-    let body = buf[head.size..head.size + length].to_vec();
-    Ok(Some((body, head.size + length)))
+    let bytes = buffer[head.size..size].to_vec();
+    Ok(Some(Body { bytes, size }))
 }
 
-/// A status and a body.
-pub type Response = (u16, Vec<u8>);
+/// A response to a request of this process.
+#[derive(Clone, Default, Debug, PartialEq, Eq)]
+pub struct Response {
+    /// The HTTP status.
+    pub status: u16,
+    /// The body.
+    pub body: Vec<u8>,
+}
 
-/// A request, once `buf` holds all of it.
-pub fn parse_request(buf: &[u8], max_body: usize) -> Result<Option<Parsed<Request>>, HttpError> {
-    let Some(head) = parse_head(buf)? else {
+/// Parses a request; `None`: `buffer` doesn't hold all of it yet.
+pub fn parse_request(buffer: &[u8], max_body: usize) -> Result<Option<Parsed<Request>>, HttpError> {
+    let Some(head) = parse_head(buffer)? else {
         return Ok(None);
     };
-    if !head.first[2].starts_with("HTTP/1.") || !head.first[1].starts_with('/') {
+    if !head.start_line[2].starts_with("HTTP/1.") || !head.start_line[1].starts_with('/') {
         return Err(HttpError::Malformed);
     }
-    let Some((body, size)) = parse_body(&head, buf, head.length.unwrap_or(0), max_body)? else {
+    let content_length = head.content_length.unwrap_or(0);
+    let Some(body) = parse_body(&head, buffer, content_length, max_body)? else {
         return Ok(None);
     };
-    let [method, path, _] = head.first;
+    let [method, path, _] = head.start_line;
     Ok(Some(Parsed {
-        message: Request { method, path, body },
-        size,
+        message: Request {
+            method,
+            path,
+            body: body.bytes,
+        },
+        size: body.size,
         close: head.close,
     }))
 }
 
-/// A response, once `buf` holds all of it. `ended`: the sender has closed, so
-/// a body without a length is complete.
-pub fn parse_response(buf: &[u8], ended: bool) -> Result<Option<Parsed<Response>>, HttpError> {
-    let Some(head) = parse_head(buf)? else {
+/// Parses a response; `None`: `buffer` doesn't hold all of it yet. `ended`: the
+/// sender has closed the connection, so a body without a length is complete.
+pub fn parse_response(buffer: &[u8], ended: bool) -> Result<Option<Parsed<Response>>, HttpError> {
+    let Some(head) = parse_head(buffer)? else {
         return Ok(None);
     };
-    if !head.first[0].starts_with("HTTP/1.") {
+    if !head.start_line[0].starts_with("HTTP/1.") {
         return Err(HttpError::Malformed);
     }
-    let status: u16 = head.first[1].parse().map_err(|_| HttpError::Malformed)?;
-    let bodiless = status == 204 || status == 304 || (100..200).contains(&status);
-    let length = match head.length {
-        _ if bodiless => 0,
-        Some(n) => n,
+    let status: u16 = head.start_line[1]
+        .parse()
+        .map_err(|_| HttpError::Malformed)?;
+    let has_no_body = status == 204 || status == 304 || (100..200).contains(&status);
+    let content_length = match head.content_length {
+        _ if has_no_body => 0,
+        Some(length) => length,
         None if head.chunked => 0,
-        None if ended => buf.len() - head.size,
+        None if ended => buffer.len() - head.size,
         None => return Ok(None),
     };
-    let Some((body, size)) = parse_body(&head, buf, length, MAX_RESPONSE_BODY)? else {
+    let Some(body) = parse_body(&head, buffer, content_length, MAX_RESPONSE_BODY)? else {
         return Ok(None);
     };
     Ok(Some(Parsed {
-        message: (status, body),
-        size,
+        message: Response {
+            status,
+            body: body.bytes,
+        },
+        size: body.size,
         close: head.close,
     }))
 }
 
-fn reason(status: u16) -> &'static str {
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         201 => "Created",
@@ -259,38 +322,36 @@
     }
 }
 
-/// Appends a response.
-pub fn write_reply(out: &mut Vec<u8>, reply: &Reply, close: bool) {
-    use std::io::Write;
+/// Appends a response to an output buffer.
+pub fn write_reply(output: &mut Vec<u8>, reply: &Reply, close: bool) {
     // Writing to a Vec cannot fail.
     let _ = write!(
-        out,
+        output,
         "HTTP/1.1 {} {}\r\nContent-Type: application/json\r\nContent-Length: {}\r\n",
         reply.status,
-        reason(reply.status),
+        reason_phrase(reply.status),
         reply.body.len()
     );
-    if let Some(s) = reply.retry_after_s {
-        let _ = write!(out, "Retry-After: {s}\r\n");
+    if let Some(seconds) = reply.retry_after_s {
+        let _ = write!(output, "Retry-After: {seconds}\r\n");
     }
     if close {
-        out.extend_from_slice(b"Connection: close\r\n");
+        output.extend_from_slice(b"Connection: close\r\n");
     }
-    out.extend_from_slice(b"\r\n");
-    out.extend_from_slice(&reply.body);
+    output.extend_from_slice(b"\r\n");
+    output.extend_from_slice(&reply.body);
 }
 
-/// Appends a request.
-pub fn write_request(out: &mut Vec<u8>, method: &str, path: &str, host: &str, body: &[u8]) {
-    use std::io::Write;
+/// Appends a request to an output buffer.
+pub fn write_request(output: &mut Vec<u8>, method: &str, path: &str, host: &str, body: &[u8]) {
     let _ = write!(
-        out,
+        output,
         "{method} {path} HTTP/1.1\r\nHost: {host}\r\nContent-Length: {}\r\n",
         body.len()
     );
     if !body.is_empty() {
-        out.extend_from_slice(b"Content-Type: application/json\r\n");
+        output.extend_from_slice(b"Content-Type: application/json\r\n");
     }
-    out.extend_from_slice(b"\r\n");
-    out.extend_from_slice(body);
+    output.extend_from_slice(b"\r\n");
+    output.extend_from_slice(body);
 }
--- a/tests/integration/http.rs
+++ b/tests/integration/http.rs
@@ -1,6 +1,8 @@
 //! The parser on split, oversized and broken input.
 
-use lilacfork::http::{parse_request, parse_response, HttpError, MAX_HEAD, MAX_REQUEST_BODY};
+use lilacfork::http::{
+    parse_request, parse_response, HttpError, Response, MAX_HEAD, MAX_REQUEST_BODY,
+};
 
 const REQUEST: &[u8] = b"POST /v2/runs HTTP/1.1\r\nHost: x\r\nContent-Length: 4\r\n\r\nbody";
 const CHUNKED: &[u8] =
@@ -57,7 +59,7 @@
         ),
         (
             b"GET / HTTP/1.1\r\nTransfer-Encoding: gzip\r\n\r\n",
-            HttpError::Coding,
+            HttpError::UnsupportedTransferCoding,
         ),
         (
             b"GET / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
@@ -117,11 +119,15 @@
     let text = b"HTTP/1.1 200 OK\r\n\r\n{}";
     assert!(parse_response(text, false).unwrap().is_none());
     let parsed = parse_response(text, true).unwrap().unwrap();
-    assert_eq!(parsed.message, (200, b"{}".to_vec()));
+    let response = Response {
+        status: 200,
+        body: b"{}".to_vec(),
+    };
+    assert_eq!(parsed.message, response);
     let empty = parse_response(
         b"HTTP/1.1 204 No Content\r\nConnection: close\r\n\r\n",
         false,
     );
     let empty = empty.unwrap().unwrap();
-    assert!(empty.close && empty.message.1.is_empty());
+    assert!(empty.close && empty.message.body.is_empty());
 }
