--- a/src/scheduler/provisioning/scaling.rs
+++ b/src/scheduler/provisioning/scaling.rs
@@ -266,7 +266,7 @@
             } else {
                 self.tuning.idle_boots * SOONER
             };
-            let patience = (self.boot_ms(&machine.offer) as f64 * boots) as u64;
+            let patience = (self.expected_boot_ms(&machine.offer) as f64 * boots) as u64;
             let unneeded = emptied || (!reserved && now.ms > since + patience);
             // The first minute is paid for in any case.
             if faulty || (unneeded && now.ms > machine.provisioned_ms + 60_000) {
--- a/src/scheduler/workers/failure_detection.rs
+++ b/src/scheduler/workers/failure_detection.rs
@@ -1,15 +1,17 @@
-//! Machines that are silent, late, unresponsive or about to be taken away: when they
-//! are given up, and when the silence is more likely a cut or this controller's own.
+//! Failure detection: which machines are declared failed and released, and when
+//! silence is more likely a network partition or a fault of this controller.
 
 use crate::cloud::CloudClient;
 use crate::fleet::{Machine, MachinePhase};
-use crate::ids::MachineId;
+use crate::ids::{MachineId, TaskRef};
 use crate::messages::Now;
+use crate::scheduler::workers::zone_silence::ZoneSilence;
 use crate::scheduler::Scheduler;
-use std::collections::{BTreeMap, HashMap};
+use std::collections::HashMap;
+use std::fmt;
 use std::rc::Rc;
 
-/// What is known of silences beside each machine's own.
+/// What failure detection keeps beside each machine's own heartbeats.
 #[derive(Debug, Default)]
 pub(in crate::scheduler) struct FailureDetection {
     /// When all machines were last checked.
@@ -17,9 +19,9 @@
     /// They should be checked before that is due again.
     pub(in crate::scheduler) check_requested: bool,
     /// When most machines of a zone were last silent.
-    zones_silent_ms: HashMap<Rc<str>, u64>,
-    /// When this process was last paused, hearing nobody.
-    process_paused_ms: u64,
+    pub(super) zones_silent_ms: HashMap<Rc<str>, u64>,
+    /// When this process was last paused and could receive nothing.
+    pub(super) process_paused_ms: u64,
     /// When the key-value store last failed to answer.
     pub(in crate::scheduler) store_failed_ms: Option<u64>,
 }
@@ -31,27 +33,46 @@
     }
 }
 
-/// When most machines of a zone are silent, they are waited for this many
-/// times as long.
-const CUT_PATIENCE: f64 = 2.5;
-/// A leader that hears none of its workers for so many report intervals is
-/// unreachable.
-const UNREACHABLE_REPORTS: f64 = 2.5;
 /// Share of `cancel_s` after which a machine that shares its zone's silence is
-/// returned over a cancelled task. Its lease ends before that by itself, or
-/// somebody who knows of the cancellation renews it and stops the task.
-const CUT_CANCEL_SHARE: f64 = 0.9;
+/// released over a cancelled task. Its lease ends before that by itself, or
+/// a controller that knows of the cancellation renews it and stops the task.
+const PARTITION_CANCEL_SHARE: f64 = 0.9;
 
-/// How silence is judged in a zone.
-struct ZoneSilence {
-    /// Most of its machines are silent.
-    silent: bool,
-    limit_ms: u64,
-    excused_ms: u64,
+/// Why a machine is declared failed.
+#[derive(Clone, Copy, PartialEq, Eq, Debug)]
+enum MachineFailure {
+    /// Neither the leader nor a follower has heard from its worker.
+    Silent,
+    /// Its worker sends heartbeats and doesn't start its tasks.
+    StartsIgnored,
+    /// It hasn't come up in several times the usual boot time.
+    BootOverdue,
+    /// A task of a cancelled job is still on it.
+    CancelledTaskNotStopped,
+}
+
+impl fmt::Display for MachineFailure {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            MachineFailure::Silent => "no heartbeats",
+            MachineFailure::StartsIgnored => "starts without effect",
+            MachineFailure::BootOverdue => "boot overdue",
+            MachineFailure::CancelledTaskNotStopped => "cancelled task not stopped",
+        })
+    }
+}
+
+/// The health of a machine that is up.
+#[derive(Clone, Copy, Default, PartialEq, Eq, Debug)]
+struct MachineHealth {
+    /// It has failed.
+    failure: Option<MachineFailure>,
+    /// The cloud is about to reclaim it, and it has tasks.
+    must_drain: bool,
 }
 
 impl Scheduler {
-    /// Looks after every machine and every stop that is due.
+    /// Checks every machine and every stop that is due.
     pub(in crate::scheduler) fn check_machines(&mut self, now: Now, cloud: &mut CloudClient) {
         self.fleet.forget_released(now.ms);
         self.finished_jobs.retain(|_, until| now.ms < *until);
@@ -60,66 +81,26 @@
         for id in &cancelled {
             self.enforce_cancel(now, id);
         }
-        let lease_ms = self.lease_ms();
-        let silent_ms = self.silent_limits(now);
-        let cancel_ms = self.settings.site.workers.cancel_s * 1000.0;
-        let mut give_up = self.late_boots(now);
-        let mut drain = Vec::new();
+        let zones = self.zone_silences(now);
+        let mut failed = self.overdue_boots(now);
+        let mut draining = Vec::new();
         for machine in self.fleet.iter() {
             if machine.phase != MachinePhase::Up {
                 continue;
             }
-            let Some(zone) = silent_ms.get(&machine.offer.zone) else {
+            let Some(zone) = zones.get(&machine.offer.zone) else {
                 continue;
             };
-            let heard_ms = machine
-                .last_heartbeat_ms
-                .max(machine.lease_proxied_ms)
-                .max(zone.excused_ms);
-            // In an outage followers can't tell whose leases they renew, and
-            // nothing could be placed anew in any case.
-            let blind = self
-                .failure_detection
-                .store_failed_ms
-                .is_some_and(|at| now.ms < at + lease_ms / 2);
-            if !blind && now.ms > heard_ms + zone.limit_ms {
-                give_up.push((machine.id.clone(), "silent"));
-            } else if machine
-                .unresponsive_since_ms
-                .is_some_and(|at| now.ms > at + lease_ms)
-            {
-                give_up.push((machine.id.clone(), "unresponsive"));
-            } else if machine.reclaim_at_ms.is_some() && !machine.tasks.is_empty() {
-                drain.push(machine.id.clone());
-            }
-            let share = if zone.silent && now.ms > machine.last_heartbeat_ms + lease_ms / 2 {
-                CUT_CANCEL_SHARE.max(self.tuning.cancel_share)
-            } else {
-                self.tuning.cancel_share
-            };
-            let overdue = machine.tasks.iter().any(|task| {
-                self.jobs.get(&task.job).is_some_and(|job| {
-                    job.cancelled.is_some()
-                        && job
-                            .assignments
-                            .get(&task.index)
-                            .and_then(|a| a.stop)
-                            .is_some_and(|s| now.ms as f64 > s.since_ms as f64 + cancel_ms * share)
-                })
-            });
-            // Who renews a lease for us stops cancelled tasks itself.
-            let looked_after = now.ms < machine.lease_proxied_ms + lease_ms;
-            if overdue && !looked_after {
-                give_up.push((machine.id.clone(), "doesn't stop a cancelled task"));
+            let health = self.assess_machine(now, machine, zone);
+            failed.extend(health.failure.map(|failure| (machine.id.clone(), failure)));
+            if health.must_drain {
+                draining.push(machine.id.clone());
             }
         }
-        for (id, why) in give_up {
-            if let Some(machine) = self.fleet.get_mut(&id) {
-                log::info!("machine {id} given up: {why}");
-                machine.phase = MachinePhase::Releasing;
-            }
+        for (id, failure) in failed {
+            self.declare_failed(&id, failure);
         }
-        for id in drain {
+        for id in draining {
             self.drain(now, &id);
         }
         for machine in self.fleet.iter() {
@@ -127,153 +108,143 @@
                 cloud.release(machine.id.clone());
             }
         }
-        self.close_silent(now);
+        self.refresh_silent_machines(now);
+    }
+
+    /// Assesses a machine that is up.
+    fn assess_machine(&self, now: Now, machine: &Machine, zone: &ZoneSilence) -> MachineHealth {
+        let unresponsive = machine
+            .unresponsive_since_ms
+            .is_some_and(|since_ms| now.ms > since_ms + self.lease_ms());
+        let lost = if self.is_silent(now, machine, zone) {
+            Some(MachineFailure::Silent)
+        } else {
+            unresponsive.then_some(MachineFailure::StartsIgnored)
+        };
+        let failure = lost.or_else(|| {
+            self.has_overdue_cancel(now, machine, zone)
+                .then_some(MachineFailure::CancelledTaskNotStopped)
+        });
+        let reclaimed = machine.reclaim_at_ms.is_some();
+        MachineHealth {
+            failure,
+            must_drain: lost.is_none() && reclaimed && !machine.tasks.is_empty(),
+        }
+    }
+
+    /// Whether neither the leader nor a follower has heard from the machine for
+    /// as long as its zone's limit.
+    fn is_silent(&self, now: Now, machine: &Machine, zone: &ZoneSilence) -> bool {
+        let heard_ms = machine
+            .last_heartbeat_ms
+            .max(machine.lease_proxied_ms)
+            .max(zone.excused_ms);
+        // While the store fails, followers can't record whose leases they renew,
+        // and nothing could be placed anew in any case.
+        let store_failed = self
+            .failure_detection
+            .store_failed_ms
+            .is_some_and(|failed_ms| now.ms < failed_ms + self.lease_ms() / 2);
+        !store_failed && now.ms > heard_ms + zone.limit_ms
+    }
+
+    /// Whether a task of a cancelled job has been on the machine for too long
+    /// after its stop.
+    fn has_overdue_cancel(&self, now: Now, machine: &Machine, zone: &ZoneSilence) -> bool {
+        let lease_ms = self.lease_ms();
+        // The follower that renews its lease stops cancelled tasks itself.
+        if now.ms < machine.lease_proxied_ms + lease_ms {
+            return false;
+        }
+        let shares_silence =
+            zone.mostly_silent && now.ms > machine.last_heartbeat_ms + lease_ms / 2;
+        let share = if shares_silence {
+            PARTITION_CANCEL_SHARE.max(self.tuning.cancel_share)
+        } else {
+            self.tuning.cancel_share
+        };
+        let limit_ms = self.settings.site.workers.cancel_s * 1000.0 * share;
+        machine.tasks.iter().any(|task| {
+            self.cancelled_since_ms(task)
+                .is_some_and(|since_ms| now.ms as f64 > since_ms as f64 + limit_ms)
+        })
+    }
+
+    /// Since when a task of a cancelled job is to be stopped.
+    fn cancelled_since_ms(&self, task: &TaskRef) -> Option<u64> {
+        let job = self.jobs.get(&task.job)?;
+        job.cancelled?;
+        let stop = job.assignments.get(&task.index)?.stop?;
+        Some(stop.since_ms)
+    }
+
+    /// The machine is released.
+    fn declare_failed(&mut self, id: &MachineId, failure: MachineFailure) {
+        if let Some(machine) = self.fleet.get_mut(id) {
+            log::info!("machine unresponsive machine={id} reason=\"{failure}\"");
+            machine.phase = MachinePhase::Releasing;
+        }
     }
 
-    /// Silence alone changes what a machine may get: the index of rooms has to be
-    /// told.
-    fn close_silent(&mut self, now: Now) {
+    /// Silence has no event of its own and yet changes what a machine may get:
+    /// silent machines are marked as changed for the capacity index.
+    fn refresh_silent_machines(&mut self, now: Now) {
         let fresh_ms = self.fresh_ms();
-        let silent = |m: &&Machine| m.is_schedulable() && !m.accepts_tasks(now.ms, fresh_ms);
         let silent: Vec<MachineId> = self
             .fleet
             .iter()
-            .filter(silent)
-            .map(|m| m.id.clone())
+            .filter(|machine| machine.is_schedulable())
+            .filter(|machine| !machine.accepts_tasks(now.ms, fresh_ms))
+            .map(|machine| machine.id.clone())
             .collect();
         for id in &silent {
             self.fleet.get_mut(id);
         }
     }
 
-    /// Machines that should have come up long ago; what that says of boots is
-    /// learned.
-    fn late_boots(&mut self, now: Now) -> Vec<(MachineId, &'static str)> {
-        // A new leader may know an old machine by the list alone: it has to
-        // have had time to report.
-        let listen_ms = self.silence_ms();
-        let late: Vec<MachineId> = self
+    /// Machines that should have come up long ago. What they say about boot
+    /// times goes into the online estimates.
+    fn overdue_boots(&mut self, now: Now) -> Vec<(MachineId, MachineFailure)> {
+        // A new leader may know an old machine from the cloud's list alone: the
+        // machine must have had time to send a heartbeat.
+        let listen_ms = self.silence_limit_ms();
+        let overdue: Vec<MachineId> = self
             .fleet
             .iter()
-            .filter(|m| {
-                m.phase == MachinePhase::Booting && now.ms > m.last_heartbeat_ms + listen_ms
+            .filter(|machine| {
+                machine.phase == MachinePhase::Booting
+                    && now.ms > machine.last_heartbeat_ms + listen_ms
             })
-            .filter(|m| {
-                let usual_ms = self.usual_boot_ms(&m.offer) as f64;
-                now.ms > m.provisioned_ms + (usual_ms * self.tuning.late_boots) as u64
+            .filter(|machine| {
+                let usual_ms = self.usual_boot_ms(&machine.offer) as f64;
+                let limit_ms = (usual_ms * self.tuning.late_boots) as u64;
+                now.ms > machine.provisioned_ms + limit_ms
             })
-            .map(|m| m.id.clone())
+            .map(|machine| machine.id.clone())
             .collect();
-        for id in &late {
-            let Some(machine) = self.fleet.get(id).filter(|m| m.provisioned_this_term) else {
-                continue;
-            };
-            let machine_type = machine.offer.machine_type.clone();
-            let rented_ms = machine.provisioned_ms;
-            let waited_s = (now.ms - rented_ms) as f64 / 1000.0;
-            let nominal_s = self.nominal_boot_s(&machine_type);
-            self.estimates
-                .gave_up_boot(&machine_type, nominal_s, rented_ms, waited_s);
+        for id in &overdue {
+            self.learn_overdue_boot(now, id);
         }
-        late.into_iter().map(|id| (id, "never came up")).collect()
+        overdue
+            .into_iter()
+            .map(|id| (id, MachineFailure::BootOverdue))
+            .collect()
     }
 
-    /// How long a machine may be silent by itself.
-    fn silence_ms(&self) -> u64 {
-        (self.lease_ms() as f64 * self.tuning.silent_leases) as u64
-    }
-
-    /// How long a zone's machines may be silent, and until when they were all
-    /// excused. When most of a zone are silent, the fault is more likely a cut
-    /// or ours, and returning them all would be the worst answer. After it
-    /// they come back one by one: those that are last must not be judged by
-    /// the silence that all of them kept.
-    fn silent_limits(&mut self, now: Now) -> BTreeMap<Rc<str>, ZoneSilence> {
-        let lease_ms = self.lease_ms();
-        let mut zones: BTreeMap<Rc<str>, (u32, u32)> = BTreeMap::new();
-        for machine in self.fleet.iter() {
-            if machine.phase == MachinePhase::Up {
-                let (all, silent) = zones.entry(machine.offer.zone.clone()).or_default();
-                *all += 1;
-                *silent += u32::from(now.ms > machine.last_heartbeat_ms + lease_ms / 2);
-            }
-        }
-        let limit_ms = self.silence_ms();
-        let cut_ms = (limit_ms as f64 * CUT_PATIENCE) as u64;
-        let still_ms = self.failure_detection.process_paused_ms;
-        let mut limits = BTreeMap::new();
-        for (zone, (all, silent)) in zones {
-            let silence = if silent * 2 > all && silent > 2 {
-                self.failure_detection
-                    .zones_silent_ms
-                    .insert(zone.clone(), now.ms);
-                ZoneSilence {
-                    silent: true,
-                    // A controller in there renews its workers' leases for as
-                    // long as it may, and what they run lives on.
-                    limit_ms: if self.settings.has_controller(&zone) {
-                        cut_ms.max(self.settings.max_task_survival_ms())
-                    } else {
-                        cut_ms
-                    },
-                    // Nor does silence count while followers can't store whose
-                    // leases they renew, or while this process stood still.
-                    excused_ms: self
-                        .failure_detection
-                        .store_failed_ms
-                        .unwrap_or(0)
-                        .max(still_ms),
-                }
-            } else {
-                ZoneSilence {
-                    silent: false,
-                    limit_ms,
-                    excused_ms: self
-                        .failure_detection
-                        .zones_silent_ms
-                        .get(&zone)
-                        .map_or(still_ms, |at| still_ms.max(*at)),
-                }
-            };
-            limits.insert(zone, silence);
-        }
-        limits
-    }
-
-    /// Nobody was heard for a while, and that was our own fault.
-    pub fn excuse_silence(&mut self, now: Now) {
-        self.failure_detection.process_paused_ms = now.ms;
-    }
-
-    /// Whether none of the workers is heard that report to this leader itself
-    /// (`to_us`, by zone). Those that are new to it may be on their way.
-    pub fn hears_no_worker(&self, now: Now, to_us: impl Fn(&str) -> bool) -> bool {
-        let patience_ms = (self.heartbeat_interval_ms() as f64 * UNREACHABLE_REPORTS) as u64;
-        // Nobody can be heard by a process that stands still.
-        let listening_since_ms = self
-            .elected_ms
-            .max(self.failure_detection.process_paused_ms);
-        if !self.active() || now.ms < listening_since_ms + patience_ms {
-            return false;
-        }
-        let mut ours = self
+    /// Takes an overdue boot into the estimates, if its beginning is known.
+    fn learn_overdue_boot(&mut self, now: Now, id: &MachineId) {
+        let Some(machine) = self
             .fleet
-            .iter()
-            .filter(|m| m.phase == MachinePhase::Up && to_us(&m.offer.zone))
-            .peekable();
-        ours.peek().is_some() && ours.all(|m| now.ms > m.last_heartbeat_ms + patience_ms)
-    }
-
-    /// Whether most of a zone's machines are heard, as far as it has any.
-    pub fn hears_zone(&self, now: Now, zone: &str) -> bool {
-        let heard_since_ms = now.ms.saturating_sub(self.lease_ms() / 2);
-        let (mut all, mut heard) = (0, 0);
-        for machine in self.fleet.iter() {
-            if machine.phase == MachinePhase::Up && &*machine.offer.zone == zone {
-                all += 1;
-                heard += usize::from(machine.last_heartbeat_ms >= heard_since_ms);
-            }
-        }
-        heard * 2 >= all
+            .get(id)
+            .filter(|machine| machine.provisioned_this_term)
+        else {
+            return;
+        };
+        let machine_type = machine.offer.machine_type.clone();
+        let provisioned_ms = machine.provisioned_ms;
+        let waited_s = (now.ms - provisioned_ms) as f64 / 1000.0;
+        let nominal_s = self.nominal_boot_s(&machine_type);
+        self.estimates
+            .gave_up_boot(&machine_type, nominal_s, provisioned_ms, waited_s);
     }
 }
--- a/src/scheduler/workers/lease_proxies.rs
+++ b/src/scheduler/workers/lease_proxies.rs
@@ -1,4 +1,5 @@
-//! What followers have stored of the machines whose leases they renew for the leader.
+//! Lease proxying: which workers' leases followers renew for the leader, as they
+//! have recorded it in the key-value store.
 
 use crate::fleet::MachinePhase;
 use crate::ids::MachineId;
@@ -8,6 +9,12 @@
 use crate::scheduler::{Scheduler, SchedulerEffects, SchedulerKvCall};
 use crate::wire::kv::KeyPage;
 
+/// A machine without a heartbeat for so many intervals makes the leader read the
+/// followers' records.
+const QUIET_HEARTBEATS: u64 = 3;
+/// One page holds the records of all followers.
+const PAGE_KEYS: u64 = 1000;
+
 /// The reading of followers' records while machines are silent.
 #[derive(Debug, Default)]
 pub(in crate::scheduler) struct LeaseProxyPoll {
@@ -23,19 +30,18 @@
 }
 
 impl Scheduler {
-    /// Asks for followers' word when machines are silent.
+    /// Reads the followers' records when machines are silent.
     pub(in crate::scheduler) fn ask_proxied(&mut self, now: Now, out: &mut SchedulerEffects) {
-        let quiet_ms = self.heartbeat_interval_ms() * 3;
-        let silent = self
-            .fleet
-            .iter()
-            .any(|m| m.phase == MachinePhase::Up && now.ms > m.last_heartbeat_ms + quiet_ms);
-        if !silent || self.lease_proxies.in_flight || now.ms < self.lease_proxies.due_ms {
+        let quiet_ms = self.heartbeat_interval_ms() * QUIET_HEARTBEATS;
+        let any_quiet = self.fleet.iter().any(|machine| {
+            machine.phase == MachinePhase::Up && now.ms > machine.last_heartbeat_ms + quiet_ms
+        });
+        if !any_quiet || self.lease_proxies.in_flight || now.ms < self.lease_proxies.due_ms {
             return;
         }
         self.lease_proxies.in_flight = true;
         self.lease_proxies.due_ms = now.ms + quiet_ms / 2;
-        let call = kv_client::list(LEASE_PROXY_PREFIX, None, 1000);
+        let call = kv_client::list(LEASE_PROXY_PREFIX, None, PAGE_KEYS);
         self.ask(
             now,
             CallPriority::Leadership,
@@ -46,31 +52,41 @@
         );
     }
 
-    pub(in crate::scheduler) fn on_proxied(&mut self, now: Now, answer: &KvResponse) {
+    /// Handles the page of the followers' records.
+    pub(in crate::scheduler) fn on_proxied(&mut self, now: Now, response: &KvResponse) {
         self.lease_proxies.in_flight = false;
-        let Some(items) = answer.read::<KeyPage>(200) else {
+        let Some(page) = response.read::<KeyPage>(200) else {
             return;
         };
-        for item in items.items {
-            let Ok(record) = serde_json::from_value::<LeaseProxyRecord>(item.value) else {
+        let records = page
+            .items
+            .into_iter()
+            .filter_map(|item| serde_json::from_value::<LeaseProxyRecord>(item.value).ok());
+        for record in records {
+            self.apply_lease_proxy_record(now, record);
+        }
+    }
+
+    /// Notes which leases a follower has renewed, and the agent epochs that it
+    /// has seen.
+    fn apply_lease_proxy_record(&mut self, now: Now, record: LeaseProxyRecord) {
+        // The controllers' clocks differ a little. A record that is older than
+        // a lease says nothing.
+        let age_ms = now.wall.saturating_sub(record.at);
+        if age_ms > self.lease_ms() {
+            return;
+        }
+        let renewed_ms = now.ms.saturating_sub(age_ms);
+        for (name, agent_epoch) in record.machines {
+            let id = MachineId::new(&name);
+            let Some(machine) = self.fleet.get_mut(&id) else {
                 continue;
             };
-            // Clocks differ a little; an old word says nothing.
-            let age_ms = now.wall.saturating_sub(record.at);
-            if age_ms > self.lease_ms() {
-                continue;
-            }
-            for (name, session) in record.machines {
-                let id = MachineId::new(&name);
-                let Some(machine) = self.fleet.get_mut(&id) else {
-                    continue;
-                };
-                machine.lease_proxied_ms =
-                    machine.lease_proxied_ms.max(now.ms.saturating_sub(age_ms));
-                // A later session is proof, whoever saw the report.
-                if session > machine.agent_epoch {
-                    self.session_over(now, &id, session);
-                }
+            machine.lease_proxied_ms = machine.lease_proxied_ms.max(renewed_ms);
+            // A later epoch is proof that the earlier one is over, whichever
+            // controller got the heartbeat.
+            if agent_epoch > machine.agent_epoch {
+                self.expire_earlier_epochs(now, &id, agent_epoch);
             }
         }
     }
--- a/src/scheduler/workers/mod.rs
+++ b/src/scheduler/workers/mod.rs
@@ -1,7 +1,14 @@
-//! The workers as the leader sees them: heartbeats, commands, failures.
+//! The workers as the leader sees them: heartbeats, reconciliation, commands and
+//! failure detection.
 
-pub(super) mod direct_commands;
 pub(super) mod failure_detection;
-pub(super) mod heartbeats;
 pub(super) mod lease_proxies;
-pub(super) mod machines;
+
+mod commands;
+mod direct_commands;
+mod failure_attribution;
+mod heartbeats;
+mod machines;
+mod reconciliation;
+mod task_exits;
+mod zone_silence;
