--- /dev/null
+++ b/src/cancellations/actor.rs
@@ -0,0 +1,269 @@
+//! The actor that owns the set of cancelled jobs and the watermark.
+
+use super::confirmation_log::ConfirmationLog;
+use super::known_cancellations::{CancellationSource, KnownCancellations};
+use super::peer_logs::PeerLogs;
+use super::record_reader::{
+    CancellationsKvCall, CompletedRead, RecordChange, RecordReader, RecordStatus, RecordUpdate,
+};
+use crate::ids::JobId;
+use crate::kv_client::{KvCall, KvResponse};
+use crate::messages::Now;
+use crate::settings::Settings;
+use crate::wire::peers::{ConfirmationCursor, ConfirmedCancellations};
+use crate::wire::workers::{Command, TaskPhase, WorkerHeartbeat};
+
+/// Times from the settings.
+#[derive(Clone, Copy, Debug)]
+pub struct CancellationBounds {
+    /// The workers' heartbeat interval.
+    pub heartbeat_interval_ms: u64,
+    /// The time within which a cancelled job's tasks are gone.
+    pub cancel_ms: u64,
+    /// For how long after the watermark leases may still be renewed.
+    pub max_lag_ms: u64,
+}
+
+impl CancellationBounds {
+    /// The bounds that follow from the settings.
+    pub fn new(settings: &Settings) -> CancellationBounds {
+        let workers = &settings.site.workers;
+        CancellationBounds {
+            heartbeat_interval_ms: (workers.heartbeat_s * 1000.0) as u64,
+            cancel_ms: (workers.cancel_s * 1000.0) as u64,
+            max_lag_ms: settings.max_cancellation_lag_ms(),
+        }
+    }
+}
+
+/// What a controller knows of cancellations, and up to when it knows all of them.
+pub struct Cancellations {
+    max_lag_ms: u64,
+    known: KnownCancellations,
+    records: RecordReader,
+    /// The cancellations that this process has confirmed.
+    log: ConfirmationLog,
+    peer_logs: PeerLogs,
+    watermark_ms: Option<u64>,
+}
+
+impl Cancellations {
+    /// Knows nothing yet; `peers` in the order in which they are numbered.
+    pub fn new<'a>(
+        node: &str,
+        incarnation: u64,
+        bounds: CancellationBounds,
+        peers: impl Iterator<Item = &'a str>,
+    ) -> Self {
+        Cancellations {
+            max_lag_ms: bounds.max_lag_ms,
+            known: KnownCancellations::new(bounds.cancel_ms),
+            records: RecordReader::new(bounds.heartbeat_interval_ms),
+            log: ConfirmationLog::new(node, incarnation),
+            peer_logs: PeerLogs::new(peers),
+            watermark_ms: None,
+        }
+    }
+
+    /// Whether the next poll will show the state of every job.
+    pub fn is_caught_up(&self) -> bool {
+        self.records.is_caught_up()
+    }
+
+    /// A request waits for the next poll.
+    pub fn request_poll(&mut self) {
+        self.records.request_poll();
+    }
+
+    /// The status of a job by the latest read or what was learned since.
+    pub fn record_status(&self, id: &JobId) -> RecordStatus {
+        if !self.records.is_unfinished(id) {
+            RecordStatus::None
+        } else if self.known.is_stored(id) {
+            RecordStatus::Cancelled
+        } else {
+            RecordStatus::Unfinished
+        }
+    }
+
+    /// The dependencies of an unfinished job, by its record.
+    pub fn dependencies(&self, id: &JobId) -> &[JobId] {
+        self.records.dependencies(id)
+    }
+
+    /// When the last complete read was requested.
+    pub fn read_ms(&self) -> Option<u64> {
+        self.records.read_ms()
+    }
+
+    /// Up to when every confirmed cancellation is known here.
+    pub fn watermark_ms(&self) -> Option<u64> {
+        self.watermark_ms
+    }
+
+    /// Whether leases may be renewed here. Any cancellation that is unknown here was
+    /// confirmed after the watermark, and a lease renewed at the end of the bound ends
+    /// within `cancel_s` of that.
+    pub fn may_renew(&self, now: Now) -> bool {
+        self.watermark_ms
+            .is_some_and(|watermark_ms| now.ms <= watermark_ms + self.max_lag_ms)
+    }
+
+    /// Whether the job is known to be cancelled.
+    pub fn contains(&self, id: &JobId) -> bool {
+        self.known.contains(id)
+    }
+
+    /// A user is about to be told here that this job is cancelled.
+    pub fn confirm(&mut self, now: Now, id: &JobId) {
+        self.known.insert(now, id, CancellationSource::Confirmation);
+        self.log.push(id.clone());
+    }
+
+    /// Stop commands for the tasks of cancelled jobs that a worker still has. They do no
+    /// harm, whichever controller sends them.
+    pub fn stops(&self, heartbeat: &WorkerHeartbeat) -> Vec<Command> {
+        if self.known.is_empty() {
+            return Vec::new();
+        }
+        heartbeat
+            .tasks
+            .iter()
+            .filter(|status| status.phase != TaskPhase::Ended)
+            .filter_map(|status| Some((status.task.as_ref()?, status.attempt)))
+            .filter(|(task, _)| self.contains(&task.job))
+            .map(|(task, attempt)| Command::Stop {
+                task: task.to_string(),
+                attempt,
+                grace_s: 0,
+            })
+            .collect()
+    }
+
+    // ---- the key-value store ----
+
+    /// Reads what is new in the key-value store when that is due. Returns when it wants
+    /// to be called again.
+    pub fn tick(&mut self, now: Now, calls: &mut Vec<KvCall<CancellationsKvCall>>) -> u64 {
+        if self.peer_logs.is_empty() {
+            // Every cancellation is confirmed here.
+            self.advance_watermark(now.ms);
+        }
+        self.known.purge(now);
+        self.records.tick(now, calls)
+    }
+
+    /// A response of the key-value store. Returns jobs that were not known to be
+    /// cancelled.
+    pub fn answered(
+        &mut self,
+        now: Now,
+        call: CancellationsKvCall,
+        response: &KvResponse,
+        calls: &mut Vec<KvCall<CancellationsKvCall>>,
+    ) -> Vec<JobId> {
+        let Some(CompletedRead {
+            requested_ms,
+            update,
+        }) = self.records.on_response(now, call, response, calls)
+        else {
+            return Vec::new();
+        };
+        let learned = self.apply_update(now, update);
+        self.advance_watermark(requested_ms);
+        learned
+    }
+
+    fn apply_update(&mut self, now: Now, update: RecordUpdate) -> Vec<JobId> {
+        match update {
+            RecordUpdate::List(cancelled) => {
+                self.known.retain_stored(&cancelled);
+                cancelled
+                    .into_iter()
+                    .filter(|id| self.known.insert(now, id, CancellationSource::Record))
+                    .collect()
+            }
+            RecordUpdate::Changes(changes) => changes
+                .into_iter()
+                .filter_map(|change| self.apply_change(now, change))
+                .collect(),
+        }
+    }
+
+    fn apply_change(&mut self, now: Now, change: RecordChange) -> Option<JobId> {
+        match change {
+            RecordChange::Removed(id) => {
+                self.known.remove(&id);
+                None
+            }
+            RecordChange::Cancelled(id) => self
+                .known
+                .insert(now, &id, CancellationSource::Record)
+                .then_some(id),
+        }
+    }
+
+    // ---- peers ----
+
+    /// The position that peer number `index` is asked to continue from.
+    pub fn cursor(&self, index: usize) -> Option<ConfirmationCursor> {
+        self.peer_logs.cursor(index)
+    }
+
+    /// The response to such a request.
+    pub fn confirmations(&self, cursor: &ConfirmationCursor) -> ConfirmedCancellations {
+        self.log.after(cursor)
+    }
+
+    /// A peer has said how far it knows this controller's log.
+    pub fn acknowledged(&mut self, index: usize, cursor: ConfirmationCursor) {
+        self.peer_logs.set_acknowledged(index, cursor);
+    }
+
+    /// The confirmations that peer number `index` hasn't acknowledged yet.
+    pub fn unacknowledged(&self, index: usize) -> Option<ConfirmedCancellations> {
+        let acknowledged = self.peer_logs.acknowledged(index)?;
+        let message = self.confirmations(acknowledged);
+        (!message.jobs.is_empty()).then_some(message)
+    }
+
+    /// A peer's confirmations: the response to a request sent at `requested_ms`, or a
+    /// message that wasn't requested. Returns jobs that were not known to be cancelled.
+    pub fn receive_confirmations(
+        &mut self,
+        now: Now,
+        index: usize,
+        requested_ms: Option<u64>,
+        message: &ConfirmedCancellations,
+    ) -> Vec<JobId> {
+        let Some(peer_log) = self.peer_logs.get_mut(index) else {
+            return Vec::new();
+        };
+        let Some(last) = peer_log.last_entry(message) else {
+            log::warn!("malformed confirmations dropped node={}", peer_log.name());
+            return Vec::new();
+        };
+        peer_log.advance(now, requested_ms, message, last);
+        if let Some(attested_ms) = self
+            .records
+            .read_ms()
+            .and_then(|read_ms| self.peer_logs.attested_ms(read_ms))
+        {
+            self.advance_watermark(attested_ms);
+        }
+        message
+            .jobs
+            .iter()
+            .map(|job| JobId::new(job))
+            .filter(|id| self.known.insert(now, id, CancellationSource::Confirmation))
+            .collect()
+    }
+
+    /// Before the first complete read there is no watermark: peers don't know what was
+    /// confirmed before their processes started.
+    fn advance_watermark(&mut self, to_ms: u64) {
+        if self.records.read_ms().is_some() {
+            self.watermark_ms = self.watermark_ms.max(Some(to_ms));
+        }
+    }
+}
--- a/tests/integration/cancellations.rs
+++ b/tests/integration/cancellations.rs
@@ -240,9 +240,9 @@
 
     fn node(name: &str, incarnation: u64) -> Cancellations {
         let bounds = CancellationBounds {
-            report_ms: 1000,
+            heartbeat_interval_ms: 1000,
             cancel_ms: 30_000,
-            uninformed_ms: 18_500,
+            max_lag_ms: 18_500,
         };
         let peers = ["n-0", "n-1", "n-2"].into_iter().filter(|p| *p != name);
         Cancellations::new(name, incarnation, bounds, peers)
