--- a/dependencies/src/graph.rs
+++ b/dependencies/src/graph.rs
@@ -50,16 +50,16 @@
     }
 
     /// The job is done, and stored as such. Returns the jobs that need nothing more.
-    pub fn done(&mut self, job: &JobId) -> Vec<JobId> {
+    pub fn mark_done(&mut self, job: &JobId) -> Vec<JobId> {
         let dependents = self.dependents.remove(job).unwrap_or_default();
         dependents
             .into_iter()
-            .filter(|dependent| self.met(dependent, job))
+            .filter(|dependent| self.remove_open_dependency(dependent, job))
             .collect()
     }
 
     /// Notes that a need is met. `true`: it was the job's last.
-    fn met(&mut self, dependent: &JobId, need: &JobId) -> bool {
+    fn remove_open_dependency(&mut self, dependent: &JobId, need: &JobId) -> bool {
         let Some(open) = self.open.get_mut(dependent) else {
             return false;
         };
@@ -84,7 +84,7 @@
     }
 
     /// All jobs that need this one, directly or through others, each once.
-    pub fn all_dependents(&self, job: &JobId) -> Vec<JobId> {
+    pub fn transitive_dependents(&self, job: &JobId) -> Vec<JobId> {
         let mut seen: HashSet<&JobId> = HashSet::new();
         let mut found: Vec<JobId> = Vec::new();
         let mut layer: Vec<&JobId> = self.dependents_of(job).collect();
--- a/dependencies/src/validation.rs
+++ b/dependencies/src/validation.rs
@@ -9,10 +9,10 @@
 pub enum DependencyError {
     /// A job can't wait for itself.
     #[error("a job can't need itself")]
-    Itself,
+    SelfDependency,
     /// A job is named twice.
     #[error("{0} is named twice")]
-    Twice(JobId),
+    Duplicate(JobId),
 }
 
 /// Checks the names that a submission needs. That each is the name of a job that was
@@ -22,10 +22,10 @@
     let mut seen = HashSet::new();
     for need in needs {
         if need == own {
-            return Err(DependencyError::Itself);
+            return Err(DependencyError::SelfDependency);
         }
         if !seen.insert(need) {
-            return Err(DependencyError::Twice(need.clone()));
+            return Err(DependencyError::Duplicate(need.clone()));
         }
     }
     Ok(())
--- a/dependencies/tests/dependencies.rs
+++ b/dependencies/tests/dependencies.rs
@@ -19,10 +19,10 @@
     assert_eq!(validate(&id(0), &[id(1), id(2)]), Ok(()));
     assert_eq!(
         validate(&id(0), &[id(1), id(0)]),
-        Err(DependencyError::Itself)
+        Err(DependencyError::SelfDependency)
     );
     let twice = validate(&id(0), &[id(1), id(2), id(1)]);
-    assert_eq!(twice, Err(DependencyError::Twice(id(1))));
+    assert_eq!(twice, Err(DependencyError::Duplicate(id(1))));
 }
 
 /// What is known of a job in a drawn pipeline.
@@ -140,7 +140,7 @@
                             ready.insert(dependent.clone());
                         }
                     }
-                    let told: BTreeSet<JobId> = graph.done(&job).into_iter().collect();
+                    let told: BTreeSet<JobId> = graph.mark_done(&job).into_iter().collect();
                     prop_assert_eq!(told, ready);
                 }
                 _ => {
@@ -164,7 +164,7 @@
                 }) {
                     all.insert(next.0.clone());
                 }
-                let told = graph.all_dependents(&job);
+                let told = graph.transitive_dependents(&job);
                 prop_assert_eq!(told.len(), all.len(), "each once");
                 prop_assert_eq!(told.into_iter().collect::<BTreeSet<_>>(), all);
             }
--- a/src/records/estimates.rs
+++ b/src/records/estimates.rs
@@ -6,7 +6,7 @@
 pub const ESTIMATES_KEY: &str = "learned";
 
 /// How far from where it began a stored value may lie, as a factor.
-const MOST_FACTOR: f64 = 100.0;
+const MAX_FACTOR: f64 = 100.0;
 
 /// One learned value, by the name of its machine type or class.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
@@ -28,7 +28,7 @@
         let factor = self.value / self.start;
         self.start > 0.0
             && self.start.is_finite()
-            && (1.0 / MOST_FACTOR..=MOST_FACTOR).contains(&factor)
+            && (1.0 / MAX_FACTOR..=MAX_FACTOR).contains(&factor)
     }
 }
 
--- a/src/records/placements.rs
+++ b/src/records/placements.rs
@@ -16,7 +16,7 @@
 const TARGET_BYTES: usize = 60;
 /// A record that is cut keeps this share of the limit free: attempts, sessions and
 /// names of machines get longer.
-const SPARE_SHARE: f64 = 0.25;
+const HEADROOM_SHARE: f64 = 0.25;
 
 /// Tasks per stored record, so that a full one stays under `value_kb`.
 pub fn tasks_per_record(value_kb: f64) -> u32 {
@@ -24,7 +24,7 @@
 }
 
 /// What the record of so many tasks may take when all of them are assigned.
-pub fn record_bytes_at_most(tasks: u32) -> usize {
+pub fn max_record_bytes(tasks: u32) -> usize {
     HEAD_BYTES + ROW_BYTES * tasks as usize
 }
 
@@ -121,7 +121,7 @@
     /// How many tasks each record of the job's cut into equal ranges has. Versions
     /// before 0.2 work it out from their settings and leave it out.
     #[serde(rename = "z", default, skip_serializing_if = "is_zero")]
-    pub uniform: u32,
+    pub tasks_per_range: u32,
     /// Done tasks as ranges: `0-4,7`.
     #[serde(rename = "d", default, skip_serializing_if = "String::is_empty")]
     pub done: String,
@@ -142,7 +142,7 @@
 
 impl PlacementRecord {
     /// What it takes at the most when stored.
-    pub fn most_bytes(&self) -> usize {
+    pub fn max_bytes(&self) -> usize {
         let targets = self.groups.iter().flat_map(|g| &g.intent);
         let targets: usize = targets.map(|i| i.targets.len()).sum();
         let groups = self.groups.len() + targets;
@@ -151,7 +151,7 @@
 
     /// Whether it is stored in at most so many bytes.
     pub fn fits(&self, value_bytes: usize) -> bool {
-        self.most_bytes() <= value_bytes || self.bytes() <= value_bytes
+        self.max_bytes() <= value_bytes || self.bytes() <= value_bytes
     }
 
     /// What it takes when stored.
@@ -164,13 +164,13 @@
     pub fn tasks_that_fit(&self, value_bytes: usize) -> u32 {
         let rows = self.assigned.len().max(1);
         let per_row = self.bytes().div_ceil(rows).max(1);
-        let room = (value_bytes as f64 * (1.0 - SPARE_SHARE)) as usize;
+        let room = (value_bytes as f64 * (1.0 - HEADROOM_SHARE)) as usize;
         (room.saturating_sub(HEAD_BYTES) / per_row) as u32
     }
 }
 
 /// Task numbers, in order, as ranges: `0-4,7`.
-pub fn write_ranges(tasks: impl Iterator<Item = u32>) -> String {
+pub fn format_task_ranges(tasks: impl Iterator<Item = u32>) -> String {
     let mut text = String::new();
     let mut run: Option<(u32, u32)> = None;
     let mut put = |run: (u32, u32)| {
@@ -200,7 +200,7 @@
 }
 
 /// The inverse; `None` for anything that `write_ranges` wouldn't write.
-pub fn read_ranges(text: &str, limit: u32) -> Option<Vec<u32>> {
+pub fn parse_task_ranges(text: &str, limit: u32) -> Option<Vec<u32>> {
     let mut tasks = Vec::new();
     if text.is_empty() {
         return Some(tasks);
--- a/src/scheduler/dependencies/mod.rs
+++ b/src/scheduler/dependencies/mod.rs
@@ -21,7 +21,7 @@
     pub(in crate::scheduler) graph: DependencyGraph,
     /// Needed jobs that it doesn't hold: how they ended has to be read, and when
     /// that is to be asked next.
-    unread: BTreeMap<JobId, u64>,
+    unresolved: BTreeMap<JobId, u64>,
 }
 
 impl Dependencies {
@@ -32,7 +32,7 @@
 
 impl Scheduler {
     /// A job was learned of; if it needs others it waits for them.
-    pub(in crate::scheduler) fn await_needs(&mut self, now: Now, id: &JobId) {
+    pub(in crate::scheduler) fn add_dependencies(&mut self, now: Now, id: &JobId) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
@@ -42,29 +42,29 @@
         }
         job.dependencies_open = true;
         self.dependencies.graph.add(id, &spec.dependencies);
-        self.inherit(spec.dependencies.clone());
+        self.propagate_urgency(spec.dependencies.clone());
         // While the records are still being read, nobody can tell what isn't there.
         if self.stage == LeaderStage::Active {
-            self.look_for_needs(now, id);
+            self.resolve_dependencies(now, id);
         }
     }
 
     /// What the job needs is held here, or has to be read.
-    fn look_for_needs(&mut self, now: Now, id: &JobId) {
+    fn resolve_dependencies(&mut self, now: Now, id: &JobId) {
         let mut cancelled = false;
         for need in self.dependencies.graph.open_dependencies_of(id) {
             match self.jobs.get(need) {
                 Some(job) => cancelled |= job.cancelled.is_some(),
                 None => {
                     self.dependencies
-                        .unread
+                        .unresolved
                         .entry(need.clone())
                         .or_insert(now.ms);
                 }
             }
         }
         if cancelled {
-            self.cancel_with_need(now, id);
+            self.cancel_dependent(now, id);
             self.cancel_dependents(now, id);
         }
     }
@@ -72,7 +72,7 @@
     /// All records are read: what started under an earlier leader has what it needs,
     /// what is cancelled takes its dependents along, and of other needs it is read
     /// how they ended.
-    pub(in crate::scheduler) fn needs_after_loading(&mut self, now: Now) {
+    pub(in crate::scheduler) fn resolve_loaded_dependencies(&mut self, now: Now) {
         let all = self.jobs.iter();
         let waiting = all.filter(|(id, _)| self.dependencies.graph.is_blocked(id));
         let waiting: Vec<JobId> = waiting.map(|(id, _)| id.clone()).collect();
@@ -82,22 +82,22 @@
                 job.is_some_and(|job| job.placements.iter().any(|shard| shard.revision > 0))
             };
             if started(id) {
-                self.needs_met(now, id);
+                self.on_dependencies_met(now, id);
             }
         }
         for id in &waiting {
-            self.look_for_needs(now, id);
+            self.resolve_dependencies(now, id);
             let needs = self
                 .dependencies
                 .graph
                 .open_dependencies_of(id)
                 .cloned()
                 .collect();
-            self.inherit(needs);
+            self.propagate_urgency(needs);
         }
     }
 
-    fn needs_met(&mut self, now: Now, id: &JobId) {
+    fn on_dependencies_met(&mut self, now: Now, id: &JobId) {
         self.dependencies.graph.remove_dependencies(id);
         if let Some(job) = self.jobs.get_mut(id) {
             job.dependencies_open = false;
@@ -111,14 +111,14 @@
     }
 
     /// A job that others need is over, and that is stored.
-    pub(in crate::scheduler) fn need_over(
+    pub(in crate::scheduler) fn on_dependency_finished(
         &mut self,
         now: Now,
         need: &JobId,
         state: FinalState,
         ended: u64,
     ) {
-        self.dependencies.unread.remove(need);
+        self.dependencies.unresolved.remove(need);
         match state {
             FinalState::Cancelled => self.cancel_dependents(now, need),
             FinalState::Done => {
@@ -133,8 +133,8 @@
                         job.ready = job.ready.max(ended);
                     }
                 }
-                for id in self.dependencies.graph.done(need) {
-                    self.needs_met(now, &id);
+                for id in self.dependencies.graph.mark_done(need) {
+                    self.on_dependencies_met(now, &id);
                 }
             }
         }
@@ -142,12 +142,12 @@
 
     /// A job is cancelled, and so are all that need it.
     pub(in crate::scheduler) fn cancel_dependents(&mut self, now: Now, id: &JobId) {
-        for dependent in self.dependencies.graph.all_dependents(id) {
-            self.cancel_with_need(now, &dependent);
+        for dependent in self.dependencies.graph.transitive_dependents(id) {
+            self.cancel_dependent(now, &dependent);
         }
     }
 
-    fn cancel_with_need(&mut self, now: Now, id: &JobId) {
+    fn cancel_dependent(&mut self, now: Now, id: &JobId) {
         let Some(job) = self.jobs.get_mut(id).filter(|j| j.cancelled.is_none()) else {
             return;
         };
@@ -162,7 +162,12 @@
 
     /// A job is over, and that is stored: it needs nothing any more, and what needs it
     /// goes on or is cancelled.
-    pub(in crate::scheduler) fn stage_over(&mut self, now: Now, id: &JobId, state: FinalState) {
+    pub(in crate::scheduler) fn on_job_finished(
+        &mut self,
+        now: Now,
+        id: &JobId,
+        state: FinalState,
+    ) {
         let graph = &self.dependencies.graph;
         let in_pipeline = graph.is_blocked(id) || graph.has_dependents(id);
         let needs: Vec<JobId> = graph.open_dependencies_of(id).cloned().collect();
@@ -173,14 +178,18 @@
                 .stage_took(&job.spec, took_ms as f64 / 1000.0);
         }
         self.dependencies.graph.remove_dependencies(id);
-        self.inherit(needs);
-        self.need_over(now, id, state, now.wall);
+        self.propagate_urgency(needs);
+        self.on_dependency_finished(now, id, state, now.wall);
     }
 
     /// Reads how needed jobs ended that aren't held here.
-    pub(in crate::scheduler) fn read_needs(&mut self, now: Now, out: &mut SchedulerEffects) {
+    pub(in crate::scheduler) fn read_unresolved_dependencies(
+        &mut self,
+        now: Now,
+        out: &mut SchedulerEffects,
+    ) {
         let mut due = Vec::new();
-        for (need, due_ms) in &mut self.dependencies.unread {
+        for (need, due_ms) in &mut self.dependencies.unresolved {
             if now.ms >= *due_ms {
                 // An answer comes before that, whatever it says.
                 *due_ms = now.ms + CALL_TIMEOUT_MS * 2;
@@ -189,23 +198,28 @@
         }
         for need in due {
             let call = kv_client::get(&final_key(&need), CALL_TIMEOUT_MS);
-            let tag = SchedulerKvCall::ReadNeed(need);
+            let tag = SchedulerKvCall::ReadDependency(need);
             self.ask(now, CallPriority::Placement, call, 0, tag, out);
         }
     }
 
-    pub(in crate::scheduler) fn on_need(&mut self, now: Now, need: &JobId, answer: &KvResponse) {
-        let Some(due_ms) = self.dependencies.unread.get_mut(need) else {
+    pub(in crate::scheduler) fn on_dependency_response(
+        &mut self,
+        now: Now,
+        need: &JobId,
+        answer: &KvResponse,
+    ) {
+        let Some(due_ms) = self.dependencies.unresolved.get_mut(need) else {
             return;
         };
         *due_ms = now.ms + RETRY_MS;
         let item = answer.read::<KeyValue>(200);
         let record = item.and_then(|item| serde_json::from_value::<FinalRecord>(item.value).ok());
         match record {
-            Some(record) => self.need_over(now, need, record.state, record.ended),
+            Some(record) => self.on_dependency_finished(now, need, record.state, record.ended),
             // Its own record has come meanwhile, or comes with the next changes.
             None if self.jobs.contains(need) => {
-                self.dependencies.unread.remove(need);
+                self.dependencies.unresolved.remove(need);
             }
             None => {}
         }
--- a/src/scheduler/dependencies/propagation.rs
+++ b/src/scheduler/dependencies/propagation.rs
@@ -10,7 +10,7 @@
 
 impl Scheduler {
     /// How urgent a job makes those that it needs.
-    fn urgency_before(&self, id: &JobId) -> Option<StageUrgency<Priority>> {
+    fn urgency_for_dependencies(&self, id: &JobId) -> Option<StageUrgency<Priority>> {
         let job = self.jobs.get(id).filter(|job| job.cancelled.is_none())?;
         let times = self.settings.deadline_multiples(&job.spec.class);
         let deadline_ms = job.spec.deadline_s.map(|s| s * 1000.0);
@@ -31,10 +31,11 @@
 
     /// What needs these jobs has changed: works out anew how urgent they are, and
     /// those that they need in turn.
-    pub(in crate::scheduler) fn inherit(&mut self, mut changed: Vec<JobId>) {
+    pub(in crate::scheduler) fn propagate_urgency(&mut self, mut changed: Vec<JobId>) {
         while let Some(id) = changed.pop() {
             let dependents = self.dependencies.graph.dependents_of(&id);
-            let urgencies = dependents.filter_map(|dependent| self.urgency_before(dependent));
+            let urgencies =
+                dependents.filter_map(|dependent| self.urgency_for_dependencies(dependent));
             let inherited = urgencies.reduce(StageUrgency::merge);
             self.pacing.examined += 1;
             if self
@@ -42,20 +43,20 @@
                 .get(&id)
                 .is_some_and(|job| job.inherited != inherited)
             {
-                self.set_inherited(&id, inherited);
+                self.set_inherited_urgency(&id, inherited);
                 changed.extend(self.dependencies.graph.open_dependencies_of(&id).cloned());
             }
         }
     }
 
-    fn set_inherited(&mut self, id: &JobId, inherited: Option<StageUrgency<Priority>>) {
+    fn set_inherited_urgency(&mut self, id: &JobId, inherited: Option<StageUrgency<Priority>>) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
         job.inherited = inherited;
         if job.inherited.is_none() {
             let own = job.own_priority;
-            self.serve_by(id, own);
+            self.set_effective_priority(id, own);
         }
     }
 
@@ -74,11 +75,11 @@
         let pressed = urgency.deadlines.first().is_some_and(|date| *date < latest);
         if pressed && urgency.priority < job.spec.priority {
             let priority = urgency.priority;
-            self.serve_by(id, priority);
+            self.set_effective_priority(id, priority);
         }
     }
 
-    fn serve_by(&mut self, id: &JobId, priority: Priority) {
+    fn set_effective_priority(&mut self, id: &JobId, priority: Priority) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -1,29 +1,42 @@
-//! The leader's loop: it joins stored jobs, the fleet's reports, the policy
-//! and the cloud. A plain struct: messages and time in, messages out.
+//! The leader's scheduler: it joins stored jobs, the fleet's heartbeats, the policy
+//! and the cloud. A plain struct without I/O: messages and time in, messages out.
+//!
+//! - [`tick`]: the loop, with what is due in which order.
+//! - [`effects`]: what the scheduler asks its node to do.
+//! - [`statistics`]: counters of its work.
+//! - [`state`]: the jobs, how they are loaded, watched and stored.
+//! - [`dependencies`]: jobs that depend on others.
+//! - [`rounds`]: scheduling rounds: the queue, the search, the placement of tasks.
+//! - [`displacement`]: preemption, migration and compaction.
+//! - [`replica_groups`]: replicas that span machines.
+//! - [`provisioning`]: scale out and scale in, with online estimates.
+//! - [`workers`]: heartbeats, commands, failure detection.
 
 mod dependencies;
 mod displacement;
+mod effects;
 mod provisioning;
 mod replica_groups;
 mod rounds;
 mod state;
+mod statistics;
+mod tick;
 mod workers;
 
+pub use effects::{SchedulerEffects, SchedulerKvCall, StepDownReason, WorkerCommandCall};
 pub use state::job::{Job, StoredPlacement};
 pub use state::placement_ranges::PlacementRanges;
+pub use statistics::{ActivityCounters, RoundStats};
 
 use crate::capacity_index::CapacityIndex;
-use crate::cloud::CloudClient;
 use crate::fleet::Fleet;
 use crate::ids::{JobId, MachineId, Revision, Term};
-use crate::kv_client::{self, CallPriority, KvCall, KvResponse, WriteBudget};
-use crate::limits::{EffectiveLimits, RequestSize, StoreLimits};
-use crate::messages::TaskProgress;
-use crate::messages::{Call, ConnectionId, Now, Reply};
+use crate::kv_client::{self, CallPriority, KvCall, KvResponse};
+use crate::limits::{EffectiveLimits, StoreLimits};
+use crate::messages::{Call, Now};
 use crate::records::placements::tasks_per_record;
 use crate::settings::Settings;
 use crate::tuning::Tuning;
-use crate::usage::Purpose;
 use crate::wire::cloud::Catalog;
 use crate::wire::kv::Txn;
 use dependencies::Dependencies;
@@ -35,190 +48,75 @@
 use rounds::demand_forecast::ForecastDemand;
 use rounds::pacing::RoundPacing;
 use rounds::round::Round;
+use state::assignment::{Assignment, StopRequest};
 use state::cleanup::RecordCleanup;
 use state::commit::CommitState;
-use state::job::{Assignment, StopRequest};
 use state::job_table::JobTable;
 use state::job_watch::JobWatch;
 use state::loading::Loading;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
-use std::fmt;
 use std::rc::Rc;
+use tick::EXAMINE_MS;
 use workers::failure_detection::FailureDetection;
 use workers::lease_proxies::LeaseProxyPoll;
 
-/// Which question an answer of the state service belongs to.
-#[derive(Clone, PartialEq, Debug)]
-pub enum SchedulerKvCall {
-    /// A page of the job records.
-    ListJobs,
-    /// A page of the placement records.
-    ListPlacements,
-    /// Changes of the job records.
-    Watch,
-    /// The transaction in flight.
-    Commit,
-    /// Whether the transaction in flight was carried out.
-    CheckCommit,
-    /// This job's record.
-    ReadJob(JobId),
-    /// Whose leases followers renew.
-    ListProxied,
-    /// The removal of these records.
-    Cleanup(Vec<String>),
-    /// How this job, which others need, has ended.
-    ReadNeed(JobId),
-    /// What the leader before has learned.
-    ReadLearned,
-    /// The write of what was learned.
-    StoreLearned,
-}
-
-/// How long a call of the leader to the state service is waited for.
+/// How long the response to a call of the key-value store is waited for.
 const CALL_TIMEOUT_MS: u64 = 1000;
+/// The window over which arrivals are counted, in worker leases.
+const ARRIVAL_WINDOW_LEASES: f64 = 9.0;
+/// A call that the key-value store couldn't answer is repeated after this pause.
+const RETRY_MS: u64 = 200;
+/// The least time between two rounds, so that a burst of submissions is served in
+/// batches.
+const ROUND_GAP_MS: u64 = 20;
 
-/// The leader's regular work, counted since the process began.
-#[derive(Clone, Copy, Default, PartialEq, Eq, Debug)]
-pub struct ActivityCounters {
-    /// Rounds of placing and renting.
-    pub rounds: u64,
-    /// Looks at every machine.
-    pub checks: u64,
-    /// Walks over all jobs for what there is to write.
-    pub commits: u64,
-}
-
-/// What rounds have cost, for the log.
-#[derive(Clone, Copy, Default, PartialEq, Eq, Debug)]
-pub struct RoundStats {
-    /// Rounds of placing and renting.
-    pub rounds: u64,
-    /// Entries that they examined.
-    pub examined: u64,
-    /// The most that one slice has examined since the process began.
-    pub longest_slice: u64,
-}
-
-impl fmt::Display for RoundStats {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let RoundStats {
-            rounds,
-            examined,
-            longest_slice,
-        } = self;
-        write!(
-            f,
-            "begun={rounds} examined={examined} longest_slice={longest_slice}"
-        )
-    }
-}
-
-impl SchedulerKvCall {
-    /// What its answer is worked on for.
-    pub fn purpose(&self) -> Purpose {
-        match self {
-            SchedulerKvCall::ListJobs
-            | SchedulerKvCall::ListPlacements
-            | SchedulerKvCall::ListProxied
-            | SchedulerKvCall::ReadLearned => Purpose::Loading,
-            SchedulerKvCall::Watch | SchedulerKvCall::ReadJob(_) | SchedulerKvCall::ReadNeed(_) => {
-                Purpose::Watch
-            }
-            SchedulerKvCall::Commit
-            | SchedulerKvCall::CheckCommit
-            | SchedulerKvCall::Cleanup(_)
-            | SchedulerKvCall::StoreLearned => Purpose::Transaction,
-        }
-    }
-}
-
-/// A call straight to a worker.
-#[derive(Clone, PartialEq, Debug)]
-pub struct WorkerCommandCall {
-    /// The machine that is called.
-    pub machine: MachineId,
-}
-
-/// What the scheduler wants done.
-#[derive(Default)]
-pub struct SchedulerEffects {
-    /// Answers to workers.
-    pub replies: Vec<(ConnectionId, Reply)>,
-    /// Calls of the state service.
-    pub state: Vec<KvCall<SchedulerKvCall>>,
-    /// Direct calls to workers.
-    pub workers: Vec<(WorkerCommandCall, Call)>,
-    /// Something can't be made sense of: lead anew from what is stored.
-    pub resign: Option<&'static str>,
-    /// A report showed a term above ours.
-    pub superseded: bool,
-    /// The state service refused a transaction of this size as malformed.
-    pub refused: Option<RequestSize>,
-}
-
+/// How far a controller is with its leadership.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum LeaderStage {
+    /// It doesn't lead.
     Idle,
+    /// It was elected and reads what is stored.
     Loading,
+    /// Everything stored is read.
     Active,
 }
 
-/// Arrivals are counted over so many worker leases.
-const ARRIVAL_WINDOW_LEASES: f64 = 9.0;
-/// Periods of the leader's own, in worker report intervals.
-const ROUND_HEARTBEATS: f64 = 1.0;
-/// So many times in such a period machines are checked.
-const CHECKS: u64 = 4;
-/// What the state service couldn't answer is asked again after this pause.
-const RETRY_MS: u64 = 200;
-/// Time between two rounds at least, so that a rush is served in gulps.
-const ROUND_GAP_MS: u64 = 20;
-/// What looking at one entry of a round (a machine, a task, a level of rooms, an
-/// image of a room that is filed anew) takes of a processor, roughly: 0.08 us on
-/// the bench's large fleets, 0.2 us beside other work. The reason to count and not
-/// to measure is that traces replay.
-const EXAMINE_MS: f64 = 100e-6;
-/// So many numbers that are only gone through count as one entry.
-const SCANNED_AS_ONE: u64 = 16;
-/// The share of the processor's limit that rounds may take in a rush.
-const ROUNDS_SHARE: f64 = 0.3;
-
-/// The leader's loop.
+/// The scheduler of a controller, which acts while the controller leads.
 pub struct Scheduler {
     settings: Rc<Settings>,
     tuning: Tuning,
     catalog: Option<Rc<Catalog>>,
     stage: LeaderStage,
     term: Term,
-    /// The revision of the leader key, which guards every write.
+    /// The revision of the leader key: every write compares it.
     leader_key_revision: u64,
     elected_ms: u64,
-    /// What the key-value store takes.
+    /// What the key-value store accepts.
     limits: StoreLimits,
-    /// Up to when every confirmed cancellation is known.
+    /// Every cancellation that was confirmed before this time is known.
     cancellations_known_ms: u64,
     loading: Loading,
     job_watch: JobWatch,
     jobs: JobTable,
-    /// Jobs that ended under this leader, and until when slow answers may speak of
-    /// them as if they hadn't.
+    /// Jobs that ended under this leader, and until when slow responses may show them
+    /// as unfinished.
     finished_jobs: HashMap<JobId, u64>,
-    /// Tasks in each placement range of a job that has no record yet.
+    /// Tasks in each placement range of a job that has no placement record yet.
     tasks_per_range: u32,
     commits: CommitState,
     cleanup: RecordCleanup,
     /// Which jobs depend on which.
     dependencies: Dependencies,
     fleet: Fleet,
-    /// Machines whose commands should go out by the direct path.
+    /// Machines whose commands should be sent directly, not with a heartbeat's response.
     machines_to_command: BTreeSet<MachineId>,
     failure_detection: FailureDetection,
     lease_proxies: LeaseProxyPoll,
     capacity: CapacityIndex,
     pacing: RoundPacing,
-    /// The round under way, if any.
+    /// The current round, if any.
     round: Option<Round>,
-    /// Expected demand, as of the last full round.
+    /// The demand forecast of the last full round.
     demand_forecast: Vec<ForecastDemand>,
     migrations: Migrations,
     provisioning: Provisioning,
@@ -226,13 +124,13 @@
     estimate_store: EstimateStore,
     /// Replica groups that span machines.
     groups: ReplicaGroups,
-    /// The machines on which the round under way holds capacity for the next
+    /// The machines on which the current round reserves capacity for the next
     /// generation of a group.
     group_reservations: BTreeMap<GroupId, Vec<MachineId>>,
 }
 
 impl Scheduler {
-    /// Leads nothing yet.
+    /// A scheduler that doesn't lead yet.
     pub fn new(settings: Rc<Settings>, tuning: Tuning) -> Self {
         let site = &settings.site;
         let window_ms = (site.workers.lease_s * (ARRIVAL_WINDOW_LEASES * 1000.0)) as u64;
@@ -271,23 +169,23 @@
         }
     }
 
-    /// The machine types are known.
+    /// The machine types are known from now on.
     pub fn set_catalog(&mut self, catalog: Rc<Catalog>) {
         self.catalog = Some(catalog);
         self.pacing.requested = true;
     }
 
-    /// The state service takes this from now on.
+    /// The key-value store's limits are these from now on.
     pub fn set_limits(&mut self, limits: StoreLimits) {
         self.limits = limits;
     }
 
-    /// Every cancellation confirmed up to then is known.
+    /// Every cancellation that was confirmed before this time is known.
     pub fn informed(&mut self, watermark_ms: Option<u64>) {
         self.cancellations_known_ms = self.cancellations_known_ms.max(watermark_ms.unwrap_or(0));
     }
 
-    /// Whether this controller leads, loading or active.
+    /// Whether this controller leads, be it loading or active.
     pub fn leading(&self) -> bool {
         self.stage != LeaderStage::Idle
     }
@@ -310,29 +208,29 @@
         (self.settings.site.workers.heartbeat_s * 1000.0) as u64
     }
 
-    /// A new leadership: everything is rebuilt from what is stored.
+    /// The controller was elected: everything is rebuilt from what is stored.
     pub fn elected(
         &mut self,
         now: Now,
         term: Term,
-        key_version: Revision,
-        out: &mut SchedulerEffects,
+        key_revision: Revision,
+        effects: &mut SchedulerEffects,
     ) {
         self.deposed();
         self.stage = LeaderStage::Loading;
         self.term = term;
-        self.leader_key_revision = key_version.0;
+        self.leader_key_revision = key_revision.0;
         self.elected_ms = now.ms;
         self.estimates.start(now.wall);
-        log::info!("leader term={term} elected, loading");
-        self.list(now, out);
-        self.read_learned(now, out);
+        log::info!("leader elected term={term}");
+        self.list_records(now, effects);
+        self.read_learned(now, effects);
     }
 
-    /// Leads no longer: everything is forgotten.
+    /// The controller leads no longer: everything is forgotten.
     pub fn deposed(&mut self) {
         if self.stage != LeaderStage::Idle {
-            log::info!("leader term={} ends", self.term);
+            log::info!("leader deposed term={}", self.term);
         }
         self.stage = LeaderStage::Idle;
         self.loading = Loading::default();
@@ -355,17 +253,18 @@
         self.group_reservations.clear();
     }
 
+    /// Sends a call to the key-value store.
     fn ask(
         &self,
         now: Now,
-        urgency: CallPriority,
+        priority: CallPriority,
         call: Call,
         writes: usize,
         tag: SchedulerKvCall,
-        out: &mut SchedulerEffects,
+        effects: &mut SchedulerEffects,
     ) {
-        out.state.push(KvCall {
-            priority: urgency,
+        effects.state.push(KvCall {
+            priority,
             expires_ms: now.ms + call.timeout_ms,
             call,
             writes,
@@ -373,178 +272,58 @@
         });
     }
 
-    /// Sends a transaction to the state service.
+    /// Sends a transaction to the key-value store.
     fn ask_transaction(
         &self,
         now: Now,
-        urgency: CallPriority,
+        priority: CallPriority,
         txn: &Txn,
         tag: SchedulerKvCall,
-        out: &mut SchedulerEffects,
+        effects: &mut SchedulerEffects,
     ) {
         let (call, writes) = kv_client::txn(txn, CALL_TIMEOUT_MS);
-        self.ask(now, urgency, call, writes, tag, out);
+        self.ask(now, priority, call, writes, tag, effects);
     }
 
-    /// Takes an answer of the state service in.
+    /// The response to a call of the key-value store.
     pub fn state_answered(
         &mut self,
         now: Now,
         call: SchedulerKvCall,
-        answer: KvResponse,
-        out: &mut SchedulerEffects,
+        response: KvResponse,
+        effects: &mut SchedulerEffects,
     ) {
-        if matches!(answer, KvResponse::NotExecuted | KvResponse::Indeterminate) {
+        if matches!(
+            response,
+            KvResponse::NotExecuted | KvResponse::Indeterminate
+        ) {
             self.failure_detection.store_failed_ms = Some(now.ms);
         }
         match (self.stage, call) {
             (LeaderStage::Idle, _) => {}
-            (_, SchedulerKvCall::ReadLearned) => self.on_learned(now, &answer),
+            (_, SchedulerKvCall::ReadLearned) => self.on_learned(now, &response),
             (_, SchedulerKvCall::StoreLearned) => self.on_learned_stored(),
             (
                 LeaderStage::Loading,
                 call @ (SchedulerKvCall::ListJobs | SchedulerKvCall::ListPlacements),
             ) => {
-                self.on_list(now, call, &answer, out);
+                self.on_list_response(now, call, &response, effects);
             }
             (LeaderStage::Loading, _)
             | (_, SchedulerKvCall::ListJobs | SchedulerKvCall::ListPlacements) => {}
-            (_, SchedulerKvCall::Watch) => self.on_watch(now, &answer, out),
-            (_, SchedulerKvCall::Commit) => self.on_commit(now, &answer, out),
-            (_, SchedulerKvCall::CheckCommit) => self.on_check_commit(now, &answer, out),
-            (_, SchedulerKvCall::ReadJob(id)) => self.on_read_job(now, &id, &answer, out),
-            (_, SchedulerKvCall::ReadNeed(need)) => self.on_need(now, &need, &answer),
-            (_, SchedulerKvCall::ListProxied) => self.on_proxied(now, &answer),
-            (_, SchedulerKvCall::Cleanup(keys)) => self.on_cleaned_up(now, keys, &answer, out),
-        }
-    }
-
-    /// Acts on what is due, and says when to be called again.
-    pub fn tick(
-        &mut self,
-        now: Now,
-        cloud: &mut CloudClient,
-        budget: WriteBudget,
-        out: &mut SchedulerEffects,
-    ) -> u64 {
-        if self.stage == LeaderStage::Loading {
-            let due = self.loading.retry_ms.filter(|at| now.ms >= *at).is_some();
-            if due {
-                self.loading.retry_ms = None;
-                self.list(now, out);
+            (_, SchedulerKvCall::Watch) => self.on_watch_response(now, &response, effects),
+            (_, SchedulerKvCall::Commit) => self.on_commit_response(now, &response, effects),
+            (_, SchedulerKvCall::CheckCommit) => {
+                self.on_commit_check_response(now, &response, effects)
             }
-        }
-        if self.stage != LeaderStage::Active {
-            return self.loading.retry_ms.unwrap_or(now.ms + 1000);
-        }
-        if let Some(list) = self.loading.early_cloud_list.take() {
-            self.on_listed(now, list, cloud);
-        }
-        self.watch(now, out);
-        self.read_stale(now, out);
-        self.read_needs(now, out);
-        let every = (self.heartbeat_interval_ms() as f64 * ROUND_HEARTBEATS) as u64;
-        // What scales in or looks after machines can wait for its turn; a
-        // rush of rounds only places what has come and rents for it.
-        let full = now.ms >= self.pacing.last_full_ms + every;
-        let check_ms = self.failure_detection.last_check_ms + every / CHECKS;
-        if now.ms >= check_ms || std::mem::take(&mut self.failure_detection.check_requested) {
-            self.failure_detection.last_check_ms = now.ms;
-            self.pacing.activity.checks += 1;
-            self.check_machines(now, cloud);
-            // Silence and held room have no event of their own.
-            self.groups.touch_all();
-        }
-        self.observe_groups(now);
-        let wanted = self.pacing.requested && now.ms >= self.pacing.began_ms + self.pacing.gap_ms;
-        if self.round.is_none() && (full || wanted) {
-            self.pacing.requested = false;
-            self.pacing.activity.rounds += 1;
-            self.pacing.began_ms = now.ms;
-            if full {
-                self.pacing.last_full_ms = now.ms;
-                self.ask_proxied(now, out);
+            (_, SchedulerKvCall::ReadJob(id)) => self.on_job_response(now, &id, &response, effects),
+            (_, SchedulerKvCall::ReadDependency(id)) => {
+                self.on_dependency_response(now, &id, &response)
+            }
+            (_, SchedulerKvCall::ListProxied) => self.on_proxied(now, &response),
+            (_, SchedulerKvCall::Cleanup(keys)) => {
+                self.on_cleanup_response(now, keys, &response, effects)
             }
-            self.begin_round(now, full);
-        }
-        self.continue_round(now, cloud);
-        self.commit(now, budget, out);
-        self.push_commands(now, out);
-        self.clean_up(now, out);
-        self.store_learned(now, out);
-        let next = if self.round.is_some() {
-            now.ms + 1
-        } else if self.pacing.requested {
-            self.pacing.began_ms + self.pacing.gap_ms
-        } else {
-            self.pacing.last_full_ms + every
-        };
-        let check_ms = self.failure_detection.last_check_ms + every / CHECKS;
-        next.min(self.commit_wake_ms(now)).min(check_ms)
-    }
-
-    /// Counts numbers that are only gone through.
-    fn count_scanned(&mut self, numbers: usize) {
-        self.pacing.examined += (numbers as u64).div_ceil(SCANNED_AS_ONE);
-    }
-
-    /// The pause after a round follows what it cost, so that a rush on a large
-    /// fleet leaves time for reports, submissions and cancellations.
-    fn gap_ms(&self, examined: u64) -> u64 {
-        let cost_ms = examined as f64 * EXAMINE_MS;
-        let gap = cost_ms / (self.settings.site.limits.cores * ROUNDS_SHARE);
-        (gap as u64).clamp(ROUND_GAP_MS, self.heartbeat_interval_ms().max(ROUND_GAP_MS))
-    }
-
-    /// How much of its regular work it has done so far.
-    pub fn activity(&self) -> ActivityCounters {
-        self.pacing.activity
-    }
-
-    /// Entries that rounds have examined since the process began.
-    pub fn examined(&self) -> u64 {
-        self.pacing.examined + self.capacity.examined()
-    }
-
-    /// How many machines it knows.
-    pub fn machines(&self) -> usize {
-        self.fleet.len()
-    }
-
-    /// How much waits for its turn in the round under way.
-    pub fn queued_in_round(&self) -> usize {
-        self.round.as_ref().map_or(0, Round::queued)
-    }
-
-    /// Rounds, and what they examined, since this was last asked: for the log.
-    pub fn take_round_figures(&mut self) -> RoundStats {
-        let now = RoundStats {
-            rounds: self.pacing.activity.rounds,
-            examined: self.examined(),
-            longest_slice: 0,
-        };
-        let before = std::mem::replace(&mut self.pacing.logged, now);
-        RoundStats {
-            rounds: now.rounds - before.rounds,
-            examined: now.examined - before.examined,
-            longest_slice: self.pacing.longest_slice,
         }
     }
-
-    /// The most entries that one slice of a round has examined.
-    pub fn longest_slice(&self) -> u64 {
-        self.pacing.longest_slice
-    }
-
-    /// Counts for display.
-    pub fn counts(&self) -> impl Iterator<Item = (&JobId, TaskProgress)> {
-        self.jobs.iter().map(|(id, job)| {
-            let counts = TaskProgress {
-                done: job.done.len() as u32,
-                running: self.running_for_display(id, job),
-                multi_host: job.shape.is_some(),
-            };
-            (id, counts)
-        })
-    }
 }
--- a/src/scheduler/rounds/capacity_sync.rs
+++ b/src/scheduler/rounds/capacity_sync.rs
@@ -57,7 +57,7 @@
     /// names what is wrong. For tests.
     pub fn check_invariants(&mut self) -> Result<(), String> {
         self.jobs.refresh();
-        self.jobs.check()?;
+        self.jobs.check_invariants()?;
         self.refresh_rooms();
         let (open, closed) = self.capacity.contents();
         let known: BTreeSet<MachineId> = self.fleet.iter().map(|m| m.id.clone()).collect();
--- a/src/scheduler/state/commit.rs
+++ b/src/scheduler/state/commit.rs
@@ -1,13 +1,15 @@
-//! What the leader writes: one guarded transaction at a time, holding as many
-//! jobs' changes as the limits allow. An unclear one is sent again, letter by
-//! letter, until the state service says what became of it.
+//! The leader's writes: one transaction at a time, guarded by compares, with as many
+//! jobs' changes as the limits allow. A transaction with an indeterminate outcome is
+//! sent again verbatim until the key-value store says what became of it.
 
 use crate::ids::JobId;
 use crate::kv_client::{self, CallPriority, KvResponse, WriteBudget};
 use crate::messages::Now;
-use crate::scheduler::state::transaction::PendingTransaction;
-use crate::scheduler::state::transaction::FINAL_CHANGES;
-use crate::scheduler::{Scheduler, SchedulerEffects, SchedulerKvCall, CALL_TIMEOUT_MS};
+use crate::records::jobs::job_of_key;
+use crate::scheduler::state::transaction::{FinishedJob, PendingTransaction, FINAL_CHANGES};
+use crate::scheduler::{
+    Scheduler, SchedulerEffects, SchedulerKvCall, StepDownReason, CALL_TIMEOUT_MS,
+};
 use crate::wire::kv::{KeyValue, TxnResponse};
 
 /// What decides when the leader writes, and how much at once.
@@ -17,17 +19,18 @@
     pub(in crate::scheduler) transaction: Option<PendingTransaction>,
     /// Something may have to be written.
     pub(in crate::scheduler) has_changes: bool,
+    /// The next transaction isn't built before this time.
     due_ms: u64,
-    /// Since when a transaction has waited until it can be afforded.
+    /// Since when a transaction has waited for the write budget.
     deferred_since_ms: Option<u64>,
-    /// When what may be stored lazily is looked for next.
+    /// When lazily stored changes are looked for next.
     lazy_due_ms: u64,
-    /// How many transactions were put together in this term.
-    pub(in crate::scheduler) writes: u64,
-    /// The jobs of the last transaction that the store refused as malformed.
-    refused_jobs: Vec<JobId>,
-    /// So many jobs go into a transaction at most.
-    pub(in crate::scheduler) max_jobs: usize,
+    /// How many transactions were built in this term.
+    pub(super) transactions_built: u64,
+    /// The jobs of the last transaction that the store rejected as malformed.
+    rejected_jobs: Vec<JobId>,
+    /// The most jobs that a transaction may hold.
+    pub(super) max_jobs: usize,
 }
 
 impl Default for CommitState {
@@ -38,8 +41,8 @@
             due_ms: 0,
             deferred_since_ms: None,
             lazy_due_ms: 0,
-            writes: 0,
-            refused_jobs: Vec::new(),
+            transactions_built: 0,
+            rejected_jobs: Vec::new(),
             max_jobs: usize::MAX,
         }
     }
@@ -48,118 +51,135 @@
 impl CommitState {
     /// The leader was deposed: whatever is in flight can't be carried out any more.
     pub(in crate::scheduler) fn reset(&mut self) {
-        self.refused_jobs.clear();
+        self.rejected_jobs.clear();
         self.max_jobs = usize::MAX;
         self.transaction = None;
         self.deferred_since_ms = None;
-        self.writes = 0;
+        self.transactions_built = 0;
     }
 }
 
-/// What the state service refuses and nothing explains is tried again after so many
-/// report intervals.
-const HELD_BACK_REPORTS: u64 = 30;
-/// When too few changes can be afforded, this long passes until the next look.
-const SAVE_UP_MS: u64 = 50;
+/// A job whose record the store rejects without a known cause is written again after
+/// this many heartbeat intervals.
+const HELD_BACK_HEARTBEATS: u64 = 30;
+/// How long to wait for the write budget to grow before looking again.
+const BUDGET_RETRY_MS: u64 = 50;
+/// The pause before an unanswered transaction is sent or built again.
 const RETRY_MS: u64 = 200;
-/// Longer than any call's patience.
-const OVER_MS: u64 = 60_000;
+/// How long a finished job is remembered: longer than any call's timeout.
+const FINISHED_RETENTION_MS: u64 = 60_000;
 
 /// What the leader has yet to write.
 #[derive(Debug, Default)]
-struct Unwritten {
+struct UnwrittenChanges {
     /// Most important first.
     jobs: Vec<JobId>,
-    /// How many changes that would take.
+    /// How many write operations they take.
     changes: usize,
-    /// Tasks wait for it that should start within seconds.
+    /// Tasks with a start objective of seconds wait for them.
     urgent: bool,
 }
 
 impl Scheduler {
-    /// Partial results are stored at leisure: one write then takes several.
-    pub(in crate::scheduler) fn leisure_ms(&self) -> u64 {
+    /// How long progress that isn't urgent may stay unwritten: one write then covers
+    /// several changes.
+    pub(super) fn lazy_write_delay_ms(&self) -> u64 {
         self.heartbeat_interval_ms()
     }
 
-    pub(in crate::scheduler) fn commit_wake_ms(&self, now: Now) -> u64 {
+    /// When [`Scheduler::commit`] has to be called next.
+    pub(in crate::scheduler) fn next_commit_ms(&self, now: Now) -> u64 {
+        let earliest = now.ms + 1;
         match &self.commits.transaction {
-            Some(batch) if !batch.sent => batch.due_ms.max(now.ms + 1),
+            Some(transaction) if !transaction.sent => transaction.due_ms.max(earliest),
             Some(_) => u64::MAX,
-            None if self.commits.has_changes => self.commits.due_ms.max(now.ms + 1),
+            None if self.commits.has_changes => self.commits.due_ms.max(earliest),
             None => self
                 .commits
                 .due_ms
                 .max(self.commits.lazy_due_ms)
-                .max(now.ms + 1),
+                .max(earliest),
         }
     }
 
+    /// Builds the next transaction if one is due, and sends what waits to be sent.
     pub(in crate::scheduler) fn commit(
         &mut self,
         now: Now,
         budget: WriteBudget,
-        out: &mut SchedulerEffects,
+        effects: &mut SchedulerEffects,
     ) {
-        // Looking for what there is to write takes a walk over all jobs: it is
-        // made when something happened, and now and then for what is stored at
-        // leisure.
-        let due = self.commits.has_changes || now.ms >= self.commits.lazy_due_ms;
-        if self.commits.transaction.is_none() && now.ms >= self.commits.due_ms && due {
-            self.pacing.activity.commits += 1;
-            let unwritten = self.unwritten(now);
-            match self.most_changes(now, &unwritten, budget) {
-                Some(most) => {
-                    self.commits.deferred_since_ms = None;
-                    self.commits.transaction = self.build_transaction(now, unwritten.jobs, most);
-                    self.commits.has_changes = self.commits.transaction.is_some();
-                }
-                None => {
-                    self.commits.deferred_since_ms.get_or_insert(now.ms);
-                    self.commits.due_ms = now.ms + SAVE_UP_MS;
-                }
+        // Looking for changes takes a walk over all jobs: it is made when something
+        // happened, and now and then for what is stored lazily.
+        let may_have_changes = self.commits.has_changes || now.ms >= self.commits.lazy_due_ms;
+        let may_write = self.commits.transaction.is_none() && now.ms >= self.commits.due_ms;
+        if may_write && may_have_changes {
+            self.prepare_transaction(now, budget);
+        }
+        self.send_transaction(now, effects);
+    }
+
+    /// Builds a transaction from what is unwritten, or defers it until the budget
+    /// allows more.
+    fn prepare_transaction(&mut self, now: Now, budget: WriteBudget) {
+        self.pacing.activity.commits += 1;
+        let unwritten = self.unwritten_changes(now);
+        match self.max_changes(now, &unwritten, budget) {
+            Some(max_changes) => {
+                self.commits.deferred_since_ms = None;
+                self.commits.transaction = self.build_transaction(now, unwritten.jobs, max_changes);
+                self.commits.has_changes = self.commits.transaction.is_some();
+            }
+            None => {
+                self.commits.deferred_since_ms.get_or_insert(now.ms);
+                self.commits.due_ms = now.ms + BUDGET_RETRY_MS;
             }
-            self.commits.lazy_due_ms = now.ms + self.leisure_ms() / 4;
         }
-        let Some(batch) = self
+        self.commits.lazy_due_ms = now.ms + self.lazy_write_delay_ms() / 4;
+    }
+
+    /// Sends the current transaction, if it isn't in flight.
+    fn send_transaction(&mut self, now: Now, effects: &mut SchedulerEffects) {
+        let Some(transaction) = self
             .commits
             .transaction
             .as_mut()
-            .filter(|b| !b.sent && now.ms >= b.due_ms)
+            .filter(|transaction| !transaction.sent && now.ms >= transaction.due_ms)
         else {
             return;
         };
-        batch.sent = true;
-        let (call, writes) = kv_client::txn(&batch.txn, CALL_TIMEOUT_MS);
+        transaction.sent = true;
+        let (call, writes) = kv_client::txn(&transaction.txn, CALL_TIMEOUT_MS);
         self.ask(
             now,
             CallPriority::Placement,
             call,
             writes,
             SchedulerKvCall::Commit,
-            out,
+            effects,
         );
     }
 
     /// What there is to write, most important jobs first.
-    fn unwritten(&mut self, now: Now) -> Unwritten {
-        let leisure_ms = self.leisure_ms();
-        let mut unwritten = Unwritten::default();
+    fn unwritten_changes(&mut self, now: Now) -> UnwrittenChanges {
+        let lazy_delay_ms = self.lazy_write_delay_ms();
+        let mut unwritten = UnwrittenChanges::default();
         let mut order = Vec::new();
         self.jobs.refresh();
         for id in self.jobs.unwritten() {
             let Some(job) = self.jobs.get(id) else {
                 continue;
             };
-            if now.ms < job.held_back_until_ms && job.ending().is_none() {
+            if now.ms < job.held_back_until_ms && job.final_state().is_none() {
                 continue;
             }
-            if job.ending().is_some() {
+            if job.final_state().is_some() {
                 unwritten.changes += FINAL_CHANGES;
             } else {
-                let due = job.placements.iter().filter(|s| s.due(now, leisure_ms));
+                let ranges = job.placements.iter();
+                let due = ranges.filter(|range| range.is_due(now, lazy_delay_ms));
                 unwritten.changes += due.count();
-                unwritten.urgent |= job.placements.iter().any(|s| s.urgent)
+                unwritten.urgent |= job.placements.iter().any(|range| range.urgent)
                     && self.settings.start_slo_ms(&job.spec).is_some();
             }
             order.push((job.spec.priority, job.submitted, id.clone()));
@@ -169,133 +189,139 @@
         unwritten
     }
 
-    /// How many changes the next transaction may hold. `None`: wait for more
-    /// to be affordable. A transaction that was sent before it could be afforded
-    /// would hold up what turns out to be urgent meanwhile; and one that is put
-    /// together late takes more of a job's changes with one write.
-    fn most_changes(&self, now: Now, unwritten: &Unwritten, budget: WriteBudget) -> Option<usize> {
+    /// How many changes the next transaction may hold. `None`: wait until the budget
+    /// allows more. A transaction that is sent before it can be afforded would delay
+    /// what turns out to be urgent meanwhile; and one that is built late covers more
+    /// of a job's changes with one write.
+    fn max_changes(
+        &self,
+        now: Now,
+        unwritten: &UnwrittenChanges,
+        budget: WriteBudget,
+    ) -> Option<usize> {
         let txn_ops = self.limits.txn_ops;
-        // Submissions may take whatever comes into the bucket.
-        let long_enough = self
+        // Without a bound on the wait, submissions could use up all tokens of the
+        // write budget as they come.
+        let waited_long_enough = self
             .commits
             .deferred_since_ms
-            .is_some_and(|since| now.ms >= since + self.leisure_ms());
-        if unwritten.urgent || long_enough {
+            .is_some_and(|since| now.ms >= since + self.lazy_write_delay_ms());
+        if unwritten.urgent || waited_long_enough {
             return Some(budget.now.clamp(FINAL_CHANGES, txn_ops));
         }
         let wanted = unwritten.changes.min(txn_ops).min(budget.max);
         (budget.now >= wanted).then_some(txn_ops)
     }
 
-    pub(in crate::scheduler) fn on_commit(
+    /// The response to the transaction in flight.
+    pub(in crate::scheduler) fn on_commit_response(
         &mut self,
         now: Now,
-        answer: &KvResponse,
-        out: &mut SchedulerEffects,
+        response: &KvResponse,
+        effects: &mut SchedulerEffects,
     ) {
-        let Some(batch) = self.commits.transaction.as_mut() else {
+        let Some(transaction) = self.commits.transaction.as_mut() else {
             return;
         };
-        match answer {
-            KvResponse::Status(200, _) => match answer.committed() {
-                Some(revision) => self.committed(now, revision.0),
-                None => out.resign = Some("a commit's answer can't be read"),
+        match response {
+            KvResponse::Status(200, _) => match response.committed() {
+                Some(revision) => self.on_committed(now, revision.0),
+                None => effects.resign = Some(StepDownReason::UnreadableCommitResponse),
             },
             KvResponse::Status(409, _) => {
-                batch.failed = answer
+                transaction.failed_compares = response
                     .read::<TxnResponse>(409)
-                    .map(|r| r.failed)
+                    .map(|response| response.failed)
                     .unwrap_or_default();
-                if batch.unclear {
-                    // Perhaps an earlier copy of it went through.
-                    self.check_commit(now, out);
+                if transaction.indeterminate {
+                    // An earlier copy of it may have been carried out.
+                    self.check_commit(now, effects);
                 } else {
-                    self.conflicted(now, out);
+                    self.on_conflict(now, effects);
                 }
             }
             KvResponse::Status(400, _) => {
-                out.refused = Some(batch.size());
-                if batch.unclear {
-                    // An earlier copy may have been taken, before the limits fell.
-                    self.commits.refused_jobs.clear();
-                    self.check_commit(now, out);
+                effects.refused = Some(transaction.size());
+                if transaction.indeterminate {
+                    // An earlier copy may have been accepted before the limits fell.
+                    self.commits.rejected_jobs.clear();
+                    self.check_commit(now, effects);
                 } else {
-                    self.commits.refused_jobs = batch.jobs();
-                    self.take_back(now);
+                    self.commits.rejected_jobs = transaction.jobs();
+                    self.requeue_transaction(now);
                 }
             }
             KvResponse::Status(status, _) => {
-                log::error!("commit refused with status {status}");
-                out.resign = Some("a commit was refused");
+                log::error!("commit rejected status={status}");
+                effects.resign = Some(StepDownReason::CommitRejected);
             }
             KvResponse::Indeterminate => {
-                batch.unclear = true;
-                batch.sent = false;
-                batch.due_ms = now.ms + RETRY_MS;
+                transaction.indeterminate = true;
+                transaction.send_again_at(now.ms + RETRY_MS);
             }
-            KvResponse::NotExecuted if batch.unclear => {
-                batch.sent = false;
-                batch.due_ms = now.ms + RETRY_MS;
+            KvResponse::NotExecuted if transaction.indeterminate => {
+                transaction.send_again_at(now.ms + RETRY_MS);
             }
-            // Certainly not carried out: think again.
+            // Certainly not carried out: build it anew.
             KvResponse::NotExecuted => {
                 self.commits.due_ms = now.ms + RETRY_MS;
-                self.take_back(now);
+                self.requeue_transaction(now);
             }
         }
     }
 
-    pub(in crate::scheduler) fn on_check_commit(
+    /// The response to the read that tells whether the transaction was carried out.
+    pub(in crate::scheduler) fn on_commit_check_response(
         &mut self,
         now: Now,
-        answer: &KvResponse,
-        out: &mut SchedulerEffects,
+        response: &KvResponse,
+        effects: &mut SchedulerEffects,
     ) {
-        let Some(batch) = self.commits.transaction.as_ref() else {
+        let Some(transaction) = self.commits.transaction.as_ref() else {
             return;
         };
-        if let Some(item) = answer.read::<KeyValue>(200) {
-            let write = item.value.get("w").and_then(|w| w.as_u64());
-            if write == Some(batch.write) {
-                self.committed(now, item.mod_revision);
+        if let Some(item) = response.read::<KeyValue>(200) {
+            let write = item.value.get("w").and_then(|write| write.as_u64());
+            if write == Some(transaction.write) {
+                self.on_committed(now, item.mod_revision);
             } else {
-                self.conflicted(now, out);
+                self.on_conflict(now, effects);
             }
-        } else if answer.status() == Some(404) {
-            self.conflicted(now, out);
+        } else if response.status() == Some(404) {
+            self.on_conflict(now, effects);
         } else {
-            self.check_commit(now, out);
+            self.check_commit(now, effects);
         }
     }
 
     /// Reads whether the transaction in flight was carried out.
-    fn check_commit(&mut self, now: Now, out: &mut SchedulerEffects) {
-        let Some(batch) = self.commits.transaction.as_ref() else {
+    fn check_commit(&mut self, now: Now, effects: &mut SchedulerEffects) {
+        let Some(transaction) = self.commits.transaction.as_ref() else {
             return;
         };
-        let call = kv_client::get(&batch.witness, CALL_TIMEOUT_MS);
+        let call = kv_client::get(&transaction.marker_key, CALL_TIMEOUT_MS);
         let tag = SchedulerKvCall::CheckCommit;
-        self.ask(now, CallPriority::Placement, call, 0, tag, out);
+        self.ask(now, CallPriority::Placement, call, 0, tag, effects);
     }
 
-    /// Now it is stored: tasks may start, results may be forgotten by their
-    /// workers.
-    fn committed(&mut self, now: Now, version: u64) {
-        let Some(batch) = self.commits.transaction.take() else {
+    /// The transaction is stored: its tasks may start, and workers may forget the
+    /// results that it holds.
+    fn on_committed(&mut self, now: Now, revision: u64) {
+        let Some(transaction) = self.commits.transaction.take() else {
             return;
         };
-        for write in batch.shards {
+        for write in transaction.placement_writes {
             let Some(job) = self.jobs.get_mut(&write.job) else {
                 continue;
             };
-            if let Some(shard) = job.placements.get_mut(write.shard) {
-                shard.revision = version;
+            if let Some(range) = job.placements.get_mut(write.range) {
+                range.revision = revision;
             }
             for (task, attempt) in write.assigned {
-                if let Some(assign) = job.assignments.get_mut(&task) {
-                    if assign.attempt == attempt && !assign.recorded {
-                        assign.recorded = true;
-                        self.machines_to_command.insert(assign.machine.clone());
+                if let Some(assignment) = job.assignments.get_mut(&task) {
+                    if assignment.attempt == attempt && !assignment.recorded {
+                        assignment.recorded = true;
+                        self.machines_to_command.insert(assignment.machine.clone());
                     }
                 }
             }
@@ -305,78 +331,89 @@
             self.group_records_stored(&write.job, &write.groups);
         }
         self.commits.max_jobs = self.commits.max_jobs.saturating_mul(2);
-        self.cleanup.keys.extend(batch.litter);
-        for (id, state) in batch.finished {
-            self.finished_jobs.insert(id.clone(), now.ms + OVER_MS);
-            self.forgive_unless_succeeded(&id);
-            self.groups.remove(&id);
-            self.stage_over(now, &id, state);
-            if let Some(job) = self.jobs.remove(&id) {
-                log::info!(
-                    "job {id} over state={state:?} class={} after_ms={}",
-                    job.spec.class,
-                    now.wall.saturating_sub(job.submitted)
-                );
-            }
+        self.cleanup.keys.extend(transaction.obsolete_keys);
+        for finished in transaction.finished_jobs {
+            self.forget_finished_job(now, finished);
         }
     }
 
-    /// No limit that is known explains why the last transaction was refused. It goes
-    /// in halves, until what is wrong stands alone; that is held back, and
-    /// everything else goes on.
+    /// The final record of a job is stored: the leader doesn't hold it any more.
+    fn forget_finished_job(&mut self, now: Now, finished: FinishedJob) {
+        let FinishedJob { id, state } = finished;
+        self.finished_jobs
+            .insert(id.clone(), now.ms + FINISHED_RETENTION_MS);
+        self.forgive_unless_succeeded(&id);
+        self.groups.remove(&id);
+        self.on_job_finished(now, &id, state);
+        if let Some(job) = self.jobs.remove(&id) {
+            log::info!(
+                "job finished job={id} state={state:?} class={} after_ms={}",
+                job.spec.class,
+                now.wall.saturating_sub(job.submitted)
+            );
+        }
+    }
+
+    /// No known limit explains why the last transaction was rejected. Its jobs are
+    /// written in halves until the job at fault stands alone; that one is held back,
+    /// and everything else goes on.
     pub fn refused_without_cause(&mut self, now: Now) {
-        let refused = std::mem::take(&mut self.commits.refused_jobs);
-        if refused.is_empty() {
+        let rejected = std::mem::take(&mut self.commits.rejected_jobs);
+        if rejected.is_empty() {
             return;
         }
-        let [alone] = refused.as_slice() else {
-            self.commits.max_jobs = (refused.len() / 2).max(1);
+        let [id] = rejected.as_slice() else {
+            self.commits.max_jobs = (rejected.len() / 2).max(1);
             return;
         };
-        log::error!("job {alone}: the state service refuses its record, held back");
-        let pause_ms = self.heartbeat_interval_ms() * HELD_BACK_REPORTS;
-        if let Some(job) = self.jobs.get_mut(alone) {
+        log::error!(
+            "job record rejected job={id} \
+             reason=\"the key-value store rejects it for no known cause, held back\""
+        );
+        let pause_ms = self.heartbeat_interval_ms() * HELD_BACK_HEARTBEATS;
+        if let Some(job) = self.jobs.get_mut(id) {
             job.held_back_until_ms = now.ms + pause_ms;
         }
     }
 
-    /// The batch was certainly not carried out; its contents are due again.
-    fn take_back(&mut self, now: Now) {
+    /// The transaction was certainly not carried out; its contents are due again.
+    fn requeue_transaction(&mut self, now: Now) {
         self.commits.has_changes = true;
-        let Some(batch) = self.commits.transaction.take() else {
+        let Some(transaction) = self.commits.transaction.take() else {
             return;
         };
-        for write in batch.shards {
+        for write in transaction.placement_writes {
             if let Some(job) = self.jobs.get_mut(&write.job) {
-                if let Some(shard) = job.placements.get_mut(write.shard) {
-                    shard.touch(now.ms, true);
+                if let Some(range) = job.placements.get_mut(write.range) {
+                    range.touch(now.ms, true);
                 }
             }
         }
-        for (id, _) in batch.finished {
-            if let Some(job) = self.jobs.get_mut(&id) {
+        for finished in transaction.finished_jobs {
+            if let Some(job) = self.jobs.get_mut(&finished.id) {
                 job.finishing = false;
             }
         }
     }
 
-    fn conflicted(&mut self, now: Now, out: &mut SchedulerEffects) {
-        let failed = match &mut self.commits.transaction {
-            Some(batch) => std::mem::take(&mut batch.failed),
+    /// A compare of the transaction failed: job records that users changed meanwhile
+    /// are read again; any other key should be changed by this leader alone.
+    fn on_conflict(&mut self, now: Now, effects: &mut SchedulerEffects) {
+        let failed_compares = match &mut self.commits.transaction {
+            Some(transaction) => std::mem::take(&mut transaction.failed_compares),
             None => return,
         };
-        self.take_back(now);
-        for key in failed {
-            match key.strip_prefix(crate::records::jobs::JOB_PREFIX) {
+        self.requeue_transaction(now);
+        for key in failed_compares {
+            match job_of_key(&key) {
                 Some(id) => {
-                    let id = JobId::new(id);
                     if let Some(job) = self.jobs.get_mut(&id) {
                         job.stale = true;
                     }
-                    self.read_job(now, &id, out);
+                    self.read_job(now, &id, effects);
                 }
-                // The leader key or a record that is only ours to write.
-                None => out.resign = Some("a guard of ours failed"),
+                // The leader key or a record that only this leader writes.
+                None => effects.resign = Some(StepDownReason::CompareFailed),
             }
         }
     }
--- a/src/scheduler/state/job.rs
+++ b/src/scheduler/state/job.rs
@@ -1,12 +1,13 @@
-//! Jobs as the leader holds them, and what of them is stored.
+//! An unfinished job as the leader holds it, and which of its state is stored.
 
 use crate::faults::CircuitBreaker;
-use crate::ids::{AgentEpoch, Attempt, FencingToken, MachineId, TaskRef};
+use crate::ids::{Attempt, TaskRef};
 use crate::placement::{Resources, ZoneCounts};
 use crate::records::jobs::{FinalState, JobRecord};
 use crate::records::placements::{
-    read_ranges, write_ranges, AssignmentRow, PlacementRecord, RangeName,
+    format_task_ranges, parse_task_ranges, AssignmentRow, PlacementRecord, RangeName,
 };
+use crate::scheduler::state::assignment::Assignment;
 use crate::scheduler::state::job_table::JobListing;
 use crate::scheduler::state::placement_ranges::PlacementRanges;
 use crate::wire::users::{JobKind, JobSpec, Priority};
@@ -14,78 +15,21 @@
 use lilacfork_dependencies::propagation::StageUrgency;
 use lilacfork_replica_groups::shape::Shape;
 use std::collections::{BTreeMap, BTreeSet};
+use std::ops::Range;
 use std::rc::Rc;
 
-/// So many finished tasks make a job's usual run time.
-const SIBLINGS: u32 = 3;
-/// A run so many times as long as usual is the machine's fault: sound ones of
-/// a type differ by a tenth.
-const FAR_SLOWER: u64 = 3;
-
-/// How to stop a task that runs or may run.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct StopRequest {
-    pub grace_s: u64,
-    pub since_ms: u64,
-}
-
-/// A task that may be on a machine.
-#[derive(Clone, Debug)]
-pub struct Assignment {
-    pub attempt: Attempt,
-    pub machine: MachineId,
-    pub agent_epoch: AgentEpoch,
-    pub zone: Rc<str>,
-    /// The state service holds it: only then is it started.
-    pub recorded: bool,
-    pub first_sent_ms: Option<u64>,
-    pub sent_ms: Option<u64>,
-    /// As last reported; `None`: not seen there.
-    pub phase: Option<TaskPhase>,
-    /// Since when it was seen running, under this leader.
-    pub running_since_ms: Option<u64>,
-    /// An earlier leader started it: it may have run for longer.
-    pub inherited: bool,
-    /// It started later than its class may wait.
-    pub late: bool,
-    pub stop: Option<StopRequest>,
-    /// Absence under at least this token proves that it isn't there and
-    /// never will be.
-    pub absent_proof: Option<FencingToken>,
-}
-
-impl Assignment {
-    /// A task that was just bound to a machine and that nothing is known of.
-    pub fn new(
-        attempt: Attempt,
-        machine: MachineId,
-        session: AgentEpoch,
-        zone: Rc<str>,
-    ) -> Assignment {
-        Assignment {
-            attempt,
-            machine,
-            agent_epoch: session,
-            zone,
-            recorded: false,
-            first_sent_ms: None,
-            sent_ms: None,
-            phase: None,
-            running_since_ms: None,
-            inherited: false,
-            late: false,
-            stop: None,
-            absent_proof: None,
-        }
-    }
-}
+/// After this many finished tasks a job's usual run time is known.
+const MIN_COMPLETED_RUNS: u32 = 3;
+/// A run that took this many times as long as usual is the machine's fault: sound
+/// machines of a type differ by a tenth.
+const SLOW_RUN_FACTOR: u64 = 3;
 
 /// An unfinished job, as the leader holds it.
 #[derive(Debug)]
 pub struct Job {
-    /// The job as its user described it.
+    /// The job as its user described it, but with the priority that it is served by.
     pub spec: Rc<JobSpec>,
-    /// What one task takes.
+    /// The resources of one task.
     pub task_request: Resources,
     /// When it was submitted, time of day.
     pub submitted: u64,
@@ -95,65 +39,72 @@
     pub revision: u64,
     /// How its tasks form replicas that span machines; `None`: they don't.
     pub shape: Option<Shape>,
-    /// Since when its aims count, time of day: its submission, or the end of the last
-    /// job that it needs.
+    /// Since when its objectives count, time of day: its submission, or the end of
+    /// the last job that it depends on.
     pub ready: u64,
-    /// A job that it needs isn't known to be done.
+    /// A job that it depends on isn't known to be done.
     pub dependencies_open: bool,
     /// The priority that its user gave it; `spec` holds the one that it is served by,
-    /// which may be that of a job that needs it.
+    /// which may be that of a job that depends on it.
     pub own_priority: Priority,
-    /// How urgent the jobs that need it make it.
+    /// How urgent the jobs that depend on it make it.
     pub inherited: Option<StageUrgency<Priority>>,
-    /// Its placement records.
+    /// The ranges of its tasks, with one placement record each.
     pub placements: PlacementRanges,
-    /// A placement record of it can't be read: what it may have on machines isn't
-    /// known, so nothing of it is placed.
+    /// One of its placement records can't be read: what it may have on machines isn't
+    /// known, so none of its tasks is placed.
     pub unreadable: bool,
-    /// The state service refused its record: until when it isn't written again.
+    /// The key-value store rejected its record: it isn't written again before this
+    /// time.
     pub held_back_until_ms: u64,
     /// The tasks that may be on a machine.
     pub assignments: BTreeMap<u32, Assignment>,
     /// The tasks that are done.
     pub done: BTreeSet<u32>,
-    /// The tasks that wait for a place.
+    /// The tasks that wait to be placed.
     pub pending: BTreeSet<u32>,
-    /// Ended attempts whose end isn't stored yet; not to be forgotten by
-    /// their workers.
+    /// Ended attempts whose end isn't stored yet: their workers must not forget them.
     pub unstored_ends: BTreeSet<(u32, Attempt)>,
     /// The final record is being written.
     pub finishing: bool,
     /// Whether its tasks fail wherever they run.
     pub failures: CircuitBreaker,
-    /// Tasks whose whole run was seen, and how long they took together.
-    pub runs: (u32, u64),
-    /// The record changed under us; read it before the next write.
+    /// How long its tasks usually run.
+    run_times: RunTimes,
+    /// Its record was changed by somebody else; it is read before the next write.
     pub stale: bool,
-    /// When this leader heard of it.
-    pub arrived_ms: u64,
     /// How the table of jobs lists it.
-    pub(in crate::scheduler) listed: JobListing,
+    pub(super) listed: JobListing,
     /// It may have changed since it was listed.
-    pub(in crate::scheduler) dirty: bool,
+    pub(super) dirty: bool,
+}
+
+/// Run times of a job's tasks whose whole run was seen.
+#[derive(Clone, Copy, Debug, Default)]
+struct RunTimes {
+    count: u32,
+    total_ms: u64,
 }
 
 impl Job {
     /// A job whose placements aren't known yet.
-    pub fn new(record: JobRecord, version: u64, shard_size: u32, now_ms: u64) -> Job {
+    pub fn new(record: JobRecord, revision: u64, tasks_per_range: u32) -> Job {
         let tasks = record.spec.tasks;
         let shape = record
             .replica_parts
             .and_then(|parts| Shape::new(parts, tasks));
-        // A group lies in one record, so that its parts are bound by one write.
-        let whole = shape.map(|shape| shape.whole_replicas(shard_size));
-        if whole == Some(None) {
+        // A replica group lies in one record, so that its parts are bound by one write.
+        let tasks_of_whole_replicas = shape.map(|shape| shape.whole_replicas(tasks_per_range));
+        if tasks_of_whole_replicas == Some(None) {
             log::error!(
-                "job {}: a record holds no whole replica here, its tasks are placed one by one",
+                "replica exceeds record job={} \
+                 reason=\"a record holds no whole replica here, its tasks are placed one by one\"",
                 record.spec.id
             );
         }
-        let shape = shape.filter(|_| whole.flatten().is_some());
-        let shard_size = whole.flatten().unwrap_or(shard_size);
+        let tasks_of_whole_replicas = tasks_of_whole_replicas.flatten();
+        let shape = shape.filter(|_| tasks_of_whole_replicas.is_some());
+        let tasks_per_range = tasks_of_whole_replicas.unwrap_or(tasks_per_range);
         Job {
             shape,
             task_request: record.spec.task_request(),
@@ -163,8 +114,8 @@
             own_priority: record.spec.priority,
             inherited: None,
             cancelled: record.cancelled,
-            revision: version,
-            placements: PlacementRanges::new(tasks, shard_size),
+            revision,
+            placements: PlacementRanges::new(tasks, tasks_per_range),
             unreadable: false,
             held_back_until_ms: 0,
             assignments: BTreeMap::new(),
@@ -173,9 +124,8 @@
             unstored_ends: BTreeSet::new(),
             finishing: false,
             failures: CircuitBreaker::default(),
-            runs: (0, 0),
+            run_times: RunTimes::default(),
             stale: false,
-            arrived_ms: now_ms,
             listed: JobListing::default(),
             dirty: false,
             spec: Rc::new(record.spec),
@@ -187,13 +137,13 @@
         self.spec.kind == JobKind::Service
     }
 
-    /// Whether nothing is left to run.
-    pub fn all_done(&self) -> bool {
+    /// Whether all its tasks are done.
+    fn all_done(&self) -> bool {
         self.done.len() as u32 == self.spec.tasks
     }
 
     /// How it has ended, if nothing of it is left to run or to stop.
-    pub fn ending(&self) -> Option<FinalState> {
+    pub(in crate::scheduler) fn final_state(&self) -> Option<FinalState> {
         match self.cancelled {
             Some(_) => self.assignments.is_empty().then_some(FinalState::Cancelled),
             None => self.all_done().then_some(FinalState::Done),
@@ -201,15 +151,16 @@
     }
 
     /// Whether there is anything to store of it: its end, or where its tasks are.
-    /// What a cancelled job's tasks do needs no record: whoever leads next stops
+    /// What the tasks of a cancelled job do needs no record: the next leader stops
     /// them all.
-    pub fn has_unwritten(&self) -> bool {
-        let dirty = |shard: &crate::scheduler::state::placement_ranges::PlacementRange| {
-            shard.dirty_ms.is_some()
-        };
-        // A record that couldn't be read must not be written over.
+    pub(super) fn has_unwritten_changes(&self) -> bool {
+        // A record that couldn't be read must not be overwritten.
         let may_be_written = self.cancelled.is_none() && !self.unreadable;
-        self.ending().is_some() || (may_be_written && self.placements.iter().any(dirty))
+        let has_dirty_range = || {
+            let mut ranges = self.placements.iter();
+            ranges.any(|range| range.dirty_ms.is_some())
+        };
+        self.final_state().is_some() || (may_be_written && has_dirty_range())
     }
 
     /// How many of its tasks are seen running.
@@ -230,59 +181,66 @@
 
     /// The record that holds the task has to be written.
     pub fn touch(&mut self, task: u32, now_ms: u64, urgent: bool) {
-        if let Some(shard) = self.placements.holding_mut(task) {
-            shard.touch(now_ms, urgent);
+        if let Some(range) = self.placements.range_of_task_mut(task) {
+            range.touch(now_ms, urgent);
         }
     }
 
-    /// The next attempt of the shard that holds this task.
+    /// The next attempt of the range that holds this task.
     pub fn next_attempt(&mut self, task: u32) -> Option<Attempt> {
-        let shard = self.placements.holding_mut(task)?;
-        shard.next = Attempt(shard.next.0 + 1);
-        Some(shard.next)
+        let range = self.placements.range_of_task_mut(task)?;
+        range.next = Attempt(range.next.0 + 1);
+        Some(range.next)
     }
 
-    /// Notes how long a task ran, and tells whether that was far longer than
-    /// its siblings took: estimates are too often wrong to go by.
+    /// Records how long a task ran, and tells whether that was far longer than the
+    /// job's other tasks took: users' estimates are too often wrong to compare with.
     pub fn ran(&mut self, took_ms: u64) -> bool {
-        let (count, total) = self.runs;
-        let slow = count >= SIBLINGS && took_ms > total / u64::from(count) * FAR_SLOWER;
-        if !slow {
-            self.runs = (count + 1, total + took_ms);
+        let RunTimes { count, total_ms } = self.run_times;
+        let is_slow =
+            count >= MIN_COMPLETED_RUNS && took_ms > total_ms / u64::from(count) * SLOW_RUN_FACTOR;
+        if !is_slow {
+            self.run_times = RunTimes {
+                count: count + 1,
+                total_ms: total_ms + took_ms,
+            };
         }
-        slow
+        is_slow
     }
 
-    /// Where the job's tasks may be, for spread and samePlace.
+    /// How many of its tasks may be in each zone, for spread and samePlace.
     pub fn zone_use(&self) -> ZoneCounts {
         let mut zones = ZoneCounts::default();
-        for assign in self.assignments.values() {
-            zones.add(&assign.zone);
+        for assignment in self.assignments.values() {
+            zones.add(&assignment.zone);
         }
         zones
     }
 
-    /// What is to be stored of a record's tasks now.
-    pub fn record(&self, number: usize, write: u64, zones: &[String]) -> PlacementRecord {
-        let zone_of =
-            |a: &Assignment| zones.iter().position(|z| **z == *a.zone).unwrap_or(0) as u32;
-        let stretches = self.placements.tasks_of(number);
-        let done = stretches.iter().flat_map(|s| self.done.range(s.clone()));
-        let assigned = stretches
+    /// What is to be stored now of the tasks of a range.
+    pub fn placement_record(&self, number: usize, write: u64, zones: &[String]) -> PlacementRecord {
+        let zone_number = |assignment: &Assignment| {
+            let position = zones.iter().position(|zone| **zone == *assignment.zone);
+            position.unwrap_or(0) as u32
+        };
+        let segments = self.placements.tasks_of(number);
+        let done = segments.iter().flat_map(|s| self.done.range(s.clone()));
+        let assigned = segments
             .iter()
             .flat_map(|s| self.assignments.range(s.clone()));
+        let range = self.placements.get(number);
         PlacementRecord {
-            next: self.placements.get(number).map_or(Attempt(0), |s| s.next),
+            next: range.map_or(Attempt(0), |range| range.next),
             write,
-            uniform: self.placements.uniform(),
-            done: write_ranges(done.copied()),
+            tasks_per_range: self.placements.tasks_per_range(),
+            done: format_task_ranges(done.copied()),
             assigned: assigned
-                .map(|(task, assign)| AssignmentRow {
+                .map(|(task, assignment)| AssignmentRow {
                     task: *task,
-                    attempt: assign.attempt,
-                    machine: assign.machine.clone(),
-                    agent_epoch: assign.agent_epoch,
-                    zone: zone_of(assign),
+                    attempt: assignment.attempt,
+                    machine: assignment.machine.clone(),
+                    agent_epoch: assignment.agent_epoch,
+                    zone: zone_number(assignment),
                 })
                 .collect(),
             failures: self.failures.to_record(),
@@ -290,48 +248,52 @@
         }
     }
 
-    /// Tasks that have to stay in one record: the parts of a replica.
-    pub fn inseparable(&self) -> u32 {
+    /// How many tasks have to stay in one record together: the parts of a replica.
+    pub(super) fn tasks_per_replica(&self) -> u32 {
         self.shape.map_or(1, |shape| shape.parts())
     }
 
-    /// Takes over what earlier leaders stored, all of it.
+    /// Restores what earlier leaders stored, from all of its placement records.
     pub fn restore(&mut self, mut stored: Vec<StoredPlacement>, zones: &[String]) {
-        // How the job was cut is told by its records, not by today's settings.
-        let uniform = stored.iter().map(|s| s.record.uniform).find(|z| *z > 0);
-        if let Some(uniform) = uniform.filter(|z| *z != self.placements.uniform()) {
-            self.placements = PlacementRanges::new(self.spec.tasks, uniform);
+        // The records say how the job was divided; today's settings may differ.
+        let tasks_per_range = stored
+            .iter()
+            .map(|stored| stored.record.tasks_per_range)
+            .find(|tasks| *tasks > 0)
+            .filter(|tasks| *tasks != self.placements.tasks_per_range());
+        if let Some(tasks_per_range) = tasks_per_range {
+            self.placements = PlacementRanges::new(self.spec.tasks, tasks_per_range);
         }
-        // What is finer holds, so it comes last.
-        stored.sort_by_key(|s| match s.name {
+        // The finer of two records is authoritative, so it comes last.
+        stored.sort_by_key(|stored| match stored.name {
             RangeName::Uniform(_) => 0,
             RangeName::Tasks { first, last } => u32::MAX - (last - first),
         });
-        for shard in stored {
-            if self.restore_shard(shard, zones).is_none() {
+        for placement in stored {
+            if self.restore_range(placement, zones).is_none() {
                 self.unreadable = true;
             }
         }
     }
 
-    /// `None`: the record doesn't fit the job.
-    fn restore_shard(&mut self, stored: StoredPlacement, zones: &[String]) -> Option<()> {
+    /// Restores one range. `None`: its record doesn't fit the job.
+    fn restore_range(&mut self, stored: StoredPlacement, zones: &[String]) -> Option<()> {
         let StoredPlacement {
             name,
-            revision: version,
+            revision,
             record,
         } = stored;
         let number = match name {
             RangeName::Uniform(number) => number as usize,
             RangeName::Tasks { first, last } => {
-                self.forget_tasks(first..last.checked_add(1)?);
-                self.placements.carve(first..last + 1)?
+                self.reset_tasks(first..last.checked_add(1)?);
+                self.placements.split_off(first..last + 1)?
             }
         };
-        let shard = self.placements.get_mut(number)?;
-        shard.revision = version;
-        shard.next = record.next;
-        let done = read_ranges(&record.done, self.spec.tasks)?;
+        let range = self.placements.get_mut(number)?;
+        range.revision = revision;
+        range.next = record.next;
+        let done = parse_task_ranges(&record.done, self.spec.tasks)?;
         self.failures.restore(record.failures);
         for task in done {
             self.pending.remove(&task);
@@ -340,27 +302,30 @@
         }
         let mut fits = true;
         for row in record.assigned {
-            fits &= self.placements.holding(row.task) == Some(number);
-            if row.task >= self.spec.tasks {
-                continue;
+            fits &= self.placements.range_of_task(row.task) == Some(number);
+            if row.task < self.spec.tasks {
+                self.restore_assignment(row, zones);
             }
-            self.pending.remove(&row.task);
-            let zone = zones.get(row.zone as usize).map_or("", |z| z.as_str());
-            let bound = Assignment::new(row.attempt, row.machine, row.agent_epoch, Rc::from(zone));
-            self.assignments.insert(
-                row.task,
-                Assignment {
-                    recorded: true,
-                    inherited: true,
-                    ..bound
-                },
-            );
         }
         fits.then_some(())
     }
 
-    /// What a coarser record said of these tasks doesn't hold.
-    fn forget_tasks(&mut self, tasks: std::ops::Range<u32>) {
+    fn restore_assignment(&mut self, row: AssignmentRow, zones: &[String]) {
+        self.pending.remove(&row.task);
+        let zone = zones
+            .get(row.zone as usize)
+            .map_or("", |zone| zone.as_str());
+        let bound = Assignment::new(row.attempt, row.machine, row.agent_epoch, Rc::from(zone));
+        let assignment = Assignment {
+            recorded: true,
+            inherited: true,
+            ..bound
+        };
+        self.assignments.insert(row.task, assignment);
+    }
+
+    /// Forgets what a coarser record said of these tasks: a finer one holds them.
+    fn reset_tasks(&mut self, tasks: Range<u32>) {
         for task in tasks.start..tasks.end.min(self.spec.tasks) {
             self.assignments.remove(&task);
             self.done.remove(&task);
@@ -374,7 +339,7 @@
 pub struct StoredPlacement {
     /// Which record it is.
     pub name: RangeName,
-    /// Its version.
+    /// Its revision.
     pub revision: u64,
     /// What it holds.
     pub record: PlacementRecord,
--- a/src/scheduler/state/job_table.rs
+++ b/src/scheduler/state/job_table.rs
@@ -1,7 +1,8 @@
-//! The leader's unfinished jobs, and what follows from them: which wait, which
-//! have to be written, what teams use, which images are asked for. Whoever
-//! changes a job gets it from here, and what follows is brought up to date by
-//! [`JobTable::refresh`] for the jobs that were changed, and for no others.
+//! The leader's unfinished jobs, and what is derived from them: which wait, which
+//! have to be written, what teams use, which images are asked for. A job that is to
+//! be changed is taken from [`JobTable::get_mut`], which notes it as touched;
+//! [`JobTable::refresh`] then brings the derived lists up to date for touched jobs,
+//! and for no others.
 
 use crate::ids::JobId;
 use crate::placement::Resources;
@@ -11,40 +12,43 @@
 use std::collections::{btree_map, BTreeMap, BTreeSet, HashMap};
 use std::rc::Rc;
 
-/// What is known of a job in the lists below.
+/// How the lists of [`JobTable`] hold a job.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(in crate::scheduler) struct JobListing {
+    /// It has tasks that wait to be placed.
     waiting: bool,
+    /// Something of it has to be stored.
     unwritten: bool,
+    /// Its record was changed by somebody else.
     stale: bool,
     /// It is cancelled, and tasks may still be on machines.
     stopping: bool,
-    /// Tasks that may be on machines.
+    /// How many tasks may be on machines.
     assigned: usize,
-    /// Tasks that its team's guarantee is for.
-    left: Option<u32>,
+    /// How many tasks count towards its team's guarantee.
+    guaranteed: Option<u32>,
 }
 
 impl JobListing {
     fn of(job: &Job) -> JobListing {
         let cancelled = job.cancelled.is_some();
         let readable = !job.stale && !job.unreadable;
-        let counts = !cancelled && !job.dependencies_open;
+        let may_run = !cancelled && !job.dependencies_open;
         JobListing {
-            waiting: !cancelled && !job.dependencies_open && !job.pending.is_empty() && readable,
-            unwritten: !job.stale && !job.finishing && job.has_unwritten(),
+            waiting: may_run && !job.pending.is_empty() && readable,
+            unwritten: !job.stale && !job.finishing && job.has_unwritten_changes(),
             stale: job.stale,
             stopping: cancelled && !job.assignments.is_empty(),
             assigned: job.assignments.len(),
-            left: counts.then(|| job.spec.tasks - job.done.len() as u32),
+            guaranteed: may_run.then(|| job.spec.tasks - job.done.len() as u32),
         }
     }
 }
 
-/// What of a job never changes.
+/// What its team's account needs of a job; it never changes.
 struct ImmutableJobFacts {
     team: Rc<str>,
-    need: Resources,
+    task_request: Resources,
     submitted: u64,
 }
 
@@ -52,7 +56,7 @@
     fn of(job: &Job) -> ImmutableJobFacts {
         ImmutableJobFacts {
             team: job.spec.team.clone(),
-            need: job.task_request,
+            task_request: job.task_request,
             submitted: job.submitted,
         }
     }
@@ -65,37 +69,41 @@
 #[derive(Debug, Default)]
 pub(in crate::scheduler) struct JobTable {
     jobs: BTreeMap<JobId, Job>,
-    /// Changed since the lists were last brought up to date.
+    /// Jobs that changed since the lists were last brought up to date.
     touched: Vec<JobId>,
     waiting: BTreeSet<JobId>,
-    /// Began to wait since this was last asked.
+    /// Jobs that began to wait since this was last taken.
     newly_waiting: Vec<JobId>,
     unwritten: BTreeSet<JobId>,
     stale: BTreeSet<JobId>,
     stopping: BTreeSet<JobId>,
     teams: TeamAccounts,
-    /// By class.
+    /// The jobs with each image, by class.
     images: HashMap<Rc<str>, ByImage>,
 }
 
 impl JobTable {
+    /// Forgets all jobs.
     pub(in crate::scheduler) fn clear(&mut self) {
         *self = JobTable::default();
     }
 
+    /// How many jobs there are.
     pub(in crate::scheduler) fn len(&self) -> usize {
         self.jobs.len()
     }
 
+    /// Whether the job is held.
     pub(in crate::scheduler) fn contains(&self, id: &JobId) -> bool {
         self.jobs.contains_key(id)
     }
 
+    /// The job of this name.
     pub(in crate::scheduler) fn get(&self, id: &JobId) -> Option<&Job> {
         self.jobs.get(id)
     }
 
-    /// A job that is about to be changed.
+    /// The job of this name, to be changed.
     pub(in crate::scheduler) fn get_mut(&mut self, id: &JobId) -> Option<&mut Job> {
         let job = self.jobs.get_mut(id)?;
         if !std::mem::replace(&mut job.dirty, true) {
@@ -104,11 +112,13 @@
         Some(job)
     }
 
+    /// All jobs, by name.
     pub(in crate::scheduler) fn iter(&self) -> btree_map::Iter<'_, JobId, Job> {
         self.jobs.iter()
     }
 
-    pub(in crate::scheduler) fn insert(&mut self, id: JobId, job: Job) {
+    /// Adds a job.
+    pub(super) fn insert(&mut self, id: JobId, job: Job) {
         let by_image = self.images.entry(job.spec.class.clone()).or_default();
         let with_image = by_image.entry(job.spec.image.clone()).or_default();
         with_image.insert(id.clone());
@@ -116,14 +126,11 @@
         self.get_mut(&id);
     }
 
-    pub(in crate::scheduler) fn remove(&mut self, id: &JobId) -> Option<Job> {
+    /// Removes a job that is over.
+    pub(super) fn remove(&mut self, id: &JobId) -> Option<Job> {
         let job = self.jobs.remove(id)?;
-        self.relist(
-            id,
-            &ImmutableJobFacts::of(&job),
-            job.listed,
-            JobListing::default(),
-        );
+        let facts = ImmutableJobFacts::of(&job);
+        self.update_lists(id, &facts, job.listed, JobListing::default());
         if let Some(by_image) = self.images.get_mut(&job.spec.class) {
             if let Some(with_image) = by_image.get_mut(&job.spec.image) {
                 with_image.remove(id);
@@ -135,7 +142,7 @@
         Some(job)
     }
 
-    /// Brings the lists up to date. Says how many jobs had changed.
+    /// Brings the lists up to date. Returns how many jobs had changed.
     pub(in crate::scheduler) fn refresh(&mut self) -> u64 {
         let touched = std::mem::take(&mut self.touched);
         for id in &touched {
@@ -146,15 +153,21 @@
             let now = JobListing::of(job);
             let before = std::mem::replace(&mut job.listed, now);
             if now != before {
-                let fixed = ImmutableJobFacts::of(job);
-                self.relist(id, &fixed, before, now);
+                let facts = ImmutableJobFacts::of(job);
+                self.update_lists(id, &facts, before, now);
             }
         }
         touched.len() as u64
     }
 
     /// Moves a job between the lists.
-    fn relist(&mut self, id: &JobId, job: &ImmutableJobFacts, before: JobListing, now: JobListing) {
+    fn update_lists(
+        &mut self,
+        id: &JobId,
+        facts: &ImmutableJobFacts,
+        before: JobListing,
+        now: JobListing,
+    ) {
         if now.waiting && !before.waiting {
             self.newly_waiting.push(id.clone());
         }
@@ -171,35 +184,40 @@
             }
         }
         if now.assigned != before.assigned {
-            self.teams
-                .set_tasks(&job.team, &job.need, before.assigned, now.assigned);
+            self.teams.set_assigned_tasks(
+                &facts.team,
+                &facts.task_request,
+                before.assigned,
+                now.assigned,
+            );
         }
-        if now.left != before.left {
-            let left = now.left.map(|tasks| job.need.scaled(f64::from(tasks)));
-            let submission = (job.submitted, id.clone());
-            self.teams.set_left(&job.team, submission, left);
+        if now.guaranteed != before.guaranteed {
+            let tasks = now.guaranteed.map(f64::from);
+            let remaining = tasks.map(|tasks| facts.task_request.scaled(tasks));
+            let submission = (facts.submitted, id.clone());
+            self.teams.set_remaining(&facts.team, submission, remaining);
         }
     }
 
     // ---- lists, as of the last refresh ----
 
-    /// Jobs with tasks that wait for a place.
+    /// Jobs with tasks that wait to be placed.
     pub(in crate::scheduler) fn waiting(&self) -> &BTreeSet<JobId> {
         &self.waiting
     }
 
-    /// Jobs that began to wait since this was last asked.
+    /// Takes the jobs that began to wait since the last call.
     pub(in crate::scheduler) fn take_newly_waiting(&mut self) -> Vec<JobId> {
         std::mem::take(&mut self.newly_waiting)
     }
 
     /// Jobs of which something has to be stored.
-    pub(in crate::scheduler) fn unwritten(&self) -> &BTreeSet<JobId> {
+    pub(super) fn unwritten(&self) -> &BTreeSet<JobId> {
         &self.unwritten
     }
 
-    /// Jobs whose record changed under us.
-    pub(in crate::scheduler) fn stale(&self) -> &BTreeSet<JobId> {
+    /// Jobs whose record was changed by somebody else.
+    pub(super) fn stale(&self) -> &BTreeSet<JobId> {
         &self.stale
     }
 
@@ -213,6 +231,7 @@
         self.teams.used(team)
     }
 
+    /// What teams use and are guaranteed.
     pub(in crate::scheduler) fn teams(&mut self) -> &mut TeamAccounts {
         &mut self.teams
     }
@@ -246,7 +265,7 @@
     }
 
     /// Counts everything anew and compares; the error names what is wrong.
-    pub(in crate::scheduler) fn check(&self) -> Result<(), String> {
+    pub(in crate::scheduler) fn check_invariants(&self) -> Result<(), String> {
         let listed = |holds: &dyn Fn(&JobListing) -> bool| -> BTreeSet<JobId> {
             let all = self
                 .jobs
--- a/src/scheduler/state/job_watch.rs
+++ b/src/scheduler/state/job_watch.rs
@@ -1,22 +1,24 @@
-//! What the job records say has changed: new jobs, cancellations, and records that
-//! changed under the leader.
+//! The watch on the job records: new jobs, cancellations, and records that somebody
+//! else changed.
 
 use crate::ids::{JobId, Revision};
 use crate::kv_client::{self, CallPriority, KvResponse};
 use crate::messages::Now;
-use crate::records::jobs::{JobRecord, JOB_PREFIX};
-use crate::scheduler::state::job::StopRequest;
-use crate::scheduler::{Job, LeaderStage, Scheduler, SchedulerEffects, SchedulerKvCall, RETRY_MS};
+use crate::records::jobs::{job_key, JobRecord, JOB_PREFIX};
+use crate::scheduler::{
+    Job, LeaderStage, Scheduler, SchedulerEffects, SchedulerKvCall, StepDownReason, StopRequest,
+    CALL_TIMEOUT_MS, RETRY_MS,
+};
 use crate::wire::kv::{KeyValue, WatchResponse};
 
-/// The watch on the job records.
+/// The state of the watch.
 #[derive(Debug, Default)]
 pub(in crate::scheduler) struct JobWatch {
     /// Changes up to this revision are known; `None`: nothing has been read.
-    pub(in crate::scheduler) revision: Option<Revision>,
-    waiting: bool,
+    pub(super) revision: Option<Revision>,
+    in_flight: bool,
     due_ms: u64,
-    /// When records that changed under the leader are read again.
+    /// When stale job records are read again.
     reread_due_ms: u64,
 }
 
@@ -24,58 +26,53 @@
     /// The leader was deposed.
     pub(in crate::scheduler) fn reset(&mut self) {
         self.revision = None;
-        self.waiting = false;
+        self.in_flight = false;
     }
 }
 
+/// Where a job record was read.
+#[derive(Clone, Copy, PartialEq, Eq, Debug)]
+pub(super) enum JobRecordSource {
+    /// In the list of all records that a new leader reads.
+    InitialList,
+    /// By the watch, or by a read of this record.
+    Update,
+}
+
 impl Scheduler {
-    pub(in crate::scheduler) fn learn_job(
+    /// Adds the job of a record, or brings it up to date.
+    pub(super) fn apply_job_record(
         &mut self,
         now: Now,
         key: &str,
         value: serde_json::Value,
-        version: u64,
-        fresh: bool,
+        revision: u64,
+        source: JobRecordSource,
     ) {
         let record: JobRecord = match serde_json::from_value(value) {
             Ok(record) => record,
-            Err(e) => {
-                log::error!("job record {key} can't be read: {e}");
+            Err(error) => {
+                log::error!("job record unreadable key={key} reason=\"it can't be read: {error}\"");
                 return;
             }
         };
         let id = record.spec.id.clone();
-        // What is over never comes back; this is an old answer.
+        // A finished job never comes back: this is an old response.
         if self.finished_jobs.contains_key(&id) {
             return;
         }
         match self.jobs.get_mut(&id) {
             Some(job) => {
-                if version <= job.revision {
+                if revision <= job.revision {
                     return;
                 }
-                job.revision = version;
+                job.revision = revision;
                 job.stale = false;
                 if job.cancelled.is_none() {
                     job.cancelled = record.cancelled;
                 }
             }
-            None => {
-                if fresh {
-                    log::debug!("job {id} known to the leader");
-                }
-                let job = Job::new(record, version, self.tasks_per_range, now.ms);
-                if job.is_service() {
-                    // Stored jobs tell a new leader of arrivals, too.
-                    let at = if fresh { now.wall } else { job.submitted };
-                    self.estimates.arrived(at, &job.spec);
-                }
-                if let Some(shape) = job.shape {
-                    self.groups.add(&id, shape);
-                }
-                self.jobs.insert(id.clone(), job);
-                self.await_needs(now, &id);
-            }
+            None => self.add_job(now, record, revision, source),
         }
         self.pacing.requested = true;
         self.commits.has_changes = true;
@@ -84,6 +81,27 @@
         }
     }
 
+    fn add_job(&mut self, now: Now, record: JobRecord, revision: u64, source: JobRecordSource) {
+        let id = record.spec.id.clone();
+        if source == JobRecordSource::Update {
+            log::debug!("job received job={id}");
+        }
+        let job = Job::new(record, revision, self.tasks_per_range);
+        if job.is_service() {
+            // Stored jobs tell a new leader of arrivals, too.
+            let arrived_at = match source {
+                JobRecordSource::InitialList => job.submitted,
+                JobRecordSource::Update => now.wall,
+            };
+            self.estimates.arrived(arrived_at, &job.spec);
+        }
+        if let Some(shape) = job.shape {
+            self.groups.add(&id, shape);
+        }
+        self.jobs.insert(id.clone(), job);
+        self.add_dependencies(now, &id);
+    }
+
     /// Stops what a cancelled job still has on machines.
     pub(in crate::scheduler) fn enforce_cancel(&mut self, now: Now, id: &JobId) {
         let Some(job) = self.jobs.get_mut(id) else {
@@ -92,125 +110,130 @@
         if job.cancelled.is_none() {
             return;
         }
-        for assign in job.assignments.values_mut() {
-            let grace_left = assign.stop.is_none_or(|s| s.grace_s > 0);
-            if grace_left {
-                assign.stop = Some(StopRequest {
+        for assignment in job.assignments.values_mut() {
+            let has_grace_left = assignment.stop.is_none_or(|stop| stop.grace_s > 0);
+            if has_grace_left {
+                assignment.stop = Some(StopRequest {
                     grace_s: 0,
                     since_ms: now.ms,
                 });
-                // Its room is about to be free.
-                self.fleet.get_mut(&assign.machine);
-                self.machines_to_command.insert(assign.machine.clone());
+                // The capacity that it frees has to be indexed anew.
+                self.fleet.get_mut(&assignment.machine);
+                self.machines_to_command.insert(assignment.machine.clone());
             }
         }
         self.groups.touch(id);
         self.cancel_dependents(now, id);
     }
 
-    pub(in crate::scheduler) fn watch(&mut self, now: Now, out: &mut SchedulerEffects) {
+    /// Keeps one watch call in flight.
+    pub(in crate::scheduler) fn watch_jobs(&mut self, now: Now, effects: &mut SchedulerEffects) {
         let Some(from) = self.job_watch.revision else {
             return;
         };
         if self.stage != LeaderStage::Active
-            || self.job_watch.waiting
+            || self.job_watch.in_flight
             || now.ms < self.job_watch.due_ms
         {
             return;
         }
-        self.job_watch.waiting = true;
-        let wait = self.lease_ms();
-        let call = kv_client::watch(JOB_PREFIX, from, wait, wait * 2);
+        self.job_watch.in_flight = true;
+        let wait_ms = self.lease_ms();
+        let call = kv_client::watch(JOB_PREFIX, from, wait_ms, wait_ms * 2);
         self.ask(
             now,
             CallPriority::Leadership,
             call,
             0,
             SchedulerKvCall::Watch,
-            out,
+            effects,
         );
     }
 
-    pub(in crate::scheduler) fn on_watch(
+    /// The changes that the watch has seen.
+    pub(in crate::scheduler) fn on_watch_response(
         &mut self,
         now: Now,
-        answer: &KvResponse,
-        out: &mut SchedulerEffects,
+        response: &KvResponse,
+        effects: &mut SchedulerEffects,
     ) {
-        self.job_watch.waiting = false;
-        match answer.read::<WatchResponse>(200) {
-            Some(seen) => {
-                for event in seen.events {
+        self.job_watch.in_flight = false;
+        match response.read::<WatchResponse>(200) {
+            Some(changes) => {
+                for event in changes.events {
                     if let Some(key) = event.put {
-                        self.learn_job(now, &key, event.value, event.mod_revision, true);
+                        let source = JobRecordSource::Update;
+                        self.apply_job_record(now, &key, event.value, event.mod_revision, source);
                     }
                 }
-                self.job_watch.revision = Some(Revision(seen.revision));
+                self.job_watch.revision = Some(Revision(changes.revision));
             }
-            None if answer.status() == Some(410) => {
-                out.resign = Some("the watch fell too far behind");
+            None if response.status() == Some(410) => {
+                effects.resign = Some(StepDownReason::WatchTooFarBehind);
             }
-            None => self.job_watch.due_ms = now.ms + 200,
+            None => self.job_watch.due_ms = now.ms + RETRY_MS,
         }
     }
 
-    /// A peer says that it wrote this job; the watch may be late.
-    pub fn announced(&mut self, now: Now, id: &JobId, out: &mut SchedulerEffects) {
+    /// A peer reports that it wrote this job; the watch may be late.
+    pub fn announced(&mut self, now: Now, id: &JobId, effects: &mut SchedulerEffects) {
         if self.stage == LeaderStage::Active && !self.jobs.contains(id) {
-            self.read_job(now, id, out);
+            self.read_job(now, id, effects);
         }
     }
 
-    /// A peer, or this node, has stored a cancellation. Should the state
-    /// service go away before the watch tells, the tasks must stop all the
-    /// same; stopping them can do no harm.
-    pub fn cancelled(&mut self, now: Now, id: &JobId, out: &mut SchedulerEffects) {
+    /// A peer, or this node, has stored a cancellation. If the key-value store becomes
+    /// unavailable before the watch reports it, the tasks must stop all the same;
+    /// stopping them can do no harm.
+    pub fn cancelled(&mut self, now: Now, id: &JobId, effects: &mut SchedulerEffects) {
         if self.stage != LeaderStage::Active {
             return;
         }
-        let Some(job) = self.jobs.get_mut(id).filter(|j| j.cancelled.is_none()) else {
+        let Some(job) = self.jobs.get_mut(id).filter(|job| job.cancelled.is_none()) else {
             return;
         };
         job.cancelled = Some(now.wall);
-        // Its record has changed: read it before anything is written.
+        // Its record has changed: it is read before anything of it is written.
         job.stale = true;
         self.enforce_cancel(now, id);
-        self.read_job(now, id, out);
+        self.read_job(now, id, effects);
     }
 
-    pub(in crate::scheduler) fn read_job(
-        &mut self,
-        now: Now,
-        id: &JobId,
-        out: &mut SchedulerEffects,
-    ) {
-        let call = kv_client::get(&crate::records::jobs::job_key(id), 1000);
+    /// Reads a job's record.
+    pub(super) fn read_job(&mut self, now: Now, id: &JobId, effects: &mut SchedulerEffects) {
+        let call = kv_client::get(&job_key(id), CALL_TIMEOUT_MS);
         let tag = SchedulerKvCall::ReadJob(id.clone());
-        self.ask(now, CallPriority::Placement, call, 0, tag, out);
+        self.ask(now, CallPriority::Placement, call, 0, tag, effects);
     }
 
-    pub(in crate::scheduler) fn on_read_job(
+    /// A job's record, as it was read. A read that failed is repeated by
+    /// [`Scheduler::read_stale_jobs`].
+    pub(in crate::scheduler) fn on_job_response(
         &mut self,
         now: Now,
         id: &JobId,
-        answer: &KvResponse,
-        out: &mut SchedulerEffects,
+        response: &KvResponse,
+        effects: &mut SchedulerEffects,
     ) {
-        if let Some(item) = answer.read::<KeyValue>(200) {
-            self.learn_job(now, &item.key, item.value, item.mod_revision, true);
+        if let Some(item) = response.read::<KeyValue>(200) {
+            let source = JobRecordSource::Update;
+            self.apply_job_record(now, &item.key, item.value, item.mod_revision, source);
             if let Some(job) = self.jobs.get_mut(id) {
                 job.stale = false;
             }
             self.commits.has_changes = true;
-        } else if answer.status() == Some(404) && self.jobs.get(id).is_some_and(|j| j.stale) {
-            out.resign = Some("a live job's record is gone");
+        } else if response.status() == Some(404) && self.jobs.get(id).is_some_and(|job| job.stale) {
+            effects.resign = Some(StepDownReason::JobRecordGone);
         }
-        // What couldn't be read now is read again by `read_stale`.
     }
 
-    /// Jobs whose record changed under us are read until that succeeds, with
-    /// pauses: an outage isn't shortened by asking.
-    pub(in crate::scheduler) fn read_stale(&mut self, now: Now, out: &mut SchedulerEffects) {
+    /// Reads stale job records until that succeeds, with pauses: more requests don't
+    /// end an outage sooner.
+    pub(in crate::scheduler) fn read_stale_jobs(
+        &mut self,
+        now: Now,
+        effects: &mut SchedulerEffects,
+    ) {
         if now.ms < self.job_watch.reread_due_ms {
             return;
         }
@@ -218,7 +241,7 @@
         self.jobs.refresh();
         let stale: Vec<JobId> = self.jobs.stale().iter().cloned().collect();
         for id in &stale {
-            self.read_job(now, id, out);
+            self.read_job(now, id, effects);
         }
     }
 }
--- a/src/scheduler/state/mod.rs
+++ b/src/scheduler/state/mod.rs
@@ -1,5 +1,6 @@
 //! What the leader holds of jobs, and how it is loaded, watched and stored.
 
+pub(super) mod assignment;
 pub(super) mod cleanup;
 pub(super) mod commit;
 pub(super) mod job;
--- a/src/scheduler/state/placement_ranges.rs
+++ b/src/scheduler/state/placement_ranges.rs
@@ -1,38 +1,38 @@
 //! How the placements of a job's tasks are divided into ranges, one record each. A
 //! job is divided into ranges of equal length first. A range whose record gets too
 //! large for the key-value store is split again: its tasks go to finer ranges, which
-//! name their tasks in their keys. As long as both records stand, the finer one
-//! holds for its tasks, so a leader may find any step of this and reads the same
-//! facts.
+//! name their tasks in their keys. While both records are stored, the finer one is
+//! authoritative for its tasks, so a leader that finds any intermediate step of a
+//! split reads the same facts.
 
 use crate::ids::Attempt;
 use crate::messages::Now;
-use crate::records::placements::{record_bytes_at_most, RangeName};
+use crate::records::placements::{max_record_bytes, RangeName};
 use std::collections::BTreeMap;
 use std::ops::Range;
 
-/// One record of a job's placements, as its leader keeps it.
+/// A range of a job's tasks with one placement record, as the leader keeps it.
 #[derive(Clone, Debug)]
 pub struct PlacementRange {
     /// Which record it is.
     pub name: RangeName,
-    /// The tasks that its name says, some of which finer records may hold.
-    span: Range<u32>,
-    /// Version of the stored record; 0: none.
+    /// The tasks of its name, some of which finer ranges may hold.
+    tasks: Range<u32>,
+    /// The revision of the stored record; 0: none is stored.
     pub revision: u64,
     /// The next attempt of its tasks.
     pub next: Attempt,
-    /// Something has to be written; since when.
+    /// Since when there is something to write; `None`: nothing is.
     pub dirty_ms: Option<u64>,
-    /// It has to be written soon, not at leisure.
+    /// It has to be written soon, not lazily.
     pub urgent: bool,
 }
 
 impl PlacementRange {
-    fn new(name: RangeName, span: Range<u32>) -> PlacementRange {
+    fn new(name: RangeName, tasks: Range<u32>) -> PlacementRange {
         PlacementRange {
             name,
-            span,
+            tasks,
             revision: 0,
             next: Attempt::default(),
             dirty_ms: None,
@@ -41,149 +41,158 @@
     }
 
     /// Whether it should be written now.
-    pub fn due(&self, now: Now, leisure_ms: u64) -> bool {
+    pub fn is_due(&self, now: Now, lazy_delay_ms: u64) -> bool {
         self.dirty_ms
-            .is_some_and(|since| self.urgent || now.ms >= since + leisure_ms)
+            .is_some_and(|since| self.urgent || now.ms >= since + lazy_delay_ms)
     }
 
-    /// It has to be written.
+    /// Its record has to be written.
     pub fn touch(&mut self, now_ms: u64, urgent: bool) {
         self.dirty_ms.get_or_insert(now_ms);
         self.urgent |= urgent;
     }
 }
 
-/// All records of a job's placements.
+/// All ranges of a job's tasks. Ranges are numbered in the order in which they came
+/// to be.
 #[derive(Clone, Debug)]
 pub struct PlacementRanges {
+    /// How many tasks the job has.
     tasks: u32,
-    uniform: u32,
-    shards: Vec<PlacementRange>,
-    /// Where each stretch of tasks begins, and which shard holds it.
-    stretches: BTreeMap<u32, usize>,
+    /// Tasks in each of the equal ranges that the job was divided into first.
+    tasks_per_range: u32,
+    ranges: Vec<PlacementRange>,
+    /// The first task of each segment of contiguous tasks, and the number of the
+    /// range that holds them.
+    segments: BTreeMap<u32, usize>,
 }
 
 impl PlacementRanges {
-    /// So many tasks cut into ranges of equal length.
-    pub fn new(tasks: u32, uniform: u32) -> PlacementRanges {
-        let count = tasks.div_ceil(uniform);
-        let span = |number: u32| number * uniform..((number + 1) * uniform).min(tasks);
+    /// Divides the tasks of a job into ranges of equal length.
+    pub fn new(tasks: u32, tasks_per_range: u32) -> PlacementRanges {
+        let count = tasks.div_ceil(tasks_per_range);
+        let tasks_of =
+            |number: u32| number * tasks_per_range..((number + 1) * tasks_per_range).min(tasks);
         PlacementRanges {
             tasks,
-            uniform,
-            shards: (0..count)
-                .map(|n| PlacementRange::new(RangeName::Uniform(n), span(n)))
+            tasks_per_range,
+            ranges: (0..count)
+                .map(|number| PlacementRange::new(RangeName::Uniform(number), tasks_of(number)))
+                .collect(),
+            segments: (0..count)
+                .map(|number| (number * tasks_per_range, number as usize))
                 .collect(),
-            stretches: (0..count).map(|n| (n * uniform, n as usize)).collect(),
         }
     }
 
-    /// Tasks in each range of the first cut.
-    pub fn uniform(&self) -> u32 {
-        self.uniform
+    /// Tasks in each of the equal ranges that the job was divided into first.
+    pub fn tasks_per_range(&self) -> u32 {
+        self.tasks_per_range
     }
 
-    /// All records, by number.
+    /// All ranges, by number.
     pub fn iter(&self) -> impl Iterator<Item = &PlacementRange> {
-        self.shards.iter()
+        self.ranges.iter()
     }
 
-    /// How many there are.
+    /// How many ranges there are.
     pub fn len(&self) -> usize {
-        self.shards.len()
+        self.ranges.len()
     }
 
-    /// Whether there is none, as in no job.
+    /// Whether there is none, which is so of no job.
     pub fn is_empty(&self) -> bool {
-        self.shards.is_empty()
+        self.ranges.is_empty()
     }
 
-    /// The record of this number.
+    /// The range of this number.
     pub fn get(&self, number: usize) -> Option<&PlacementRange> {
-        self.shards.get(number)
+        self.ranges.get(number)
     }
 
-    /// The record of this number, to be changed.
+    /// The range of this number, to be changed.
     pub fn get_mut(&mut self, number: usize) -> Option<&mut PlacementRange> {
-        self.shards.get_mut(number)
+        self.ranges.get_mut(number)
     }
 
-    /// The number of the record that holds a task.
-    pub fn holding(&self, task: u32) -> Option<usize> {
-        let (_, number) = self.stretches.range(..=task).next_back()?;
+    /// The number of the range that holds a task.
+    pub fn range_of_task(&self, task: u32) -> Option<usize> {
+        let (_, number) = self.segments.range(..=task).next_back()?;
         (task < self.tasks).then_some(*number)
     }
 
-    /// The record that holds a task, to be changed.
-    pub fn holding_mut(&mut self, task: u32) -> Option<&mut PlacementRange> {
-        let number = self.holding(task)?;
-        self.shards.get_mut(number)
+    /// The range that holds a task, to be changed.
+    pub fn range_of_task_mut(&mut self, task: u32) -> Option<&mut PlacementRange> {
+        let number = self.range_of_task(task)?;
+        self.ranges.get_mut(number)
     }
 
-    /// The tasks that a record holds: those that no finer one does.
+    /// The tasks that a range holds, in contiguous segments: those that no finer
+    /// range holds.
     pub fn tasks_of(&self, number: usize) -> Vec<Range<u32>> {
-        let Some(shard) = self.shards.get(number) else {
+        let Some(range) = self.ranges.get(number) else {
             return Vec::new();
         };
-        let inside = self.stretches.range(shard.span.clone());
-        let held = inside.filter(|(_, holder)| **holder == number);
-        held.map(|(first, _)| *first..self.end_of_stretch(*first))
+        self.segments
+            .range(range.tasks.clone())
+            .filter(|(_, holder)| **holder == number)
+            .map(|(first, _)| *first..self.segment_end(*first))
             .collect()
     }
 
-    /// What a record may take when all its tasks are assigned.
-    pub fn most_bytes(&self, number: usize) -> usize {
-        let held = self.tasks_of(number);
-        let held: u32 = held.iter().map(|tasks| tasks.end - tasks.start).sum();
-        record_bytes_at_most(held)
+    /// The most bytes of a range's record, with all its tasks assigned.
+    pub fn max_record_bytes(&self, number: usize) -> usize {
+        max_record_bytes(task_count(&self.tasks_of(number)))
     }
 
-    fn end_of_stretch(&self, first: u32) -> u32 {
-        let next = self.stretches.range(first + 1..).next();
+    /// The end of the segment that begins with this task.
+    fn segment_end(&self, first: u32) -> u32 {
+        let next = self.segments.range(first + 1..).next();
         next.map_or(self.tasks, |(start, _)| *start)
     }
 
-    /// A finer record holds these tasks from now on. Returns its number; `None`:
-    /// the job has no such tasks.
-    pub fn carve(&mut self, tasks: Range<u32>) -> Option<usize> {
+    /// From now on these tasks are held by a finer range of their own. Returns its
+    /// number; `None`: the job has no such tasks.
+    pub fn split_off(&mut self, tasks: Range<u32>) -> Option<usize> {
         if tasks.is_empty() || tasks.end > self.tasks {
             return None;
         }
-        let after = self.holding(tasks.end);
-        let number = self.shards.len();
+        let holder_after = self.range_of_task(tasks.end);
+        let number = self.ranges.len();
         let name = RangeName::Tasks {
             first: tasks.start,
             last: tasks.end - 1,
         };
-        self.shards.push(PlacementRange::new(name, tasks.clone()));
-        self.stretches.retain(|start, _| !tasks.contains(start));
-        self.stretches.insert(tasks.start, number);
-        if let Some(holder) = after {
-            self.stretches.entry(tasks.end).or_insert(holder);
+        self.ranges.push(PlacementRange::new(name, tasks.clone()));
+        self.segments.retain(|start, _| !tasks.contains(start));
+        self.segments.insert(tasks.start, number);
+        if let Some(holder) = holder_after {
+            self.segments.entry(tasks.end).or_insert(holder);
         }
         Some(number)
     }
 
-    /// Cuts a record whose tasks take too much room into finer ones of at most so
-    /// many tasks, in multiples of `unit`. `false`: it can't be cut any further.
-    pub fn split(&mut self, number: usize, most: u32, unit: u32) -> bool {
-        let stretches = self.tasks_of(number);
-        let held: u32 = stretches.iter().map(|tasks| tasks.end - tasks.start).sum();
+    /// Splits a range whose record is too large into finer ones of at most
+    /// `max_tasks`, in multiples of `unit`. `false`: it can't be split any further.
+    pub fn split(&mut self, number: usize, max_tasks: u32, unit: u32) -> bool {
+        let segments = self.tasks_of(number);
+        let held = task_count(&segments);
         // Half of them at the most, or the same record would come out again.
-        let most = most.min(held / 2) / unit * unit;
-        let length = most.max(unit);
+        let max_tasks = max_tasks.min(held / 2) / unit * unit;
+        let length = max_tasks.max(unit);
         if held <= unit {
             return false;
         }
-        let Some(coarse) = self.shards.get_mut(number) else {
+        let Some(coarse) = self.ranges.get_mut(number) else {
             return false;
         };
         let (next, dirty_ms, urgent) = (coarse.next, coarse.dirty_ms.take(), coarse.urgent);
         coarse.urgent = false;
-        for stretch in stretches {
-            for first in stretch.clone().step_by(length as usize) {
-                let tasks = first..(first + length).min(stretch.end);
-                let Some(fine) = self.carve(tasks).and_then(|n| self.shards.get_mut(n)) else {
+        for segment in segments {
+            for first in segment.clone().step_by(length as usize) {
+                let tasks = first..(first + length).min(segment.end);
+                let number = self.split_off(tasks);
+                let Some(fine) = number.and_then(|number| self.ranges.get_mut(number)) else {
                     continue;
                 };
                 fine.next = next;
@@ -194,13 +203,17 @@
         true
     }
 
-    /// One new attempt for tasks of every record.
+    /// A new attempt that is the same for the tasks of all ranges.
     pub fn common_attempt(&mut self) -> Attempt {
-        let latest = self.shards.iter().map(|s| s.next).max().unwrap_or_default();
-        let next = Attempt(latest.0 + 1);
-        for shard in &mut self.shards {
-            shard.next = next;
+        let latest = self.ranges.iter().map(|range| range.next).max();
+        let next = Attempt(latest.unwrap_or_default().0 + 1);
+        for range in &mut self.ranges {
+            range.next = next;
         }
         next
     }
 }
+
+fn task_count(segments: &[Range<u32>]) -> u32 {
+    segments.iter().map(|tasks| tasks.end - tasks.start).sum()
+}
--- a/src/scheduler/state/transaction.rs
+++ b/src/scheduler/state/transaction.rs
@@ -1,5 +1,5 @@
-//! One guarded transaction of the leader's, put together: ends of jobs and
-//! placements, most important first, as many as the limits allow.
+//! How a transaction of the leader's is built: final records of jobs and placement
+//! records, most important first, as many as the limits allow.
 
 use crate::ids::{Attempt, JobId, Revision};
 use crate::limits::{RequestSize, StoreLimits};
@@ -13,79 +13,103 @@
 use lilacfork_replica_groups::record::GroupRecord;
 use lilacfork_replica_groups::registry::ReplicaGroups;
 
-/// Room for headers and guards below the protocol's 64 KiB.
-const TXN_BYTES: usize = 52 * 1024;
-/// A job's end takes two changes: one record comes, one goes.
-pub(in crate::scheduler) const FINAL_CHANGES: usize = 2;
-/// What a job's end takes of a transaction, in bytes, generously.
-const FINAL_BYTES: usize = 200;
+/// The most bytes of a transaction's records: the protocol's 64 KiB less headers and
+/// compares.
+const MAX_TXN_BYTES: usize = 52 * 1024;
+/// A job's end takes two changes: its final record is put, its job record deleted.
+pub(super) const FINAL_CHANGES: usize = 2;
+/// Bytes that a job's end takes in a transaction, generously.
+const FINAL_RECORD_BYTES: usize = 200;
 
 /// A placement record in a transaction.
 #[derive(Debug)]
-pub(in crate::scheduler) struct PlacementWrite {
-    pub(in crate::scheduler) job: JobId,
-    /// The record's number within its job.
-    pub(in crate::scheduler) shard: usize,
-    pub(in crate::scheduler) assigned: Vec<(u32, Attempt)>,
-    pub(in crate::scheduler) ended: Vec<(u32, Attempt)>,
-    pub(in crate::scheduler) groups: Vec<GroupRecord>,
+pub(super) struct PlacementWrite {
+    pub(super) job: JobId,
+    /// The number of the record's range within its job.
+    pub(super) range: usize,
+    /// The assignments that the record holds, by task and attempt.
+    pub(super) assigned: Vec<(u32, Attempt)>,
+    /// The ends of attempts that it stores.
+    pub(super) ended: Vec<(u32, Attempt)>,
+    /// The replica groups that it holds.
+    pub(super) groups: Vec<GroupRecord>,
+}
+
+/// A job whose final record is in a transaction.
+#[derive(Debug)]
+pub(super) struct FinishedJob {
+    pub(super) id: JobId,
+    pub(super) state: FinalState,
 }
 
 /// A transaction of the leader's, and what is true once it is stored.
 #[derive(Debug)]
 pub(in crate::scheduler) struct PendingTransaction {
-    pub(in crate::scheduler) write: u64,
-    pub(in crate::scheduler) txn: Txn,
-    pub(in crate::scheduler) shards: Vec<PlacementWrite>,
-    pub(in crate::scheduler) finished: Vec<(JobId, FinalState)>,
-    /// Placements of jobs that are over once this is stored.
-    pub(in crate::scheduler) litter: Vec<String>,
-    /// Key whose value names this write, if it was carried out.
-    pub(in crate::scheduler) witness: String,
-    pub(in crate::scheduler) sent: bool,
-    pub(in crate::scheduler) unclear: bool,
-    pub(in crate::scheduler) failed: Vec<String>,
-    pub(in crate::scheduler) due_ms: u64,
-    /// Its size, roughly.
-    bytes: usize,
+    /// Identifies the write in the records that it puts.
+    pub(super) write: u64,
+    pub(super) txn: Txn,
+    pub(super) placement_writes: Vec<PlacementWrite>,
+    pub(super) finished_jobs: Vec<FinishedJob>,
+    /// Placement records of jobs that are over once this is stored.
+    pub(super) obsolete_keys: Vec<String>,
+    /// The key of the first record that it puts: its value names this write if the
+    /// transaction was carried out.
+    pub(super) marker_key: String,
+    /// It is in flight.
+    pub(super) sent: bool,
+    /// An earlier copy of it may have been carried out.
+    pub(super) indeterminate: bool,
+    /// The keys whose compares failed, as the store named them.
+    pub(super) failed_compares: Vec<String>,
+    /// When it may be sent.
+    pub(super) due_ms: u64,
+    /// The size of its records, roughly.
+    estimated_bytes: usize,
 }
 
 impl PendingTransaction {
-    fn new(write: u64, leader_key: Revision) -> PendingTransaction {
+    fn new(write: u64, leader_key_revision: Revision) -> PendingTransaction {
         PendingTransaction {
             write,
-            txn: Txn::default().compare(LEADER_KEY, leader_key.0),
-            shards: Vec::new(),
-            finished: Vec::new(),
-            litter: Vec::new(),
-            witness: String::new(),
+            txn: Txn::default().compare(LEADER_KEY, leader_key_revision.0),
+            placement_writes: Vec::new(),
+            finished_jobs: Vec::new(),
+            obsolete_keys: Vec::new(),
+            marker_key: String::new(),
             sent: false,
-            unclear: false,
-            failed: Vec::new(),
+            indeterminate: false,
+            failed_compares: Vec::new(),
             due_ms: 0,
-            bytes: 0,
+            estimated_bytes: 0,
         }
     }
 
     /// How large it is.
-    pub(in crate::scheduler) fn size(&self) -> RequestSize {
+    pub(super) fn size(&self) -> RequestSize {
         RequestSize::of(&self.txn)
     }
 
-    /// The jobs that it writes of.
-    pub(in crate::scheduler) fn jobs(&self) -> Vec<JobId> {
-        let finished = self.finished.iter().map(|(id, _)| id);
-        let mut jobs: Vec<JobId> = finished.cloned().collect();
-        jobs.extend(self.shards.iter().map(|w| w.job.clone()));
+    /// The jobs that it writes.
+    pub(super) fn jobs(&self) -> Vec<JobId> {
+        let finished = self.finished_jobs.iter().map(|finished| &finished.id);
+        let placed = self.placement_writes.iter().map(|write| &write.job);
+        let mut jobs: Vec<JobId> = finished.chain(placed).cloned().collect();
         jobs.dedup();
         jobs
     }
 
-    fn takes(&self, changes: usize, most: usize) -> bool {
-        self.txn.writes.len() + changes <= most && self.bytes <= TXN_BYTES
+    /// It isn't in flight any more, and is to be sent again.
+    pub(super) fn send_again_at(&mut self, due_ms: u64) {
+        self.sent = false;
+        self.due_ms = due_ms;
+    }
+
+    fn has_capacity_for(&self, changes: usize, max_changes: usize) -> bool {
+        self.txn.writes.len() + changes <= max_changes && self.estimated_bytes <= MAX_TXN_BYTES
     }
 
-    fn add_end(&mut self, now: Now, job: &mut Job, state: FinalState) {
+    /// Adds the end of a job.
+    fn add_final_record(&mut self, now: Now, job: &mut Job, state: FinalState) {
         let id = job.spec.id.clone();
         let record = FinalRecord {
             state,
@@ -98,95 +122,105 @@
             .compare(job_key(&id), job.revision)
             .put(final_key(&id), value)
             .delete(job_key(&id));
-        if self.witness.is_empty() {
-            self.witness = final_key(&id);
+        if self.marker_key.is_empty() {
+            self.marker_key = final_key(&id);
         }
-        let stored = job.placements.iter().filter(|shard| shard.revision > 0);
-        let keys = stored.map(|shard| placement_key(&id, shard.name));
-        self.litter.extend(keys);
+        let stored = job.placements.iter().filter(|range| range.revision > 0);
+        let keys = stored.map(|range| placement_key(&id, range.name));
+        self.obsolete_keys.extend(keys);
         job.finishing = true;
-        self.finished.push((id, state));
-        self.bytes += FINAL_BYTES;
+        self.finished_jobs.push(FinishedJob { id, state });
+        self.estimated_bytes += FINAL_RECORD_BYTES;
     }
 
-    fn add_shard(&mut self, job: &mut Job, number: usize, record: PlacementRecord, first: bool) {
+    /// Adds the placement record of one of a job's ranges.
+    fn add_placement_record(
+        &mut self,
+        job: &mut Job,
+        number: usize,
+        record: PlacementRecord,
+        first_of_job: bool,
+    ) {
         let id = job.spec.id.clone();
-        let stretches = job.placements.tasks_of(number);
-        let ended = job.unstored_ends.iter();
-        let ended = ended.filter(|(task, _)| stretches.iter().any(|s| s.contains(task)));
-        let ended = ended.copied().collect();
-        let Some(shard) = job.placements.get_mut(number) else {
+        let segments = job.placements.tasks_of(number);
+        let ended = job
+            .unstored_ends
+            .iter()
+            .filter(|(task, _)| segments.iter().any(|segment| segment.contains(task)))
+            .copied()
+            .collect();
+        let Some(range) = job.placements.get_mut(number) else {
             return;
         };
-        shard.dirty_ms = None;
-        shard.urgent = false;
-        let key = placement_key(&id, shard.name);
-        self.bytes += record.most_bytes();
+        range.dirty_ms = None;
+        range.urgent = false;
+        let key = placement_key(&id, range.name);
+        self.estimated_bytes += record.max_bytes();
         let mut txn = std::mem::take(&mut self.txn);
-        if first {
-            // Whoever cancelled the job meanwhile wins.
+        if first_of_job {
+            // If the job was cancelled meanwhile, the cancellation wins.
             txn = txn.compare(job_key(&id), job.revision);
         }
-        self.shards.push(PlacementWrite {
+        self.placement_writes.push(PlacementWrite {
             job: id,
-            shard: number,
+            range: number,
             assigned: record
                 .assigned
                 .iter()
-                .map(|r| (r.task, r.attempt))
+                .map(|row| (row.task, row.attempt))
                 .collect(),
             ended,
             groups: record.groups.clone(),
         });
         let value = serde_json::to_value(record).unwrap_or_default();
         self.txn = txn
-            .compare(key.clone(), shard.revision)
+            .compare(key.clone(), range.revision)
             .put(key.clone(), value);
-        if self.witness.is_empty() {
-            self.witness = key;
+        if self.marker_key.is_empty() {
+            self.marker_key = key;
         }
     }
 }
 
-/// What a record of the job would hold now, with its groups.
-fn record_of(
+/// The placement record of one of a job's ranges as of now, with its replica groups.
+fn current_record(
     job: &Job,
     number: usize,
     write: u64,
     groups: &ReplicaGroups,
     zones: &[String],
 ) -> PlacementRecord {
-    let mut record = job.record(number, write, zones);
+    let mut record = job.placement_record(number, write, zones);
     if let Some(groups) = groups.get(&job.spec.id) {
-        let stretches = job.placements.tasks_of(number);
-        record.groups = stretches
+        let segments = job.placements.tasks_of(number);
+        record.groups = segments
             .into_iter()
-            .flat_map(|s| groups.records(s))
+            .flat_map(|tasks| groups.records(tasks))
             .collect();
     }
     record
 }
 
-/// Cuts a job's due records until each is taken by the state service, or can't be
-/// cut any further.
-fn cut_to_size(
+/// Splits a job's due ranges until the record of each is accepted by the key-value
+/// store, or can't be split any further.
+fn split_oversized_ranges(
     job: &mut Job,
-    due: impl Fn(&Job, usize) -> bool,
+    is_due: impl Fn(&Job, usize) -> bool,
     groups: &ReplicaGroups,
     limits: &StoreLimits,
 ) {
+    // Ranges that come of a split are looked at in their turn.
     let mut number = 0;
     while number < job.placements.len() {
-        let may_not_fit =
-            job.shape.is_some() || job.placements.most_bytes(number) > limits.value_bytes;
-        if may_not_fit && due(job, number) {
-            // Zones take one digit or two: their numbers don't matter here.
-            let record = record_of(job, number, u64::MAX, groups, &[]);
+        if is_due(job, number) && may_exceed(job, number, limits) {
+            // Zones are stored as numbers of one digit or two: which ones they are
+            // doesn't matter for the size.
+            let record = current_record(job, number, u64::MAX, groups, &[]);
             if !record.fits(limits.value_bytes) {
-                let most = record.tasks_that_fit(limits.value_bytes);
-                let unit = job.inseparable();
-                if job.placements.split(number, most, unit) {
-                    log::info!("job {}: a placement record is cut", job.spec.id);
+                let max_tasks = record.tasks_that_fit(limits.value_bytes);
+                let unit = job.tasks_per_replica();
+                if job.placements.split(number, max_tasks, unit) {
+                    log::info!("placement record split job={}", job.spec.id);
                 }
             }
         }
@@ -194,48 +228,55 @@
     }
 }
 
+/// Whether the record of a range may be larger than the store accepts. Of jobs with
+/// replica groups the size isn't known in advance.
+fn may_exceed(job: &Job, number: usize, limits: &StoreLimits) -> bool {
+    job.shape.is_some() || job.placements.max_record_bytes(number) > limits.value_bytes
+}
+
 impl Scheduler {
-    /// Puts together what is to be written next; `None`: nothing.
-    pub(in crate::scheduler) fn build_transaction(
+    /// Builds the transaction of what is to be written next; `None`: nothing.
+    pub(super) fn build_transaction(
         &mut self,
         now: Now,
         jobs: Vec<JobId>,
-        max_ops: usize,
+        max_changes: usize,
     ) -> Option<PendingTransaction> {
-        let leisure_ms = self.leisure_ms();
-        self.commits.writes += 1;
-        let write = (self.term.0 << 32) | self.commits.writes;
-        let mut batch = PendingTransaction::new(write, Revision(self.leader_key_revision));
-        let due = |job: &Job, number: usize| {
-            let shard = job.placements.get(number);
-            shard.is_some_and(|shard| shard.due(now, leisure_ms))
+        let lazy_delay_ms = self.lazy_write_delay_ms();
+        self.commits.transactions_built += 1;
+        let write = (self.term.0 << 32) | self.commits.transactions_built;
+        let leader_key_revision = Revision(self.leader_key_revision);
+        let mut transaction = PendingTransaction::new(write, leader_key_revision);
+        let is_due = |job: &Job, number: usize| {
+            let range = job.placements.get(number);
+            range.is_some_and(|range| range.is_due(now, lazy_delay_ms))
         };
         // What doesn't fit waits for the next one.
         for id in jobs.into_iter().take(self.commits.max_jobs) {
             let Some(job) = self.jobs.get_mut(&id) else {
                 continue;
             };
-            if !batch.takes(FINAL_CHANGES, max_ops) {
+            if !transaction.has_capacity_for(FINAL_CHANGES, max_changes) {
                 break;
             }
-            if let Some(state) = job.ending() {
-                batch.add_end(now, job, state);
+            if let Some(state) = job.final_state() {
+                transaction.add_final_record(now, job, state);
                 continue;
             }
-            cut_to_size(job, due, &self.groups, &self.limits);
-            let mut first = true;
+            split_oversized_ranges(job, is_due, &self.groups, &self.limits);
+            let mut first_of_job = true;
             for number in 0..job.placements.len() {
-                if !batch.takes(1, max_ops) {
+                if !transaction.has_capacity_for(1, max_changes) {
                     break;
                 }
-                if due(job, number) {
+                if is_due(job, number) {
                     let zones = &self.settings.site.zones;
-                    let record = record_of(job, number, write, &self.groups, zones);
-                    batch.add_shard(job, number, record, first);
-                    first = false;
+                    let record = current_record(job, number, write, &self.groups, zones);
+                    transaction.add_placement_record(job, number, record, first_of_job);
+                    first_of_job = false;
                 }
             }
         }
-        (!batch.txn.writes.is_empty()).then_some(batch)
+        (!transaction.txn.writes.is_empty()).then_some(transaction)
     }
 }
--- a/src/scheduler/workers/heartbeats.rs
+++ b/src/scheduler/workers/heartbeats.rs
@@ -287,7 +287,9 @@
                     .and_then(|m| m.advance_fencing_token())
                 {
                     Some(token) => assign.absent_proof = Some(token),
-                    None => out.resign = Some("tokens used up"),
+                    None => {
+                        out.resign = Some(crate::scheduler::StepDownReason::FencingTokensExhausted)
+                    }
                 }
                 false
             }
@@ -494,7 +496,7 @@
         if forget {
             if let Some(machine) = self.fleet.get_mut(id) {
                 if machine.advance_fencing_token().is_none() {
-                    out.resign = Some("tokens used up");
+                    out.resign = Some(crate::scheduler::StepDownReason::FencingTokensExhausted);
                     return Vec::new();
                 }
             }
--- a/tests/integration/policy.rs
+++ b/tests/integration/policy.rs
@@ -5,7 +5,7 @@
 use lilacfork::kv_client::{self, CallPriority, KvCall, KvClient};
 use lilacfork::messages::Now;
 use lilacfork::placement::{FitScore, Resources, ZoneCounts};
-use lilacfork::records::placements::{read_ranges, write_ranges};
+use lilacfork::records::placements::{format_task_ranges, parse_task_ranges};
 use lilacfork::settings::Settings;
 use lilacfork::slackfit::{buckets, cheapest, choose, Rung};
 use lilacfork::token_bucket::TokenBucket;
@@ -188,12 +188,12 @@
 #[test]
 fn ranges_come_back_as_they_were_written() {
     for tasks in [vec![], vec![0], vec![0, 1, 2], vec![3, 5, 6, 7, 99]] {
-        let text = write_ranges(tasks.iter().copied());
-        assert_eq!(read_ranges(&text, 100), Some(tasks), "{text}");
+        let text = format_task_ranges(tasks.iter().copied());
+        assert_eq!(parse_task_ranges(&text, 100), Some(tasks), "{text}");
     }
-    assert_eq!(write_ranges([3, 5, 6, 7, 99].into_iter()), "3,5-7,99");
+    assert_eq!(format_task_ranges([3, 5, 6, 7, 99].into_iter()), "3,5-7,99");
     for broken in ["x", "5-3", "1,,2", "100", "0-99999999"] {
-        assert_eq!(read_ranges(broken, 100), None, "{broken}");
+        assert_eq!(parse_task_ranges(broken, 100), None, "{broken}");
     }
 }
 
--- a/tests/integration/version_compatibility.rs
+++ b/tests/integration/version_compatibility.rs
@@ -6,7 +6,8 @@
 use lilacfork::ids::JobId;
 use lilacfork::records::jobs::JobRecord;
 use lilacfork::records::placements::{
-    parse_placement_key, placement_key, read_ranges, tasks_per_record, PlacementRecord, RangeName,
+    parse_placement_key, parse_task_ranges, placement_key, tasks_per_record, PlacementRecord,
+    RangeName,
 };
 use lilacfork::scheduler::{Job, PlacementRanges, StoredPlacement};
 use lilacfork::settings::{NextStateLimits, Settings};
@@ -67,7 +68,7 @@
         assert!(number < tasks.unwrap().div_ceil(tasks_per_record), "{key}");
         let (done, assigned) = facts.entry(job.into()).or_default();
         let ranges = record["d"].as_str().unwrap_or("");
-        done.extend(read_ranges(ranges, tasks.unwrap() as u32).expect("ranges"));
+        done.extend(parse_task_ranges(ranges, tasks.unwrap() as u32).expect("ranges"));
         for row in record["a"].as_array().into_iter().flatten() {
             let task = row[0].as_u64().unwrap();
             assert_eq!(task / tasks_per_record, number, "{key}");
@@ -84,7 +85,7 @@
     let mut facts = Facts::new();
     for (key, (record, version, _)) in w.state.items.iter().filter(|(k, _)| k.starts_with("j/")) {
         let record: JobRecord = serde_json::from_value(record.clone()).unwrap();
-        let mut job = Job::new(record, *version, tasks_per_record(32.0), 0);
+        let mut job = Job::new(record, *version, tasks_per_record(32.0));
         let prefix = key.replace("j/", "p/") + "/";
         let stored = w.state.items.iter().filter(|(k, _)| k.starts_with(&prefix));
         let stored = stored.map(|(key, (record, version, _))| StoredPlacement {
@@ -428,7 +429,7 @@
             );
             for task in shards.tasks_of(number).into_iter().flatten() {
                 held[task as usize] += 1;
-                assert_eq!(shards.holding(task), Some(number));
+                assert_eq!(shards.range_of_task(task), Some(number));
                 if let RangeName::Tasks { first, last } = name {
                     assert!((first..=last).contains(&task));
                 }
