--- a/dependencies/src/graph.rs
+++ b/dependencies/src/graph.rs
@@ -1,9 +1,9 @@
-//! Who needs whom among the jobs that a leader holds.
+//! The graph of dependencies between the jobs that a leader holds.
 
 use lilacfork_common::ids::JobId;
 use std::collections::{BTreeSet, HashMap, HashSet};
 
-/// The needs that aren't known to be done yet, and the same seen from the other end.
+/// The open dependencies, which aren't known to be done, in both directions.
 #[derive(Clone, Default, Debug)]
 pub struct DependencyGraph {
     open: HashMap<JobId, BTreeSet<JobId>>,
@@ -11,45 +11,41 @@
 }
 
 impl DependencyGraph {
-    /// Forgets everything.
-    pub fn clear(&mut self) {
-        *self = DependencyGraph::default();
-    }
-
-    /// A job that needs these.
-    pub fn add(&mut self, job: &JobId, needs: &[JobId]) {
-        if needs.is_empty() {
+    /// Adds a job that depends on these.
+    pub fn add(&mut self, job: &JobId, dependencies: &[JobId]) {
+        if dependencies.is_empty() {
             return;
         }
-        for need in needs {
-            let dependents = self.dependents.entry(need.clone()).or_default();
+        for dependency in dependencies {
+            let dependents = self.dependents.entry(dependency.clone()).or_default();
             dependents.insert(job.clone());
         }
         self.open
-            .insert(job.clone(), needs.iter().cloned().collect());
+            .insert(job.clone(), dependencies.iter().cloned().collect());
     }
 
-    /// Whether the job needs something that isn't known to be done.
+    /// Whether the job has an open dependency.
     pub fn is_blocked(&self, job: &JobId) -> bool {
         self.open.contains_key(job)
     }
 
-    /// Whether anything needs this job.
+    /// Whether any job waits for this one.
     pub fn has_dependents(&self, job: &JobId) -> bool {
         self.dependents.contains_key(job)
     }
 
-    /// What the job needs and isn't known to be done.
+    /// The open dependencies of the job.
     pub fn open_dependencies_of(&self, job: &JobId) -> impl Iterator<Item = &JobId> {
         self.open.get(job).into_iter().flatten()
     }
 
-    /// The jobs that need this one directly.
+    /// The jobs that depend on this one directly.
     pub fn dependents_of(&self, job: &JobId) -> impl Iterator<Item = &JobId> {
         self.dependents.get(job).into_iter().flatten()
     }
 
-    /// The job is done, and stored as such. Returns the jobs that need nothing more.
+    /// The job is done, and stored as such. Returns the jobs for which it was the last
+    /// open dependency.
     pub fn mark_done(&mut self, job: &JobId) -> Vec<JobId> {
         let dependents = self.dependents.remove(job).unwrap_or_default();
         dependents
@@ -58,12 +54,12 @@
             .collect()
     }
 
-    /// Notes that a need is met. `true`: it was the job's last.
-    fn remove_open_dependency(&mut self, dependent: &JobId, need: &JobId) -> bool {
+    /// One dependency of a job is done. Returns whether it was the last open one.
+    fn remove_open_dependency(&mut self, dependent: &JobId, dependency: &JobId) -> bool {
         let Some(open) = self.open.get_mut(dependent) else {
             return false;
         };
-        open.remove(need);
+        open.remove(dependency);
         if open.is_empty() {
             self.open.remove(dependent);
             return true;
@@ -71,42 +67,33 @@
         false
     }
 
-    /// The job is over, or is known to have all that it needs.
+    /// The job is over, or all its dependencies are known to be done.
     pub fn remove_dependencies(&mut self, job: &JobId) {
-        for need in self.open.remove(job).unwrap_or_default() {
-            if let Some(dependents) = self.dependents.get_mut(&need) {
+        for dependency in self.open.remove(job).unwrap_or_default() {
+            if let Some(dependents) = self.dependents.get_mut(&dependency) {
                 dependents.remove(job);
                 if dependents.is_empty() {
-                    self.dependents.remove(&need);
+                    self.dependents.remove(&dependency);
                 }
             }
         }
     }
 
-    /// All jobs that need this one, directly or through others, each once.
+    /// All jobs that depend on this one, directly or through others, each once.
     pub fn transitive_dependents(&self, job: &JobId) -> Vec<JobId> {
         let mut seen: HashSet<&JobId> = HashSet::new();
         let mut found: Vec<JobId> = Vec::new();
         let mut layer: Vec<&JobId> = self.dependents_of(job).collect();
         while !layer.is_empty() {
-            let mut next = Vec::new();
+            let mut next_layer = Vec::new();
             for dependent in layer {
                 if seen.insert(dependent) {
                     found.push(dependent.clone());
-                    next.extend(self.dependents_of(dependent));
+                    next_layer.extend(self.dependents_of(dependent));
                 }
             }
-            layer = next;
+            layer = next_layer;
         }
         found
     }
-
-    /// Needs that aren't among the jobs for which `held` is true: how they ended has
-    /// to be read.
-    pub fn unread<'a>(
-        &'a self,
-        held: impl Fn(&JobId) -> bool + 'a,
-    ) -> impl Iterator<Item = &'a JobId> + 'a {
-        self.dependents.keys().filter(move |need| !held(need))
-    }
 }
--- a/dependencies/src/status.rs
+++ b/dependencies/src/status.rs
@@ -1,7 +1,7 @@
-//! How a job stands by the jobs that it needs. It follows from records alone: those
-//! of unfinished jobs, which name what they need, and those of jobs that are over,
-//! which never change. So any controller can tell, whoever leads, and a job is
-//! cancelled from the moment at which the record of one that it needs says so.
+//! Whether a job may start, by its dependencies. It follows from records alone: those
+//! of unfinished jobs, which name their dependencies, and those of jobs that are over,
+//! which never change. So any controller can tell, whoever leads, and a job counts as
+//! cancelled from the moment at which the record of a dependency says so.
 
 use lilacfork_common::ids::JobId;
 use std::collections::HashSet;
@@ -13,13 +13,13 @@
     Done,
     /// Its record says that it is cancelled, or it is over and was.
     Cancelled,
-    /// Its record stands; these are the jobs that it needs.
+    /// It is unfinished by its record; these are its dependencies.
     Unfinished(&'a [JobId]),
-    /// Its record doesn't stand, and how it ended hasn't been read.
+    /// It has no record as an unfinished job, and how it ended hasn't been read.
     Unread,
 }
 
-/// How a job stands by the jobs that it needs.
+/// Whether a job may start, by its dependencies.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum DependencyStatus {
     /// All of them are done.
@@ -28,35 +28,35 @@
     Waiting,
     /// One of them is cancelled, directly or through others.
     Cancelled,
-    /// Nobody can tell before it is read how these ended.
+    /// It can't be told before it is read how these ended.
     Unread(Vec<JobId>),
 }
 
-/// Judges a job by its needs. Looks at each job at most once, and not beyond jobs
-/// that are over.
+/// Works out the status of a job from its dependencies. Looks at each job at most
+/// once, and not beyond jobs that are over.
 pub fn dependency_status<'a>(
-    needs: &'a [JobId],
-    known: impl Fn(&JobId) -> DependencyState<'a>,
+    dependencies: &'a [JobId],
+    state_of: impl Fn(&JobId) -> DependencyState<'a>,
 ) -> DependencyStatus {
     let mut seen: HashSet<&JobId> = HashSet::new();
-    let mut left: Vec<&JobId> = needs.iter().collect();
+    let mut to_visit: Vec<&JobId> = dependencies.iter().collect();
     let mut unread = Vec::new();
-    let mut waits = false;
-    while let Some(job) = left.pop() {
+    let mut is_waiting = false;
+    while let Some(job) = to_visit.pop() {
         if !seen.insert(job) {
             continue;
         }
-        match known(job) {
+        match state_of(job) {
             DependencyState::Done => {}
             DependencyState::Cancelled => return DependencyStatus::Cancelled,
             DependencyState::Unfinished(further) => {
-                waits = true;
-                left.extend(further);
+                is_waiting = true;
+                to_visit.extend(further);
             }
             DependencyState::Unread => unread.push(job.clone()),
         }
     }
-    match (unread.is_empty(), waits) {
+    match (unread.is_empty(), is_waiting) {
         (false, _) => DependencyStatus::Unread(unread),
         (true, true) => DependencyStatus::Waiting,
         (true, false) => DependencyStatus::Ready,
--- a/dependencies/src/validation.rs
+++ b/dependencies/src/validation.rs
@@ -1,13 +1,13 @@
-//! What a submission may name as needed.
+//! Which dependencies a submission may name.
 
 use lilacfork_common::ids::JobId;
 use std::collections::HashSet;
 use thiserror::Error;
 
-/// What is wrong with the jobs that a submission names as needed.
+/// What is wrong with the dependencies that a submission names.
 #[derive(Clone, PartialEq, Eq, Debug, Error)]
 pub enum DependencyError {
-    /// A job can't wait for itself.
+    /// A job can't depend on itself.
     #[error("a job can't need itself")]
     SelfDependency,
     /// A job is named twice.
@@ -15,17 +15,17 @@
     Duplicate(JobId),
 }
 
-/// Checks the names that a submission needs. That each is the name of a job that was
-/// accepted is for the records to say; since only accepted jobs may be named, and a
-/// job's needs never change, nothing can come to need itself through others.
-pub fn validate(own: &JobId, needs: &[JobId]) -> Result<(), DependencyError> {
+/// Checks the dependencies of a submission. That each is the name of a job that was
+/// accepted follows from the records alone and isn't checked here; since only accepted
+/// jobs may be named, and a job's dependencies never change, there can be no cycle.
+pub fn validate(own: &JobId, dependencies: &[JobId]) -> Result<(), DependencyError> {
     let mut seen = HashSet::new();
-    for need in needs {
-        if need == own {
+    for dependency in dependencies {
+        if dependency == own {
             return Err(DependencyError::SelfDependency);
         }
-        if !seen.insert(need) {
-            return Err(DependencyError::Duplicate(need.clone()));
+        if !seen.insert(dependency) {
+            return Err(DependencyError::Duplicate(dependency.clone()));
         }
     }
     Ok(())
--- a/src/records/catalog.rs
+++ b/src/records/catalog.rs
@@ -1,6 +1,6 @@
-//! The record of the machine types (`catalog`), in the form in which the cloud gives
+//! The record of the machine types (`catalog`), in the form in which the cloud lists
 //! them.
 
-/// Where every controller finds the machine types, even while the cloud is
-/// away.
+/// The key under which every controller finds the machine types, even while the
+/// cloud is unavailable.
 pub const CATALOG_KEY: &str = "catalog";
--- a/src/records/estimates.rs
+++ b/src/records/estimates.rs
@@ -1,29 +1,31 @@
-//! The record of the leader's online estimates (`learned`): a hint.
+//! The record of the leader's online estimates (`learned`). It is a hint: without it
+//! the next leader estimates anew.
 
 use serde::{Deserialize, Serialize};
 
 /// The key of the record.
 pub const ESTIMATES_KEY: &str = "learned";
 
-/// How far from where it began a stored value may lie, as a factor.
+/// The largest plausible ratio of a stored value to its start value, or of the start
+/// value to it.
 const MAX_FACTOR: f64 = 100.0;
 
-/// One learned value, by the name of its machine type or class.
+/// One online estimate.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 pub struct EstimateValue {
     /// The machine type or class.
     #[serde(rename = "n")]
     pub name: String,
-    /// What it was taken for before anything was learned.
+    /// The estimate before any observation.
     #[serde(rename = "s")]
     pub start: f64,
-    /// What it is taken for now.
+    /// The current estimate.
     #[serde(rename = "v")]
     pub value: f64,
 }
 
 impl EstimateValue {
-    /// Whether it can be made sense of.
+    /// Whether the value may be right.
     pub fn plausible(&self) -> bool {
         let factor = self.value / self.start;
         self.start > 0.0
@@ -41,13 +43,13 @@
     /// Boot times in seconds, by machine type.
     #[serde(rename = "b", default)]
     pub boots: Vec<EstimateValue>,
-    /// Run time over estimate, by class.
+    /// Run time as a multiple of the user's estimate, by class.
     #[serde(rename = "e", default)]
     pub estimates: Vec<EstimateValue>,
 }
 
 impl EstimateRecord {
-    /// What it takes when stored.
+    /// Its size when stored.
     pub fn bytes(&self) -> usize {
         serde_json::to_vec(self).map_or(usize::MAX, |text| text.len())
     }
--- a/src/records/jobs.rs
+++ b/src/records/jobs.rs
@@ -4,9 +4,10 @@
 use crate::wire::users::{JobPhase, JobSpec};
 use serde::{Deserialize, Serialize};
 
-/// Unfinished and cancelled-but-not-yet-cleared jobs.
+/// Prefix of the records of unfinished jobs, among them cancelled ones whose tasks
+/// haven't all stopped.
 pub const JOB_PREFIX: &str = "j/";
-/// Jobs that are over, for good.
+/// Prefix of the records of jobs that are over, which never change.
 pub const FINAL_PREFIX: &str = "f/";
 
 /// The key of an unfinished job's record.
@@ -30,8 +31,8 @@
     /// Time of day of the cancellation.
     #[serde(rename = "c", default, skip_serializing_if = "Option::is_none")]
     pub cancelled: Option<u64>,
-    /// Parts of a replica, if its replicas span machines. It was settled when the
-    /// job was accepted, and is never judged again.
+    /// Parts of a replica, if its replicas span machines. It was decided when the job
+    /// was accepted, and is never decided again.
     #[serde(rename = "g", default, skip_serializing_if = "Option::is_none")]
     pub replica_parts: Option<u32>,
 }
@@ -48,7 +49,7 @@
 }
 
 impl FinalState {
-    /// The state that the job's user is told.
+    /// The state that is shown to the job's user.
     pub fn phase(self) -> JobPhase {
         match self {
             FinalState::Done => JobPhase::Done,
@@ -66,18 +67,15 @@
     /// How many tasks it had.
     #[serde(rename = "n")]
     pub tasks: u32,
-    /// Names the write, so that its author knows it again.
+    /// Identifies the write, so that its author can tell whether it was carried out.
     #[serde(rename = "w", default)]
     pub write: u64,
-    /// Time of day of its end, milliseconds; 0: not told, as by versions before 0.2.
-    #[serde(rename = "t", default, skip_serializing_if = "is_zero")]
+    /// Time of day of its end, milliseconds; 0: unknown, as versions before 0.2
+    /// leave it out.
+    #[serde(rename = "t", default, skip_serializing_if = "super::is_default")]
     pub ended: u64,
 }
 
-fn is_zero(time: &u64) -> bool {
-    *time == 0
-}
-
 /// The job that an unfinished job's key names.
 pub fn job_of_key(key: &str) -> Option<JobId> {
     key.strip_prefix(JOB_PREFIX).map(JobId::new)
@@ -85,13 +83,19 @@
 
 /// Whether an unfinished job's record, of any version, says that it is cancelled.
 pub fn is_cancelled(record: &serde_json::Value) -> bool {
-    record.get("c").is_some_and(|c| !c.is_null())
+    record
+        .get("c")
+        .is_some_and(|cancelled| !cancelled.is_null())
 }
 
 /// The jobs that an unfinished job's record, of any version, depends on.
 pub fn dependencies_in(record: &serde_json::Value) -> Box<[JobId]> {
     let field = record.get("spec").and_then(|spec| spec.get("attend"));
-    let list = field.and_then(|field| field.as_array());
-    let names = list.into_iter().flatten().filter_map(|name| name.as_str());
-    names.map(JobId::new).collect()
+    let names = field.and_then(|field| field.as_array());
+    names
+        .into_iter()
+        .flatten()
+        .filter_map(|name| name.as_str())
+        .map(JobId::new)
+        .collect()
 }
--- a/src/records/leadership.rs
+++ b/src/records/leadership.rs
@@ -1,4 +1,4 @@
-//! Records of the election (`leader/`): who leads, and the term.
+//! Records of the leader election (`leader/`): who leads, and the term.
 
 use crate::ids::Term;
 use serde::{Deserialize, Serialize};
@@ -13,14 +13,14 @@
 /// The value of the leader key.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 pub struct LeaderRecord {
-    /// The leader's name.
+    /// The node name of the leader.
     pub node: String,
-    /// Tells this process from an earlier one of the same name.
+    /// Distinguishes this process from an earlier one of the same name.
     pub incarnation: u64,
     /// Its term.
     pub term: Term,
-    /// The lease that holds the key: a claim carried out late may stand under
-    /// one that its author has given up.
+    /// The lease that holds the key: a claim that was carried out late may be held by
+    /// a lease that its author has abandoned.
     #[serde(default)]
     pub lease: u64,
 }
@@ -30,12 +30,8 @@
 pub struct TermRecord {
     /// The latest term.
     pub term: Term,
-    /// A leader has found that the state service's announced limits hold. Versions
-    /// before 0.2 don't know the field and leave it out when they write.
-    #[serde(default, skip_serializing_if = "is_false")]
+    /// A leader has found that the key-value store's announced limits are in effect.
+    /// Versions before 0.2 don't know the field and leave it out when they write.
+    #[serde(default, skip_serializing_if = "super::is_default")]
     pub limits_lowered: bool,
 }
-
-fn is_false(value: &bool) -> bool {
-    !*value
-}
--- a/src/records/lease_proxies.rs
+++ b/src/records/lease_proxies.rs
@@ -4,21 +4,21 @@
 use crate::ids::AgentEpoch;
 use serde::{Deserialize, Serialize};
 
-/// What a record takes beside its rows, and a row beside the
-/// machine's name, generously.
+/// Bytes of a record beside its rows, generously.
 const HEAD_BYTES: usize = 128;
+/// Bytes of a row beside the machine's name, generously.
 const ROW_BYTES: usize = 28;
 
-/// What followers say of workers whose leases they renew for the leader.
+/// Prefix of the records of lease proxying.
 pub const LEASE_PROXY_PREFIX: &str = "h/";
 
 /// The record of the machines whose leases a follower renews.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 pub struct LeaseProxyRecord {
-    /// Time of day.
+    /// Time of day at which it was written, milliseconds.
     #[serde(rename = "t")]
     pub at: u64,
-    /// Each machine with its session.
+    /// Each machine with the epoch of its agent.
     #[serde(rename = "m")]
     pub machines: Vec<(String, AgentEpoch)>,
 }
@@ -28,8 +28,8 @@
     format!("{LEASE_PROXY_PREFIX}{node}/{number}")
 }
 
-/// Divides machines into as many records as the size of a value asks for: a
-/// truncated list would have the leader give up machines whose leases are renewed.
+/// Divides machines into as many records as the size limit of a value requires: with
+/// a truncated list the leader would declare machines failed whose leases are renewed.
 pub fn divide(
     machines: Vec<(String, AgentEpoch)>,
     value_bytes: usize,
--- a/src/records/mod.rs
+++ b/src/records/mod.rs
@@ -1,7 +1,7 @@
 //! What is stored in the key-value store: keys, formats, versions, and how records are
-//! divided to stay below the store's limits.
+//! split to stay below the store's limits.
 //!
-//! Records are below all actors: nothing here knows who reads or writes them. A
+//! Records are below all actors: nothing here depends on who reads or writes them. A
 //! format that a released version has written stays readable; docs/DEPENDENCIES.md
 //! has the formats of both versions that may work on one set of data.
 //!
@@ -20,3 +20,8 @@
 pub mod leadership;
 pub mod lease_proxies;
 pub mod placements;
+
+/// Whether a field has its default value and can be left out of a record.
+fn is_default<T: Default + PartialEq>(value: &T) -> bool {
+    *value == T::default()
+}
--- a/src/records/placements.rs
+++ b/src/records/placements.rs
@@ -12,10 +12,10 @@
 const ROW_BYTES: usize = 80;
 /// Bytes of a record beside its assignments and its finished tasks, generously.
 const HEAD_BYTES: usize = 200;
-/// Bytes of a move's target in a stored record, generously.
+/// Bytes of a migration's target in a stored record, generously.
 const TARGET_BYTES: usize = 60;
-/// A record that is cut keeps this share of the limit free: attempts, sessions and
-/// names of machines get longer.
+/// The share of the limit that a record keeps free after a split: attempts, agent
+/// epochs and names of machines get longer.
 const HEADROOM_SHARE: f64 = 0.25;
 
 /// Tasks per stored record, so that a full one stays under `value_kb`.
@@ -23,7 +23,7 @@
     ((value_kb * 1024.0 / ROW_BYTES as f64) as u32).clamp(16, 4096)
 }
 
-/// What the record of so many tasks may take when all of them are assigned.
+/// The most bytes of a record for this many tasks, with all of them assigned.
 pub fn max_record_bytes(tasks: u32) -> usize {
     HEAD_BYTES + ROW_BYTES * tasks as usize
 }
@@ -31,9 +31,9 @@
 /// Which tasks a record is for.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum RangeName {
-    /// The range of this number in the cut into equal ranges.
+    /// The range of this number in the division into equal ranges.
     Uniform(u32),
-    /// The tasks from the first to the last, whatever else stands.
+    /// The tasks from the first to the last, whatever other records hold of them.
     Tasks {
         /// The first task.
         first: u32,
@@ -50,8 +50,8 @@
     }
 }
 
-/// The job that a placement record's key names, and which record it is; `None`
-/// inside: one of a form that this version doesn't know.
+/// The job that a placement record's key names, and which record it is; an inner
+/// `None`: the name has a form that this version doesn't know.
 pub fn parse_placement_key(key: &str) -> Option<(JobId, Option<RangeName>)> {
     let (job, name) = key.strip_prefix(PLACEMENT_PREFIX)?.split_once('/')?;
     Some((JobId::new(job), parse_name(name)))
@@ -77,21 +77,22 @@
     pub attempt: Attempt,
     /// The machine.
     pub machine: MachineId,
-    /// The machine's session when the task was bound to it.
+    /// The epoch of the machine's agent when the task was bound to it.
     pub agent_epoch: AgentEpoch,
-    /// The machine's zone, by its place in the settings.
+    /// The machine's zone, by its position in the settings.
     pub zone: u32,
 }
 
+/// The stored form of an [`AssignmentRow`]: its fields as an array.
 type RowFields = (u32, Attempt, MachineId, AgentEpoch, u32);
 
 impl From<RowFields> for AssignmentRow {
-    fn from((task, attempt, machine, session, zone): RowFields) -> AssignmentRow {
+    fn from((task, attempt, machine, agent_epoch, zone): RowFields) -> AssignmentRow {
         AssignmentRow {
             task,
             attempt,
             machine,
-            agent_epoch: session,
+            agent_epoch,
             zone,
         }
     }
@@ -112,15 +113,15 @@
 /// The placement record of a range of a job's tasks.
 #[derive(Clone, PartialEq, Debug, Default, Serialize, Deserialize)]
 pub struct PlacementRecord {
-    /// The next attempt; attempts are never reused within a shard.
+    /// The next attempt; attempts are never reused within a range.
     #[serde(rename = "n")]
     pub next: Attempt,
-    /// Names the write, so that its author knows it again.
+    /// Identifies the write, so that its author can tell whether it was carried out.
     #[serde(rename = "w")]
     pub write: u64,
-    /// How many tasks each record of the job's cut into equal ranges has. Versions
-    /// before 0.2 work it out from their settings and leave it out.
-    #[serde(rename = "z", default, skip_serializing_if = "is_zero")]
+    /// How many tasks each of the equal ranges has that the job was divided into
+    /// first. Versions before 0.2 work it out from their settings and leave it out.
+    #[serde(rename = "z", default, skip_serializing_if = "super::is_default")]
     pub tasks_per_range: u32,
     /// Done tasks as ranges: `0-4,7`.
     #[serde(rename = "d", default, skip_serializing_if = "String::is_empty")]
@@ -129,89 +130,84 @@
     #[serde(rename = "a", default, skip_serializing_if = "Vec::is_empty")]
     pub assigned: Vec<AssignmentRow>,
     /// Failed probes of a job that fails everywhere, plus one; 0: it doesn't.
-    #[serde(rename = "f", default, skip_serializing_if = "is_zero")]
+    #[serde(rename = "f", default, skip_serializing_if = "super::is_default")]
     pub failures: u32,
-    /// Replica groups of which more has to be said than where their parts are.
+    /// Replica groups with more state than where their parts are.
     #[serde(rename = "g", default, skip_serializing_if = "Vec::is_empty")]
     pub groups: Vec<GroupRecord>,
 }
 
-fn is_zero(count: &u32) -> bool {
-    *count == 0
-}
-
 impl PlacementRecord {
-    /// What it takes at the most when stored.
+    /// An upper bound of its size when stored.
     pub fn max_bytes(&self) -> usize {
-        let targets = self.groups.iter().flat_map(|g| &g.intent);
-        let targets: usize = targets.map(|i| i.targets.len()).sum();
-        let groups = self.groups.len() + targets;
-        HEAD_BYTES + self.done.len() + ROW_BYTES * self.assigned.len() + TARGET_BYTES * groups
+        let intents = self.groups.iter().flat_map(|group| &group.intent);
+        let targets: usize = intents.map(|intent| intent.targets.len()).sum();
+        let rows = ROW_BYTES * self.assigned.len();
+        let groups = TARGET_BYTES * (self.groups.len() + targets);
+        HEAD_BYTES + self.done.len() + rows + groups
     }
 
-    /// Whether it is stored in at most so many bytes.
+    /// Whether its size when stored is within the limit.
     pub fn fits(&self, value_bytes: usize) -> bool {
         self.max_bytes() <= value_bytes || self.bytes() <= value_bytes
     }
 
-    /// What it takes when stored.
+    /// Its size when stored.
     pub fn bytes(&self) -> usize {
         serde_json::to_vec(self).map_or(usize::MAX, |text| text.len())
     }
 
-    /// How many tasks a record should have for each to stay below the limit, if
-    /// they are like these.
+    /// How many tasks a record should have to stay below the limit, if they are like
+    /// these.
     pub fn tasks_that_fit(&self, value_bytes: usize) -> u32 {
         let rows = self.assigned.len().max(1);
         let per_row = self.bytes().div_ceil(rows).max(1);
-        let room = (value_bytes as f64 * (1.0 - HEADROOM_SHARE)) as usize;
-        (room.saturating_sub(HEAD_BYTES) / per_row) as u32
+        let usable = (value_bytes as f64 * (1.0 - HEADROOM_SHARE)) as usize;
+        (usable.saturating_sub(HEAD_BYTES) / per_row) as u32
     }
 }
 
 /// Task numbers, in order, as ranges: `0-4,7`.
 pub fn format_task_ranges(tasks: impl Iterator<Item = u32>) -> String {
     let mut text = String::new();
-    let mut run: Option<(u32, u32)> = None;
-    let mut put = |run: (u32, u32)| {
+    let mut current: Option<(u32, u32)> = None;
+    let mut append = |(first, last): (u32, u32)| {
         if !text.is_empty() {
             text.push(',');
         }
-        text.push_str(&run.0.to_string());
-        if run.1 > run.0 {
+        text.push_str(&first.to_string());
+        if last > first {
             text.push('-');
-            text.push_str(&run.1.to_string());
+            text.push_str(&last.to_string());
         }
     };
-    for t in tasks {
-        match run {
-            Some((from, to)) if t == to + 1 => run = Some((from, t)),
-            Some(old) => {
-                put(old);
-                run = Some((t, t));
+    for task in tasks {
+        match current {
+            Some((first, last)) if task == last + 1 => current = Some((first, task)),
+            previous => {
+                previous.into_iter().for_each(&mut append);
+                current = Some((task, task));
             }
-            None => run = Some((t, t)),
         }
     }
-    if let Some(last) = run {
-        put(last);
-    }
+    current.into_iter().for_each(&mut append);
     text
 }
 
-/// The inverse; `None` for anything that `write_ranges` wouldn't write.
+/// Parses ranges of task numbers below `limit`; `None`: they aren't of the form that
+/// [`format_task_ranges`] gives.
 pub fn parse_task_ranges(text: &str, limit: u32) -> Option<Vec<u32>> {
     let mut tasks = Vec::new();
     if text.is_empty() {
         return Some(tasks);
     }
     for part in text.split(',') {
-        let (from, to) = part.split_once('-').unwrap_or((part, part));
-        let (from, to): (u32, u32) = (from.parse().ok()?, to.parse().ok()?);
-        if from > to || to >= limit {
+        let (first, last) = part.split_once('-').unwrap_or((part, part));
+        let (first, last): (u32, u32) = (first.parse().ok()?, last.parse().ok()?);
+        if first > last || last >= limit {
             return None;
         }
-        tasks.extend(from..=to);
+        tasks.extend(first..=last);
     }
     Some(tasks)
 }
--- a/src/scheduler/dependencies/mod.rs
+++ b/src/scheduler/dependencies/mod.rs
@@ -1,6 +1,6 @@
-//! Jobs that need others, as their leader holds them. None of their tasks is bound
-//! before it is stored that every job that they need is done, so a job that waits
-//! has no task anywhere, and to cancel it there is nothing to stop.
+//! Jobs that depend on others, as their leader holds them. None of their tasks is
+//! bound before it is stored that all their dependencies are done, so a job that
+//! waits has no task anywhere, and to cancel it there is nothing to stop.
 
 pub(in crate::scheduler) mod propagation;
 
@@ -9,29 +9,30 @@
 use crate::messages::Now;
 use crate::records::jobs::{final_key, FinalRecord, FinalState};
 use crate::scheduler::{
-    LeaderStage, Scheduler, SchedulerEffects, SchedulerKvCall, CALL_TIMEOUT_MS, RETRY_MS,
+    Job, LeaderStage, Scheduler, SchedulerEffects, SchedulerKvCall, CALL_TIMEOUT_MS, RETRY_MS,
 };
 use crate::wire::kv::KeyValue;
 use lilacfork_dependencies::graph::DependencyGraph;
 use std::collections::BTreeMap;
 
-/// What a leader knows of jobs that need others.
+/// What a leader knows of dependencies between jobs.
 #[derive(Debug, Default)]
 pub(in crate::scheduler) struct Dependencies {
-    pub(in crate::scheduler) graph: DependencyGraph,
-    /// Needed jobs that it doesn't hold: how they ended has to be read, and when
-    /// that is to be asked next.
+    graph: DependencyGraph,
+    /// Dependencies that the leader doesn't hold as jobs: how they ended has to be
+    /// read, at this time.
     unresolved: BTreeMap<JobId, u64>,
 }
 
 impl Dependencies {
+    /// The leader was deposed.
     pub(in crate::scheduler) fn clear(&mut self) {
         *self = Dependencies::default();
     }
 }
 
 impl Scheduler {
-    /// A job was learned of; if it needs others it waits for them.
+    /// A job was added; if it depends on others it waits for them.
     pub(in crate::scheduler) fn add_dependencies(&mut self, now: Now, id: &JobId) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -43,104 +44,98 @@
         job.dependencies_open = true;
         self.dependencies.graph.add(id, &spec.dependencies);
         self.propagate_urgency(spec.dependencies.clone());
-        // While the records are still being read, nobody can tell what isn't there.
+        // While records are still being read, a missing job may be yet to come.
         if self.stage == LeaderStage::Active {
             self.resolve_dependencies(now, id);
         }
     }
 
-    /// What the job needs is held here, or has to be read.
+    /// Looks the job's open dependencies up among the jobs, and notes the others to be
+    /// read.
     fn resolve_dependencies(&mut self, now: Now, id: &JobId) {
-        let mut cancelled = false;
-        for need in self.dependencies.graph.open_dependencies_of(id) {
-            match self.jobs.get(need) {
-                Some(job) => cancelled |= job.cancelled.is_some(),
+        let mut is_cancelled = false;
+        for dependency in self.dependencies.graph.open_dependencies_of(id) {
+            match self.jobs.get(dependency) {
+                Some(job) => is_cancelled |= job.cancelled.is_some(),
                 None => {
-                    self.dependencies
-                        .unresolved
-                        .entry(need.clone())
-                        .or_insert(now.ms);
+                    let unresolved = self.dependencies.unresolved.entry(dependency.clone());
+                    unresolved.or_insert(now.ms);
                 }
             }
         }
-        if cancelled {
+        if is_cancelled {
             self.cancel_dependent(now, id);
             self.cancel_dependents(now, id);
         }
     }
 
-    /// All records are read: what started under an earlier leader has what it needs,
-    /// what is cancelled takes its dependents along, and of other needs it is read
-    /// how they ended.
+    /// All records are read. Jobs that started under an earlier leader have all their
+    /// dependencies done, cancellations extend to dependents, and of dependencies that
+    /// aren't held it is read how they ended.
     pub(in crate::scheduler) fn resolve_loaded_dependencies(&mut self, now: Now) {
-        let all = self.jobs.iter();
-        let waiting = all.filter(|(id, _)| self.dependencies.graph.is_blocked(id));
-        let waiting: Vec<JobId> = waiting.map(|(id, _)| id.clone()).collect();
-        for id in &waiting {
-            let started = |id| {
-                let job = self.jobs.get(id);
-                job.is_some_and(|job| job.placements.iter().any(|shard| shard.revision > 0))
-            };
-            if started(id) {
+        let blocked: Vec<JobId> = self
+            .jobs
+            .iter()
+            .map(|(id, _)| id)
+            .filter(|id| self.dependencies.graph.is_blocked(id))
+            .cloned()
+            .collect();
+        for id in &blocked {
+            if self.has_stored_placements(id) {
                 self.on_dependencies_met(now, id);
             }
         }
-        for id in &waiting {
+        for id in &blocked {
             self.resolve_dependencies(now, id);
-            let needs = self
-                .dependencies
-                .graph
-                .open_dependencies_of(id)
-                .cloned()
-                .collect();
-            self.propagate_urgency(needs);
+            let open = self.dependencies.graph.open_dependencies_of(id);
+            let open = open.cloned().collect();
+            self.propagate_urgency(open);
         }
     }
 
+    /// Whether a placement record of the job is stored: it has started then.
+    fn has_stored_placements(&self, id: &JobId) -> bool {
+        let Some(job) = self.jobs.get(id) else {
+            return false;
+        };
+        let mut ranges = job.placements.iter();
+        ranges.any(|range| range.revision > 0)
+    }
+
+    /// All dependencies of the job are done.
     fn on_dependencies_met(&mut self, now: Now, id: &JobId) {
         self.dependencies.graph.remove_dependencies(id);
         if let Some(job) = self.jobs.get_mut(id) {
             job.dependencies_open = false;
             let waited_ms = now.wall.saturating_sub(job.submitted);
             log::info!(
-                "job {id} ready class={} waited_ms={waited_ms}",
+                "job ready job={id} class={} waited_ms={waited_ms}",
                 job.spec.class
             );
         }
         self.pacing.requested = true;
     }
 
-    /// A job that others need is over, and that is stored.
-    pub(in crate::scheduler) fn on_dependency_finished(
-        &mut self,
-        now: Now,
-        need: &JobId,
-        state: FinalState,
-        ended: u64,
-    ) {
-        self.dependencies.unresolved.remove(need);
+    /// A job that others depend on has ended, and that is stored.
+    fn on_dependency_finished(&mut self, now: Now, id: &JobId, state: FinalState, ended: u64) {
+        self.dependencies.unresolved.remove(id);
         match state {
-            FinalState::Cancelled => self.cancel_dependents(now, need),
+            FinalState::Cancelled => self.cancel_dependents(now, id),
             FinalState::Done => {
-                let dependents: Vec<JobId> = self
-                    .dependencies
-                    .graph
-                    .dependents_of(need)
-                    .cloned()
-                    .collect();
-                for id in &dependents {
-                    if let Some(job) = self.jobs.get_mut(id) {
+                let dependents = self.dependencies.graph.dependents_of(id);
+                for dependent in dependents.cloned().collect::<Vec<JobId>>() {
+                    if let Some(job) = self.jobs.get_mut(&dependent) {
                         job.ready = job.ready.max(ended);
                     }
                 }
-                for id in self.dependencies.graph.mark_done(need) {
-                    self.on_dependencies_met(now, &id);
+                for ready in self.dependencies.graph.mark_done(id) {
+                    self.on_dependencies_met(now, &ready);
                 }
             }
         }
     }
 
-    /// A job is cancelled, and so are all that need it.
+    /// A job is cancelled, and with it all jobs that depend on it.
     pub(in crate::scheduler) fn cancel_dependents(&mut self, now: Now, id: &JobId) {
         for dependent in self.dependencies.graph.transitive_dependents(id) {
             self.cancel_dependent(now, &dependent);
@@ -148,20 +143,23 @@
     }
 
     fn cancel_dependent(&mut self, now: Now, id: &JobId) {
-        let Some(job) = self.jobs.get_mut(id).filter(|j| j.cancelled.is_none()) else {
+        let Some(job) = self.jobs.get_mut(id).filter(|job| job.cancelled.is_none()) else {
             return;
         };
         if !job.dependencies_open {
-            log::error!("job {id} started before a job that it needs was done");
+            log::error!(
+                "job started early job={id} \
+                 reason=\"a job that it depends on wasn't done\""
+            );
             return;
         }
-        log::info!("job {id} is cancelled with a job that it needs");
+        log::info!("job cancelled job={id} reason=\"a job that it depends on is cancelled\"");
         job.cancelled = Some(now.wall);
         self.commits.has_changes = true;
     }
 
-    /// A job is over, and that is stored: it needs nothing any more, and what needs it
-    /// goes on or is cancelled.
+    /// A job has ended, and that is stored: it has no dependencies any more, and its
+    /// dependents go on or are cancelled.
     pub(in crate::scheduler) fn on_job_finished(
         &mut self,
         now: Now,
@@ -169,57 +167,59 @@
         state: FinalState,
     ) {
         let graph = &self.dependencies.graph;
-        let in_pipeline = graph.is_blocked(id) || graph.has_dependents(id);
-        let needs: Vec<JobId> = graph.open_dependencies_of(id).cloned().collect();
-        let job = self.jobs.get(id).filter(|_| state == FinalState::Done);
-        if let Some(job) = job.filter(|job| in_pipeline || !job.spec.dependencies.is_empty()) {
+        let has_dependents = graph.has_dependents(id);
+        let open: Vec<JobId> = graph.open_dependencies_of(id).cloned().collect();
+        let is_stage = |job: &Job| has_dependents || !job.spec.dependencies.is_empty();
+        let job = self.jobs.get(id).filter(|job| is_stage(job));
+        if let Some(job) = job.filter(|_| state == FinalState::Done) {
             let took_ms = now.wall.saturating_sub(job.ready);
             self.estimates
                 .stage_took(&job.spec, took_ms as f64 / 1000.0);
         }
         self.dependencies.graph.remove_dependencies(id);
-        self.propagate_urgency(needs);
+        self.propagate_urgency(open);
         self.on_dependency_finished(now, id, state, now.wall);
     }
 
-    /// Reads how needed jobs ended that aren't held here.
+    /// Reads how dependencies ended that aren't held here.
     pub(in crate::scheduler) fn read_unresolved_dependencies(
         &mut self,
         now: Now,
-        out: &mut SchedulerEffects,
+        effects: &mut SchedulerEffects,
     ) {
         let mut due = Vec::new();
-        for (need, due_ms) in &mut self.dependencies.unresolved {
+        for (id, due_ms) in &mut self.dependencies.unresolved {
             if now.ms >= *due_ms {
-                // An answer comes before that, whatever it says.
+                // The call ends before that, be it by its timeout.
                 *due_ms = now.ms + CALL_TIMEOUT_MS * 2;
-                due.push(need.clone());
+                due.push(id.clone());
             }
         }
-        for need in due {
-            let call = kv_client::get(&final_key(&need), CALL_TIMEOUT_MS);
-            let tag = SchedulerKvCall::ReadDependency(need);
-            self.ask(now, CallPriority::Placement, call, 0, tag, out);
+        for id in due {
+            let call = kv_client::get(&final_key(&id), CALL_TIMEOUT_MS);
+            let tag = SchedulerKvCall::ReadDependency(id);
+            self.ask(now, CallPriority::Placement, call, 0, tag, effects);
         }
     }
 
+    /// The final record of a dependency, if it was found.
     pub(in crate::scheduler) fn on_dependency_response(
         &mut self,
         now: Now,
-        need: &JobId,
-        answer: &KvResponse,
+        id: &JobId,
+        response: &KvResponse,
     ) {
-        let Some(due_ms) = self.dependencies.unresolved.get_mut(need) else {
+        let Some(due_ms) = self.dependencies.unresolved.get_mut(id) else {
             return;
         };
         *due_ms = now.ms + RETRY_MS;
-        let item = answer.read::<KeyValue>(200);
+        let item = response.read::<KeyValue>(200);
         let record = item.and_then(|item| serde_json::from_value::<FinalRecord>(item.value).ok());
         match record {
-            Some(record) => self.on_dependency_finished(now, need, record.state, record.ended),
-            // Its own record has come meanwhile, or comes with the next changes.
-            None if self.jobs.contains(need) => {
-                self.dependencies.unresolved.remove(need);
+            Some(record) => self.on_dependency_finished(now, id, record.state, record.ended),
+            // Its job record has come meanwhile, or comes with the watch's next changes.
+            None if self.jobs.contains(id) => {
+                self.dependencies.unresolved.remove(id);
             }
             None => {}
         }
--- a/src/scheduler/dependencies/propagation.rs
+++ b/src/scheduler/dependencies/propagation.rs
@@ -1,5 +1,5 @@
-//! A pipeline has one deadline, at its end. What comes before inherits it, less what
-//! the later jobs are expected to take, and the priority of what needs it.
+//! A pipeline has one deadline, at its end. Earlier jobs inherit it, less the time
+//! that the later jobs are expected to take, and the priority of their dependents.
 
 use crate::ids::JobId;
 use crate::messages::Now;
@@ -9,40 +9,39 @@
 use std::rc::Rc;
 
 impl Scheduler {
-    /// How urgent a job makes those that it needs.
+    /// How urgent a job makes its dependencies.
     fn urgency_for_dependencies(&self, id: &JobId) -> Option<StageUrgency<Priority>> {
         let job = self.jobs.get(id).filter(|job| job.cancelled.is_none())?;
-        let times = self.settings.deadline_multiples(&job.spec.class);
-        let deadline_ms = job.spec.deadline_s.map(|s| s * 1000.0);
-        let date = |times: &f64| Some(job.submitted + (deadline_ms? * times) as u64);
+        let multiples = self.settings.deadline_multiples(&job.spec.class);
+        let deadline_ms = job.spec.deadline_s.map(|seconds| seconds * 1000.0);
+        let deadline = |multiple: &f64| Some(job.submitted + (deadline_ms? * multiple) as u64);
         let own = StageUrgency {
             priority: job.own_priority,
-            deadlines: times.iter().filter_map(date).collect(),
+            deadlines: multiples.iter().filter_map(deadline).collect(),
         };
-        let all = match job.inherited.clone() {
+        let urgency = match job.inherited.clone() {
             Some(inherited) => own.merge(inherited),
             None => own,
         };
-        // Its end has to be seen and stored before the next job may start.
+        // Its end has to be reported and stored before the next job may start.
         let takes_ms =
             (self.estimates.stage_s(&job.spec) * 1000.0) as u64 + self.heartbeat_interval_ms();
-        Some(all.for_predecessor(takes_ms))
+        Some(urgency.for_predecessor(takes_ms))
     }
 
-    /// What needs these jobs has changed: works out anew how urgent they are, and
-    /// those that they need in turn.
-    pub(in crate::scheduler) fn propagate_urgency(&mut self, mut changed: Vec<JobId>) {
+    /// The dependents of these jobs have changed: works out anew how urgent the jobs
+    /// are, and their dependencies in turn.
+    pub(super) fn propagate_urgency(&mut self, mut changed: Vec<JobId>) {
         while let Some(id) = changed.pop() {
-            let dependents = self.dependencies.graph.dependents_of(&id);
-            let urgencies =
-                dependents.filter_map(|dependent| self.urgency_for_dependencies(dependent));
-            let inherited = urgencies.reduce(StageUrgency::merge);
+            let inherited = self
+                .dependencies
+                .graph
+                .dependents_of(&id)
+                .filter_map(|dependent| self.urgency_for_dependencies(dependent))
+                .reduce(StageUrgency::merge);
             self.pacing.examined += 1;
-            if self
-                .jobs
-                .get(&id)
-                .is_some_and(|job| job.inherited != inherited)
-            {
+            let job = self.jobs.get(&id);
+            if job.is_some_and(|job| job.inherited != inherited) {
                 self.set_inherited_urgency(&id, inherited);
                 changed.extend(self.dependencies.graph.open_dependencies_of(&id).cloned());
             }
@@ -55,14 +54,15 @@
         };
         job.inherited = inherited;
         if job.inherited.is_none() {
-            let own = job.own_priority;
-            self.set_effective_priority(id, own);
+            let own_priority = job.own_priority;
+            self.set_effective_priority(id, own_priority);
         }
     }
 
-    /// A job that others need keeps its own priority as long as there is time: small
-    /// idle work would displace what others wait for. Once a rental wouldn't be there
-    /// in time any more, it is served by the priority of what needs it.
+    /// A job that others depend on keeps its own priority as long as there is time: a
+    /// small job of low priority would otherwise displace what others wait for. Once
+    /// a machine that is provisioned for it might come too late, it is served by the
+    /// priority of its dependents.
     pub(in crate::scheduler) fn raise_if_pressed(&mut self, now: Now, id: &JobId) {
         let Some(job) = self.jobs.get(id) else {
             return;
@@ -71,14 +71,16 @@
             return;
         };
         let takes_s = self.estimates.stage_s(&job.spec) + self.slowest_boot_s();
-        let latest = now.wall + (takes_s * 1000.0) as u64;
-        let pressed = urgency.deadlines.first().is_some_and(|date| *date < latest);
-        if pressed && urgency.priority < job.spec.priority {
+        let expected_end = now.wall + (takes_s * 1000.0) as u64;
+        let first_deadline = urgency.deadlines.first();
+        let is_pressed = first_deadline.is_some_and(|deadline| *deadline < expected_end);
+        if is_pressed && urgency.priority < job.spec.priority {
             let priority = urgency.priority;
             self.set_effective_priority(id, priority);
         }
     }
 
+    /// Sets the priority that a job is served by.
     fn set_effective_priority(&mut self, id: &JobId, priority: Priority) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -90,9 +92,9 @@
             priority,
             ..JobSpec::clone(&job.spec)
         });
-        for assign in job.assignments.values() {
-            // What may give way to whom is filed by machine.
-            self.fleet.get_mut(&assign.machine);
+        for assignment in job.assignments.values() {
+            // Which of a machine's tasks may be preempted is indexed by machine.
+            self.fleet.get_mut(&assignment.machine);
         }
         self.pacing.requested = true;
     }
