--- a/src/scheduler/workers/commands.rs
+++ b/src/scheduler/workers/commands.rs
@@ -3,7 +3,7 @@
 
 use crate::ids::{FencingToken, MachineId, TaskRef};
 use crate::messages::Now;
-use crate::scheduler::{Assignment, Scheduler, SchedulerEffects, StopRequest};
+use crate::scheduler::{StepDownReason, Assignment, Scheduler, SchedulerEffects, StopRequest};
 use crate::wire::workers::{Command, TaskPhase, TaskStatus, WorkerHeartbeat};
 
 /// A start or stop that shows no effect is sent again after this share of the
@@ -47,7 +47,7 @@
         if acknowledges {
             if let Some(machine) = self.fleet.get_mut(id) {
                 if machine.advance_fencing_token().is_none() {
-                    out.resign = Some("tokens used up");
+                    out.resign = Some(StepDownReason::FencingTokensExhausted);
                     return Vec::new();
                 }
             }
--- a/src/scheduler/workers/reconciliation.rs
+++ b/src/scheduler/workers/reconciliation.rs
@@ -3,7 +3,7 @@
 
 use crate::ids::{AgentEpoch, Attempt, FencingToken, MachineId, TaskRef};
 use crate::messages::Now;
-use crate::scheduler::{Scheduler, SchedulerEffects};
+use crate::scheduler::{StepDownReason, Scheduler, SchedulerEffects};
 use crate::wire::workers::{ExitReason, TaskPhase, TaskStatus, WorkerHeartbeat};
 use std::collections::HashMap;
 use std::fmt;
@@ -175,7 +175,7 @@
                     .and_then(|machine| machine.advance_fencing_token())
                 {
                     Some(token) => assignment.absent_proof = Some(token),
-                    None => out.resign = Some("tokens used up"),
+                    None => out.resign = Some(StepDownReason::FencingTokensExhausted),
                 }
                 false
             }
