--- /dev/null
+++ b/src/capacity_index/entries.rs
@@ -0,0 +1,127 @@
+//! The ordered entries of a machine: they are removed and inserted anew whenever it
+//! changes.
+
+use super::levels::{FreeLevels, IndexKey, ShareKey};
+use super::{CapacityIndex, CapacityState, MachineCapacity, OfferGroup, Slot};
+use crate::placement::Resources;
+use std::collections::{BTreeMap, HashMap};
+use std::rc::Rc;
+
+impl OfferGroup {
+    /// The group of machines like this one, with no machines yet.
+    pub(super) fn new(state: &CapacityState) -> OfferGroup {
+        OfferGroup {
+            offer: state.offer.clone(),
+            total: state.total,
+            machines: 0,
+            by_concurrent_pulls: BTreeMap::new(),
+            with_image: HashMap::new(),
+            with_pulling_image: HashMap::new(),
+            stoppable: BTreeMap::new(),
+        }
+    }
+
+    fn insert(&mut self, machine: &MachineCapacity, key: IndexKey, slot: Slot) {
+        self.by_concurrent_pulls
+            .entry(machine.concurrent_pulls())
+            .or_default()
+            .insert(key, slot);
+        for image in &machine.state.images {
+            let levels = self.with_image.entry(image.clone()).or_default();
+            levels.insert(key, slot);
+        }
+        for image in &machine.state.pulling_images {
+            let levels = self.with_pulling_image.entry(image.clone()).or_default();
+            levels.insert(key, slot);
+        }
+        if let Some(priority) = machine.state.least_important {
+            self.stoppable.entry(priority).or_default().insert(slot);
+        }
+    }
+
+    fn remove(&mut self, machine: &MachineCapacity, key: IndexKey, slot: Slot) {
+        let pulls = machine.concurrent_pulls();
+        if let Some(levels) = self.by_concurrent_pulls.get_mut(&pulls) {
+            levels.remove(key, slot);
+            if levels.is_empty() {
+                self.by_concurrent_pulls.remove(&pulls);
+            }
+        }
+        for image in &machine.state.images {
+            remove_image_entry(&mut self.with_image, image, key, slot);
+        }
+        for image in &machine.state.pulling_images {
+            remove_image_entry(&mut self.with_pulling_image, image, key, slot);
+        }
+        if let Some(priority) = machine.state.least_important {
+            if let Some(slots) = self.stoppable.get_mut(&priority) {
+                slots.remove(&slot);
+            }
+        }
+    }
+}
+
+fn remove_image_entry(
+    by_image: &mut HashMap<Rc<str>, FreeLevels>,
+    image: &Rc<str>,
+    key: IndexKey,
+    slot: Slot,
+) {
+    if let Some(levels) = by_image.get_mut(image) {
+        levels.remove(key, slot);
+        if levels.is_empty() {
+            by_image.remove(image);
+        }
+    }
+}
+
+impl CapacityIndex {
+    pub(super) fn insert_entry(&mut self, slot: Slot) {
+        let fresh = self.get(slot).is_some_and(|machine| self.is_fresh(machine));
+        let Some(machine) = self.slots[slot.0 as usize].as_mut() else {
+            return;
+        };
+        if !machine.state.schedulable || !fresh {
+            self.unschedulable.insert(slot);
+            return;
+        }
+        self.unschedulable.remove(&slot);
+        let key = IndexKey::of(&machine.free(), &machine.state.total);
+        machine.index_key = Some(key);
+        let images = machine.state.images.len() + machine.state.pulling_images.len();
+        self.examined.add(images as u64);
+        self.groups[machine.group].insert(machine, key, slot);
+        if machine.state.freeing != Resources::default() {
+            self.freeing.insert(slot);
+        }
+        if machine.state.occupied {
+            let used = ShareKey::new(machine.used_share());
+            machine.occupied_key = Some(used);
+            self.occupied.insert((used, slot));
+        }
+    }
+
+    pub(super) fn remove_entry(&mut self, slot: Slot) {
+        let Some(machine) = self.slots[slot.0 as usize].as_mut() else {
+            return;
+        };
+        let Some(key) = machine.index_key.take() else {
+            return;
+        };
+        self.groups[machine.group].remove(machine, key, slot);
+        self.freeing.remove(&slot);
+        if let Some(used) = machine.occupied_key.take() {
+            self.occupied.remove(&(used, slot));
+        }
+    }
+
+    /// Changes a machine and inserts its entries anew.
+    pub(super) fn change(&mut self, slot: Slot, change: impl FnOnce(&mut MachineCapacity)) {
+        self.remove_entry(slot);
+        if let Some(machine) = self.get_mut(slot) {
+            change(machine);
+        }
+        self.insert_entry(slot);
+        self.examined.add(1);
+    }
+}
--- a/src/capacity_index/levels.rs
+++ b/src/capacity_index/levels.rs
@@ -1,19 +1,24 @@
-//! Rooms ordered by what they have free, so that a search begins with the fullest
-//! ones that could hold a task and ends as soon as nothing better can come.
+//! Machines ordered by what they have free, so that a search begins with the fullest
+//! ones that could fit a task and ends as soon as nothing better can come.
 //!
-//! Each amount is rounded down to a step of the machine's whole. Rooms with the
-//! same three steps share a [`Level`]; within a level those with the same free
-//! share [`FreeAmounts`]. As tasks come in few sizes, so do free amounts, and one look at
-//! them stands for all their rooms.
+//! Each free amount is rounded down to a step of the machine's total. Machines with the
+//! same three steps share a [`FreeLevel`]; within a level, those with the same amounts
+//! share [`FreeAmounts`]. As tasks come in few sizes, so do free amounts, and examining
+//! these once covers all their machines.
 
 use super::Slot;
 use crate::placement::Resources;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Steps between nothing free and all free.
+/// Steps between nothing free and everything free.
 const STEPS: f64 = 16.0;
+/// Sums of decimals may be a little below what they stand for.
+const ROUNDING_TOLERANCE: f64 = 1e-6;
+/// Amounts are compared as integers of this fraction, so that sums of decimals that
+/// should be equal are.
+const MILLIONTHS: f64 = 1e6;
 
-/// Free amounts, in steps of the whole machine, rounded down.
+/// Free amounts, in steps of the machine's total, rounded down.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub(super) struct FreeLevel {
     gpus: u8,
@@ -21,75 +26,78 @@
     memory: u8,
 }
 
-fn steps(free: f64, whole: f64) -> u8 {
-    if whole <= 0.0 {
+/// One resource of a level, and the task's share of the machine's total.
+struct LevelDemand {
+    steps: f64,
+    need_share: f64,
+}
+
+fn steps(free: f64, total: f64) -> u8 {
+    if total <= 0.0 {
         return 0;
     }
-    // Sums of decimals may lie a little below what they stand for.
-    (free / whole * STEPS + 1e-6).clamp(0.0, STEPS) as u8
+    (free / total * STEPS + ROUNDING_TOLERANCE).clamp(0.0, STEPS) as u8
 }
 
-fn share(amount: f64, whole: f64) -> f64 {
-    if whole > 0.0 {
-        amount / whole
+fn share(amount: f64, total: f64) -> f64 {
+    if total > 0.0 {
+        amount / total
     } else {
         0.0
     }
 }
 
+fn millionths(amount: f64) -> u64 {
+    (amount.max(0.0) * MILLIONTHS).round() as u64
+}
+
 impl FreeLevel {
-    pub(super) fn of(free: &Resources, whole: &Resources) -> FreeLevel {
+    fn of(free: &Resources, total: &Resources) -> FreeLevel {
         FreeLevel {
-            gpus: steps(free.gpus, whole.gpus),
-            cpus: steps(free.cpus, whole.cpus),
-            memory: steps(free.memory_gb, whole.memory_gb),
+            gpus: steps(free.gpus, total.gpus),
+            cpus: steps(free.cpus, total.cpus),
+            memory: steps(free.memory_gb, total.memory_gb),
         }
     }
 
-    /// Each step with the share of the whole that a task needs.
-    fn against(&self, need: &Resources, whole: &Resources) -> [(f64, f64); 3] {
+    /// Each resource with the task's share of it.
+    fn demands(&self, need: &Resources, total: &Resources) -> [LevelDemand; 3] {
+        let demand = |steps: u8, need: f64, total: f64| LevelDemand {
+            steps: f64::from(steps),
+            need_share: share(need, total),
+        };
         [
-            (f64::from(self.gpus), share(need.gpus, whole.gpus)),
-            (f64::from(self.cpus), share(need.cpus, whole.cpus)),
-            (
-                f64::from(self.memory),
-                share(need.memory_gb, whole.memory_gb),
-            ),
+            demand(self.gpus, need.gpus, total.gpus),
+            demand(self.cpus, need.cpus, total.cpus),
+            demand(self.memory, need.memory_gb, total.memory_gb),
         ]
     }
 
-    /// Whether a room of this level could hold the task at all.
-    pub(super) fn may_hold(&self, need: &Resources, whole: &Resources) -> bool {
-        let enough = |(step, needed): (f64, f64)| needed <= (step + 1.0) / STEPS + 1e-6;
-        self.against(need, whole).into_iter().all(enough)
+    /// Whether a machine of this level could fit the task at all.
+    pub(super) fn may_fit(&self, need: &Resources, total: &Resources) -> bool {
+        self.demands(need, total)
+            .iter()
+            .all(|demand| demand.need_share <= (demand.steps + 1.0) / STEPS + ROUNDING_TOLERANCE)
     }
 
-    /// What this level and all that come after it leave free of the GPUs at least, as
-    /// a share: levels are ordered by GPUs first.
-    pub(super) fn gpus_left(&self, need: &Resources, whole: &Resources) -> f64 {
-        f64::from(self.gpus) / STEPS - share(need.gpus, whole.gpus)
+    /// The minimum share of the GPUs that the task leaves free on machines of this level
+    /// and of all that come after it: levels are ordered by GPUs first.
+    pub(super) fn min_gpus_left(&self, need: &Resources, total: &Resources) -> f64 {
+        f64::from(self.gpus) / STEPS - share(need.gpus, total.gpus)
     }
 
-    /// The least share of a machine of this level that the task would leave free.
-    pub(super) fn least_left(&self, need: &Resources, whole: &Resources) -> f64 {
-        let left = |(step, needed): (f64, f64)| step / STEPS - needed;
-        self.against(need, whole)
-            .map(left)
-            .into_iter()
+    /// The minimum share of a machine of this level that the task leaves free, by the
+    /// scarcest resource.
+    pub(super) fn min_share_left(&self, need: &Resources, total: &Resources) -> f64 {
+        self.demands(need, total)
+            .iter()
+            .map(|demand| demand.steps / STEPS - demand.need_share)
             .fold(0.0, f64::max)
     }
 }
 
-/// Amounts are told apart to a millionth: sums of decimals that should be equal
-/// are.
-const MILLIONTHS: f64 = 1e6;
-
-fn millionths(amount: f64) -> u64 {
-    (amount.max(0.0) * MILLIONTHS).round() as u64
-}
-
-/// What rooms have free that have the same free, in order of the share of the
-/// machine that this is, by its scarcest amount.
+/// The free amounts of machines, ordered by the share of the machine that they make up,
+/// by the scarcest resource.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub(super) struct FreeAmounts {
     share: u64,
@@ -99,9 +107,9 @@
 }
 
 impl FreeAmounts {
-    fn of(free: &Resources, whole: &Resources) -> FreeAmounts {
+    fn of(free: &Resources, total: &Resources) -> FreeAmounts {
         FreeAmounts {
-            share: millionths(free.dominant_share(whole)),
+            share: millionths(free.dominant_share(total)),
             gpus: millionths(free.gpus),
             cpus: millionths(free.cpus),
             memory: millionths(free.memory_gb),
@@ -123,7 +131,7 @@
     }
 }
 
-/// Where a room is filed.
+/// The key of a machine in [`FreeLevels`].
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(super) struct IndexKey {
     level: FreeLevel,
@@ -131,41 +139,41 @@
 }
 
 impl IndexKey {
-    pub(super) fn of(free: &Resources, whole: &Resources) -> IndexKey {
+    pub(super) fn of(free: &Resources, total: &Resources) -> IndexKey {
         IndexKey {
-            level: FreeLevel::of(free, whole),
-            amounts: FreeAmounts::of(free, whole),
+            level: FreeLevel::of(free, total),
+            amounts: FreeAmounts::of(free, total),
         }
     }
 }
 
-/// Rooms with the same free, by what that is.
+/// Machines of one level, by their free amounts.
 type SlotsByFree = BTreeMap<FreeAmounts, BTreeSet<Slot>>;
 
-/// Rooms of one kind, by level and by what they have free.
+/// Machines of one kind, by level and then by their free amounts.
 #[derive(Debug, Default)]
 pub(super) struct FreeLevels {
     levels: BTreeMap<FreeLevel, SlotsByFree>,
 }
 
 impl FreeLevels {
-    pub(super) fn insert(&mut self, place: IndexKey, slot: Slot) {
-        let by_free = self.levels.entry(place.level).or_default();
-        by_free.entry(place.amounts).or_default().insert(slot);
+    pub(super) fn insert(&mut self, key: IndexKey, slot: Slot) {
+        let by_free = self.levels.entry(key.level).or_default();
+        by_free.entry(key.amounts).or_default().insert(slot);
     }
 
-    pub(super) fn remove(&mut self, place: IndexKey, slot: Slot) {
-        let Some(by_free) = self.levels.get_mut(&place.level) else {
+    pub(super) fn remove(&mut self, key: IndexKey, slot: Slot) {
+        let Some(by_free) = self.levels.get_mut(&key.level) else {
             return;
         };
-        if let Some(rooms) = by_free.get_mut(&place.amounts) {
-            rooms.remove(&slot);
-            if rooms.is_empty() {
-                by_free.remove(&place.amounts);
+        if let Some(slots) = by_free.get_mut(&key.amounts) {
+            slots.remove(&slot);
+            if slots.is_empty() {
+                by_free.remove(&key.amounts);
             }
         }
         if by_free.is_empty() {
-            self.levels.remove(&place.level);
+            self.levels.remove(&key.level);
         }
     }
 
@@ -173,15 +181,14 @@
         self.levels.is_empty()
     }
 
-    pub(super) fn contains(&self, place: IndexKey, slot: Slot) -> bool {
-        let rooms = self
-            .levels
-            .get(&place.level)
-            .and_then(|by_free| by_free.get(&place.amounts));
-        rooms.is_some_and(|rooms| rooms.contains(&slot))
+    pub(super) fn contains(&self, key: IndexKey, slot: Slot) -> bool {
+        self.levels
+            .get(&key.level)
+            .and_then(|by_free| by_free.get(&key.amounts))
+            .is_some_and(|slots| slots.contains(&slot))
     }
 
-    /// How many rooms there are.
+    /// The number of machines.
     pub(super) fn len(&self) -> usize {
         self.levels
             .values()
@@ -190,30 +197,33 @@
             .sum()
     }
 
-    /// The levels with GPUs enough for the task, those with the fewest free first,
-    /// each with its rooms by what they have free, the least first.
+    /// The levels with enough GPUs for the task, those with the fewest free GPUs first,
+    /// each with its machines by their free amounts, the smallest first.
     pub(super) fn for_task(
         &self,
         need: &Resources,
-        whole: &Resources,
+        total: &Resources,
     ) -> impl Iterator<Item = (&FreeLevel, &SlotsByFree)> {
-        let needed = steps(need.gpus, whole.gpus);
-        let least = FreeLevel {
+        let needed = steps(need.gpus, total.gpus);
+        let lowest = FreeLevel {
             gpus: needed.saturating_sub(1),
             cpus: 0,
             memory: 0,
         };
-        self.levels.range(least..)
+        self.levels.range(lowest..)
     }
 
-    /// All rooms, roughly the fullest first.
-    pub(super) fn rooms(&self) -> impl Iterator<Item = Slot> + '_ {
-        let rooms = self.levels.values().flat_map(SlotsByFree::values);
-        rooms.flat_map(|rooms| rooms.iter().copied())
+    /// All machines, roughly the fullest first.
+    pub(super) fn slots(&self) -> impl Iterator<Item = Slot> + '_ {
+        self.levels
+            .values()
+            .flat_map(SlotsByFree::values)
+            .flatten()
+            .copied()
     }
 }
 
-/// A share that can be ordered: it is never below 0 and always a number.
+/// A share of a machine that can be ordered: it is never below 0 and always a number.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub(super) struct ShareKey(u64);
 
--- /dev/null
+++ b/src/capacity_index/listing.rs
@@ -0,0 +1,161 @@
+//! Lists of machines by what they have or run.
+
+use super::levels::ShareKey;
+use super::{CapacityIndex, MachineCapacity, OfferGroup, Slot};
+use crate::ids::MachineId;
+use crate::placement::{offer_allowed, Resources, ZoneCounts};
+use crate::wire::users::JobSpec;
+use std::collections::BTreeMap;
+use std::ops::Bound;
+use std::rc::Rc;
+
+/// A position in the list of occupied machines.
+#[derive(Clone, Copy, PartialEq, Debug)]
+pub struct OccupiedCursor {
+    /// The share of the machine that assigned tasks use.
+    pub used_share: f64,
+    /// The machine.
+    pub slot: Slot,
+}
+
+impl CapacityIndex {
+    /// The machines on which something is expected or to which something migrates.
+    pub fn reserved(&self) -> impl Iterator<Item = &MachineId> {
+        self.held
+            .iter()
+            .filter_map(|slot| self.get(*slot))
+            .filter(|machine| machine.reserved)
+            .map(|machine| &machine.id)
+    }
+
+    /// Machines of which something is reserved for forecast demand.
+    pub fn with_forecast_reservation(&self) -> impl Iterator<Item = (Slot, &MachineCapacity)> {
+        self.accepting_tasks(self.held.iter().copied())
+            .filter(|(_, machine)| machine.forecast_reserved != Resources::default())
+    }
+
+    /// Machines on which tasks are being stopped.
+    pub fn stopping_tasks(&self) -> impl Iterator<Item = (Slot, &MachineCapacity)> {
+        self.accepting_tasks(self.freeing.iter().copied())
+    }
+
+    /// Machines that accept tasks and have some, the least used first, from the one
+    /// after `after` on.
+    pub fn occupied(
+        &self,
+        after: Option<OccupiedCursor>,
+    ) -> impl Iterator<Item = OccupiedCursor> + '_ {
+        let start = after.map_or(Bound::Unbounded, |cursor| {
+            Bound::Excluded((ShareKey::new(cursor.used_share), cursor.slot))
+        });
+        let keys = self.occupied.range((start, Bound::Unbounded));
+        self.accepting_tasks(keys.map(|(_, slot)| *slot))
+            .map(|(slot, machine)| OccupiedCursor {
+                used_share: machine.used_share(),
+                slot,
+            })
+    }
+
+    /// The machines that accept no tasks: booting, silent, faulty or leaving.
+    pub fn unschedulable(&self) -> impl Iterator<Item = &MachineId> {
+        self.unschedulable
+            .iter()
+            .filter_map(|slot| Some(&self.get(*slot)?.id))
+    }
+
+    /// The number of known machines in each zone.
+    pub fn machines_by_zone(&self) -> BTreeMap<Rc<str>, u32> {
+        let mut zones = BTreeMap::new();
+        for group in &self.groups {
+            *zones.entry(group.offer.zone.clone()).or_insert(0) += group.machines;
+        }
+        zones
+    }
+
+    /// Machines that have the image, at most `limit` of each group that the job allows.
+    pub fn with_image<'a>(
+        &'a self,
+        spec: &'a JobSpec,
+        zones: &'a ZoneCounts,
+        limit: usize,
+    ) -> impl Iterator<Item = (Slot, &'a MachineCapacity)> {
+        let slots = self
+            .groups_allowed_in(spec, zones)
+            .filter_map(|group| group.with_image.get(&spec.image))
+            .flat_map(move |levels| levels.slots().take(limit));
+        self.accepting_tasks(slots)
+    }
+
+    /// Machines that run something less important, at most `limit` of each group that
+    /// the job allows.
+    pub fn stoppable<'a>(
+        &'a self,
+        spec: &'a JobSpec,
+        limit: usize,
+    ) -> impl Iterator<Item = (Slot, &'a MachineCapacity)> {
+        let slots = self.groups_allowed(spec).flat_map(move |group| {
+            group
+                .stoppable
+                .iter()
+                .rev()
+                .take_while(|(priority, _)| **priority > spec.priority)
+                .flat_map(|(_, slots)| slots)
+                .take(limit)
+                .copied()
+        });
+        self.accepting_tasks(slots)
+    }
+
+    /// All machines that fit a task like this now.
+    pub fn holding<'a>(
+        &'a self,
+        spec: &'a JobSpec,
+        need: &'a Resources,
+    ) -> impl Iterator<Item = (Slot, &'a MachineCapacity)> {
+        let slots = self.groups_allowed(spec).flat_map(move |group| {
+            group
+                .by_concurrent_pulls
+                .values()
+                .flat_map(move |levels| levels.for_task(need, &group.total))
+                .filter(move |(level, _)| level.may_fit(need, &group.total))
+                .flat_map(|(_, by_free)| by_free.values())
+                .flatten()
+                .copied()
+        });
+        self.accepting_tasks(slots)
+            .filter(|(_, machine)| machine.free().covers(need))
+    }
+
+    /// The groups whose type and purchase option the job allows.
+    pub(super) fn groups_allowed<'a>(
+        &'a self,
+        spec: &'a JobSpec,
+    ) -> impl Iterator<Item = &'a OfferGroup> {
+        self.groups
+            .iter()
+            .filter(|group| offer_allowed(spec, &group.offer))
+    }
+
+    /// The groups that the job allows, given the zones of its tasks.
+    pub(super) fn groups_allowed_in<'a>(
+        &'a self,
+        spec: &'a JobSpec,
+        zones: &'a ZoneCounts,
+    ) -> impl Iterator<Item = &'a OfferGroup> {
+        self.groups_allowed(spec)
+            .filter(|group| zones.allows(spec, &group.offer.zone))
+    }
+
+    /// Those of these machines that accept tasks. Each of them counts as examined.
+    fn accepting_tasks<'a>(
+        &'a self,
+        slots: impl Iterator<Item = Slot> + 'a,
+    ) -> impl Iterator<Item = (Slot, &'a MachineCapacity)> {
+        slots.filter_map(|slot| {
+            self.examined.add(1);
+            let machine = self.get(slot)?;
+            let accepts = machine.index_key.is_some() && self.is_fresh(machine);
+            accepts.then_some((slot, machine))
+        })
+    }
+}
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -1,5 +1,5 @@
-//! Pure placement: amounts, who may stand where, and which of the fitting
-//! machines is taken. No state, no clock.
+//! Pure placement policy: on which machines a task may be placed, and how the machines
+//! that fit are ranked. No state, no clock.
 
 use crate::cloud::Offer;
 use crate::wire::cloud::{Catalog, MachineType};
@@ -8,76 +8,91 @@
 
 pub use lilacfork_common::resources::Resources;
 
-/// Where the tasks of a job may still go, given where its others may be.
+/// Rounding of decimal amounts must not rule a machine type out.
+const ROUNDING_TOLERANCE: f64 = 1e-9;
+
+/// The tasks of a job that are, or may be, in one zone.
+#[derive(Clone, Debug)]
+struct ZoneCount {
+    zone: Rc<str>,
+    tasks: u32,
+}
+
+/// The zones of a job's tasks, which restrict where further ones may be placed.
 #[derive(Clone, Debug, Default)]
 pub struct ZoneCounts {
-    /// (zone, tasks that may be there).
-    counts: Vec<(Rc<str>, u32)>,
+    counts: Vec<ZoneCount>,
 }
 
 impl ZoneCounts {
-    /// A task stands in the zone.
+    /// Adds a task in the zone.
     pub fn add(&mut self, zone: &Rc<str>) {
-        match self.counts.iter_mut().find(|(z, _)| z == zone) {
-            Some((_, n)) => *n += 1,
-            None => self.counts.push((zone.clone(), 1)),
+        match self.counts.iter_mut().find(|count| count.zone == *zone) {
+            Some(count) => count.tasks += 1,
+            None => self.counts.push(ZoneCount {
+                zone: zone.clone(),
+                tasks: 1,
+            }),
         }
     }
-    /// A task leaves the zone.
+
+    /// Removes a task from the zone.
     pub fn remove(&mut self, zone: &str) {
-        if let Some((_, n)) = self.counts.iter_mut().find(|(z, _)| &**z == zone) {
-            *n = n.saturating_sub(1);
+        if let Some(count) = self.counts.iter_mut().find(|count| &*count.zone == zone) {
+            count.tasks = count.tasks.saturating_sub(1);
         }
     }
-    /// How many tasks stand in the zone.
+
+    /// The number of tasks in the zone.
     pub fn count(&self, zone: &str) -> u32 {
         self.counts
             .iter()
-            .find(|(z, _)| &**z == zone)
-            .map_or(0, |(_, n)| *n)
+            .find(|count| &*count.zone == zone)
+            .map_or(0, |count| count.tasks)
     }
-    /// Whether one more task of the job may stand in `zone`.
+
+    /// Whether one more task of the job may be placed in `zone`.
     pub fn allows(&self, spec: &JobSpec, zone: &str) -> bool {
         if spec.zone.as_ref().is_some_and(|only| &**only != zone) {
             return false;
         }
-        if spec.same_zone && self.counts.iter().any(|(z, n)| &**z != zone && *n > 0) {
+        let elsewhere = |count: &ZoneCount| &*count.zone != zone && count.tasks > 0;
+        if spec.same_zone && self.counts.iter().any(elsewhere) {
             return false;
         }
-        // At most half of the tasks, rounded up.
+        // A spread job has at most half of its tasks, rounded up, in one zone.
         !spec.spread || self.count(zone) < spec.tasks.div_ceil(2)
     }
 }
 
-/// Type and kind of machine; the zone is `ZoneUse`'s.
+fn machine_type_allowed(spec: &JobSpec, machine_type: &Rc<str>) -> bool {
+    spec.types
+        .as_ref()
+        .is_none_or(|types| types.contains(machine_type))
+}
+
+/// Whether the job allows the machine type and the purchase option; zones are checked
+/// by [`ZoneCounts::allows`].
 pub fn offer_allowed(spec: &JobSpec, offer: &Offer) -> bool {
-    (spec.spot || !offer.spot)
-        && spec
-            .types
-            .as_ref()
-            .is_none_or(|types| types.contains(&offer.machine_type))
+    (spec.spot || !offer.spot) && machine_type_allowed(spec, &offer.machine_type)
 }
 
-/// Whether one more task of the job may stand on such a machine, given where
-/// its others may be.
+/// Whether one more task of the job may be placed on a machine of this offer, given the
+/// zones of its other tasks.
 pub fn placement_allowed(spec: &JobSpec, zones: &ZoneCounts, offer: &Offer) -> bool {
     offer_allowed(spec, offer) && zones.allows(spec, &offer.zone)
 }
 
-/// Whether a task of the job could ever stand on a machine of this type.
-pub fn fits_machine_type(spec: &JobSpec, t: &MachineType) -> bool {
-    let allowed = spec
-        .types
-        .as_ref()
-        .is_none_or(|types| types.contains(&t.name));
-    let zone = spec
+/// Whether a task of the job could ever be placed on a machine of this type.
+pub fn fits_machine_type(spec: &JobSpec, machine_type: &MachineType) -> bool {
+    let zone_allowed = spec
         .zone
         .as_ref()
-        .is_none_or(|zone| t.zones.iter().any(|z| z == zone));
-    let room = spec.cpus <= t.cpus + 1e-9
-        && spec.gpus <= t.gpus + 1e-9
-        && spec.memory_gb <= t.memory_gb + 1e-9;
-    allowed && zone && room
+        .is_none_or(|zone| machine_type.zones.contains(zone));
+    let fits = spec.cpus <= machine_type.cpus + ROUNDING_TOLERANCE
+        && spec.gpus <= machine_type.gpus + ROUNDING_TOLERANCE
+        && spec.memory_gb <= machine_type.memory_gb + ROUNDING_TOLERANCE;
+    machine_type_allowed(spec, &machine_type.name) && zone_allowed && fits
 }
 
 /// Every rental that could hold a task of the job, with its nominal price.
@@ -109,40 +124,59 @@
     offers
 }
 
-/// What the choice between fitting machines looks at.
+/// The weight of image pulls: a start that is late by a second of pulling is worse than
+/// any loss of packing.
+const PULL_WEIGHT: f64 = 2.0;
+/// An image that is being pulled for another task.
+const PULLING_IMAGE_PENALTY: f64 = 0.6;
+/// An image that has to be pulled.
+const COLD_IMAGE_PENALTY: f64 = 1.0;
+/// Each other image that is being pulled, which shares the rate.
+const CONCURRENT_PULL_PENALTY: f64 = 0.5;
+/// A machine at the on-demand price.
+const ON_DEMAND_PENALTY: f64 = 0.3;
+/// Each task of the same job on the machine.
+const SIBLING_PENALTY: f64 = 0.15;
+/// Each task of the same job in the zone.
+const ZONE_SIBLING_PENALTY: f64 = 0.05;
+/// Further siblings make no difference.
+const MAX_SIBLINGS_COUNTED: u32 = 4;
+
+/// What ranks the machines that fit a task.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FitScore {
-    /// Image there already.
+    /// The machine has the image.
     pub image_cached: bool,
-    /// Image on its way for another task.
+    /// It is pulling the image for another task.
     pub image_pulling: bool,
-    /// Other images being fetched, which share the rate.
+    /// Other images that it is pulling.
     pub concurrent_pulls: u32,
-    /// The machine is cheap and the job may use it.
+    /// It is a spot instance, and the job may use these.
     pub spot: bool,
-    /// Share of the machine that stays free.
+    /// The share of it that stays free.
     pub free_share: f64,
-    /// Tasks of the same job there already: replicas fall together.
+    /// Tasks of the same job on it: replicas on one machine fail together.
     pub siblings: u32,
 }
 
 impl FitScore {
-    /// Smaller is better. Late work for a second of fetching is worse than
-    /// any packing; among equals, full machines fill up so that others empty.
+    /// The rank; smaller is better. Among equals the fullest machine is preferred, so
+    /// that others become empty.
     pub fn rank(&self) -> f64 {
-        let fetch = if self.image_cached {
+        let pull = if self.image_cached {
             0.0
         } else if self.image_pulling {
-            0.6
+            PULLING_IMAGE_PENALTY
         } else {
-            1.0 + 0.5 * f64::from(self.concurrent_pulls)
+            COLD_IMAGE_PENALTY + CONCURRENT_PULL_PENALTY * f64::from(self.concurrent_pulls)
         };
-        let dear = if self.spot { 0.0 } else { 0.3 };
-        fetch * 2.0 + dear + self.free_share + 0.15 * f64::from(self.siblings.min(4))
+        let price = if self.spot { 0.0 } else { ON_DEMAND_PENALTY };
+        let siblings = f64::from(self.siblings.min(MAX_SIBLINGS_COUNTED));
+        pull * PULL_WEIGHT + price + self.free_share + SIBLING_PENALTY * siblings
     }
 
-    /// What is added for tasks of the same job in the zone already.
+    /// The penalty that is added for tasks of the same job in the zone.
     pub fn zone_crowding(zone_siblings: u32) -> f64 {
-        0.05 * f64::from(zone_siblings.min(4))
+        ZONE_SIBLING_PENALTY * f64::from(zone_siblings.min(MAX_SIBLINGS_COUNTED))
     }
 }
--- a/src/scheduler/displacement/compaction.rs
+++ b/src/scheduler/displacement/compaction.rs
@@ -1,102 +1,108 @@
-//! Scaling in: replicas of the emptiest machines move into free room that nobody
-//! expects to need, so that those machines can be returned. Only a few machines
-//! at a time, and only where a replica is hardly missed.
+//! Compaction: the replicas of the least used machines migrate into free capacity that
+//! isn't reserved, so that those machines can be released. Only a few machines at a
+//! time are drained, and only where the replicas have a short outage.
 
-use crate::capacity_index::{MachineCapacity, Slot};
+use crate::capacity_index::{MachineCapacity, OccupiedCursor, Slot};
 use crate::fleet::MachinePhase;
 use crate::ids::{MachineId, TaskRef};
 use crate::messages::Now;
 use crate::scheduler::displacement::image_displacement::PlannedUse;
-use crate::scheduler::Scheduler;
+use crate::scheduler::{Job, Scheduler};
 
-/// One of so many machines at a time is emptied.
-const CONSOLIDATED_OF: usize = 16;
-/// A machine with more than this share in use isn't emptied.
-const MOST_MOVED: f64 = 0.6;
-/// So many machines are tried in one round; the next goes on after them.
-const MOST_TRIED: usize = 256;
+/// At most one of this many machines is drained at a time.
+const MACHINES_PER_DRAINED: usize = 16;
+/// A machine that is used to more than this share isn't drained.
+const MAX_USED_SHARE: f64 = 0.6;
+/// The most machines that one round examines; the next round goes on after them.
+const MAX_EXAMINED: usize = 256;
 
-/// How far the emptying of machines has got in a round.
+/// How far compaction has got in a round.
 #[derive(Debug)]
 pub(in crate::scheduler) struct Compaction {
-    /// So many more machines may be emptied, and tried.
-    left: usize,
-    tries: usize,
-    /// The last machine that was tried, by its share in use.
-    after: Option<(f64, Slot)>,
+    /// How many more machines may be drained.
+    drains_left: usize,
+    /// How many more machines may be examined.
+    examinations_left: usize,
+    /// The last machine that was examined.
+    cursor: Option<OccupiedCursor>,
 }
 
-/// A replica that moves.
+/// A replica that migrates.
 struct TaskMigration {
     task: TaskRef,
-    to: Slot,
-    machine: MachineId,
+    target: Slot,
+    target_machine: MachineId,
 }
 
 impl Scheduler {
     pub(in crate::scheduler) fn begin_compaction(&mut self) -> Compaction {
-        let closed = self
+        let unschedulable = self
             .capacity
             .unschedulable()
             .filter_map(|id| self.fleet.get(id));
-        let (mut taking_none, mut moving) = (0, 0);
-        for machine in closed {
-            taking_none += 1;
-            moving +=
-                usize::from(machine.phase == MachinePhase::Draining && !machine.tasks.is_empty());
+        let (mut unschedulable_count, mut draining) = (0, 0);
+        for machine in unschedulable {
+            unschedulable_count += 1;
+            let is_draining = machine.phase == MachinePhase::Draining && !machine.tasks.is_empty();
+            draining += usize::from(is_draining);
         }
-        self.pacing.examined += taking_none as u64;
-        let most = ((self.fleet.len() - taking_none) / CONSOLIDATED_OF).max(1);
+        self.pacing.examined += unschedulable_count as u64;
+        let schedulable = self.fleet.len() - unschedulable_count;
+        let max_drained = (schedulable / MACHINES_PER_DRAINED).max(1);
         Compaction {
-            left: most.saturating_sub(moving),
-            tries: MOST_TRIED,
-            after: self.migrations.compaction_cursor.take(),
+            drains_left: max_drained.saturating_sub(draining),
+            examinations_left: MAX_EXAMINED,
+            cursor: self.migrations.compaction_cursor.take(),
         }
     }
 
-    /// Tries the next machine. `false`: that was the last one.
+    /// Examines the next machine. `false`: there is no further one in this round.
     pub(in crate::scheduler) fn compact_next(
         &mut self,
         now: Now,
         progress: &mut Compaction,
     ) -> bool {
-        if progress.left == 0 {
+        if progress.drains_left == 0 {
             return false;
         }
-        let next = self.capacity.occupied(progress.after).next();
-        let Some((share, slot)) = next.map(|(share, slot, _)| (share, slot)) else {
+        let Some(next) = self.capacity.occupied(progress.cursor).next() else {
             return false;
         };
-        if share > MOST_MOVED {
+        if next.used_share > MAX_USED_SHARE {
             return false;
         }
-        progress.after = Some((share, slot));
-        if self.empty(now, slot) {
-            progress.left -= 1;
+        progress.cursor = Some(next);
+        if self.compact_machine(now, next.slot) {
+            progress.drains_left -= 1;
         }
-        progress.tries -= 1;
-        if progress.tries == 0 {
-            self.migrations.compaction_cursor = progress.after;
+        progress.examinations_left -= 1;
+        if progress.examinations_left == 0 {
+            self.migrations.compaction_cursor = progress.cursor;
         }
-        progress.tries > 0
+        progress.examinations_left > 0
     }
 
-    /// Moves all replicas of a machine away, if they may and find room.
-    fn empty(&mut self, now: Now, from: Slot) -> bool {
-        // Replicas of one that was emptied just now may be on their way here.
-        let open = self.capacity.get(from).filter(|room| !room.is_reserved());
-        let Some(id) = open.map(|room| room.id.clone()) else {
+    /// Drains a machine if all its replicas may migrate and have a target.
+    fn compact_machine(&mut self, now: Now, from: Slot) -> bool {
+        // Replicas of a machine that was drained before may be on their way here.
+        let Some(machine) = self.capacity.get(from).filter(|m| !m.is_reserved()) else {
             return false;
         };
-        let Some(moves) = self.can_empty(now, from) else {
+        let id = machine.id.clone();
+        let Some(migrations) = self.plan_compaction(now, from) else {
             return false;
         };
-        for TaskMigration { task, to, machine } in moves {
-            // Room that is promised is nobody else's.
-            self.capacity.reserve_all_free(to);
-            self.migrations.targets.insert(task, machine);
+        for TaskMigration {
+            task,
+            target,
+            target_machine,
+        } in migrations
+        {
+            // Nothing else is placed on a target in this round.
+            self.capacity.reserve_all_free(target);
+            self.migrations.targets.insert(task, target_machine);
         }
-        log::info!("machine {id} emptied, its replicas move");
+        log::info!("machine draining machine={id} reason=\"compaction\"");
         if let Some(machine) = self.fleet.get_mut(&id) {
             machine.phase = MachinePhase::Draining;
         }
@@ -105,47 +111,63 @@
         true
     }
 
-    /// Where all tasks of a machine may move to, if they may and find room.
-    fn can_empty(&self, now: Now, from: Slot) -> Option<Vec<TaskMigration>> {
-        let room = self.capacity.get(from)?;
-        let machine = self.fleet.get(&room.id)?;
-        let share = room.used_share();
-        let spot = room.state.offer.spot;
-        let mut taken = PlannedUse::default();
-        let mut moves: Vec<TaskMigration> = Vec::new();
+    /// Where all tasks of a machine migrate to; `None`: one of them may not migrate or
+    /// has no target.
+    fn plan_compaction(&self, now: Now, from: Slot) -> Option<Vec<TaskMigration>> {
+        let capacity = self.capacity.get(from)?;
+        let machine = self.fleet.get(&capacity.id)?;
+        let mut planned = PlannedUse::default();
+        let mut migrations: Vec<TaskMigration> = Vec::new();
         for task in &machine.tasks {
             let job = self.jobs.get(&task.job)?;
-            let assign = job.assignments.get(&task.index)?;
-            if !self.may_move(now, job, assign) || !job.is_service() {
+            let assignment = job.assignments.get(&task.index)?;
+            if !self.may_migrate(now, job, assignment) || !job.is_service() {
                 return None;
             }
-            let planned = moves.iter().map(|m| (&m.task, &m.machine));
-            let mut zones = self.zones_ahead(job, planned);
-            zones.remove(&assign.zone);
-            let accept = |slot: Slot, r: &MachineCapacity| {
-                let fuller = r.state.occupied && r.used_share() >= share;
-                slot != from
-                    && fuller
-                    && r.state.offer.spot <= spot
-                    && taken.leaves(slot, r, &job.task_request)
-            };
-            let (spec, need) = (&job.spec, &job.task_request);
-            let warm = self.capacity.first_with_image(spec, need, &zones, accept);
-            let to = warm.or_else(|| {
-                let mut rooms = self.capacity.first_of_groups(spec, need, &zones, accept);
-                rooms.find(|slot| {
-                    self.capacity
-                        .get(*slot)
-                        .is_some_and(|r| self.soon_there(&r.id, spec))
-                })
-            })?;
-            taken.add(to, job.task_request);
-            moves.push(TaskMigration {
+            let target =
+                self.compaction_target(job, &assignment.zone, from, &planned, &migrations)?;
+            planned.add(target, job.task_request);
+            migrations.push(TaskMigration {
                 task: task.clone(),
-                to,
-                machine: self.capacity.get(to)?.id.clone(),
+                target,
+                target_machine: self.capacity.get(target)?.id.clone(),
             });
         }
-        Some(moves)
+        Some(migrations)
+    }
+
+    /// A target for a replica in this zone beside those planned: at least as full, no spot
+    /// instance unless the present one is, and with the image there or soon.
+    fn compaction_target(
+        &self,
+        job: &Job,
+        zone: &str,
+        from: Slot,
+        planned: &PlannedUse,
+        migrations: &[TaskMigration],
+    ) -> Option<Slot> {
+        let source = self.capacity.get(from)?;
+        let (source_share, source_spot) = (source.used_share(), source.state.offer.spot);
+        let planned_moves = migrations.iter().map(|m| (&m.task, &m.target_machine));
+        let mut zones = self.zones_after_migrations(job, planned_moves);
+        zones.remove(zone);
+        let (spec, need) = (&job.spec, &job.task_request);
+        let accept = |slot: Slot, target: &MachineCapacity| {
+            let fuller = target.state.occupied && target.used_share() >= source_share;
+            slot != from
+                && fuller
+                && target.state.offer.spot <= source_spot
+                && planned.leaves_capacity(slot, target, need)
+        };
+        let with_image = self.capacity.first_with_image(spec, need, &zones, accept);
+        with_image.or_else(|| {
+            let mut targets = self
+                .capacity
+                .first_of_each_group(spec, need, &zones, accept);
+            targets.find(|slot| {
+                let target = self.capacity.get(*slot);
+                target.is_some_and(|target| self.has_image_soon(&target.id, spec))
+            })
+        })
     }
 }
--- a/src/scheduler/displacement/image_displacement.rs
+++ b/src/scheduler/displacement/image_displacement.rs
@@ -1,247 +1,297 @@
-//! Places change hands where an image is. Work whose aim leaves no time for a
-//! fetch finds free room, but only where its image isn't, while settled
-//! replicas that would hardly be missed stand where it is. They move into that
-//! room, and the work takes theirs: less important replicas first, equals if
-//! need be, more important ones never.
+//! Displacement for an image. Work whose objective leaves no time to pull its image
+//! may find free capacity only on machines that lack the image, while settled replicas
+//! that can be moved with a short outage occupy the machines that have it. Those
+//! replicas migrate to the free capacity, and the work takes their place. Less
+//! important replicas are displaced first, equally important ones if necessary, more
+//! important ones never.
 
 use crate::capacity_index::{MachineCapacity, Slot};
-use crate::fleet::Machine;
 use crate::ids::{JobId, MachineId, TaskRef};
 use crate::messages::Now;
 use crate::placement::{Resources, ZoneCounts};
 use crate::scheduler::rounds::task_placement::PlacementRequest;
 use crate::scheduler::{Job, Scheduler};
-use crate::wire::users::JobSpec;
+use crate::wire::users::{JobSpec, Priority};
 use std::collections::HashMap;
 
-/// A fetch takes up to so many times its nominal time (PROTOCOL: give or take
+/// An image pull takes up to this multiple of its nominal time (PROTOCOL: give or take
 /// a third).
-const SLOWEST_FETCH: f64 = 4.0 / 3.0;
-/// Stopping, storing and starting take about this share of a report interval.
-const HANDOVER_REPORTS: f64 = 0.25;
-/// So many machines of one type, zone and kind are examined at most.
-pub(in crate::scheduler) const MOST_CANDIDATES: usize = 64;
+const SLOWEST_PULL: f64 = 4.0 / 3.0;
+/// Stopping a task, storing that and starting another one takes about this share of a
+/// heartbeat interval.
+const HANDOVER_HEARTBEATS: f64 = 0.25;
+/// The most machines of one type, zone and purchase option that are examined.
+pub(super) const CANDIDATES_PER_GROUP: usize = 64;
 
-/// A task that makes room, and the room that it goes to.
+/// A replica that is displaced, and the machine that it migrates to.
 struct DisplacedTask {
     task: TaskRef,
-    need: Resources,
-    to: Slot,
-    machine: MachineId,
+    resources: Resources,
+    target: Slot,
+    target_machine: MachineId,
 }
 
-/// A room that a task may move to, and for how long it would be missed.
+/// Replicas that are displaced together from a machine.
+struct Displacement {
+    from: Slot,
+    /// The time for which they are out of service, with a penalty for equals.
+    cost_s: f64,
+    tasks: Vec<DisplacedTask>,
+    planned: PlannedUse,
+}
+
+/// A machine that a replica may migrate to.
 #[derive(Clone, Copy)]
 struct MigrationTarget {
-    missed_s: f64,
-    to: Slot,
+    slot: Slot,
+    /// How long the replica would be out of service.
+    outage_s: f64,
 }
 
-/// Where the replicas of each job could move, while nothing is promised there.
+/// Where the replicas of each job could migrate to, as long as nothing else is planned
+/// there.
 type MigrationTargets = HashMap<JobId, Option<MigrationTarget>>;
 
-/// What the tasks of a machine that move together take elsewhere.
+/// What one task of a planned migration takes on its target.
+struct PlannedTask {
+    slot: Slot,
+    resources: Resources,
+}
+
+/// What the tasks that leave a machine together take on other machines.
 #[derive(Default)]
-pub(in crate::scheduler) struct PlannedUse(Vec<(Slot, Resources)>);
+pub(super) struct PlannedUse {
+    tasks: Vec<PlannedTask>,
+}
 
 impl PlannedUse {
-    pub(in crate::scheduler) fn add(&mut self, slot: Slot, need: Resources) {
-        self.0.push((slot, need));
+    pub(super) fn add(&mut self, slot: Slot, resources: Resources) {
+        self.tasks.push(PlannedTask { slot, resources });
     }
 
-    /// Whether a room holds one more task beside these.
-    pub(in crate::scheduler) fn leaves(
+    /// Whether a machine fits one more task beside the planned ones.
+    pub(super) fn leaves_capacity(
         &self,
         slot: Slot,
-        room: &MachineCapacity,
-        need: &Resources,
+        machine: &MachineCapacity,
+        resources: &Resources,
     ) -> bool {
-        let mut left = room.free();
-        for (_, gone) in self.0.iter().filter(|(taken, _)| *taken == slot) {
-            left.subtract(gone);
+        let mut free = machine.free();
+        for planned in self.tasks.iter().filter(|planned| planned.slot == slot) {
+            free.subtract(&planned.resources);
         }
-        left.covers(need)
+        free.covers(resources)
     }
 
-    fn touches(&self, slot: Slot) -> bool {
-        self.0.iter().any(|(taken, _)| *taken == slot)
+    fn uses(&self, slot: Slot) -> bool {
+        self.tasks.iter().any(|planned| planned.slot == slot)
+    }
+}
+
+impl Displacement {
+    fn new(from: Slot) -> Displacement {
+        Displacement {
+            from,
+            cost_s: 0.0,
+            tasks: Vec::new(),
+            planned: PlannedUse::default(),
+        }
     }
 }
 
 impl Scheduler {
-    /// Makes room for one task on a machine that has its image, if the fetch
-    /// that it would need on `cold` may cost it its aim. Tells where; the
-    /// room is held for it from then on.
+    /// Makes place for one task on a machine that has its image, if the image pull that
+    /// it would need on `cold` might make it miss its objective. Returns that machine;
+    /// the capacity is held for the task from then on.
     pub(in crate::scheduler) fn displace_for_image(
         &mut self,
         now: Now,
-        wanted: &PlacementRequest,
+        request: &PlacementRequest,
         cold: Slot,
     ) -> Option<Slot> {
-        let spec = &wanted.spec;
+        let spec = &request.spec;
         self.settings.start_slo_ms(spec)?;
-        let slack_ms = wanted.deadline.saturating_sub(now.wall) as f64;
-        let fetch_ms = self.fetch_s(&self.capacity.get(cold)?.id, spec)? * 1000.0;
+        let slack_ms = request.deadline.saturating_sub(now.wall) as f64;
+        let pull_ms = self.nominal_pull_s(&self.capacity.get(cold)?.id, spec)? * 1000.0;
         let handover_ms = self.handover_s() * 1000.0;
-        if slack_ms < handover_ms || fetch_ms * SLOWEST_FETCH < slack_ms {
+        if slack_ms < handover_ms || pull_ms * SLOWEST_PULL < slack_ms {
             return None;
         }
-        let (slot, moves) = self.cheapest_displacement(now, wanted)?;
-        for moving in moves {
-            log::info!("task {} makes place for {}", moving.task, spec.id);
-            self.capacity.reserve_for_incoming(moving.to, &moving.need);
-            self.stop_task(now, &moving.task, true);
-            self.migrations.targets.insert(moving.task, moving.machine);
+        let Displacement { from, tasks, .. } = self.cheapest_displacement(now, request)?;
+        for displaced in tasks {
+            log::info!(
+                "task displaced for image task={} job={}",
+                displaced.task,
+                spec.id
+            );
+            self.capacity
+                .reserve_for_incoming(displaced.target, &displaced.resources);
+            self.stop_task(now, &displaced.task, true);
+            self.migrations
+                .targets
+                .insert(displaced.task, displaced.target_machine);
         }
-        self.capacity.hold(slot, &wanted.need);
+        self.capacity.hold(from, &request.need);
         self.refresh(now);
-        Some(slot)
+        Some(from)
     }
 
-    /// The machine with the image whose replicas would be missed least, and those
-    /// that move.
-    fn cheapest_displacement(
-        &self,
-        now: Now,
-        wanted: &PlacementRequest,
-    ) -> Option<(Slot, Vec<DisplacedTask>)> {
-        let mut goals = MigrationTargets::new();
-        let mut best: Option<(f64, Slot, Vec<DisplacedTask>)> = None;
-        let least = self.handover_s();
-        let rooms = self
-            .capacity
-            .with_image(&wanted.spec, &wanted.zones, MOST_CANDIDATES);
-        for (slot, room) in rooms {
-            let Some((cost, moves)) = self.movers(now, wanted, slot, room, &mut goals) else {
+    /// The displacement with the shortest outage, over the machines that have the image.
+    fn cheapest_displacement(&self, now: Now, request: &PlacementRequest) -> Option<Displacement> {
+        let mut targets = MigrationTargets::new();
+        let mut cheapest: Option<Displacement> = None;
+        let machines =
+            self.capacity
+                .with_image(&request.spec, &request.zones, CANDIDATES_PER_GROUP);
+        for (slot, machine) in machines {
+            let Some(found) = self.displacement_from(now, request, slot, machine, &mut targets)
+            else {
                 continue;
             };
-            if best.as_ref().is_none_or(|(least, ..)| cost < *least) {
-                best = Some((cost, slot, moves));
+            // The least that is possible: one replica that has no image to pull.
+            let is_minimal = found.cost_s <= self.handover_s();
+            if cheapest
+                .as_ref()
+                .is_none_or(|cheapest| found.cost_s < cheapest.cost_s)
+            {
+                cheapest = Some(found);
             }
-            if cost <= least {
-                // One replica that isn't missed at all: no machine does better.
+            if is_minimal {
                 break;
             }
         }
-        best.map(|(_, slot, moves)| (slot, moves))
+        cheapest
     }
 
-    /// Settled replicas of a machine that make enough room and have somewhere
-    /// to go, with the seconds that they would be missed.
-    fn movers(
+    /// Replicas of a machine that have somewhere to migrate to and whose displacement
+    /// frees enough for the request.
+    fn displacement_from(
         &self,
         now: Now,
-        wanted: &PlacementRequest,
+        request: &PlacementRequest,
         from: Slot,
-        room: &MachineCapacity,
-        goals: &mut MigrationTargets,
-    ) -> Option<(f64, Vec<DisplacedTask>)> {
-        let machine = self.fleet.get(&room.id)?;
-        let priority = wanted.spec.priority;
-        let mut free = room.free_after_stops();
-        let mut taken = PlannedUse::default();
-        let (mut cost, mut moves) = (0.0, Vec::new());
+        capacity: &MachineCapacity,
+        targets: &mut MigrationTargets,
+    ) -> Option<Displacement> {
+        let machine = self.fleet.get(&capacity.id)?;
+        let priority = request.spec.priority;
+        let mut free = capacity.free_after_stops();
+        let mut displacement = Displacement::new(from);
         for task in &machine.tasks {
-            if free.covers(&wanted.need) {
+            if free.covers(&request.need) {
                 break;
             }
-            let movable = |job: &Job| {
-                let assign = job.assignments.get(&task.index);
-                job.is_service()
-                    && job.cancelled.is_none()
-                    && job.spec.priority >= priority
-                    && assign.is_some_and(|a| self.may_move(now, job, a))
-            };
-            let Some(job) = self.jobs.get(&task.job).filter(|job| movable(job)) else {
+            let Some(job) = self.displaceable(now, task, priority) else {
                 continue;
             };
-            let goal = self.goal(job, machine, from, &moves, &taken, goals);
-            let Some(MigrationTarget { missed_s, to }) =
-                goal.filter(|g| self.hardly_missed(g.missed_s))
-            else {
+            let zone = &machine.offer.zone;
+            let target = self
+                .migration_target(job, zone, &displacement, targets)
+                .filter(|target| self.is_short_outage(target.outage_s));
+            let Some(MigrationTarget { outage_s, slot }) = target else {
                 continue;
             };
-            cost += missed_s + self.handover_s();
+            displacement.cost_s += outage_s + self.handover_s();
             if job.spec.priority == priority {
-                cost += self.settings.site.workers.heartbeat_s;
+                displacement.cost_s += self.settings.site.workers.heartbeat_s;
             }
             free.add(&job.task_request);
-            taken.add(to, job.task_request);
-            moves.push(DisplacedTask {
+            displacement.planned.add(slot, job.task_request);
+            displacement.tasks.push(DisplacedTask {
                 task: task.clone(),
-                need: job.task_request,
-                to,
-                machine: self.capacity.get(to)?.id.clone(),
+                resources: job.task_request,
+                target: slot,
+                target_machine: self.capacity.get(slot)?.id.clone(),
             });
         }
-        free.covers(&wanted.need).then_some((cost, moves))
+        free.covers(&request.need).then_some(displacement)
+    }
+
+    /// The job of a task, if that is a replica that may be displaced for work of this
+    /// priority.
+    fn displaceable(&self, now: Now, task: &TaskRef, priority: Priority) -> Option<&Job> {
+        let job = self.jobs.get(&task.job)?;
+        let displaceable = job.is_service()
+            && job.cancelled.is_none()
+            && job.spec.priority >= priority
+            && self.may_migrate(now, job, job.assignments.get(&task.index)?);
+        displaceable.then_some(job)
     }
 
-    /// Where a replica would be missed least, beside those that move with it.
-    fn goal(
+    /// Where a replica in this zone would migrate to with the shortest outage, beside
+    /// those that are displaced with it.
+    fn migration_target(
         &self,
         job: &Job,
-        machine: &Machine,
-        from: Slot,
-        moves: &[DisplacedTask],
-        taken: &PlannedUse,
-        goals: &mut MigrationTargets,
+        zone: &str,
+        displacement: &Displacement,
+        targets: &mut MigrationTargets,
     ) -> Option<MigrationTarget> {
-        // Where a job's replicas may go doesn't depend on which of them moves, but
-        // for those that are spread.
-        let alike = !job.spec.spread && !job.spec.same_zone;
-        let known = goals.get(&job.spec.id).filter(|_| alike);
+        let Displacement {
+            from,
+            tasks,
+            planned,
+            ..
+        } = displacement;
+        // All replicas of a job have the same targets, unless zones restrict them.
+        let interchangeable = !job.spec.spread && !job.spec.same_zone;
+        let known = targets.get(&job.spec.id).filter(|_| interchangeable);
         match known {
             Some(None) => return None,
-            Some(Some(goal)) if goal.to != from && !taken.touches(goal.to) => return Some(*goal),
+            Some(Some(target)) if target.slot != *from && !planned.uses(target.slot) => {
+                return Some(*target)
+            }
             _ => {}
         }
-        let planned = moves.iter().map(|m| (&m.task, &m.machine));
-        let mut zones = self.zones_ahead(job, planned);
-        zones.remove(&machine.offer.zone);
-        let accept = |slot: Slot, room: &MachineCapacity| {
-            slot != from && taken.leaves(slot, room, &job.task_request)
+        let planned_moves = tasks
+            .iter()
+            .map(|moved| (&moved.task, &moved.target_machine));
+        let mut zones = self.zones_after_migrations(job, planned_moves);
+        zones.remove(zone);
+        let accept = |slot: Slot, machine: &MachineCapacity| {
+            slot != *from && planned.leaves_capacity(slot, machine, &job.task_request)
         };
-        let goal = self.nearest_goal(job, &zones, accept);
-        if known.is_none() && alike && taken.0.is_empty() {
-            goals.insert(job.spec.id.clone(), goal);
+        let target = self.shortest_outage_target(job, &zones, accept);
+        if known.is_none() && interchangeable && planned.tasks.is_empty() {
+            targets.insert(job.spec.id.clone(), target);
         }
-        goal
+        target
     }
 
-    fn nearest_goal(
+    fn shortest_outage_target(
         &self,
         job: &Job,
         zones: &ZoneCounts,
         accept: impl Fn(Slot, &MachineCapacity) -> bool,
     ) -> Option<MigrationTarget> {
         let (spec, need) = (&job.spec, &job.task_request);
-        if let Some(to) = self.capacity.first_with_image(spec, need, zones, &accept) {
-            return Some(MigrationTarget { missed_s: 0.0, to });
+        if let Some(slot) = self.capacity.first_with_image(spec, need, zones, &accept) {
+            return Some(MigrationTarget {
+                slot,
+                outage_s: 0.0,
+            });
         }
-        let rooms = self.capacity.first_of_groups(spec, need, zones, accept);
-        let goals = rooms.filter_map(|to| {
-            let missed_s = self.missed_s(self.capacity.get(to)?, spec)?;
-            Some(MigrationTarget { missed_s, to })
-        });
-        goals.min_by(|a, b| a.missed_s.total_cmp(&b.missed_s))
+        self.capacity
+            .first_of_each_group(spec, need, zones, accept)
+            .filter_map(|slot| {
+                let outage_s = self.expected_pull_s(self.capacity.get(slot)?, spec)?;
+                Some(MigrationTarget { slot, outage_s })
+            })
+            .min_by(|a, b| a.outage_s.total_cmp(&b.outage_s))
     }
 
-    /// Stopping a task, storing that, and starting another in its place.
-    pub(in crate::scheduler) fn handover_s(&self) -> f64 {
-        self.settings.site.workers.heartbeat_s * HANDOVER_REPORTS
+    /// The time to stop a task, store that, and start another one in its place.
+    pub(super) fn handover_s(&self) -> f64 {
+        self.settings.site.workers.heartbeat_s * HANDOVER_HEARTBEATS
     }
 
-    /// How long a task would fetch that starts there.
-    pub(in crate::scheduler) fn missed_s(
-        &self,
-        room: &MachineCapacity,
-        spec: &JobSpec,
-    ) -> Option<f64> {
-        if room.has_image(&spec.image) {
+    /// How long a task that starts on the machine would pull its image; pulls share
+    /// the machine's rate.
+    pub(super) fn expected_pull_s(&self, machine: &MachineCapacity, spec: &JobSpec) -> Option<f64> {
+        if machine.has_image(&spec.image) {
             return Some(0.0);
         }
-        let fetches = (room.state.pulling_images.len() + 1) as f64;
-        Some(self.fetch_s(&room.id, spec)? * fetches)
+        let concurrent_pulls = (machine.state.pulling_images.len() + 1) as f64;
+        Some(self.nominal_pull_s(&machine.id, spec)? * concurrent_pulls)
     }
 }
--- a/src/scheduler/displacement/migration.rs
+++ b/src/scheduler/displacement/migration.rs
@@ -1,8 +1,8 @@
-//! Tasks on the move: which replicas may move, where to, and how long they would
-//! be missed; and moves that spread images.
+//! Migration: which replicas may migrate, where to, and how long they are out of
+//! service; and migrations that place images ahead of forecast demand.
 
-use crate::capacity_index::Slot;
-use crate::fleet::MachinePhase;
+use crate::capacity_index::OccupiedCursor;
+use crate::fleet::{Machine, MachinePhase};
 use crate::ids::{MachineId, TaskRef};
 use crate::messages::Now;
 use crate::placement::ZoneCounts;
@@ -16,69 +16,74 @@
 /// Migrations under way, and what limits further ones.
 #[derive(Debug, Default)]
 pub(in crate::scheduler) struct Migrations {
-    /// Where tasks that are being migrated are to go.
+    /// The target of each task that is migrating.
     pub(in crate::scheduler) targets: HashMap<TaskRef, MachineId>,
-    /// When a replica of a class may next migrate to spread its image.
+    /// When a replica of a class may next migrate to place its image elsewhere.
     preplacement_due_ms: HashMap<Rc<str>, u64>,
-    /// The machine after which compaction goes on.
-    pub(in crate::scheduler) compaction_cursor: Option<(f64, Slot)>,
+    /// The machine after which compaction continues.
+    pub(super) compaction_cursor: Option<OccupiedCursor>,
 }
 
 impl Migrations {
-    /// The leader was deposed.
+    /// Forgets the migrations of the leadership that has ended.
     pub(in crate::scheduler) fn reset(&mut self) {
         self.targets.clear();
         self.compaction_cursor = None;
     }
 }
 
-/// A start counts for the users once it has lasted for this long (PROTOCOL,
-/// "How aims are counted"); moving a replica before would make it late.
-const START_COUNTS_S: f64 = 30.0;
-/// Between a worker's start and our word of it, in report intervals.
-const SEEN_REPORTS: f64 = 2.0;
-/// A fetch that takes so many report intervals is hardly missed.
-const QUICK_FETCH_REPORTS: f64 = 2.5;
-/// A replica moves to spread an image at most once in so many fetch times.
-const PREPLACEMENT_FETCHES: f64 = 10.0;
+/// A start counts for the users once the task has run for this long (PROTOCOL, "How
+/// aims are counted"); migrating a replica before would make its start late.
+const START_COUNTS_AFTER_S: f64 = 30.0;
+/// Heartbeat intervals between a start on the worker and the leader's knowledge of it.
+const START_NOTICE_HEARTBEATS: f64 = 2.0;
+/// An outage of this many heartbeat intervals is short.
+const SHORT_OUTAGE_HEARTBEATS: f64 = 2.5;
+/// A replica of a class migrates to place its image at most once in this many pull
+/// times.
+const PREPLACEMENT_PULLS: f64 = 10.0;
+/// An image is only placed ahead if its pull takes more than this share of the start
+/// objective.
+const LONG_PULL_SHARE: f64 = 0.5;
 
 /// How long a task has to run for its start to count for its users.
 pub(in crate::scheduler) fn settled_ms(settings: &Settings) -> u64 {
-    let seen_s = settings.site.workers.heartbeat_s * SEEN_REPORTS;
-    ((START_COUNTS_S + seen_s) * 1000.0) as u64
+    let notice_s = settings.site.workers.heartbeat_s * START_NOTICE_HEARTBEATS;
+    ((START_COUNTS_AFTER_S + notice_s) * 1000.0) as u64
 }
 
 impl Scheduler {
-    /// Where a job's tasks will be once all that moves, or is planned to, has
-    /// arrived. Replicas that move together may each fit where only one does.
-    pub(in crate::scheduler) fn zones_ahead<'a>(
+    /// The zones of a job's tasks once all migrations under way, and the planned ones,
+    /// have ended. Replicas that migrate together may each be allowed in a zone where
+    /// only one of them is.
+    pub(super) fn zones_after_migrations<'a>(
         &self,
         job: &Job,
         planned: impl Iterator<Item = (&'a TaskRef, &'a MachineId)>,
     ) -> ZoneCounts {
         if !job.spec.spread && !job.spec.same_zone {
-            // Its tasks don't keep each other from any zone.
+            // The zones of its tasks don't restrict each other.
             return ZoneCounts::default();
         }
         let mut zones = job.zone_use();
-        let mut arrive = |task: &TaskRef, to: &MachineId| {
-            let assign = job
-                .assignments
-                .get(&task.index)
-                .filter(|_| task.job == job.spec.id);
-            if let (Some(assign), Some(machine)) = (assign, self.fleet.get(to)) {
-                zones.remove(&assign.zone);
+        let mut migrate = |task: &TaskRef, target: &MachineId| {
+            if task.job != job.spec.id {
+                return;
+            }
+            let assignment = job.assignments.get(&task.index);
+            if let (Some(assignment), Some(machine)) = (assignment, self.fleet.get(target)) {
+                zones.remove(&assignment.zone);
                 zones.add(&machine.offer.zone);
             }
         };
         for index in job.assignments.keys() {
             let task = job.task(*index);
-            if let Some(to) = self.migrations.targets.get(&task) {
-                arrive(&task, to);
+            if let Some(target) = self.migrations.targets.get(&task) {
+                migrate(&task, target);
             }
         }
-        for (task, to) in planned {
-            arrive(task, to);
+        for (task, target) in planned {
+            migrate(task, target);
         }
         zones
     }
@@ -88,65 +93,52 @@
         settled_ms(&self.settings)
     }
 
-    /// Whether a task may be moved: it has run long enough that its start
-    /// counts anyway, or started so late that it doesn't.
-    pub(in crate::scheduler) fn may_move(&self, now: Now, job: &Job, assign: &Assignment) -> bool {
+    /// Whether a task may migrate: it has run long enough that its start counts in any
+    /// case, or has started so late that it doesn't. A replica that spans machines
+    /// migrates as a whole, by rules of its own.
+    pub(super) fn may_migrate(&self, now: Now, job: &Job, assignment: &Assignment) -> bool {
+        let Some(running_since_ms) = assignment.running_since_ms else {
+            return false;
+        };
         let settled_ms = self.settled_ms();
-        let settled = |since_ms: u64| now.ms > since_ms + settled_ms;
-        // A new leader can't know better than by the job's age.
-        let old = assign.inherited && now.wall > job.submitted + settled_ms;
-        // A replica that spans machines moves as a whole, for reasons of its own.
-        job.shape.is_none()
-            && assign.stop.is_none()
-            && assign
-                .running_since_ms
-                .is_some_and(|at| old || assign.late || settled(at))
+        let settled = now.ms > running_since_ms + settled_ms;
+        // A new leader only knows the age of the job.
+        let old = assignment.inherited && now.wall > job.submitted + settled_ms;
+        job.shape.is_none() && assignment.stop.is_none() && (old || assignment.late || settled)
     }
 
-    /// Whether a replica that fetches for so long is hardly missed.
-    pub(in crate::scheduler) fn hardly_missed(&self, fetch_s: f64) -> bool {
-        fetch_s <= self.settings.site.workers.heartbeat_s * QUICK_FETCH_REPORTS
+    /// Whether this is a short outage for a replica.
+    pub(super) fn is_short_outage(&self, outage_s: f64) -> bool {
+        outage_s <= self.settings.site.workers.heartbeat_s * SHORT_OUTAGE_HEARTBEATS
     }
 
-    /// Whether a machine has the image, or fetches it within a few reports.
-    pub(in crate::scheduler) fn soon_there(&self, id: &MachineId, spec: &JobSpec) -> bool {
+    /// Whether a machine has the image, or would pull it with a short outage.
+    pub(super) fn has_image_soon(&self, id: &MachineId, spec: &JobSpec) -> bool {
         let machine = self.fleet.get(id);
-        machine.is_some_and(|m| m.has_image(&spec.image))
+        machine.is_some_and(|machine| machine.has_image(&spec.image))
             || self
-                .fetch_s(id, spec)
-                .is_some_and(|fetch_s| self.hardly_missed(fetch_s))
+                .nominal_pull_s(id, spec)
+                .is_some_and(|pull_s| self.is_short_outage(pull_s))
     }
 
-    /// Expected work that would have to fetch its image for most of the time
-    /// that its class may wait: a settled replica with that image moves to
-    /// where it is missing, and leaves warm room behind. Seldom, so that the
-    /// gaps stay far below what the aims allow.
-    pub(in crate::scheduler) fn preplace_images(&mut self, now: Now, cold: Vec<ColdReservation>) {
-        for ColdReservation { spec, machine } in cold {
-            let due_ms = self
-                .migrations
-                .preplacement_due_ms
-                .get(&spec.class)
-                .copied();
-            if due_ms.is_some_and(|due| now.ms < due) {
-                continue;
-            }
-            let (Some(fetch_s), Some(objective_ms)) = (
-                self.fetch_s(&machine, &spec),
-                self.settings.start_slo_ms(&spec),
-            ) else {
+    /// Forecast demand may have capacity reserved where it would have to pull its image
+    /// for most of the time that its class may wait. A settled replica with that image
+    /// then migrates to such a machine, and leaves capacity behind where the image is.
+    /// Rarely, so that the outages stay far below what the objectives allow.
+    pub(in crate::scheduler) fn preplace_images(
+        &mut self,
+        now: Now,
+        cold_reservations: Vec<ColdReservation>,
+    ) {
+        for ColdReservation { spec, machine } in cold_reservations {
+            let Some(pull_s) = self.preplacement_pull_s(now, &spec, &machine) else {
                 continue;
             };
-            // Where the fetch is short beside the aim it may happen later;
-            // where it is long the replica would be missed for too long.
-            if fetch_s * 2000.0 < objective_ms as f64 || !self.hardly_missed(fetch_s) {
-                continue;
-            }
-            let Some(task) = self.mover(now, &spec, &machine) else {
+            let Some(task) = self.replica_to_preplace(now, &spec, &machine) else {
                 continue;
             };
-            log::info!("task {task} moves to {machine}, to leave warm room behind");
-            let due_ms = now.ms + (fetch_s * 1000.0 * PREPLACEMENT_FETCHES) as u64;
+            log::info!("task migrates task={task} machine={machine} reason=\"image preplacement\"");
+            let due_ms = now.ms + (pull_s * 1000.0 * PREPLACEMENT_PULLS) as u64;
             self.migrations
                 .preplacement_due_ms
                 .insert(spec.class.clone(), due_ms);
@@ -155,7 +147,23 @@
         }
     }
 
-    pub(in crate::scheduler) fn fetch_s(&self, machine: &MachineId, spec: &JobSpec) -> Option<f64> {
+    /// How long the image pull of a replica that migrates to the machine takes; `None`:
+    /// placing the image there ahead isn't due, not worth it or not possible.
+    fn preplacement_pull_s(&self, now: Now, spec: &JobSpec, machine: &MachineId) -> Option<f64> {
+        let due_ms = self.migrations.preplacement_due_ms.get(&spec.class);
+        if due_ms.is_some_and(|due_ms| now.ms < *due_ms) {
+            return None;
+        }
+        let pull_s = self.nominal_pull_s(machine, spec)?;
+        let start_slo_ms = self.settings.start_slo_ms(spec)? as f64;
+        // A pull that is short beside the objective may as well happen on demand; a
+        // long one would be a long outage for the replica.
+        let long_pull = pull_s * 1000.0 >= start_slo_ms * LONG_PULL_SHARE;
+        (long_pull && self.is_short_outage(pull_s)).then_some(pull_s)
+    }
+
+    /// The nominal time in which a machine pulls a task's image.
+    pub(super) fn nominal_pull_s(&self, machine: &MachineId, spec: &JobSpec) -> Option<f64> {
         let machine_type = &self.fleet.get(machine)?.offer.machine_type;
         if spec.image_gb <= 0.0 {
             return Some(0.0);
@@ -168,21 +176,20 @@
         (rate > 0.0).then(|| spec.image_gb / rate)
     }
 
-    /// A settled replica with this image that may go to `to`.
-    fn mover(&self, now: Now, spec: &JobSpec, to: &MachineId) -> Option<TaskRef> {
-        let zone = &self.fleet.get(to)?.offer.zone;
+    /// A settled replica with this image that may migrate to the target.
+    fn replica_to_preplace(&self, now: Now, spec: &JobSpec, target: &MachineId) -> Option<TaskRef> {
+        let zone = &self.fleet.get(target)?.offer.zone;
+        let is_up = |machine: &Machine| {
+            machine.phase == MachinePhase::Up && machine.reclaim_at_ms.is_none()
+        };
         let jobs = self.jobs.with_image(&spec.class, &spec.image);
-        for job in jobs.filter(|j| j.is_service() && j.cancelled.is_none()) {
-            for (index, assign) in &job.assignments {
-                let up = self
-                    .fleet
-                    .get(&assign.machine)
-                    .is_some_and(|m| m.phase == MachinePhase::Up && m.reclaim_at_ms.is_none());
-                let mut zones = self.zones_ahead(job, std::iter::empty());
-                zones.remove(&assign.zone);
-                if self.may_move(now, job, assign)
-                    && up
-                    && assign.machine != *to
+        for job in jobs.filter(|job| job.is_service() && job.cancelled.is_none()) {
+            for (index, assignment) in &job.assignments {
+                let mut zones = self.zones_after_migrations(job, std::iter::empty());
+                zones.remove(&assignment.zone);
+                if self.may_migrate(now, job, assignment)
+                    && self.fleet.get(&assignment.machine).is_some_and(is_up)
+                    && assignment.machine != *target
                     && zones.allows(&job.spec, zone)
                 {
                     return Some(job.task(*index));
--- a/src/scheduler/rounds/capacity_sync.rs
+++ b/src/scheduler/rounds/capacity_sync.rs
@@ -1,4 +1,5 @@
-//! What the index of rooms is told of a machine, and whether it still says so.
+//! Keeps the capacity index in step with the fleet and the jobs, and checks that it
+//! still is.
 
 use crate::capacity_index::CapacityState;
 use crate::fleet::Machine;
@@ -8,8 +9,8 @@
 use std::collections::BTreeSet;
 
 impl Scheduler {
-    /// What a machine looks like now.
-    fn room_state(&self, machine: &Machine) -> CapacityState {
+    /// The machine as the capacity index should hold it now.
+    fn capacity_state(&self, machine: &Machine) -> CapacityState {
         let mut freeing = Resources::default();
         let mut least_important = None;
         for task in &machine.tasks {
@@ -35,40 +36,41 @@
         }
     }
 
-    /// Tells the index of rooms of the machines that have changed.
-    pub(in crate::scheduler) fn refresh_rooms(&mut self) {
+    /// Updates the capacity index for every machine that changed since the last call.
+    pub(in crate::scheduler) fn refresh_capacity(&mut self) {
         for id in self.fleet.take_dirty() {
-            self.refresh_room(&id);
+            self.refresh_machine_capacity(&id);
         }
     }
 
-    /// Tells the index of rooms what one machine looks like now.
-    fn refresh_room(&mut self, id: &MachineId) {
+    /// Updates the capacity index for one machine.
+    fn refresh_machine_capacity(&mut self, id: &MachineId) {
         match self.fleet.get(id) {
             Some(machine) => {
-                let state = self.room_state(machine);
+                let state = self.capacity_state(machine);
                 self.capacity.refresh(id, state, machine.last_heartbeat_ms);
             }
             None => self.capacity.remove(id),
         }
     }
 
-    /// Counts everything that is kept up from scratch and compares; the error
-    /// names what is wrong. For tests.
+    /// Recomputes everything that is maintained incrementally and compares; the error
+    /// names the first difference. For tests.
     pub fn check_invariants(&mut self) -> Result<(), String> {
         self.jobs.refresh();
         self.jobs.check()?;
-        self.refresh_rooms();
-        let (open, closed) = self.capacity.contents();
+        self.refresh_capacity();
+        let indexed = self.capacity.contents();
         let known: BTreeSet<MachineId> = self.fleet.iter().map(|m| m.id.clone()).collect();
-        let indexed: BTreeSet<MachineId> = open.keys().chain(&closed).cloned().collect();
-        if indexed != known {
-            return Err(format!("machines {known:?}, in the index {indexed:?}"));
+        let indexed_ids: BTreeSet<MachineId> = indexed.ids().cloned().collect();
+        if indexed_ids != known {
+            return Err(format!("machines {known:?}, in the index {indexed_ids:?}"));
         }
         for machine in self.fleet.iter() {
             self.check_machine(machine)?;
-            let state = self.room_state(machine);
-            if open.get(&machine.id).is_some_and(|filed| **filed != state) {
+            let state = self.capacity_state(machine);
+            let indexed_state = indexed.schedulable.get(&machine.id);
+            if indexed_state.is_some_and(|indexed| **indexed != state) {
                 return Err(format!("{} is filed as it was before", machine.id));
             }
         }
@@ -76,7 +78,8 @@
         self.capacity.check_invariants()
     }
 
-    /// Jobs and machines say the same of who is where.
+    /// Checks that the jobs and the machine agree on which tasks it runs and on the
+    /// resources that they use.
     fn check_machine(&self, machine: &Machine) -> Result<(), String> {
         let mut used = Resources::default();
         for task in &machine.tasks {
--- a/src/scheduler/rounds/demand_forecast.rs
+++ b/src/scheduler/rounds/demand_forecast.rs
@@ -1,112 +1,161 @@
-//! Work that is expected, and the room that is set aside for it.
+//! Forecast demand, and the capacity that is reserved for it.
 
+use crate::capacity_index::FullestMachine;
 use crate::ids::MachineId;
 use crate::messages::Now;
 use crate::scheduler::provisioning::online_estimates::ArrivalRate;
 use crate::scheduler::rounds::round::Round;
 use crate::scheduler::Scheduler;
-
 use crate::wire::users::JobSpec;
+use std::cmp::Reverse;
 use std::rc::Rc;
 
-/// So many tasks like this may come within one boot.
+/// The number of CPU cores that count as much as one GPU where classes are compared.
+const CPUS_PER_GPU: f64 = 8.0;
+
+/// Tasks like these that may arrive within the time of one boot.
 #[derive(Clone, Debug)]
 pub(in crate::scheduler) struct ForecastDemand {
-    pub(in crate::scheduler) spec: Rc<JobSpec>,
-    pub(in crate::scheduler) count: u32,
+    pub(super) spec: Rc<JobSpec>,
+    pub(super) count: u32,
 }
 
-/// Room kept for expected work whose image isn't there.
+/// Capacity reserved for forecast demand on a machine that lacks its image.
 #[derive(Debug)]
 pub(in crate::scheduler) struct ColdReservation {
     pub(in crate::scheduler) spec: Rc<JobSpec>,
     pub(in crate::scheduler) machine: MachineId,
 }
 
+/// The variance of one class's demand during a boot.
+struct DemandVariance {
+    /// Of the number of tasks.
+    tasks: f64,
+    /// Of the scarcest resource that they take, in GPUs, so that one class can stand
+    /// in for another.
+    resources: f64,
+}
+
+impl DemandVariance {
+    fn of(rate: &ArrivalRate, boot_s: f64) -> DemandVariance {
+        let need = rate.spec.task_request();
+        let tasks = 2.0 * rate.jobs_per_s * boot_s * rate.tasks_squared;
+        DemandVariance {
+            tasks,
+            resources: tasks * need.gpus.max(need.cpus / CPUS_PER_GPU).powi(2),
+        }
+    }
+}
+
+/// The standard deviation of the pooled demand relative to the sum over the classes.
+fn pooling_ratio(variances: &[DemandVariance]) -> f64 {
+    let pooled: f64 = variances.iter().map(|v| v.resources).sum::<f64>().sqrt();
+    let separate: f64 = variances.iter().map(|v| v.resources.sqrt()).sum();
+    if separate > 0.0 {
+        pooled / separate
+    } else {
+        0.0
+    }
+}
+
 impl Scheduler {
-    /// Room for arrivals: as many standard deviations of what comes and goes
-    /// during one boot as the operator wants, pooled over the classes.
-    pub(in crate::scheduler) fn forecast_demand(&mut self, now: Now) -> Vec<ForecastDemand> {
-        let slowest = self.slowest_boot_s();
-        let flows: Vec<ArrivalRate> = self
+    /// Capacity for arrivals: as many standard deviations of what arrives and ends
+    /// during one boot as the operator has set, pooled over the classes.
+    pub(super) fn forecast_demand(&mut self, now: Now) -> Vec<ForecastDemand> {
+        let boot_s = self.slowest_boot_s();
+        let rates: Vec<ArrivalRate> = self
             .estimates
             .arrival_rates(now.wall)
             .into_iter()
-            .filter(|f| self.settings.start_slo_ms(&f.spec).is_some())
+            .filter(|rate| self.settings.start_slo_ms(&rate.spec).is_some())
             .collect();
-        // In the scarcest amount's terms one class can stand in for another.
-        let weigh = |f: &ArrivalRate| {
-            let need = f.spec.task_request();
-            let variance = 2.0 * f.jobs_per_s * slowest * f.tasks_squared;
-            (variance, variance * need.gpus.max(need.cpus / 8.0).powi(2))
-        };
-        let pooled: f64 = flows.iter().map(|f| weigh(f).1).sum::<f64>().sqrt();
-        let apart: f64 = flows.iter().map(|f| weigh(f).1.sqrt()).sum();
-        let ratio = if apart > 0.0 { pooled / apart } else { 0.0 };
-        let mut all = Vec::new();
-        for f in &flows {
-            let units = self.tuning.headroom * weigh(f).0.sqrt() * ratio;
-            let mut images: Vec<(u32, Rc<JobSpec>)> = self.jobs.images_of(&f.spec.class).collect();
-            self.pacing.examined += images.len() as u64;
-            let total: u32 = images.iter().map(|(n, _)| n).sum();
-            images.sort_by_key(|(n, _)| std::cmp::Reverse(*n));
-            if images.is_empty() {
-                images.push((1, f.spec.clone()));
-            }
-            // Room is only of quick use where its image is, so each image
-            // gets its part; what doesn't divide goes to the commonest.
-            let (mut seen, mut given) = (0, 0);
-            for (count, spec) in images {
-                seen += count;
-                let upto = (units.ceil() * f64::from(seen) / f64::from(total.max(1))).ceil() as u32;
-                let part = upto - given;
-                given = upto;
-                if part > 0 {
-                    all.push(ForecastDemand { spec, count: part });
-                }
+        let variances: Vec<DemandVariance> = rates
+            .iter()
+            .map(|rate| DemandVariance::of(rate, boot_s))
+            .collect();
+        let ratio = pooling_ratio(&variances);
+        let mut forecast = Vec::new();
+        for (rate, variance) in rates.iter().zip(&variances) {
+            let tasks = self.tuning.headroom * variance.tasks.sqrt() * ratio;
+            self.divide_by_image(&rate.spec, tasks.ceil(), &mut forecast);
+        }
+        forecast
+    }
+
+    /// Divides a class's forecast demand among its images in proportion to their jobs:
+    /// a reserved machine only gives a quick start if it holds the task's image. The
+    /// remainder goes to the most common images.
+    fn divide_by_image(
+        &mut self,
+        class_spec: &Rc<JobSpec>,
+        tasks: f64,
+        forecast: &mut Vec<ForecastDemand>,
+    ) {
+        let mut images: Vec<(u32, Rc<JobSpec>)> = self.jobs.images_of(&class_spec.class).collect();
+        self.pacing.examined += images.len() as u64;
+        let total_jobs: u32 = images.iter().map(|(jobs, _)| jobs).sum();
+        images.sort_by_key(|(jobs, _)| Reverse(*jobs));
+        if images.is_empty() {
+            images.push((1, class_spec.clone()));
+        }
+        let (mut cumulative_jobs, mut assigned) = (0, 0);
+        for (jobs, spec) in images {
+            cumulative_jobs += jobs;
+            let cumulative = tasks * f64::from(cumulative_jobs) / f64::from(total_jobs.max(1));
+            let cumulative = cumulative.ceil() as u32;
+            let count = cumulative - assigned;
+            assigned = cumulative;
+            if count > 0 {
+                forecast.push(ForecastDemand { spec, count });
             }
         }
-        all
     }
 
     /// How long the slowest machine type is expected to boot.
     pub(in crate::scheduler) fn slowest_boot_s(&self) -> f64 {
-        let types = self.catalog.iter().flat_map(|c| &c.types);
+        let types = self.catalog.iter().flat_map(|catalog| &catalog.types);
         types
-            .map(|t| self.estimates.boot_s(&t.name, t.boot_s))
+            .map(|machine_type| {
+                self.estimates
+                    .boot_s(&machine_type.name, machine_type.boot_s)
+            })
             .fold(0.0, f64::max)
     }
 
-    /// Sets room aside for expected work: where its image is, and then on the
-    /// fullest machines, so that empty ones can be returned. Says how much
-    /// found none.
-    pub(in crate::scheduler) fn reserve(
+    /// Reserves capacity for forecast demand: on machines with its image, and then on
+    /// the fullest ones, so that empty machines can be released. Returns the number of
+    /// tasks for which there is none.
+    pub(super) fn reserve_for_demand(
         &mut self,
         spec: &Rc<JobSpec>,
         count: u32,
         round: &mut Round,
     ) -> u32 {
         let need = spec.task_request();
-        let mut left = count;
-        while left > 0 {
-            let Some((slot, has_image)) = self.capacity.fullest(spec, &need) else {
-                return left;
+        let mut remaining = count;
+        while remaining > 0 {
+            let Some(FullestMachine { slot, has_image }) = self.capacity.fullest(spec, &need)
+            else {
+                return remaining;
             };
-            let Some(room) = self.capacity.get(slot) else {
-                return left;
+            let Some(machine) = self.capacity.get(slot) else {
+                return remaining;
             };
-            // What is kept makes it fuller: it stays the first choice while it lasts.
-            let here = room.free().count_of(&need).clamp(1, left);
+            // A reservation makes the machine fuller, so it stays the first choice
+            // until nothing more fits.
+            let fitting = machine.free().count_of(&need).clamp(1, remaining);
             if !has_image {
-                let cold = || ColdReservation {
+                let reservation = || ColdReservation {
                     spec: spec.clone(),
-                    machine: room.id.clone(),
+                    machine: machine.id.clone(),
                 };
-                round.cold.extend((0..here).map(|_| cold()));
+                round
+                    .cold_reservations
+                    .extend((0..fitting).map(|_| reservation()));
             }
             self.capacity
-                .reserve_for_forecast(slot, &need.scaled(f64::from(here)));
-            left -= here;
+                .reserve_for_forecast(slot, &need.scaled(f64::from(fitting)));
+            remaining -= fitting;
         }
         0
     }
--- /dev/null
+++ b/src/scheduler/rounds/gang.rs
@@ -0,0 +1,55 @@
+//! Gang scheduling: all tasks of a gang are placed at once, or none of them.
+
+use crate::capacity_index::Slot;
+use crate::placement::Resources;
+use crate::scheduler::rounds::round::Round;
+use crate::scheduler::rounds::task_placement::PlacementRequest;
+use crate::scheduler::state::quotas::within_quota;
+use crate::scheduler::Scheduler;
+use std::rc::Rc;
+
+/// What a machine would have free after some tasks of the gang were placed.
+struct FreeMachine {
+    slot: Slot,
+    zone: Rc<str>,
+    free: Resources,
+}
+
+impl Scheduler {
+    /// Whether all tasks of a gang find free capacity within their team's quota.
+    pub(super) fn gang_fits(
+        &self,
+        request: &PlacementRequest,
+        tasks: usize,
+        round: &Round,
+    ) -> bool {
+        let PlacementRequest { spec, need, .. } = request;
+        let mut used = self.used_in(&spec.team, round);
+        let mut zones = request.zones.clone();
+        let mut machines: Vec<FreeMachine> = self
+            .capacity
+            .holding(spec, need)
+            .map(|(slot, machine)| FreeMachine {
+                slot,
+                zone: machine.state.offer.zone.clone(),
+                free: machine.free(),
+            })
+            .collect();
+        machines.sort_by_key(|machine| machine.slot);
+        (0..tasks).all(|_| {
+            if !within_quota(&self.settings, &spec.team, &used, need) {
+                return false;
+            }
+            let fitting = machines
+                .iter_mut()
+                .find(|machine| machine.free.covers(need) && zones.allows(spec, &machine.zone));
+            let Some(machine) = fitting else {
+                return false;
+            };
+            machine.free.subtract(need);
+            zones.add(&machine.zone);
+            used.add(need);
+            true
+        })
+    }
+}
--- a/src/scheduler/rounds/mod.rs
+++ b/src/scheduler/rounds/mod.rs
@@ -1,9 +1,13 @@
-//! Rounds: waiting and expected work in queue order takes free capacity.
+//! Scheduling rounds: queued jobs and forecast demand take free capacity in queue
+//! order.
 
 pub(super) mod capacity_sync;
 pub(super) mod demand_forecast;
 pub(super) mod pacing;
 pub(super) mod pending_capacity;
-pub(super) mod queue_order;
 pub(super) mod round;
 pub(super) mod task_placement;
+
+mod gang;
+mod machine_choice;
+mod queue_order;
--- a/src/scheduler/rounds/pacing.rs
+++ b/src/scheduler/rounds/pacing.rs
@@ -2,24 +2,25 @@
 
 use crate::scheduler::{ActivityCounters, RoundStats, ROUND_GAP_MS};
 
-/// What decides when the next round begins.
+/// What decides when the next round begins, and the cost of the rounds so far.
 #[derive(Debug)]
 pub(in crate::scheduler) struct RoundPacing {
-    /// Something has changed that a round should look at.
+    /// Something has changed that the next round should consider.
     pub(in crate::scheduler) requested: bool,
     /// When the last round began.
     pub(in crate::scheduler) began_ms: u64,
-    /// The least time between the beginnings of two rounds.
+    /// The minimum time between the beginnings of two rounds.
     pub(in crate::scheduler) gap_ms: u64,
-    /// When the last round began that did everything.
+    /// When the last full round began, which also scales in and compacts.
     pub(in crate::scheduler) last_full_ms: u64,
-    /// Entries that rounds have examined since the process began.
+    /// Entries that rounds have examined since the process began, those of the
+    /// capacity index excluded: it counts its own.
     pub(in crate::scheduler) examined: u64,
     /// The most entries that one slice of a round has examined.
     pub(in crate::scheduler) longest_slice: u64,
-    /// The leader's regular work since the process began.
+    /// The leader's periodic work since the process began.
     pub(in crate::scheduler) activity: ActivityCounters,
-    /// What of it was logged.
+    /// The statistics as of the last time that they were logged.
     pub(in crate::scheduler) logged: RoundStats,
 }
 
--- a/src/scheduler/rounds/pending_capacity.rs
+++ b/src/scheduler/rounds/pending_capacity.rs
@@ -1,6 +1,7 @@
-//! Room that is on its way: machines booting, ordered, or not heard yet. Machines
-//! of a kind with the same free are counted and not listed, so that what a task
-//! costs follows from the kinds, and not from how many machines are coming.
+//! Pending capacity: machines that are booting, ordered, or silent for a short time.
+//! Machines of the same offer with the same free resources are counted instead of
+//! listed, so that the cost of placing a task depends on the number of kinds, and not
+//! on the number of machines that are pending.
 
 use crate::cloud::Offer;
 use crate::placement::{offer_allowed, placement_allowed, Resources, ZoneCounts};
@@ -9,9 +10,9 @@
 use std::rc::Rc;
 
 /// Amounts that differ by less are the same.
-const SLOP: f64 = 1e-6;
+const AMOUNT_TOLERANCE: f64 = 1e-6;
 
-/// Machines that are alike.
+/// Pending machines of the same offer with the same free resources.
 #[derive(Debug)]
 struct PendingMachines {
     offer: Offer,
@@ -19,19 +20,19 @@
     count: u32,
 }
 
-/// All room that is on its way.
+/// All capacity that is pending, by kind of machine.
 #[derive(Debug, Default)]
 pub(in crate::scheduler) struct PendingCapacity {
     kinds: Vec<PendingMachines>,
 }
 
-fn same(a: &Resources, b: &Resources) -> bool {
-    let near = |a: f64, b: f64| (a - b).abs() < SLOP;
-    near(a.gpus, b.gpus) && near(a.cpus, b.cpus) && near(a.memory_gb, b.memory_gb)
+fn same_amounts(a: &Resources, b: &Resources) -> bool {
+    let same = |a: f64, b: f64| (a - b).abs() < AMOUNT_TOLERANCE;
+    same(a.gpus, b.gpus) && same(a.cpus, b.cpus) && same(a.memory_gb, b.memory_gb)
 }
 
-/// Machines with the least free are filled up first.
-fn fuller(a: &Resources, b: &Resources) -> Ordering {
+/// Orders by free resources: the machines with the least are filled first.
+fn compare_free(a: &Resources, b: &Resources) -> Ordering {
     let by_gpus = a.gpus.total_cmp(&b.gpus);
     by_gpus
         .then(a.cpus.total_cmp(&b.cpus))
@@ -39,17 +40,18 @@
 }
 
 impl PendingMachines {
-    /// Whether each of these machines holds a task of the job and is in this zone.
-    fn holds_in(&self, spec: &JobSpec, need: &Resources, zone: &str) -> bool {
+    /// Whether each of these machines fits a task of the job and is in this zone.
+    fn fits_in_zone(&self, spec: &JobSpec, need: &Resources, zone: &str) -> bool {
         self.free.covers(need) && *self.offer.zone == *zone && offer_allowed(spec, &self.offer)
     }
 }
 
 impl PendingCapacity {
-    /// So many machines with this much free are coming.
+    /// Adds `count` machines with this much free.
     pub(in crate::scheduler) fn add(&mut self, offer: &Offer, free: Resources, count: u32) {
-        let like = |kind: &&mut PendingMachines| kind.offer == *offer && same(&kind.free, &free);
-        match self.kinds.iter_mut().find(like) {
+        let same_kind =
+            |kind: &&mut PendingMachines| kind.offer == *offer && same_amounts(&kind.free, &free);
+        match self.kinds.iter_mut().find(same_kind) {
             Some(kind) => kind.count += count,
             None => self.kinds.push(PendingMachines {
                 offer: offer.clone(),
@@ -59,67 +61,74 @@
         }
     }
 
-    /// Takes room for one task of a job; tells in which zone. `None`: nothing that
-    /// is coming holds it.
+    /// Takes capacity for one task of a job and returns its zone. `None`: no pending
+    /// machine fits the task.
     pub(in crate::scheduler) fn take(
         &mut self,
         spec: &JobSpec,
         need: &Resources,
         zones: &ZoneCounts,
     ) -> Option<Rc<str>> {
-        let holds = |kind: &&mut PendingMachines| {
-            kind.free.covers(need) && placement_allowed(spec, zones, &kind.offer)
+        let fits = |kind: &&mut PendingMachines| {
+            kind.count > 0 && kind.free.covers(need) && placement_allowed(spec, zones, &kind.offer)
         };
-        let fitting = self.kinds.iter_mut().filter(|kind| kind.count > 0);
-        let kind = fitting
-            .filter(holds)
-            .min_by(|a, b| fuller(&a.free, &b.free))?;
+        let kind = self
+            .kinds
+            .iter_mut()
+            .filter(fits)
+            .min_by(|a, b| compare_free(&a.free, &b.free))?;
         kind.count -= 1;
-        let (offer, mut left) = (kind.offer.clone(), kind.free);
-        left.subtract(need);
-        self.add(&offer, left, 1);
+        let (offer, mut free) = (kind.offer.clone(), kind.free);
+        free.subtract(need);
+        self.add(&offer, free, 1);
         Some(offer.zone)
     }
 
-    /// How many machines that are coming to a zone each hold a task of the job.
+    /// The number of machines pending in a zone that each fit a task of the job.
     pub(in crate::scheduler) fn fitting(
         &self,
         spec: &JobSpec,
         need: &Resources,
         zone: &str,
     ) -> u32 {
-        let fitting = self.kinds.iter();
-        let fitting = fitting.filter(|kind| kind.holds_in(spec, need, zone));
-        fitting.map(|kind| kind.count).sum()
+        self.kinds
+            .iter()
+            .filter(|kind| kind.fits_in_zone(spec, need, zone))
+            .map(|kind| kind.count)
+            .sum()
     }
 
-    /// Takes room for a task each on up to so many different machines that are
-    /// coming to a zone. Tells how many there were.
+    /// Takes capacity for one task each on up to `limit` different machines that are
+    /// pending in a zone. Returns how many there were.
     pub(in crate::scheduler) fn take_apart(
         &mut self,
         spec: &JobSpec,
         need: &Resources,
         zone: &str,
-        most: u32,
+        limit: u32,
     ) -> u32 {
-        let mut left = most;
+        let mut remaining = limit;
         let mut taken = Vec::new();
         for kind in &mut self.kinds {
-            if kind.holds_in(spec, need, zone) {
-                let count = kind.count.min(left);
+            if kind.fits_in_zone(spec, need, zone) {
+                let count = kind.count.min(remaining);
                 kind.count -= count;
-                left -= count;
-                taken.push((kind.offer.clone(), kind.free, count));
+                remaining -= count;
+                taken.push(PendingMachines {
+                    offer: kind.offer.clone(),
+                    free: kind.free,
+                    count,
+                });
             }
         }
-        for (offer, mut free, count) in taken {
-            free.subtract(need);
-            self.add(&offer, free, count);
+        for mut machines in taken {
+            machines.free.subtract(need);
+            self.add(&machines.offer, machines.free, machines.count);
         }
-        most - left
+        limit - remaining
     }
 
-    /// How many kinds there are.
+    /// The number of kinds of machines.
     pub(in crate::scheduler) fn len(&self) -> usize {
         self.kinds.len()
     }
--- a/src/scheduler/rounds/queue_order.rs
+++ b/src/scheduler/rounds/queue_order.rs
@@ -1,4 +1,5 @@
-//! The order in which waiting work is served.
+//! The order in which a round serves queued work: by priority, then work within its
+//! team's guarantee, then earliest deadline first.
 
 use crate::ids::TaskRef;
 use crate::messages::Now;
@@ -7,92 +8,96 @@
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-/// A job that is late by every aim is due at so many times its deadline, so
-/// that its turn comes all the same.
+/// A job that has missed every objective is due at this multiple of its deadline, so
+/// that it is served eventually.
 const LAST_DEADLINE: f64 = 3.0;
+/// A job without a deadline or a start objective is due after this multiple of its
+/// estimated run time, as the design has it.
+const DEFAULT_DEADLINE_RUNS_MS: f64 = 2000.0;
 
-/// Waiting work's place in the queue, most urgent first.
+/// The position of work in the queue, most urgent first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
-pub(in crate::scheduler) struct QueueKey {
-    pub(in crate::scheduler) priority: Priority,
-    /// Beyond what its team is guaranteed.
-    pub(in crate::scheduler) beyond: bool,
-    /// Time of day.
-    pub(in crate::scheduler) deadline: u64,
-    /// Equals come in the order in which they were queued.
-    pub(in crate::scheduler) number: u64,
+pub(super) struct QueueKey {
+    pub(super) priority: Priority,
+    /// It exceeds what its team is guaranteed.
+    pub(super) over_guarantee: bool,
+    /// Wall-clock time, in milliseconds.
+    pub(super) deadline: u64,
+    /// Equals are served in the order in which they were queued.
+    pub(super) sequence: u64,
 }
 
-/// What waits.
+/// An entry of the queue.
 #[derive(Clone, Debug)]
-pub(in crate::scheduler) enum QueuedWork {
+pub(super) enum QueuedWork {
     Job(JobId),
-    /// Work that is expected, by what was seen.
+    /// Forecast demand: this many tasks like these.
     Forecast(Rc<JobSpec>, u32),
 }
 
 impl Scheduler {
-    /// The time of day that orders a job in the queue: its own, or that by which it
-    /// has to be done for what needs it.
-    fn deadline_of(&self, now: Now, job: &Job) -> u64 {
+    /// The deadline that orders a job in the queue: its own, or the earlier one by
+    /// which it has to end for the jobs that depend on it.
+    fn queue_deadline(&self, now: Now, job: &Job) -> u64 {
         let own = self.own_deadline(now, job);
-        let run_ms = self.run_ms(&job.spec);
+        let run_ms = self.estimated_run_ms(&job.spec);
         let inherited = job.inherited.as_ref();
-        let mut dates = inherited.into_iter().flat_map(|urgency| &urgency.deadlines);
-        let in_time = dates.find(|date| now.wall + run_ms <= **date);
-        in_time.map_or(own, |date| own.min(*date))
+        let mut deadlines = inherited.into_iter().flat_map(|urgency| &urgency.deadlines);
+        let attainable = deadlines.find(|deadline| now.wall + run_ms <= **deadline);
+        attainable.map_or(own, |deadline| own.min(*deadline))
     }
 
     /// How long one of its tasks is expected to run.
-    fn run_ms(&self, spec: &JobSpec) -> u64 {
+    fn estimated_run_ms(&self, spec: &JobSpec) -> u64 {
         (spec.estimated_run_s * self.estimates.bias(&spec.class) * 1000.0) as u64
     }
 
+    /// The job's own deadline. One that can't be met any more would only make other
+    /// jobs late too, so the job is ordered by the next one that it can still meet.
     fn own_deadline(&self, now: Now, job: &Job) -> u64 {
-        let (spec, submitted) = (&job.spec, job.submitted);
+        let spec = &job.spec;
+        let class = &spec.class;
         let Some(deadline_s) = spec.deadline_s else {
-            let ms = match self.settings.wait_slo_ms(&spec.class) {
-                Some(ms) => ms,
-                // The design's: twice the estimate.
-                None => (spec.estimated_run_s * 2000.0) as u64,
-            };
-            return job.ready + ms;
+            let within_ms = self
+                .settings
+                .wait_slo_ms(class)
+                .unwrap_or((spec.estimated_run_s * DEFAULT_DEADLINE_RUNS_MS) as u64);
+            return job.ready + within_ms;
         };
-        // What can't be on time any more would only make others late too:
-        // it goes for the next deadline that still means something.
-        let run_ms = self.run_ms(spec);
-        let at = |times: f64| submitted + (deadline_s * times * 1000.0) as u64;
-        let class = &spec.class;
-        let mut dates: Vec<u64> = self
+        let run_ms = self.estimated_run_ms(spec);
+        let after = |multiple: f64| job.submitted + (deadline_s * multiple * 1000.0) as u64;
+        let mut deadlines: Vec<u64> = self
             .settings
             .deadline_multiples(class)
             .into_iter()
-            .map(at)
+            .map(after)
             .collect();
-        let finish = self.settings.finish_slos_ms(class);
-        dates.extend(finish.map(|ms| job.ready + ms));
-        // Tasks that should begin by some time should end a run later.
-        let begin_ms = self.settings.wait_slo_ms(class);
-        dates.extend(begin_ms.map(|ms| job.ready + ms + run_ms));
-        dates.sort_unstable();
-        let in_time = dates.into_iter().find(|date| now.wall + run_ms <= *date);
-        in_time.unwrap_or_else(|| at(LAST_DEADLINE))
+        let finish_slos_ms = self.settings.finish_slos_ms(class);
+        deadlines.extend(finish_slos_ms.map(|slo_ms| job.ready + slo_ms));
+        // A task that should start by some time should end one run later.
+        let start_slo_ms = self.settings.wait_slo_ms(class);
+        deadlines.extend(start_slo_ms.map(|slo_ms| job.ready + slo_ms + run_ms));
+        deadlines.sort_unstable();
+        deadlines
+            .into_iter()
+            .find(|deadline| now.wall + run_ms <= *deadline)
+            .unwrap_or_else(|| after(LAST_DEADLINE))
     }
 
-    /// The jobs of tasks on the move: they have their place already, and nothing
-    /// expected may take that before they arrive.
-    pub(in crate::scheduler) fn moving_jobs(&self) -> BTreeSet<JobId> {
+    /// The jobs whose tasks are migrating: these have their destination already, and
+    /// no forecast demand may take it before they arrive.
+    pub(super) fn migrating_jobs(&self) -> BTreeSet<JobId> {
         let tasks = self.migrations.targets.keys();
         tasks.map(|TaskRef { job, .. }| job.clone()).collect()
     }
 
-    /// The place of a waiting job in the queue; `None`: it doesn't wait, or not yet.
-    pub(in crate::scheduler) fn queue_key_of(
+    /// The position of a job in the queue; `None`: it has nothing to place now.
+    pub(super) fn queue_key(
         &mut self,
         now: Now,
         id: &JobId,
-        moving: &BTreeSet<JobId>,
-        number: u64,
+        migrating: &BTreeSet<JobId>,
+        sequence: u64,
     ) -> Option<QueueKey> {
         self.pacing.examined += 1;
         self.raise_if_pressed(now, id);
@@ -110,30 +115,29 @@
             Some(groups) => groups.only_failing_wait(now.ms)?,
             None => job.failures.is_open(),
         };
-        let is_moving = moving.contains(id);
-        let priority = if is_moving {
+        let is_migrating = migrating.contains(id);
+        let priority = if is_migrating {
             Priority::Critical
         } else if failing {
-            // A probe goes after all that can succeed.
+            // A probe of an open circuit breaker goes after all that can succeed.
             Priority::Idle
         } else {
             job.spec.priority
         };
-        let deadline = self.deadline_of(now, job);
-        let spec = job.spec.clone();
+        let deadline = self.queue_deadline(now, job);
+        let team = job.spec.team.clone();
         let submission = (job.submitted, id.clone());
-        let teams = self.jobs.teams();
-        let within = teams.is_within(
+        let within_guarantee = self.jobs.teams().is_within(
             &self.settings,
-            &spec.team,
+            &team,
             &submission,
             &mut self.pacing.examined,
         );
         Some(QueueKey {
             priority,
-            beyond: !is_moving && !within,
+            over_guarantee: !is_migrating && !within_guarantee,
             deadline,
-            number,
+            sequence,
         })
     }
 }
--- a/tests/integration/capacity_index.rs
+++ b/tests/integration/capacity_index.rs
@@ -360,9 +360,9 @@
         let shares = plain.rooms.values().filter_map(|(drawn, _)| share(drawn));
         let least = shares.min_by(f64::total_cmp);
         let found = rooms.fullest(&spec, &need);
-        let found = found.map(|(slot, warm)| {
-            let id = &rooms.get(slot).unwrap().id;
-            (share(&plain.rooms[id].0).unwrap(), warm)
+        let found = found.map(|fullest| {
+            let id = &rooms.get(fullest.slot).unwrap().id;
+            (share(&plain.rooms[id].0).unwrap(), fullest.has_image)
         });
         let off = |(a, b): (f64, f64)| (a - b).abs();
         let same = found.map(|f| f.0).zip(least).map(off);
@@ -428,8 +428,9 @@
         }
         rooms.begin_round();
         let zones: u32 = rooms.machines_by_zone().values().sum();
-        let (open, closed) = rooms.contents();
-        prop_assert_eq!(zones as usize, open.len() + closed.len());
+        let contents = rooms.contents();
+        let known = contents.schedulable.len() + contents.unschedulable.len();
+        prop_assert_eq!(zones as usize, known);
         prop_assert_eq!(rooms.reserved().count(), 0);
         Ok(())
     });
