--- a/src/capacity_index/entries.rs
+++ b/src/capacity_index/entries.rs
@@ -2,7 +2,7 @@
 //! changes.
 
 use super::levels::{FreeLevels, IndexKey, ShareKey};
-use super::{CapacityIndex, CapacityState, MachineCapacity, OfferGroup, Slot};
+use super::{CapacityIndex, CapacityState, MachineCapacity, OccupiedKey, OfferGroup, Slot};
 use crate::placement::Resources;
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
@@ -21,6 +21,7 @@
         }
     }
 
+    /// Adds the entries of a machine of this group.
     fn insert(&mut self, machine: &MachineCapacity, key: IndexKey, slot: Slot) {
         self.by_concurrent_pulls
             .entry(machine.concurrent_pulls())
@@ -39,6 +40,7 @@
         }
     }
 
+    /// Removes the entries of a machine of this group.
     fn remove(&mut self, machine: &MachineCapacity, key: IndexKey, slot: Slot) {
         let pulls = machine.concurrent_pulls();
         if let Some(levels) = self.by_concurrent_pulls.get_mut(&pulls) {
@@ -76,6 +78,7 @@
 }
 
 impl CapacityIndex {
+    /// Inserts the entries of a machine, or files it as unschedulable.
     pub(super) fn insert_entry(&mut self, slot: Slot) {
         let fresh = self.get(slot).is_some_and(|machine| self.is_fresh(machine));
         let Some(machine) = self.slots[slot.0 as usize].as_mut() else {
@@ -95,12 +98,16 @@
             self.freeing.insert(slot);
         }
         if machine.state.occupied {
-            let used = ShareKey::new(machine.used_share());
-            machine.occupied_key = Some(used);
-            self.occupied.insert((used, slot));
+            let key = OccupiedKey {
+                used_share: ShareKey::new(machine.used_share()),
+                slot,
+            };
+            machine.occupied_key = Some(key);
+            self.occupied.insert(key);
         }
     }
 
+    /// Removes the entries of a machine, if it has any.
     pub(super) fn remove_entry(&mut self, slot: Slot) {
         let Some(machine) = self.slots[slot.0 as usize].as_mut() else {
             return;
@@ -110,8 +117,8 @@
         };
         self.groups[machine.group].remove(machine, key, slot);
         self.freeing.remove(&slot);
-        if let Some(used) = machine.occupied_key.take() {
-            self.occupied.remove(&(used, slot));
+        if let Some(key) = machine.occupied_key.take() {
+            self.occupied.remove(&key);
         }
     }
 
--- a/src/capacity_index/listing.rs
+++ b/src/capacity_index/listing.rs
@@ -1,7 +1,7 @@
 //! Lists of machines by what they have or run.
 
 use super::levels::ShareKey;
-use super::{CapacityIndex, MachineCapacity, OfferGroup, Slot};
+use super::{CapacityIndex, MachineCapacity, OccupiedKey, OfferGroup, Slot};
 use crate::ids::MachineId;
 use crate::placement::{offer_allowed, Resources, ZoneCounts};
 use crate::wire::users::JobSpec;
@@ -46,10 +46,13 @@
         after: Option<OccupiedCursor>,
     ) -> impl Iterator<Item = OccupiedCursor> + '_ {
         let start = after.map_or(Bound::Unbounded, |cursor| {
-            Bound::Excluded((ShareKey::new(cursor.used_share), cursor.slot))
+            Bound::Excluded(OccupiedKey {
+                used_share: ShareKey::new(cursor.used_share),
+                slot: cursor.slot,
+            })
         });
         let keys = self.occupied.range((start, Bound::Unbounded));
-        self.accepting_tasks(keys.map(|(_, slot)| *slot))
+        self.accepting_tasks(keys.map(|key| key.slot))
             .map(|(slot, machine)| OccupiedCursor {
                 used_share: machine.used_share(),
                 slot,
--- a/src/capacity_index/mod.rs
+++ b/src/capacity_index/mod.rs
@@ -76,8 +76,8 @@
     group: usize,
     /// Its key in the ordered entries; `None`: it accepts no tasks.
     index_key: Option<IndexKey>,
-    /// Its key among the occupied machines.
-    occupied_key: Option<ShareKey>,
+    /// Its key among the occupied machines; `None`: it isn't one.
+    occupied_key: Option<OccupiedKey>,
 }
 
 impl MachineCapacity {
@@ -150,6 +150,13 @@
     }
 }
 
+/// The order of occupied machines: by the share in use, the least used first.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
+struct OccupiedKey {
+    used_share: ShareKey,
+    slot: Slot,
+}
+
 /// All machines, in order of what they have free.
 #[derive(Debug, Default)]
 pub struct CapacityIndex {
@@ -164,7 +171,7 @@
     /// Those that accept no tasks.
     unschedulable: BTreeSet<Slot>,
     /// Those that accept tasks and have some, by the share in use.
-    occupied: BTreeSet<(ShareKey, Slot)>,
+    occupied: BTreeSet<OccupiedKey>,
     now_ms: u64,
     fresh_ms: u64,
     examined: ExaminedCounter,
--- a/src/scheduler/displacement/compaction.rs
+++ b/src/scheduler/displacement/compaction.rs
@@ -7,6 +7,7 @@
 use crate::ids::{MachineId, TaskRef};
 use crate::messages::Now;
 use crate::scheduler::displacement::image_displacement::PlannedUse;
+use crate::scheduler::rounds::round::Progress;
 use crate::scheduler::{Job, Scheduler};
 
 /// At most one of this many machines is drained at a time.
@@ -35,6 +36,8 @@
 }
 
 impl Scheduler {
+    /// Begins compaction where the last round ended it. Machines that are still being
+    /// drained count against the limit.
     pub(in crate::scheduler) fn begin_compaction(&mut self) -> Compaction {
         let unschedulable = self
             .capacity
@@ -56,33 +59,36 @@
         }
     }
 
-    /// Examines the next machine. `false`: there is no further one in this round.
+    /// Examines the next machine. Compaction is finished once there is none to examine,
+    /// or enough machines have been drained or examined in this round.
     pub(in crate::scheduler) fn compact_next(
         &mut self,
         now: Now,
-        progress: &mut Compaction,
-    ) -> bool {
-        if progress.drains_left == 0 {
-            return false;
+        compaction: &mut Compaction,
+    ) -> Progress {
+        if compaction.drains_left == 0 {
+            return Progress::Finished;
         }
-        let Some(next) = self.capacity.occupied(progress.cursor).next() else {
-            return false;
+        let Some(next) = self.capacity.occupied(compaction.cursor).next() else {
+            return Progress::Finished;
         };
         if next.used_share > MAX_USED_SHARE {
-            return false;
+            return Progress::Finished;
         }
-        progress.cursor = Some(next);
+        compaction.cursor = Some(next);
         if self.compact_machine(now, next.slot) {
-            progress.drains_left -= 1;
+            compaction.drains_left -= 1;
         }
-        progress.examinations_left -= 1;
-        if progress.examinations_left == 0 {
-            self.migrations.compaction_cursor = progress.cursor;
+        compaction.examinations_left -= 1;
+        if compaction.examinations_left > 0 {
+            return Progress::Unfinished;
         }
-        progress.examinations_left > 0
+        self.migrations.compaction_cursor = compaction.cursor;
+        Progress::Finished
     }
 
-    /// Drains a machine if all its replicas may migrate and have a target.
+    /// Drains a machine if all its replicas may migrate and have a target; says whether
+    /// it did.
     fn compact_machine(&mut self, now: Now, from: Slot) -> bool {
         // Replicas of a machine that was drained before may be on their way here.
         let Some(machine) = self.capacity.get(from).filter(|m| !m.is_reserved()) else {
--- a/src/scheduler/displacement/image_displacement.rs
+++ b/src/scheduler/displacement/image_displacement.rs
@@ -258,6 +258,8 @@
         target
     }
 
+    /// The target for a replica in these zones with the shortest outage: any machine that
+    /// has the image before all that have to pull it.
     fn shortest_outage_target(
         &self,
         job: &Job,
--- a/src/scheduler/displacement/preemption.rs
+++ b/src/scheduler/displacement/preemption.rs
@@ -130,6 +130,7 @@
         candidates
     }
 
+    /// The cheapest candidate in a zone that the work allows.
     fn cheapest_candidate(
         &self,
         candidates: &[PreemptionCandidate],
@@ -211,6 +212,7 @@
             .collect()
     }
 
+    /// What preempting a task costs, and whether it can save a checkpoint first.
     fn victim(
         &self,
         now: Now,
--- a/src/scheduler/rounds/capacity_sync.rs
+++ b/src/scheduler/rounds/capacity_sync.rs
@@ -37,7 +37,7 @@
     }
 
     /// Updates the capacity index for every machine that changed since the last call.
-    pub(in crate::scheduler) fn refresh_capacity(&mut self) {
+    pub(super) fn refresh_capacity(&mut self) {
         for id in self.fleet.take_dirty() {
             self.refresh_machine_capacity(&id);
         }
--- a/src/scheduler/rounds/demand_forecast.rs
+++ b/src/scheduler/rounds/demand_forecast.rs
@@ -17,6 +17,7 @@
 #[derive(Clone, Debug)]
 pub(in crate::scheduler) struct ForecastDemand {
     pub(super) spec: Rc<JobSpec>,
+    /// How many of them.
     pub(super) count: u32,
 }
 
@@ -125,14 +126,10 @@
     /// Reserves capacity for forecast demand: on machines with its image, and then on
     /// the fullest ones, so that empty machines can be released. Returns the number of
     /// tasks for which there is none.
-    pub(super) fn reserve_for_demand(
-        &mut self,
-        spec: &Rc<JobSpec>,
-        count: u32,
-        round: &mut Round,
-    ) -> u32 {
+    pub(super) fn reserve_for_demand(&mut self, demand: &ForecastDemand, round: &mut Round) -> u32 {
+        let spec = &demand.spec;
         let need = spec.task_request();
-        let mut remaining = count;
+        let mut remaining = demand.count;
         while remaining > 0 {
             let Some(FullestMachine { slot, has_image }) = self.capacity.fullest(spec, &need)
             else {
--- a/src/scheduler/rounds/queue_order.rs
+++ b/src/scheduler/rounds/queue_order.rs
@@ -3,10 +3,10 @@
 
 use crate::ids::TaskRef;
 use crate::messages::Now;
+use crate::scheduler::rounds::demand_forecast::ForecastDemand;
 use crate::scheduler::{Job, JobId, Scheduler};
 use crate::wire::users::{JobSpec, Priority};
 use std::collections::BTreeSet;
-use std::rc::Rc;
 
 /// A job that has missed every objective is due at this multiple of its deadline, so
 /// that it is served eventually.
@@ -31,8 +31,7 @@
 #[derive(Clone, Debug)]
 pub(super) enum QueuedWork {
     Job(JobId),
-    /// Forecast demand: this many tasks like these.
-    Forecast(Rc<JobSpec>, u32),
+    Forecast(ForecastDemand),
 }
 
 impl Scheduler {
--- a/src/scheduler/rounds/round.rs
+++ b/src/scheduler/rounds/round.rs
@@ -58,9 +58,9 @@
     Provisioning(Option<ProvisionPlan>),
 }
 
-/// Whether a round goes on after a step.
+/// Whether a round, or one of its stages, goes on after a step.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum RoundProgress {
+pub(in crate::scheduler) enum Progress {
     Unfinished,
     Finished,
 }
@@ -153,6 +153,7 @@
         });
     }
 
+    /// Queues those of these jobs that have something to place now.
     fn enqueue_jobs(&mut self, now: Now, jobs: Vec<JobId>, round: &mut Round) {
         for id in jobs {
             if let Some(key) = self.queue_key(now, &id, &round.migrating, round.queued_total) {
@@ -161,6 +162,7 @@
         }
     }
 
+    /// Queues the forecast demand, due once a machine ordered now would have booted.
     fn enqueue_forecast(&mut self, now: Now, round: &mut Round) {
         let deadline = now.wall + (self.slowest_boot_s() * 1000.0) as u64;
         for demand in &self.demand_forecast {
@@ -170,7 +172,7 @@
                 deadline,
                 sequence: round.queued_total,
             };
-            round.enqueue(key, QueuedWork::Forecast(demand.spec.clone(), demand.count));
+            round.enqueue(key, QueuedWork::Forecast(demand.clone()));
         }
     }
 
@@ -194,23 +196,23 @@
         if matches!(round.stage, RoundStage::Placing) {
             self.enqueue_jobs(now, arrived, &mut round);
         }
-        let mut progress = RoundProgress::Unfinished;
-        while progress == RoundProgress::Unfinished && self.examined() < slice_end {
+        let mut progress = Progress::Unfinished;
+        while progress == Progress::Unfinished && self.examined() < slice_end {
             progress = self.step(now, &mut round, cloud);
         }
         let slice_examined = self.examined() - examined_before;
         self.pacing.longest_slice = self.pacing.longest_slice.max(slice_examined);
         self.commits.has_changes = true;
         match progress {
-            RoundProgress::Unfinished => self.round = Some(round),
-            RoundProgress::Finished => {
+            Progress::Unfinished => self.round = Some(round),
+            Progress::Finished => {
                 self.pacing.gap_ms = self.gap_ms(self.examined() - round.examined_before);
             }
         }
     }
 
     /// Does the next step of a round.
-    fn step(&mut self, now: Now, round: &mut Round, cloud: &mut CloudClient) -> RoundProgress {
+    fn step(&mut self, now: Now, round: &mut Round, cloud: &mut CloudClient) -> Progress {
         match &mut round.stage {
             RoundStage::Placing => match round.queue.pop_first() {
                 Some((key, work)) => self.serve(now, &key, work, round),
@@ -224,7 +226,7 @@
                 None => self.finish_preempting(round),
             },
             RoundStage::Compacting(compaction) => {
-                if !self.compact_next(now, compaction) {
+                if self.compact_next(now, compaction) == Progress::Finished {
                     let cold_reservations = std::mem::take(&mut round.cold_reservations);
                     self.preplace_images(now, cold_reservations);
                     round.stage = RoundStage::Provisioning(None);
@@ -232,7 +234,7 @@
             }
             RoundStage::Provisioning(_) => return self.step_provisioning(now, round, cloud),
         }
-        RoundProgress::Unfinished
+        Progress::Unfinished
     }
 
     /// Serves one entry of the queue.
@@ -247,11 +249,11 @@
                 }
                 self.refresh(now);
             }
-            QueuedWork::Forecast(spec, count) => {
-                let count = self.reserve_for_demand(&spec, count, round);
+            QueuedWork::Forecast(demand) => {
+                let count = self.reserve_for_demand(&demand, round);
                 if count > 0 {
                     round.unplaced.push(Unplaced {
-                        spec,
+                        spec: demand.spec,
                         count,
                         deadline: key.deadline,
                         zones: ZoneCounts::default(),
@@ -279,13 +281,13 @@
         now: Now,
         round: &mut Round,
         cloud: &mut CloudClient,
-    ) -> RoundProgress {
+    ) -> Progress {
         let RoundStage::Provisioning(Some(plan)) = &mut round.stage else {
             self.refresh(now);
             let plan = self.begin_scale_out(now, cloud);
             let progress = match plan {
-                Some(_) => RoundProgress::Unfinished,
-                None => RoundProgress::Finished,
+                Some(_) => Progress::Unfinished,
+                None => Progress::Finished,
             };
             round.stage = RoundStage::Provisioning(plan);
             return progress;
@@ -293,12 +295,12 @@
         if let Some(unplaced) = round.unplaced.get(plan.next) {
             plan.next += 1;
             self.cover(now, unplaced, plan);
-            return RoundProgress::Unfinished;
+            return Progress::Unfinished;
         }
         self.order(plan, cloud);
         if round.full {
             self.scale_in(now, cloud);
         }
-        RoundProgress::Finished
+        Progress::Finished
     }
 }
--- a/src/scheduler/rounds/task_placement.rs
+++ b/src/scheduler/rounds/task_placement.rs
@@ -52,6 +52,7 @@
 }
 
 impl PlacementRequest {
+    /// The request of a job's next tasks, given where its other tasks are.
     pub(in crate::scheduler) fn new(job: &Job, deadline: u64) -> PlacementRequest {
         let mut siblings = BTreeMap::new();
         if job.is_service() {
@@ -91,6 +92,7 @@
         }
     }
 
+    /// The tasks of the job that found no capacity.
     fn into_unplaced(self, count: usize) -> Unplaced {
         Unplaced {
             spec: self.spec,
@@ -142,6 +144,7 @@
         (unplaced > 0).then(|| request.into_unplaced(unplaced))
     }
 
+    /// Places these tasks one by one, until the quota or the capacity is exhausted.
     fn place_tasks(
         &mut self,
         now: Now,
