--- a/src/election.rs
+++ b/src/election.rs
@@ -1,6 +1,7 @@
-//! Who leads: a key under a lease, and a durable term raised in the same
-//! transaction. Whatever a leader writes is guarded by its key's revision, so
-//! nothing of a deposed leader can apply, however late it comes.
+//! Leader election: the leader holds a key under a lease, and each new leader raises
+//! a durable term in the transaction that claims the key. Every write of a leader
+//! compares the revision of its leader key, so no write of a deposed leader can be
+//! applied, however late it arrives.
 
 use crate::ids::{Revision, Term};
 use crate::kv_client::{self, CallPriority, KvCall, KvResponse};
@@ -8,464 +9,541 @@
 use crate::records::leadership::{LeaderRecord, TermRecord, LEADER_KEY, LEADER_PREFIX, TERM_KEY};
 use crate::wire::kv::{KeyPage, LeaseGranted, Txn, TxnResponse, WatchResponse};
 
-/// Which question an answer belongs to.
+/// Renewals of the leader's lease within its TTL.
+const RENEWALS_PER_TTL: u64 = 4;
+/// Reads of the records by a follower within a TTL. The watch reports changes; the
+/// reads are for the case that it hangs, and tell a follower of an idle store that
+/// its knowledge is current.
+const FOLLOWER_READS_PER_TTL: u64 = 2;
+/// Attempts within a TTL after a call failed.
+const RETRIES_PER_TTL: u64 = 10;
+/// Call timeouts within a TTL.
+const TIMEOUTS_PER_TTL: u64 = 3;
+const MIN_TIMEOUT_MS: u64 = 200;
+/// How long a watch waits for changes, in TTLs.
+const WATCH_TTLS: u64 = 3;
+/// How long others may claim first after this node handed leadership over, in TTLs.
+const YIELD_TTLS: u64 = 2;
+/// For how long a read of the leader's record counts as recent, in TTLs.
+const RECENT_READ_TTLS: u64 = 4;
+/// The pause before the records are read after stepping down.
+const STEP_DOWN_PAUSE_MS: u64 = 50;
+
+/// The election's calls of the key-value store.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum ElectionKvCall {
-    /// Reads both records.
-    Read,
-    /// Asks for a lease.
-    Lease,
+    /// Reads the leader record and the term record.
+    ReadRecords,
+    /// Requests a lease.
+    GrantLease,
     /// Claims the leader key under that lease.
-    Claim,
+    ClaimLeadership,
     /// Renews the lease.
-    Renew,
+    RenewLease,
     /// Waits for a change of the records.
-    Watch,
-    /// Ends the lease.
-    End,
+    WatchRecords,
+    /// Revokes the lease.
+    RevokeLease,
 }
 
-/// A controller's part.
+/// A controller's role.
 #[derive(Clone, PartialEq, Debug)]
 pub enum Role {
-    /// Nothing known yet, or nothing sure any more.
+    /// The leader isn't known, or not any more.
     Unknown,
-    /// Another one leads.
+    /// Another controller leads.
     Follower(LeaderRecord),
-    /// This one leads.
+    /// This controller leads.
     Leader {
         /// Its term.
         term: Term,
-        /// The revision of the leader key, which guards every write.
-        key_version: Revision,
+        /// The revision of the leader key, which every write compares.
+        leader_key_revision: Revision,
     },
 }
 
-/// What the node learns from the election.
+/// A change of this controller's leadership.
 #[derive(Clone, PartialEq, Debug)]
 pub enum LeadershipChange {
     /// It leads from now on.
     Elected {
         /// Its term.
         term: Term,
-        /// The revision of the leader key, which guards every write.
-        key_version: Revision,
+        /// The revision of the leader key, which every write compares.
+        leader_key_revision: Revision,
     },
     /// It leads no longer.
     Deposed,
 }
 
-/// Calls that the election wants made.
+/// The calls that the election wants made.
 pub type ElectionEffects = Vec<KvCall<ElectionKvCall>>;
 
+/// Whether a leader can rely on its lease.
+#[derive(Clone, Copy, PartialEq, Eq, Debug)]
+enum LeaseConfirmation {
+    /// There is no sign that the lease has expired.
+    Confirmed,
+    /// There is a sign that another controller may lead: the leader doesn't act until
+    /// a renewal has been sent and has succeeded.
+    RenewalRequired,
+    /// As before, while a renewal is in flight that was sent before the sign. Its
+    /// success proves nothing: it may have been granted before the process paused.
+    StaleRenewalInFlight,
+}
+
 /// One controller's part in the election.
 pub struct Election {
     node: String,
+    /// Tells this process from earlier ones of the same name.
     incarnation: u64,
-    ttl_ms: u64,
-    /// What it is as far as it knows.
-    pub role: Role,
-    /// Versions as last read: of the leader key (0: absent) and of the term.
-    key_revision: u64,
-    term: TermRecord,
-    term_revision: u64,
-    leader: Option<LeaderRecord>,
-    revision: Revision,
-    lease: Option<u64>,
-    waiting: Option<ElectionKvCall>,
-    watching: bool,
-    /// When the next step is due.
-    due_ms: u64,
-    read_ms: u64,
-    /// Spreads candidates, so that they don't all claim in one moment.
+    lease_ttl_ms: u64,
+    /// Delays this candidate, so that not all claim at the same moment.
     stagger_ms: u64,
-    /// There is reason to think that somebody else leads, and no renewal has
-    /// gone out and come back since. `true`: one from before is under way.
-    doubt: Option<bool>,
-    /// It stepped aside: others may claim first until then.
+    role: Role,
+    /// The leader key's revision as last read; 0: the key is absent.
+    leader_key_revision: u64,
+    term_record: TermRecord,
+    term_key_revision: u64,
+    /// The store's revision as last read, from which changes are watched.
+    store_revision: Revision,
+    lease: Option<u64>,
+    lease_confirmation: LeaseConfirmation,
+    /// The call whose response the next step depends on.
+    in_flight: Option<ElectionKvCall>,
+    watch_in_flight: bool,
+    next_step_ms: u64,
+    last_read_ms: u64,
+    /// This node handed leadership over: others may claim first until then.
     yielding_until_ms: u64,
 }
 
 impl Election {
-    /// Knows nothing yet. `stagger_ms` differs between controllers.
-    pub fn new(node: &str, incarnation: u64, ttl_ms: u64, stagger_ms: u64) -> Self {
+    /// A controller that doesn't know the leader. `stagger_ms` differs between
+    /// controllers.
+    pub fn new(node: &str, incarnation: u64, lease_ttl_ms: u64, stagger_ms: u64) -> Self {
         Election {
             node: node.to_string(),
             incarnation,
-            ttl_ms,
+            lease_ttl_ms,
+            stagger_ms,
             role: Role::Unknown,
-            key_revision: 0,
-            term: TermRecord {
+            leader_key_revision: 0,
+            term_record: TermRecord {
                 term: Term(0),
                 limits_lowered: false,
             },
-            term_revision: 0,
-            leader: None,
-            revision: Revision(0),
+            term_key_revision: 0,
+            store_revision: Revision(0),
             lease: None,
-            waiting: None,
-            watching: false,
-            due_ms: 0,
-            read_ms: 0,
-            stagger_ms,
-            doubt: None,
+            lease_confirmation: LeaseConfirmation::Confirmed,
+            in_flight: None,
+            watch_in_flight: false,
+            next_step_ms: 0,
+            last_read_ms: 0,
             yielding_until_ms: 0,
         }
     }
 
+    /// This controller's role, as far as it knows.
+    pub fn role(&self) -> &Role {
+        &self.role
+    }
+
     /// Whether this controller leads, as far as it knows.
     pub fn is_leader(&self) -> bool {
         matches!(self.role, Role::Leader { .. })
     }
 
-    /// Whether this process may have lost the lead without having been told.
+    /// Whether this controller leads as far as it knows, but may have lost the lead
+    /// unnoticed.
     pub fn leadership_unconfirmed(&self) -> bool {
-        self.is_leader() && self.doubt.is_some()
+        self.is_leader() && self.lease_confirmation != LeaseConfirmation::Confirmed
     }
 
-    /// The process stood still, or a worker shows a later term: its lease may
-    /// have ended. Until a renewal says otherwise it does nothing as leader.
+    /// Requires a renewal of the lease before this controller acts as leader again:
+    /// the process paused, or a worker reports a later term, so the lease may have
+    /// expired.
     pub fn require_renewal(&mut self, now: Now) {
-        self.doubt = Some(self.waiting == Some(ElectionKvCall::Renew));
-        self.due_ms = now.ms;
+        self.lease_confirmation = if self.in_flight == Some(ElectionKvCall::RenewLease) {
+            LeaseConfirmation::StaleRenewalInFlight
+        } else {
+            LeaseConfirmation::RenewalRequired
+        };
+        self.next_step_ms = now.ms;
     }
 
     /// The other controller that leads, as far as this one knows.
     pub fn other_leader(&self) -> Option<&str> {
         match &self.role {
             Role::Follower(record) => Some(&record.node),
-            _ => None,
+            Role::Unknown | Role::Leader { .. } => None,
         }
     }
 
-    /// Whether the state service named the leader a short while ago.
-    pub fn follows(&self, now: Now) -> bool {
-        matches!(self.role, Role::Follower(_)) && now.ms < self.read_ms + self.ttl_ms * 4
+    /// Whether this controller follows a leader whose record it read recently.
+    pub fn follows_recorded_leader(&self, now: Now) -> bool {
+        let recent_until_ms = self.last_read_ms + self.lease_ttl_ms * RECENT_READ_TTLS;
+        matches!(self.role, Role::Follower(_)) && now.ms < recent_until_ms
     }
 
-    /// Whether the state service holds a leader's word that its announced limits
-    /// are in force.
+    /// Whether a leader has stored that the store's announced limits apply.
     pub fn limits_lowered(&self) -> bool {
-        self.term.limits_lowered
+        self.term_record.limits_lowered
     }
 
-    /// The transaction that stores, as leader, that the announced limits are in
-    /// force. `None`: it doesn't lead.
-    pub fn store_limits_lowered(&self) -> Option<Txn> {
-        let Role::Leader { term, key_version } = self.role else {
+    /// The transaction that stores, as leader, that the announced limits apply.
+    /// `None`: this controller doesn't lead.
+    pub fn limits_lowered_txn(&self) -> Option<Txn> {
+        let Role::Leader {
+            term,
+            leader_key_revision,
+        } = self.role
+        else {
             return None;
         };
         let record = TermRecord {
             term,
             limits_lowered: true,
         };
-        let value = serde_json::to_value(record).unwrap_or_default();
         Some(
             Txn::default()
-                .compare(LEADER_KEY, key_version.0)
-                .put(TERM_KEY, value),
+                .compare(LEADER_KEY, leader_key_revision.0)
+                .put(TERM_KEY, serde_json::to_value(record).unwrap_or_default()),
         )
     }
 
-    /// That transaction was carried out.
-    pub fn limits_lowered_stored(&mut self) {
-        self.term.limits_lowered = true;
+    /// That transaction was committed.
+    pub fn on_limits_lowered_stored(&mut self) {
+        self.term_record.limits_lowered = true;
     }
 
-    /// The latest term that the state service told of.
+    /// The latest term known from the key-value store.
     pub fn known_term(&self) -> Term {
-        self.term.term
-    }
-
-    fn timeout_ms(&self) -> u64 {
-        (self.ttl_ms / 3).max(200)
-    }
-
-    fn ask(
-        &mut self,
-        now: Now,
-        what: ElectionKvCall,
-        call: (Call, usize),
-        out: &mut ElectionEffects,
-    ) {
-        if what == ElectionKvCall::Watch {
-            self.watching = true;
-        } else if what != ElectionKvCall::End {
-            self.waiting = Some(what);
-        }
-        let give_up_ms = now.ms + call.0.timeout_ms;
-        out.push(KvCall {
-            priority: CallPriority::Leadership,
-            call: call.0,
-            writes: call.1,
-            expires_ms: give_up_ms,
-            tag: what,
-        });
+        self.term_record.term
     }
 
-    /// Makes the calls that are due, and says when to be called again.
-    pub fn tick(&mut self, now: Now, out: &mut ElectionEffects) -> u64 {
-        if self.waiting.is_none() && now.ms >= self.due_ms {
-            let timeout = self.timeout_ms();
-            match &self.role {
-                Role::Leader { .. } => {
-                    let lease = self.lease.unwrap_or(0);
-                    let call = kv_client::lease_renew(lease, timeout);
-                    self.ask(now, ElectionKvCall::Renew, (call, 0), out);
-                }
-                _ => {
-                    let call = kv_client::list(LEADER_PREFIX, None, timeout);
-                    self.ask(now, ElectionKvCall::Read, (call, 0), out);
-                }
+    /// Makes the calls that are due, and returns when to be called again.
+    pub fn tick(&mut self, now: Now, effects: &mut ElectionEffects) -> u64 {
+        if self.in_flight.is_none() && now.ms >= self.next_step_ms {
+            if self.is_leader() {
+                let lease = self.lease.unwrap_or(0);
+                let call = kv_client::lease_renew(lease, self.timeout_ms());
+                self.send(now, ElectionKvCall::RenewLease, call, effects);
+            } else {
+                let call = kv_client::list(LEADER_PREFIX, None, self.timeout_ms());
+                self.send(now, ElectionKvCall::ReadRecords, call, effects);
             }
         }
-        if !self.watching && matches!(self.role, Role::Follower(_)) && self.waiting.is_none() {
-            let wait = self.ttl_ms * 3;
-            let call = kv_client::watch(LEADER_PREFIX, self.revision, wait, wait + self.ttl_ms);
-            self.ask(now, ElectionKvCall::Watch, (call, 0), out);
+        let follows = matches!(self.role, Role::Follower(_));
+        if follows && !self.watch_in_flight && self.in_flight.is_none() {
+            let wait_ms = self.lease_ttl_ms * WATCH_TTLS;
+            let timeout_ms = wait_ms + self.lease_ttl_ms;
+            let call = kv_client::watch(LEADER_PREFIX, self.store_revision, wait_ms, timeout_ms);
+            self.send(now, ElectionKvCall::WatchRecords, call, effects);
         }
-        if self.waiting.is_some() {
-            now.ms + self.ttl_ms
+        if self.in_flight.is_some() {
+            now.ms + self.lease_ttl_ms
         } else {
-            self.due_ms.max(now.ms + 1)
+            self.next_step_ms.max(now.ms + 1)
         }
     }
 
-    /// Gives leadership up, so that state is read afresh by whoever leads next.
-    pub fn step_down(&mut self, now: Now, out: &mut ElectionEffects) -> Option<LeadershipChange> {
-        let was = self.is_leader();
+    /// Steps down, so that the next leader reads the stored state afresh.
+    pub fn step_down(
+        &mut self,
+        now: Now,
+        effects: &mut ElectionEffects,
+    ) -> Option<LeadershipChange> {
+        let was_leader = self.is_leader();
         if let Some(lease) = self.lease.take() {
-            let call = kv_client::lease_end(lease, self.timeout_ms());
-            self.ask(now, ElectionKvCall::End, (call, 0), out);
+            let call = kv_client::lease_revoke(lease, self.timeout_ms());
+            self.send(now, ElectionKvCall::RevokeLease, call, effects);
         }
         self.role = Role::Unknown;
-        self.due_ms = now.ms + 50;
-        was.then_some(LeadershipChange::Deposed)
+        self.next_step_ms = now.ms + STEP_DOWN_PAUSE_MS;
+        was_leader.then_some(LeadershipChange::Deposed)
     }
 
-    /// Gives leadership up to somebody better placed, and claims it again only
-    /// if nobody else does.
+    /// Hands leadership over to a controller in a better position: steps down, and
+    /// claims leadership again only if no other controller does.
     pub fn yield_leadership(
         &mut self,
         now: Now,
-        out: &mut ElectionEffects,
+        effects: &mut ElectionEffects,
     ) -> Option<LeadershipChange> {
-        self.yielding_until_ms = now.ms + self.ttl_ms * 2;
-        self.step_down(now, out)
+        self.yielding_until_ms = now.ms + self.lease_ttl_ms * YIELD_TTLS;
+        self.step_down(now, effects)
     }
 
-    /// A peer that the state service answers names another leader, of a later
-    /// term.
+    /// A peer that reaches the key-value store reports another leader of a later term.
     pub fn observe_later_term(
         &mut self,
         now: Now,
-        node: &str,
+        leader: &str,
         term: Term,
     ) -> Option<LeadershipChange> {
-        if !self.is_leader() || term <= self.term.term || node == self.node {
+        if !self.is_leader() || term <= self.term_record.term || leader == self.node {
             return None;
         }
         self.role = Role::Follower(LeaderRecord {
-            node: node.to_string(),
+            node: leader.to_string(),
             incarnation: 0,
             term,
             lease: 0,
         });
         self.lease = None;
-        self.due_ms = now.ms;
+        self.next_step_ms = now.ms;
         Some(LeadershipChange::Deposed)
     }
 
-    /// Takes the answer to a call in.
-    pub fn answered(
+    /// Processes the response to a call.
+    pub fn on_response(
         &mut self,
         now: Now,
-        what: ElectionKvCall,
-        answer: KvResponse,
-        out: &mut ElectionEffects,
+        kv_call: ElectionKvCall,
+        response: &KvResponse,
+        effects: &mut ElectionEffects,
     ) -> Option<LeadershipChange> {
-        match what {
-            ElectionKvCall::Watch => self.watching = false,
-            ElectionKvCall::End => {}
-            _ if self.waiting == Some(what) => self.waiting = None,
+        match kv_call {
+            ElectionKvCall::WatchRecords => self.watch_in_flight = false,
+            ElectionKvCall::RevokeLease => {}
+            _ if self.in_flight == Some(kv_call) => self.in_flight = None,
+            // A call from before the last change of role.
             _ => return None,
         }
-        match what {
-            ElectionKvCall::Read => self.on_read(now, &answer, out),
-            ElectionKvCall::Lease => {
-                self.on_lease(now, &answer, out);
+        match kv_call {
+            ElectionKvCall::ReadRecords => self.on_records(now, response, effects),
+            ElectionKvCall::GrantLease => {
+                self.on_lease_granted(now, response, effects);
                 None
             }
-            ElectionKvCall::Claim => self.on_claim(now, &answer),
-            ElectionKvCall::Renew => self.on_renew(now, &answer),
-            ElectionKvCall::Watch => {
-                self.on_watch(now, &answer);
+            ElectionKvCall::ClaimLeadership => self.on_claim(now, response),
+            ElectionKvCall::RenewLease => self.on_renewal(now, response),
+            ElectionKvCall::WatchRecords => {
+                self.on_watch(now, response);
                 None
             }
-            ElectionKvCall::End => None,
+            ElectionKvCall::RevokeLease => None,
         }
     }
 
-    fn retry_soon(&mut self, now: Now) {
-        self.due_ms = now.ms + self.ttl_ms / 10 + self.stagger_ms;
+    fn timeout_ms(&self) -> u64 {
+        (self.lease_ttl_ms / TIMEOUTS_PER_TTL).max(MIN_TIMEOUT_MS)
     }
 
-    fn on_read(
+    fn send(
         &mut self,
         now: Now,
-        answer: &KvResponse,
-        out: &mut ElectionEffects,
+        kv_call: ElectionKvCall,
+        call: Call,
+        effects: &mut ElectionEffects,
+    ) {
+        let call = KvCall::new(now, CallPriority::Leadership, call, kv_call);
+        self.submit(call, effects);
+    }
+
+    fn submit(&mut self, call: KvCall<ElectionKvCall>, effects: &mut ElectionEffects) {
+        match call.tag {
+            ElectionKvCall::WatchRecords => self.watch_in_flight = true,
+            ElectionKvCall::RevokeLease => {}
+            awaited => self.in_flight = Some(awaited),
+        }
+        effects.push(call);
+    }
+
+    fn retry_interval_ms(&self) -> u64 {
+        self.lease_ttl_ms / RETRIES_PER_TTL
+    }
+
+    fn schedule_retry(&mut self, now: Now) {
+        self.next_step_ms = now.ms + self.retry_interval_ms() + self.stagger_ms;
+    }
+
+    fn on_records(
+        &mut self,
+        now: Now,
+        response: &KvResponse,
+        effects: &mut ElectionEffects,
     ) -> Option<LeadershipChange> {
-        let Some(items) = answer.read::<KeyPage>(200) else {
-            self.retry_soon(now);
+        let Some(page) = response.read::<KeyPage>(200) else {
+            self.schedule_retry(now);
             return None;
         };
-        self.revision = Revision(items.revision);
-        self.read_ms = now.ms;
-        self.leader = None;
-        self.key_revision = 0;
-        self.term_revision = 0;
-        for item in items.items {
+        self.store_revision = Revision(page.revision);
+        self.last_read_ms = now.ms;
+        self.leader_key_revision = 0;
+        self.term_key_revision = 0;
+        let mut leader = None;
+        for item in page.items {
             if item.key == LEADER_KEY {
-                self.key_revision = item.mod_revision;
-                self.leader = serde_json::from_value(item.value).ok();
+                self.leader_key_revision = item.mod_revision;
+                leader = serde_json::from_value(item.value).ok();
             } else if item.key == TERM_KEY {
-                self.term_revision = item.mod_revision;
-                if let Ok(term) = serde_json::from_value(item.value) {
-                    self.term = term;
+                self.term_key_revision = item.mod_revision;
+                if let Ok(record) = serde_json::from_value(item.value) {
+                    self.term_record = record;
                 }
             }
         }
-        self.decide(now, out)
+        self.follow_or_claim(now, leader, effects)
     }
 
-    /// Follows, claims, or finds that an unclear claim was won after all.
-    fn decide(&mut self, now: Now, out: &mut ElectionEffects) -> Option<LeadershipChange> {
-        match &self.leader {
+    /// Follows the leader, starts a claim, or finds that a claim whose result was
+    /// unknown has succeeded.
+    fn follow_or_claim(
+        &mut self,
+        now: Now,
+        leader: Option<LeaderRecord>,
+        effects: &mut ElectionEffects,
+    ) -> Option<LeadershipChange> {
+        match leader {
             Some(record) if record.node != self.node => {
-                self.role = Role::Follower(record.clone());
-                // Another has claimed: there is nobody left to wait for.
+                self.role = Role::Follower(record);
+                // Another controller has claimed leadership: nothing is left to yield.
                 self.yielding_until_ms = 0;
-                // The watch brings changes; this is in case it hangs, and so
-                // that a quiet follower knows that it is informed.
-                self.due_ms = now.ms + self.ttl_ms / 2;
+                self.next_step_ms = now.ms + self.lease_ttl_ms / FOLLOWER_READS_PER_TTL;
                 None
             }
             Some(record)
                 if record.incarnation == self.incarnation && self.lease == Some(record.lease) =>
             {
-                let (term, key_version) = (record.term, Revision(self.key_revision));
-                Some(self.won(now, term, key_version))
+                let leader_key_revision = Revision(self.leader_key_revision);
+                Some(self.become_leader(now, record.term, leader_key_revision))
             }
             None if now.ms < self.yielding_until_ms => {
                 self.role = Role::Unknown;
-                self.retry_soon(now);
+                self.schedule_retry(now);
                 None
             }
-            // Nobody, or an earlier process of this very name, which is dead.
+            // There is no leader, or it is an earlier process of this node, which is
+            // dead.
             _ => {
                 self.role = Role::Unknown;
-                let call = kv_client::lease_create(self.ttl_ms, self.timeout_ms());
-                self.ask(now, ElectionKvCall::Lease, (call, 0), out);
+                let call = kv_client::lease_grant(self.lease_ttl_ms, self.timeout_ms());
+                self.send(now, ElectionKvCall::GrantLease, call, effects);
                 None
             }
         }
     }
 
-    fn won(&mut self, now: Now, term: Term, key_version: Revision) -> LeadershipChange {
-        self.role = Role::Leader { term, key_version };
-        self.doubt = None;
-        self.term.term = term;
-        self.due_ms = now.ms + self.ttl_ms / 4;
-        LeadershipChange::Elected { term, key_version }
+    fn become_leader(
+        &mut self,
+        now: Now,
+        term: Term,
+        leader_key_revision: Revision,
+    ) -> LeadershipChange {
+        self.role = Role::Leader {
+            term,
+            leader_key_revision,
+        };
+        self.lease_confirmation = LeaseConfirmation::Confirmed;
+        self.term_record.term = term;
+        self.next_step_ms = now.ms + self.lease_ttl_ms / RENEWALS_PER_TTL;
+        LeadershipChange::Elected {
+            term,
+            leader_key_revision,
+        }
     }
 
-    fn on_lease(&mut self, now: Now, answer: &KvResponse, out: &mut ElectionEffects) {
-        let Some(granted) = answer.read::<LeaseGranted>(200) else {
-            self.retry_soon(now);
+    fn next_term(&self) -> Term {
+        Term(self.term_record.term.0 + 1)
+    }
+
+    fn on_lease_granted(&mut self, now: Now, response: &KvResponse, effects: &mut ElectionEffects) {
+        let Some(granted) = response.read::<LeaseGranted>(200) else {
+            self.schedule_retry(now);
             return;
         };
         self.lease = Some(granted.lease);
-        let term = Term(self.term.term.0 + 1);
-        let record = LeaderRecord {
+        let call = KvCall::transaction(
+            now,
+            CallPriority::Leadership,
+            &self.claim_txn(granted.lease),
+            self.timeout_ms(),
+            ElectionKvCall::ClaimLeadership,
+        );
+        self.submit(call, effects);
+    }
+
+    /// The transaction that claims the leader key under this lease and raises the
+    /// term, provided that neither record has changed since it was read.
+    fn claim_txn(&self, lease: u64) -> Txn {
+        let term = self.next_term();
+        let leader_record = LeaderRecord {
             node: self.node.clone(),
             incarnation: self.incarnation,
             term,
-            lease: granted.lease,
+            lease,
         };
-        let record_of_term = TermRecord { term, ..self.term };
-        let txn = Txn::default()
-            .compare(LEADER_KEY, self.key_revision)
-            .compare(TERM_KEY, self.term_revision)
-            .put_leased(
-                LEADER_KEY,
-                serde_json::to_value(&record).unwrap_or_default(),
-                granted.lease,
-            )
-            .put(
-                TERM_KEY,
-                serde_json::to_value(record_of_term).unwrap_or_default(),
-            );
-        let call = kv_client::txn(&txn, self.timeout_ms());
-        self.ask(now, ElectionKvCall::Claim, call, out);
+        let term_record = TermRecord {
+            term,
+            ..self.term_record
+        };
+        let leader_value = serde_json::to_value(leader_record).unwrap_or_default();
+        let term_value = serde_json::to_value(term_record).unwrap_or_default();
+        Txn::default()
+            .compare(LEADER_KEY, self.leader_key_revision)
+            .compare(TERM_KEY, self.term_key_revision)
+            .put_leased(LEADER_KEY, leader_value, lease)
+            .put(TERM_KEY, term_value)
     }
 
-    fn on_claim(&mut self, now: Now, answer: &KvResponse) -> Option<LeadershipChange> {
-        if let Some(done) = answer.read::<TxnResponse>(200) {
-            let term = Term(self.term.term.0 + 1);
-            return Some(self.won(now, term, Revision(done.revision)));
+    fn on_claim(&mut self, now: Now, response: &KvResponse) -> Option<LeadershipChange> {
+        if let Some(committed) = response.read::<TxnResponse>(200) {
+            let leader_key_revision = Revision(committed.revision);
+            return Some(self.become_leader(now, self.next_term(), leader_key_revision));
         }
-        // Lost, or unclear: reading tells. A lease that holds no key ends by
-        // itself.
-        if answer.status().is_some() {
+        // The claim was lost, or its result is unknown: the next read tells. A lease
+        // that holds no key is left to expire.
+        if response.status().is_some() {
             self.lease = None;
         }
-        self.due_ms = now.ms + self.stagger_ms;
+        self.next_step_ms = now.ms + self.stagger_ms;
         None
     }
 
-    fn on_renew(&mut self, now: Now, answer: &KvResponse) -> Option<LeadershipChange> {
-        match answer.status() {
-            // It may have been given before the process stood still.
-            Some(200) if self.doubt == Some(true) => {
-                self.doubt = Some(false);
-                self.due_ms = now.ms;
+    fn on_renewal(&mut self, now: Now, response: &KvResponse) -> Option<LeadershipChange> {
+        match response.status() {
+            Some(200) if self.lease_confirmation == LeaseConfirmation::StaleRenewalInFlight => {
+                self.lease_confirmation = LeaseConfirmation::RenewalRequired;
+                self.next_step_ms = now.ms;
                 None
             }
             Some(200) => {
-                self.doubt = None;
-                self.due_ms = now.ms + self.ttl_ms / 4;
+                self.lease_confirmation = LeaseConfirmation::Confirmed;
+                self.next_step_ms = now.ms + self.lease_ttl_ms / RENEWALS_PER_TTL;
                 None
             }
             Some(404) => {
                 self.lease = None;
                 self.role = Role::Unknown;
-                self.due_ms = now.ms;
+                self.next_step_ms = now.ms;
                 Some(LeadershipChange::Deposed)
             }
-            // Away or unclear: the key is ours until somebody says otherwise.
+            // The store is unavailable or the result unknown: this controller leads
+            // until the store says otherwise.
             _ => {
-                self.due_ms = now.ms + self.ttl_ms / 10;
+                self.next_step_ms = now.ms + self.retry_interval_ms();
                 None
             }
         }
     }
 
-    fn on_watch(&mut self, now: Now, answer: &KvResponse) {
-        match answer.read::<WatchResponse>(200) {
-            Some(seen) if seen.events.is_empty() => {
-                self.revision = Revision(seen.revision.max(self.revision.0));
+    fn on_watch(&mut self, now: Now, response: &KvResponse) {
+        match response.read::<WatchResponse>(200) {
+            Some(changes) if changes.events.is_empty() => {
+                self.store_revision = Revision(changes.revision.max(self.store_revision.0));
             }
-            // Something changed, or the watch is of no use: read.
+            _ if self.is_leader() => {}
+            // A record has changed, or the watch failed: read the records.
             _ => {
-                if !self.is_leader() {
-                    let pause = if answer.status() == Some(200) {
-                        self.stagger_ms
-                    } else {
-                        self.ttl_ms / 10
-                    };
-                    self.due_ms = self.due_ms.min(now.ms + pause);
-                }
+                let pause_ms = if response.status() == Some(200) {
+                    self.stagger_ms
+                } else {
+                    self.retry_interval_ms()
+                };
+                self.next_step_ms = self.next_step_ms.min(now.ms + pause_ms);
             }
         }
     }
--- a/src/node/catalog.rs
+++ b/src/node/catalog.rs
@@ -43,7 +43,11 @@
                 tag: KvCallOwner::ReadCatalog,
             });
         }
-        let Role::Leader { key_version, .. } = self.election.role else {
+        let Role::Leader {
+            leader_key_revision,
+            ..
+        } = *self.election.role()
+        else {
             return;
         };
         if self.catalog_cache.stored || now.ms < self.catalog_cache.write_due_ms {
@@ -53,7 +57,10 @@
             self.catalog_cache.stored = true;
             let value = serde_json::to_value(&**catalog).unwrap_or_default();
             let txn = Txn::default()
-                .compare(crate::records::leadership::LEADER_KEY, key_version.0)
+                .compare(
+                    crate::records::leadership::LEADER_KEY,
+                    leader_key_revision.0,
+                )
                 .put(CATALOG_KEY, value);
             let bytes = RequestSize::of(&txn).largest_value_bytes;
             if bytes > self.limits_tracker.effective.guaranteed().value_bytes {
--- a/src/node/lease_proxy.rs
+++ b/src/node/lease_proxy.rs
@@ -152,7 +152,7 @@
         let heard = self.peer_links.all.iter().any(|p| recent(p.heard_ms));
         let stands = if self.kv.reachable() {
             // The state service knows a leader whom this node can't hear.
-            self.election.follows(now)
+            self.election.follows_recorded_leader(now)
         } else if heard {
             !self.peer_links.all.iter().any(|p| recent(p.state_seen_ms))
         } else {
@@ -175,7 +175,7 @@
         report: &WorkerHeartbeat,
         stops: &[Command],
     ) -> Option<Reply> {
-        let term = match &self.election.role {
+        let term = match self.election.role() {
             Role::Follower(record) if self.kv.reachable() => record.term,
             // In an outage that all share, what the worker knows is enough.
             _ => report.fencing_token.term(),
--- a/src/node/limits.rs
+++ b/src/node/limits.rs
@@ -96,7 +96,7 @@
         {
             return;
         }
-        let Some(txn) = self.election.store_limits_lowered() else {
+        let Some(txn) = self.election.limits_lowered_txn() else {
             return;
         };
         self.limits_tracker.store_due_ms = now.ms + STORE_EVERY_MS;
@@ -112,7 +112,7 @@
 
     pub(super) fn limits_written(&mut self, answer: &KvResponse) {
         if answer.committed().is_some() {
-            self.election.limits_lowered_stored();
+            self.election.on_limits_lowered_stored();
         }
     }
 }
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -349,7 +349,10 @@
 
     fn on_leadership_change(&mut self, now: Now, change: LeadershipChange, out: &mut Vec<Effect>) {
         match change {
-            LeadershipChange::Elected { term, key_version } => {
+            LeadershipChange::Elected {
+                term,
+                leader_key_revision,
+            } => {
                 self.handover.led_since_ms = Some(now.ms);
                 self.routes.clear();
                 self.set_share(now, true);
@@ -357,7 +360,7 @@
                 self.cloud.set_leading(now, true);
                 let mut scheduler = SchedulerEffects::default();
                 self.scheduler
-                    .elected(now, term, key_version, &mut scheduler);
+                    .elected(now, term, leader_key_revision, &mut scheduler);
                 self.apply_scheduler_effects(now, scheduler, out);
             }
             LeadershipChange::Deposed => {
@@ -381,7 +384,7 @@
         match tag {
             KvCallOwner::Election(call) => {
                 let mut calls = Vec::new();
-                let change = self.election.answered(now, call, answer, &mut calls);
+                let change = self.election.on_response(now, call, &answer, &mut calls);
                 self.submit_election_calls(calls);
                 if let Some(change) = change {
                     self.on_leadership_change(now, change, out);
--- a/src/node/peer_heartbeats.rs
+++ b/src/node/peer_heartbeats.rs
@@ -147,7 +147,7 @@
             self.routes.forget_old(now.ms);
             self.check_successor(now, out);
         }
-        let leader = match &self.election.role {
+        let leader = match self.election.role() {
             Role::Leader { .. } => self.settings.node_name.clone(),
             Role::Follower(record) => record.node.clone(),
             Role::Unknown => String::new(),
