--- a/src/limits.rs
+++ b/src/limits.rs
@@ -1,32 +1,33 @@
-//! The state service's limits: those in the settings, those announced for later,
-//! and which of the two hold. That is learned from answers that the present ones
-//! can't explain, from a record that a leader left, or from a peer's word; once
-//! learned it stays, since limits that were lowered aren't raised again.
+//! The key-value store's limits: the present ones of the settings, those announced
+//! for later, and which of the two apply. That the announced limits apply is learned
+//! from a rejection that the present ones can't explain, from a record that a leader
+//! stored, or from a peer's report. Once learned it stays, since limits that were
+//! lowered aren't raised again.
 //!
-//! A wrong belief costs time and nothing else: under the present limits what is
-//! written by the lower ones is taken all the same, and under the lower ones what
-//! is too large is refused as a whole and written again in smaller pieces.
+//! A wrong belief costs time and nothing else: under the present limits a request
+//! sized by the lower ones is accepted all the same, and under the lower ones a
+//! request that is too large is rejected as a whole and written again in smaller ones.
 
 use crate::settings::StateLimits;
 use crate::wire::kv::{Txn, WriteOp};
 use std::fmt;
 
-/// What the state service takes.
+/// What the key-value store accepts.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub struct StoreLimits {
     /// Requests per second, from all controllers together.
     pub rps: f64,
-    /// Changes per second, from all controllers together.
+    /// Writes per second, from all controllers together.
     pub write_rps: f64,
     /// Bytes of a value.
     pub value_bytes: usize,
-    /// Changes in a transaction.
+    /// Writes in a transaction.
     pub txn_ops: usize,
 }
 
 impl StoreLimits {
-    /// Whichever of each is lower.
-    fn lower_of(self, other: StoreLimits) -> StoreLimits {
+    /// The lower one of each limit.
+    fn min(self, other: StoreLimits) -> StoreLimits {
         StoreLimits {
             rps: self.rps.min(other.rps),
             write_rps: self.write_rps.min(other.write_rps),
@@ -51,22 +52,32 @@
     }
 }
 
-/// What shows that the announced limits hold.
+/// What shows that the announced limits apply.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum LimitEvidence {
-    /// The state service answered 400 to what the present limits allow and the
+    /// The store responded 400 to a request that the present limits allow and the
     /// announced ones don't.
-    Refused,
-    /// A leader has stored that they hold.
+    Rejection,
+    /// A leader has stored that they apply.
     Stored,
-    /// Another controller says so.
+    /// A peer reported it.
     Peer,
 }
 
-/// How large the parts of a request to the state service were.
+impl fmt::Display for LimitEvidence {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            LimitEvidence::Rejection => "a request was rejected",
+            LimitEvidence::Stored => "stored by a leader",
+            LimitEvidence::Peer => "reported by a peer",
+        })
+    }
+}
+
+/// The sizes of a request that the store limits.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub struct RequestSize {
-    /// The changes of the transaction.
+    /// Writes of the transaction.
     pub write_ops: usize,
     /// Bytes of the largest value.
     pub largest_value_bytes: usize,
@@ -75,97 +86,96 @@
 impl RequestSize {
     /// The size of a transaction.
     pub fn of(txn: &Txn) -> RequestSize {
-        let bytes = |write: &WriteOp| match write {
-            WriteOp::Put { value, .. } => serde_json::to_vec(value).map_or(0, |text| text.len()),
+        let value_bytes = |write: &WriteOp| match write {
+            WriteOp::Put { value, .. } => serde_json::to_vec(value).map_or(0, |json| json.len()),
             WriteOp::Delete { .. } => 0,
         };
         RequestSize {
             write_ops: txn.writes.len(),
-            largest_value_bytes: txn.writes.iter().map(bytes).max().unwrap_or(0),
+            largest_value_bytes: txn.writes.iter().map(value_bytes).max().unwrap_or(0),
         }
     }
 }
 
-/// The limits that hold, as far as this controller knows.
+/// The limits that apply, as far as this controller knows.
 #[derive(Clone, Debug)]
 pub struct EffectiveLimits {
     present: StoreLimits,
     announced: Option<StoreLimits>,
-    lowered: Option<LimitEvidence>,
+    /// It is known that the announced limits apply.
+    announced_apply: bool,
 }
 
 impl EffectiveLimits {
-    /// Those of the settings; until it learns better, the present ones hold.
+    /// The limits of the settings. The present ones apply until there is evidence
+    /// that the announced ones do.
     pub fn new(settings: &StateLimits) -> EffectiveLimits {
         let present = StoreLimits {
             rps: settings.rps,
             write_rps: settings.write_rps,
-            value_bytes: bytes(settings.value_kb),
+            value_bytes: kb_to_bytes(settings.value_kb),
             txn_ops: settings.txn_ops,
         };
         let announced = settings.next.as_ref().map(|next| StoreLimits {
             rps: next.rps.unwrap_or(present.rps),
             write_rps: next.write_rps.unwrap_or(present.write_rps),
-            value_bytes: next.value_kb.map_or(present.value_bytes, bytes),
+            value_bytes: next.value_kb.map_or(present.value_bytes, kb_to_bytes),
             txn_ops: next.txn_ops.unwrap_or(present.txn_ops),
         });
         EffectiveLimits {
             present,
             announced,
-            lowered: None,
+            announced_apply: false,
         }
     }
 
-    /// What may be sent now.
+    /// The limits for requests that are sent now.
     pub fn current(&self) -> StoreLimits {
-        match (self.lowered, self.announced) {
-            (Some(_), Some(announced)) => announced,
-            _ => self.present,
-        }
+        self.announced
+            .filter(|_| self.announced_apply)
+            .unwrap_or(self.present)
     }
 
-    /// What will always be taken: a record that has to be written whole, now or
-    /// later, must not be larger.
+    /// The limits that hold now and later: a record that can't be split must not be
+    /// larger.
     pub fn guaranteed(&self) -> StoreLimits {
-        match self.announced {
-            Some(announced) => self.present.lower_of(announced),
-            None => self.present,
-        }
+        self.announced
+            .map_or(self.present, |announced| self.present.min(announced))
     }
 
-    /// Whether the announced limits hold.
+    /// Whether the announced limits apply, as far as this controller knows.
     pub fn announced_apply(&self) -> bool {
-        self.lowered.is_some()
+        self.announced_apply
     }
 
-    /// Takes a sign that the announced limits hold. Says whether that is new.
+    /// Takes in evidence that the announced limits apply. Returns whether that is new.
     pub fn apply_announced(&mut self, evidence: LimitEvidence) -> bool {
-        if self.announced.is_none() || self.lowered.is_some() {
+        if self.announced.is_none() || self.announced_apply {
             return false;
         }
-        self.lowered = Some(evidence);
+        self.announced_apply = true;
         log::warn!(
-            "the state service's limits are lower: {} ({evidence:?})",
+            "store limits lowered {} reason=\"{evidence}\"",
             self.current()
         );
         true
     }
 
-    /// The state service answered 400 to a request of this size. Says whether the
-    /// announced limits explain that, so that smaller ones will be taken.
+    /// The store responded 400 to a request of this size. Returns whether the announced
+    /// limits explain that, so that smaller requests will be accepted.
     pub fn refused(&mut self, size: RequestSize) -> bool {
         let Some(announced) = self.announced else {
             return false;
         };
-        let over =
+        let exceeds =
             size.write_ops > announced.txn_ops || size.largest_value_bytes > announced.value_bytes;
-        if over {
-            self.apply_announced(LimitEvidence::Refused);
+        if exceeds {
+            self.apply_announced(LimitEvidence::Rejection);
         }
-        over
+        exceeds
     }
 }
 
-fn bytes(kb: f64) -> usize {
+fn kb_to_bytes(kb: f64) -> usize {
     (kb * 1024.0) as usize
 }
--- a/src/messages.rs
+++ b/src/messages.rs
@@ -1,16 +1,16 @@
-//! What actors and the reactor say to each other.
+//! The messages between the node, its actors and the reactor.
 
 pub use lilacfork_common::time::Now;
 
-/// A connection on which somebody waits for an answer.
+/// A connection on which a client waits for a reply.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug, PartialOrd, Ord)]
 pub struct ConnectionId(pub u64);
 
-/// A call that this process made.
+/// A call of this process.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug, PartialOrd, Ord)]
 pub struct CallId(pub u64);
 
-/// Which listener a request came in by.
+/// The listener that accepted a request.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Listener {
     /// Users, workers and the load balancer.
@@ -19,12 +19,13 @@
     Peer,
 }
 
-/// Whom a call goes to.
+/// The receiver of a call.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 pub enum Destination {
-    /// The state service.
+    /// The key-value store.
     KvStore,
-    /// Watches hang for long; they have connections of their own.
+    /// The key-value store, for watches: they wait for long and have connections of
+    /// their own.
     KvWatch,
     /// The cloud.
     Cloud,
@@ -37,7 +38,7 @@
 /// A request that this process makes.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// Whom it goes to.
+    /// The receiver.
     pub target: Destination,
     /// The HTTP method.
     pub method: &'static str,
@@ -45,23 +46,23 @@
     pub path: String,
     /// The body.
     pub body: Vec<u8>,
-    /// How long an answer is waited for.
+    /// How long a response is waited for.
     pub timeout_ms: u64,
 }
 
-/// Why a call has no answer.
+/// Why a call has no response.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum CallError {
-    /// Nothing was sent: certainly not executed.
+    /// The request wasn't sent: certainly not executed.
     NotSent,
-    /// It may have been executed, or may yet be.
+    /// It may have been executed, or may be later.
     Indeterminate,
 }
 
-/// Status and body of the answer, or why there is none.
+/// Status and body of the response, or why there is none.
 pub type CallResult = Result<(u16, Vec<u8>), CallError>;
 
-/// An answer to somebody else's request.
+/// The response to a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Reply {
     /// The HTTP status.
@@ -73,7 +74,7 @@
 }
 
 impl Reply {
-    /// An answer with a JSON body.
+    /// A response with a JSON body.
     pub fn json<T: serde::Serialize>(status: u16, body: &T) -> Reply {
         Reply {
             status,
@@ -81,20 +82,22 @@
             retry_after_s: None,
         }
     }
-    /// An answer that says what is wrong.
-    pub fn error(status: u16, why: &str) -> Reply {
-        Reply::json(status, &serde_json::json!({ "error": why }))
+
+    /// A response that names an error.
+    pub fn error(status: u16, message: &str) -> Reply {
+        Reply::json(status, &serde_json::json!({ "error": message }))
     }
-    /// For what may go well later: says when to come back.
-    pub fn retry_later(status: u16, why: &str, after_s: u64) -> Reply {
+
+    /// An error for a request that may succeed later, with the time to retry.
+    pub fn retry_later(status: u16, message: &str, after_s: u64) -> Reply {
         Reply {
             retry_after_s: Some(after_s),
-            ..Reply::error(status, why)
+            ..Reply::error(status, message)
         }
     }
 }
 
-/// A request of somebody else.
+/// A request that was received.
 #[derive(Clone, Debug)]
 pub struct Request {
     /// The HTTP method.
@@ -105,23 +108,23 @@
     pub body: Vec<u8>,
 }
 
-/// What the node asks of the reactor.
+/// What the node wants the reactor to do.
 #[derive(Clone, Debug)]
 pub enum Effect {
-    /// Answer who waits on this connection.
+    /// Reply on this connection.
     Reply(ConnectionId, Reply),
     /// Make this call.
     Call(CallId, Call),
 }
 
-/// How far a job is, for display.
+/// Progress of a job, for display.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub struct TaskProgress {
     /// Tasks that are done.
     pub done: u32,
     /// Tasks that run.
     pub running: u32,
-    /// They are parts of replicas that span machines. That such a replica serves is
-    /// only true as long as the leader that says so leads.
+    /// The job's replicas span machines. A report that such a replica serves holds
+    /// only as long as the leader that made it leads.
     pub multi_host: bool,
 }
--- a/src/node/catalog.rs
+++ b/src/node/catalog.rs
@@ -1,48 +1,104 @@
-//! The machine types: asked of the cloud, stored for the time when it is away.
+//! The catalog of machine types: read from the cloud, and stored for the time when the
+//! cloud can't be reached.
 
-use super::{KvCallOwner, Node};
+use super::kv_responses::KvCallOwner;
+use super::Node;
 use crate::election::Role;
-use crate::kv_client::{self, CallPriority, KvCall};
+use crate::kv_client::{self, CallPriority, KvCall, KvResponse};
 use crate::limits::RequestSize;
 use crate::messages::Now;
 use crate::records::catalog::CATALOG_KEY;
+use crate::records::leadership::LEADER_KEY;
 use crate::wire::cloud::Catalog;
-use crate::wire::kv::Txn;
+use crate::wire::kv::{KeyValue, Txn};
 use std::rc::Rc;
 
-/// The machine types, as far as they are known here.
+/// Time between attempts to read the stored catalog.
+const READ_INTERVAL_MS: u64 = 1000;
+/// Time between attempts to store the catalog.
+const WRITE_INTERVAL_MS: u64 = 1000;
+/// How long a call is waited for.
+const TIMEOUT_MS: u64 = 1000;
+/// How long the write may wait to be sent.
+const WRITE_EXPIRY_MS: u64 = 2000;
+
+/// The catalog, as far as this controller knows it.
 #[derive(Debug, Default)]
 pub(super) struct CatalogCache {
-    pub(super) catalog: Option<Rc<Catalog>>,
-    /// This leader has stored them, or is about to.
-    pub(super) stored: bool,
-    pub(super) read_due_ms: u64,
-    write_due_ms: u64,
+    catalog: Option<Rc<Catalog>>,
+    /// This controller has stored the catalog as leader, or is about to.
+    stored: bool,
+    next_read_ms: u64,
+    next_write_ms: u64,
 }
 
-/// It is tried so often to store the catalogue.
-const WRITE_EVERY_MS: u64 = 1000;
+impl CatalogCache {
+    pub(super) fn is_known(&self) -> bool {
+        self.catalog.is_some()
+    }
+
+    /// When the stored catalog is to be read. `None`: the catalog is known.
+    pub(super) fn next_read_ms(&self) -> Option<u64> {
+        (!self.is_known()).then_some(self.next_read_ms)
+    }
+
+    /// The response to the write of the catalog.
+    pub(super) fn on_written(&mut self, response: &KvResponse) {
+        self.stored = response.status() == Some(200);
+    }
+}
 
 impl Node {
-    pub(super) fn set_catalog(&mut self, catalog: Catalog) {
+    fn set_catalog(&mut self, catalog: Catalog) {
         let catalog = Rc::new(catalog);
         self.gateway.set_catalog(catalog.clone());
         self.scheduler.set_catalog(catalog.clone());
-        self.catalog_cache.catalog = Some(catalog);
+        self.catalog.catalog = Some(catalog);
+    }
+
+    /// The cloud has sent its catalog.
+    pub(super) fn on_cloud_catalog(&mut self, catalog: Catalog) {
+        if !self.catalog.is_known() {
+            self.catalog.stored = false;
+        }
+        self.set_catalog(catalog);
     }
 
-    /// Reads the stored catalogue until there is one; stores it as leader.
+    /// The stored catalog was read. The cloud's takes precedence.
+    pub(super) fn on_stored_catalog(&mut self, response: &KvResponse) {
+        if self.catalog.is_known() {
+            return;
+        }
+        let catalog = response
+            .read::<KeyValue>(200)
+            .and_then(|item| serde_json::from_value::<Catalog>(item.value).ok())
+            .and_then(Catalog::validated);
+        if let Some(catalog) = catalog {
+            self.set_catalog(catalog);
+        }
+    }
+
+    /// Reads the stored catalog until one is known, and stores it as leader.
     pub(super) fn maintain_catalog(&mut self, now: Now) {
-        if self.catalog_cache.catalog.is_none() && now.ms >= self.catalog_cache.read_due_ms {
-            self.catalog_cache.read_due_ms = now.ms + 1000;
-            self.kv.submit(KvCall {
-                priority: CallPriority::Submission,
-                call: kv_client::get(CATALOG_KEY, 1000),
-                writes: 0,
-                expires_ms: now.ms + 1000,
-                tag: KvCallOwner::ReadCatalog,
-            });
+        self.read_catalog(now);
+        self.store_catalog(now);
+    }
+
+    fn read_catalog(&mut self, now: Now) {
+        if self.catalog.is_known() || now.ms < self.catalog.next_read_ms {
+            return;
         }
+        self.catalog.next_read_ms = now.ms + READ_INTERVAL_MS;
+        let call = kv_client::get(CATALOG_KEY, TIMEOUT_MS);
+        self.kv.submit(KvCall::new(
+            now,
+            CallPriority::Submission,
+            call,
+            KvCallOwner::ReadCatalog,
+        ));
+    }
+
+    fn store_catalog(&mut self, now: Now) {
         let Role::Leader {
             leader_key_revision,
             ..
@@ -50,33 +106,31 @@
         else {
             return;
         };
-        if self.catalog_cache.stored || now.ms < self.catalog_cache.write_due_ms {
+        if self.catalog.stored || now.ms < self.catalog.next_write_ms {
             return;
         }
-        if let Some(catalog) = &self.catalog_cache.catalog {
-            self.catalog_cache.stored = true;
-            let value = serde_json::to_value(&**catalog).unwrap_or_default();
-            let txn = Txn::default()
-                .compare(
-                    crate::records::leadership::LEADER_KEY,
-                    leader_key_revision.0,
-                )
-                .put(CATALOG_KEY, value);
-            let bytes = RequestSize::of(&txn).largest_value_bytes;
-            if bytes > self.limits_tracker.effective.guaranteed().value_bytes {
-                log::warn!("the catalogue takes {bytes} bytes and isn't stored");
-                return;
-            }
-            // One that is refused must not be written again and again at once.
-            self.catalog_cache.write_due_ms = now.ms + WRITE_EVERY_MS;
-            let (call, writes) = kv_client::txn(&txn, 1000);
-            self.kv.submit(KvCall {
-                priority: CallPriority::Background,
-                call,
-                writes,
-                expires_ms: now.ms + 2000,
-                tag: KvCallOwner::WriteCatalog,
-            });
+        let Some(catalog) = &self.catalog.catalog else {
+            return;
+        };
+        let value = serde_json::to_value(&**catalog).unwrap_or_default();
+        let txn = Txn::default()
+            .compare(LEADER_KEY, leader_key_revision.0)
+            .put(CATALOG_KEY, value);
+        self.catalog.stored = true;
+        let bytes = RequestSize::of(&txn).largest_value_bytes;
+        if bytes > self.limits.guaranteed_value_bytes() {
+            log::warn!("catalog not stored reason=\"too large for a value\" bytes={bytes}");
+            return;
         }
+        // A rejected write must not be repeated at once.
+        self.catalog.next_write_ms = now.ms + WRITE_INTERVAL_MS;
+        let call = KvCall::transaction(
+            now,
+            CallPriority::Background,
+            &txn,
+            TIMEOUT_MS,
+            KvCallOwner::WriteCatalog,
+        );
+        self.kv.submit(call.expiring_at(now.ms + WRITE_EXPIRY_MS));
     }
 }
--- /dev/null
+++ b/src/node/effects.rs
@@ -0,0 +1,152 @@
+//! Carries out what the actors want done: replies, calls, and messages to one another.
+
+use super::kv_responses::KvCallOwner;
+use super::outgoing_calls::OutgoingCall;
+use super::Node;
+use crate::cancellations::CancellationsKvCall;
+use crate::election::{ElectionKvCall, LeadershipChange};
+use crate::gateway::GatewayEffects;
+use crate::ids::JobId;
+use crate::kv_client::KvCall;
+use crate::messages::{Call, ConnectionId, Effect, Now, Reply};
+use crate::scheduler::SchedulerEffects;
+
+impl Node {
+    pub(super) fn send(&mut self, owner: OutgoingCall, call: Call, effects: &mut Vec<Effect>) {
+        let id = self.outgoing_calls.register(owner);
+        effects.push(Effect::Call(id, call));
+    }
+
+    pub(super) fn apply_gateway_effects(
+        &mut self,
+        now: Now,
+        gateway_effects: GatewayEffects,
+        effects: &mut Vec<Effect>,
+    ) {
+        send_replies(gateway_effects.replies, effects);
+        for call in gateway_effects.calls {
+            self.kv.submit(call.map_tag(KvCallOwner::Gateway));
+        }
+        self.peers.announce(gateway_effects.announced);
+        if let Some(size) = gateway_effects.refused {
+            self.on_submission_rejected(now, size);
+        }
+        if gateway_effects.poll {
+            self.cancellations.request_poll();
+        }
+        // Before the reply to the user is sent, so before anybody can ask about it.
+        for id in &gateway_effects.cancelled {
+            self.cancellations.confirm(now, id);
+        }
+        if !gateway_effects.cancelled.is_empty() {
+            self.peers.announce_cancellations();
+        }
+        let mut scheduler_effects = SchedulerEffects::default();
+        self.learn_cancelled(now, &gateway_effects.cancelled, &mut scheduler_effects);
+        self.apply_scheduler_effects(now, scheduler_effects, effects);
+    }
+
+    /// Informs the scheduler after cancellations may have been learned: as leader it
+    /// stops these jobs' tasks at once.
+    pub(super) fn learn_cancelled(
+        &mut self,
+        now: Now,
+        jobs: &[JobId],
+        scheduler_effects: &mut SchedulerEffects,
+    ) {
+        self.scheduler.informed(self.cancellations.watermark_ms());
+        for id in jobs {
+            self.scheduler.cancelled(now, id, scheduler_effects);
+        }
+    }
+
+    pub(super) fn apply_scheduler_effects(
+        &mut self,
+        now: Now,
+        scheduler: SchedulerEffects,
+        effects: &mut Vec<Effect>,
+    ) {
+        send_replies(scheduler.replies, effects);
+        let term = self.scheduler.term();
+        for call in scheduler.state {
+            self.kv
+                .submit(call.map_tag(|tag| KvCallOwner::Scheduler(term, tag)));
+        }
+        for (tag, call) in scheduler.workers {
+            self.send(OutgoingCall::Worker(term, tag), call, effects);
+        }
+        if let Some(size) = scheduler.refused {
+            self.on_transaction_rejected(now, size);
+        }
+        if let Some(why) = scheduler.resign {
+            log::error!("leader steps down reason=\"{why}\"");
+            self.step_down(now, effects);
+        } else if scheduler.superseded {
+            // The store decides who leads; one worker's report is a hint.
+            log::info!("leadership unconfirmed reason=\"a worker reports a later term\"");
+            self.election.require_renewal(now);
+        }
+    }
+
+    fn step_down(&mut self, now: Now, effects: &mut Vec<Effect>) {
+        let mut calls = Vec::new();
+        let change = self.election.step_down(now, &mut calls);
+        self.submit_election_calls(calls);
+        if let Some(change) = change {
+            self.on_leadership_change(now, change, effects);
+        }
+    }
+
+    pub(super) fn submit_election_calls(&mut self, calls: Vec<KvCall<ElectionKvCall>>) {
+        for call in calls {
+            self.kv.submit(call.map_tag(KvCallOwner::Election));
+        }
+    }
+
+    pub(super) fn submit_cancellation_calls(&mut self, calls: Vec<KvCall<CancellationsKvCall>>) {
+        let polls_cover_all = self.cancellations.is_caught_up();
+        self.gateway.set_polls_tell_all(polls_cover_all);
+        for call in calls {
+            if call.tag == CancellationsKvCall::Poll {
+                self.last_polled_request = self.gateway.asked_up_to();
+            }
+            self.kv.submit(call.map_tag(KvCallOwner::Cancellations));
+        }
+    }
+
+    pub(super) fn on_leadership_change(
+        &mut self,
+        now: Now,
+        change: LeadershipChange,
+        effects: &mut Vec<Effect>,
+    ) {
+        self.set_rate_share(now);
+        match change {
+            LeadershipChange::Elected {
+                term,
+                leader_key_revision,
+            } => {
+                self.handover.on_elected(now);
+                self.heartbeat_routes.clear();
+                self.peers.forget_sent_progress();
+                self.cloud.set_leading(now, true);
+                let mut scheduler_effects = SchedulerEffects::default();
+                self.scheduler
+                    .elected(now, term, leader_key_revision, &mut scheduler_effects);
+                self.apply_scheduler_effects(now, scheduler_effects, effects);
+            }
+            LeadershipChange::Deposed => {
+                self.handover.on_deposed();
+                self.cloud.set_leading(now, false);
+                self.scheduler.deposed();
+            }
+        }
+        // The peers should learn where to redirect workers.
+        self.peers.expedite_heartbeat(now);
+    }
+}
+
+fn send_replies(replies: Vec<(ConnectionId, Reply)>, effects: &mut Vec<Effect>) {
+    let replies = replies.into_iter();
+    effects.extend(replies.map(|(conn, reply)| Effect::Reply(conn, reply)));
+}
--- /dev/null
+++ b/src/node/event_handler.rs
@@ -0,0 +1,131 @@
+//! The node as the reactor sees it: requests, results of calls, and turns.
+
+use super::outgoing_calls::OutgoingCall;
+use super::Node;
+use crate::cloud::{CloudCall, CloudEvent};
+use crate::gateway::GatewayEffects;
+use crate::messages::{CallId, CallResult, ConnectionId, Effect, Listener, Now, Request};
+use crate::reactor::Handler;
+use crate::scheduler::{SchedulerEffects, WorkerCommandCall};
+use crate::usage::Purpose;
+
+/// A process that handled no event for so many heartbeat intervals was paused: within
+/// one lease of the leader key, peers send heartbeats and a leader renews its lease
+/// this often.
+const PAUSE_HEARTBEATS: u64 = 4;
+
+impl Handler for Node {
+    fn request(
+        &mut self,
+        now: Now,
+        conn: ConnectionId,
+        listener: Listener,
+        request: Request,
+        effects: &mut Vec<Effect>,
+    ) {
+        self.purpose = Purpose::Other;
+        self.detect_process_pause(now, effects);
+        self.route(now, conn, listener, &request, effects);
+    }
+
+    fn outcome(&mut self, now: Now, id: CallId, result: CallResult, effects: &mut Vec<Effect>) {
+        self.purpose = Purpose::Other;
+        self.detect_process_pause(now, effects);
+        match self.outgoing_calls.finish(id) {
+            Some(OutgoingCall::KvStore(id)) => self.on_kv_result(now, id, result, effects),
+            Some(OutgoingCall::Cloud(call)) => self.on_cloud_result(now, call, result),
+            Some(OutgoingCall::Worker(term, call)) if term == self.scheduler.term() => {
+                self.on_worker_result(now, call, result, effects);
+            }
+            Some(OutgoingCall::Peer { index, sent_ms }) => {
+                self.purpose = Purpose::PeerHeartbeat;
+                self.on_peer_result(now, index, sent_ms, result, effects);
+            }
+            // A call of an earlier term, or one that is no longer known.
+            Some(OutgoingCall::Worker(..)) | None => {}
+        }
+    }
+
+    fn tick(&mut self, now: Now, effects: &mut Vec<Effect>) -> u64 {
+        self.detect_process_pause(now, effects);
+        let before = self.scheduler.activity();
+        let due_ms = self.run_turn(now, effects);
+        let after = self.scheduler.activity();
+        self.purpose = if after.rounds > before.rounds {
+            Purpose::Round
+        } else if after.checks > before.checks {
+            Purpose::MachineCheck
+        } else if after.commits > before.commits {
+            Purpose::Commit
+        } else {
+            Purpose::Other
+        };
+        due_ms
+    }
+
+    fn purpose(&self) -> Purpose {
+        self.purpose
+    }
+
+    fn log_usage(&mut self) {
+        log::info!("kv calls {}", self.kv.take_stats());
+        if self.scheduler.active() {
+            log::info!("rounds {}", self.scheduler.take_round_figures());
+            if let Some(stats) = self.scheduler.replica_figures() {
+                log::info!("replica groups {stats}");
+            }
+        }
+    }
+}
+
+impl Node {
+    fn on_kv_result(&mut self, now: Now, id: u64, result: CallResult, effects: &mut Vec<Effect>) {
+        if let Some((owner, response)) = self.kv.answered(now, id, result) {
+            self.purpose = owner.purpose();
+            self.on_kv_response(now, owner, response, effects);
+        }
+    }
+
+    fn on_cloud_result(&mut self, now: Now, call: CloudCall, result: CallResult) {
+        self.purpose = Purpose::Cloud;
+        match self.cloud.answered(now, call, result) {
+            Some(CloudEvent::Catalog(catalog)) => self.on_cloud_catalog(catalog),
+            Some(event) => self.scheduler.cloud_event(now, event, &mut self.cloud),
+            None => {}
+        }
+    }
+
+    fn on_worker_result(
+        &mut self,
+        now: Now,
+        call: WorkerCommandCall,
+        result: CallResult,
+        effects: &mut Vec<Effect>,
+    ) {
+        self.purpose = Purpose::Command;
+        let mut scheduler_effects = SchedulerEffects::default();
+        self.scheduler
+            .worker_answered(now, call, result, &mut scheduler_effects);
+        self.apply_scheduler_effects(now, scheduler_effects, effects);
+    }
+
+    /// A process that was paused wakes up with its sockets full of outdated messages.
+    /// What it read for users may be outdated; if it led, another may lead; and that
+    /// it heard nobody in the meantime says nothing of them.
+    fn detect_process_pause(&mut self, now: Now, effects: &mut Vec<Effect>) {
+        let pause_ms = self.peers.heartbeat_interval_ms() * PAUSE_HEARTBEATS;
+        let paused = self.last_event_ms > 0 && now.ms > self.last_event_ms + pause_ms;
+        self.last_event_ms = now.ms;
+        if !paused || self.peers.is_empty() {
+            return;
+        }
+        let mut gateway_effects = GatewayEffects::default();
+        self.gateway.abort_after_pause(&mut gateway_effects);
+        self.apply_gateway_effects(now, gateway_effects, effects);
+        if self.election.is_leader() {
+            log::info!("leadership unconfirmed reason=\"the process was paused\"");
+            self.election.require_renewal(now);
+            self.scheduler.excuse_silence(now);
+        }
+    }
+}
--- a/src/node/heartbeat_routes.rs
+++ b/src/node/heartbeat_routes.rs
@@ -1,22 +1,23 @@
-//! The way that machines' reports take to the leader: straight, or through a
-//! follower that answers them and passes them on.
+//! How each machine's heartbeats reach the leader: directly, or through a follower
+//! that responds to them and forwards them.
 
 use std::collections::HashMap;
 
-/// A machine that a follower doesn't serve stays with the leader for so many
-/// leases before it is sent there again: the attempt costs it most of a lease.
+/// A machine that a follower doesn't serve reports to the leader for so many leases
+/// before it is redirected again: the attempt costs it most of a lease.
 const RETRY_LEASES: u64 = 6;
 
-/// What the leader knows of one machine's way.
+/// The route of one machine's heartbeats.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum HeartbeatRoute {
-    /// It was sent to this peer, or its report came through it, at that time.
-    Through { peer: usize, at_ms: u64 },
+    /// The machine was redirected to this peer, or the peer forwarded a heartbeat of
+    /// it, at that time.
+    ViaPeer { peer: usize, at_ms: u64 },
     /// It came back from a follower that doesn't serve it.
-    Kept { until_ms: u64 },
+    Direct { until_ms: u64 },
 }
 
-/// The leader's knowledge of all machines' ways. It holds for one term.
+/// The routes of all machines' heartbeats, as the leader of one term knows them.
 #[derive(Debug)]
 pub(super) struct HeartbeatRoutes {
     lease_ms: u64,
@@ -24,7 +25,7 @@
 }
 
 impl HeartbeatRoutes {
-    /// Nothing is known yet.
+    /// No routes are known yet.
     pub(super) fn new(lease_ms: u64) -> HeartbeatRoutes {
         HeartbeatRoutes {
             lease_ms,
@@ -32,9 +33,9 @@
         }
     }
 
-    /// A peer passed on a report of this machine.
-    pub(super) fn passed_on(&mut self, now_ms: u64, machine: &str, peer: usize) {
-        let route = HeartbeatRoute::Through {
+    /// A peer forwarded a heartbeat of this machine.
+    pub(super) fn record_forwarded(&mut self, now_ms: u64, machine: &str, peer: usize) {
+        let route = HeartbeatRoute::ViaPeer {
             peer,
             at_ms: now_ms,
         };
@@ -46,34 +47,33 @@
         }
     }
 
-    /// A machine reports to the leader itself: whether it is to be sent to this
-    /// peer. One that was there within a lease has come back because the peer
-    /// doesn't answer it, whatever the leader hears of that peer.
-    pub(super) fn send_to(&mut self, now_ms: u64, machine: &str, peer: usize) -> bool {
-        let lease_ms = self.lease_ms;
+    /// Whether a machine that reports to the leader is to be redirected to this peer;
+    /// if so, that is recorded. A machine that was there within a lease has come back
+    /// because the peer doesn't respond to it, whatever the leader hears of that peer.
+    pub(super) fn should_redirect(&mut self, now_ms: u64, machine: &str, peer: usize) -> bool {
         match self.routes.get(machine) {
-            Some(HeartbeatRoute::Kept { until_ms }) if now_ms < *until_ms => return false,
-            Some(HeartbeatRoute::Through {
-                peer: before,
+            Some(HeartbeatRoute::Direct { until_ms }) if now_ms < *until_ms => return false,
+            Some(HeartbeatRoute::ViaPeer {
+                peer: previous,
                 at_ms,
-            }) if *before == peer && now_ms < at_ms + lease_ms => {
-                let until_ms = now_ms + RETRY_LEASES * lease_ms;
+            }) if *previous == peer && now_ms < at_ms + self.lease_ms => {
+                let until_ms = now_ms + RETRY_LEASES * self.lease_ms;
                 self.routes
-                    .insert(machine.to_string(), HeartbeatRoute::Kept { until_ms });
+                    .insert(machine.to_string(), HeartbeatRoute::Direct { until_ms });
                 return false;
             }
             _ => {}
         }
-        self.passed_on(now_ms, machine, peer);
+        self.record_forwarded(now_ms, machine, peer);
         true
     }
 
-    /// Forgets what no longer matters.
-    pub(super) fn forget_old(&mut self, now_ms: u64) {
+    /// Removes routes that no longer matter.
+    pub(super) fn remove_expired(&mut self, now_ms: u64) {
         let lease_ms = self.lease_ms;
         self.routes.retain(|_, route| match route {
-            HeartbeatRoute::Through { at_ms, .. } => now_ms < *at_ms + lease_ms,
-            HeartbeatRoute::Kept { until_ms } => now_ms < *until_ms,
+            HeartbeatRoute::ViaPeer { at_ms, .. } => now_ms < *at_ms + lease_ms,
+            HeartbeatRoute::Direct { until_ms } => now_ms < *until_ms,
         });
     }
 
--- /dev/null
+++ b/src/node/kv_responses.rs
@@ -0,0 +1,146 @@
+//! Dispatches responses of the key-value store to the actors whose calls they answer.
+
+use super::Node;
+use crate::cancellations::CancellationsKvCall;
+use crate::election::ElectionKvCall;
+use crate::gateway::{GatewayEffects, RequestNumber};
+use crate::ids::Term;
+use crate::kv_client::KvResponse;
+use crate::messages::{Effect, Now};
+use crate::scheduler::{SchedulerEffects, SchedulerKvCall};
+use crate::usage::Purpose;
+
+/// Who made a call of the key-value store.
+#[derive(Clone, Debug, PartialEq)]
+pub(super) enum KvCallOwner {
+    Election(ElectionKvCall),
+    Gateway(RequestNumber),
+    /// With the term of the call: responses to an earlier term's calls are ignored.
+    Scheduler(Term, SchedulerKvCall),
+    Cancellations(CancellationsKvCall),
+    ReadCatalog,
+    WriteCatalog,
+    WriteLeaseProxies,
+    /// Stores that the announced limits apply.
+    WriteLimits,
+}
+
+impl KvCallOwner {
+    /// What the response is processed for.
+    pub(super) fn purpose(&self) -> Purpose {
+        match self {
+            KvCallOwner::Election(_) => Purpose::Election,
+            KvCallOwner::Gateway(_) => Purpose::UserKvCall,
+            KvCallOwner::Scheduler(_, call) => call.purpose(),
+            KvCallOwner::Cancellations(_) => Purpose::Watch,
+            KvCallOwner::ReadCatalog
+            | KvCallOwner::WriteCatalog
+            | KvCallOwner::WriteLeaseProxies
+            | KvCallOwner::WriteLimits => Purpose::Other,
+        }
+    }
+}
+
+impl Node {
+    pub(super) fn on_kv_response(
+        &mut self,
+        now: Now,
+        owner: KvCallOwner,
+        response: KvResponse,
+        effects: &mut Vec<Effect>,
+    ) {
+        match owner {
+            KvCallOwner::Election(call) => {
+                self.on_election_response(now, call, &response, effects);
+            }
+            KvCallOwner::Gateway(request) => {
+                self.on_gateway_response(now, request, response, effects);
+            }
+            KvCallOwner::Scheduler(term, call) => {
+                if term == self.scheduler.term() && self.scheduler.leading() {
+                    self.on_scheduler_response(now, call, response, effects);
+                }
+            }
+            KvCallOwner::Cancellations(call) => {
+                self.on_cancellations_response(now, call, &response, effects);
+            }
+            KvCallOwner::ReadCatalog => self.on_stored_catalog(&response),
+            KvCallOwner::WriteCatalog => self.catalog.on_written(&response),
+            // They are written again periodically.
+            KvCallOwner::WriteLeaseProxies => {}
+            KvCallOwner::WriteLimits => self.on_limits_written(&response),
+        }
+    }
+
+    fn on_election_response(
+        &mut self,
+        now: Now,
+        call: ElectionKvCall,
+        response: &KvResponse,
+        effects: &mut Vec<Effect>,
+    ) {
+        let mut calls = Vec::new();
+        let change = self.election.on_response(now, call, response, &mut calls);
+        self.submit_election_calls(calls);
+        if let Some(change) = change {
+            self.on_leadership_change(now, change, effects);
+        }
+    }
+
+    fn on_gateway_response(
+        &mut self,
+        now: Now,
+        request: RequestNumber,
+        response: KvResponse,
+        effects: &mut Vec<Effect>,
+    ) {
+        let mut gateway_effects = GatewayEffects::default();
+        self.gateway
+            .answered(now, request, response, &mut gateway_effects);
+        self.gateway
+            .judge_read(now, &self.cancellations, &mut gateway_effects);
+        self.apply_gateway_effects(now, gateway_effects, effects);
+    }
+
+    fn on_scheduler_response(
+        &mut self,
+        now: Now,
+        call: SchedulerKvCall,
+        response: KvResponse,
+        effects: &mut Vec<Effect>,
+    ) {
+        let mut scheduler_effects = SchedulerEffects::default();
+        self.scheduler
+            .state_answered(now, call, response, &mut scheduler_effects);
+        self.apply_scheduler_effects(now, scheduler_effects, effects);
+    }
+
+    fn on_cancellations_response(
+        &mut self,
+        now: Now,
+        call: CancellationsKvCall,
+        response: &KvResponse,
+        effects: &mut Vec<Effect>,
+    ) {
+        let last_read_ms = self.cancellations.read_ms();
+        let mut calls = Vec::new();
+        let cancelled = self.cancellations.answered(now, call, response, &mut calls);
+        self.submit_cancellation_calls(calls);
+        if call == CancellationsKvCall::Poll {
+            let succeeded = self.cancellations.read_ms() > last_read_ms;
+            self.answer_polled_requests(now, succeeded, effects);
+        }
+        let mut scheduler_effects = SchedulerEffects::default();
+        self.learn_cancelled(now, &cancelled, &mut scheduler_effects);
+        self.apply_scheduler_effects(now, scheduler_effects, effects);
+    }
+
+    /// Answers the users' requests that had come when the poll was sent.
+    fn answer_polled_requests(&mut self, now: Now, succeeded: bool, effects: &mut Vec<Effect>) {
+        let records = succeeded.then_some(&self.cancellations);
+        let mut gateway_effects = GatewayEffects::default();
+        self.gateway
+            .polled(now, self.last_polled_request, records, &mut gateway_effects);
+        self.apply_gateway_effects(now, gateway_effects, effects);
+    }
+}
--- a/src/node/outgoing_calls.rs
+++ b/src/node/outgoing_calls.rs
@@ -1,4 +1,4 @@
-//! Calls that this controller has made and that aren't answered yet.
+//! The calls of this controller that are in flight.
 
 use crate::cloud::CloudCall;
 use crate::ids::Term;
@@ -6,16 +6,16 @@
 use crate::scheduler::WorkerCommandCall;
 use std::collections::HashMap;
 
-/// Whom the answer to a call belongs to.
+/// Who made a call.
 #[derive(Clone, Debug)]
 pub(super) enum OutgoingCall {
-    /// A call of the key-value client, by its number.
+    /// The key-value client, with its id of the call.
     KvStore(u64),
-    /// A call of the cloud client.
+    /// The cloud client.
     Cloud(CloudCall),
-    /// Commands of the leader of this term.
+    /// The scheduler as leader of this term: commands to a worker.
     Worker(Term, WorkerCommandCall),
-    /// A heartbeat to another controller.
+    /// The node: a heartbeat to a peer.
     Peer {
         /// The peer's number.
         index: usize,
@@ -28,19 +28,19 @@
 #[derive(Debug, Default)]
 pub(super) struct OutgoingCalls {
     in_flight: HashMap<CallId, OutgoingCall>,
-    last: u64,
+    last_id: u64,
 }
 
 impl OutgoingCalls {
-    /// Registers a call; its answer comes under the id that this returns.
+    /// Registers a call under a new id.
     pub(super) fn register(&mut self, call: OutgoingCall) -> CallId {
-        self.last += 1;
-        let id = CallId(self.last);
+        self.last_id += 1;
+        let id = CallId(self.last_id);
         self.in_flight.insert(id, call);
         id
     }
 
-    /// The call of this id has been answered, or won't be.
+    /// Removes a call that has a result. `None`: there is no such call.
     pub(super) fn finish(&mut self, id: CallId) -> Option<OutgoingCall> {
         self.in_flight.remove(&id)
     }
--- a/src/node/peer_heartbeats.rs
+++ b/src/node/peer_heartbeats.rs
@@ -1,225 +1,286 @@
-//! What controllers tell each other: heartbeats, and whether a leader should step
-//! aside.
+//! Heartbeats between controllers. They carry hints: who leads, how far jobs are,
+//! which jobs were just written; confirmed cancellations; and, to the leader, worker
+//! heartbeats that followers have answered.
 
 use super::outgoing_calls::OutgoingCall;
 use super::{Node, VERSION};
 use crate::election::Role;
-use crate::http::MAX_PEER_BODY;
 use crate::ids::{JobId, Term};
 use crate::limits::LimitEvidence;
-use crate::messages::TaskProgress;
-use crate::messages::{Call, Destination, Effect, Now, Reply};
+use crate::messages::{Call, CallResult, Destination, Effect, Now, Reply, TaskProgress};
 use crate::scheduler::SchedulerEffects;
 use crate::usage::Purpose;
-use crate::wire::peers;
-use crate::wire::peers::{JobProgress, PeerHeartbeat, PeerHeartbeatResponse, PEER_PATH};
+use crate::wire::peers::{self, JobProgress, PeerHeartbeat, PeerHeartbeatResponse, PEER_PATH};
 use crate::wire::users::valid_job_id;
 use crate::wire::workers::WorkerHeartbeat;
-use std::collections::HashMap;
-
-/// Counts for display take so much of a heartbeat at most. A new leader has all
-/// jobs' to tell: in one message they were once too much for a peer to take, and
-/// it heard nothing of its leader.
-const MAX_COUNT_BYTES: usize = MAX_PEER_BODY / 4;
-/// What a count takes beside its job's name, generously.
-const COUNT_BYTES: usize = 24;
 
 impl Node {
+    // ---- receiving ----
+
     pub(super) fn on_peer_heartbeat(
         &mut self,
         now: Now,
         body: &[u8],
-        out: &mut Vec<Effect>,
+        effects: &mut Vec<Effect>,
     ) -> Reply {
         let Some(heartbeat) = peers::decode(body) else {
             return Reply::error(400, "not a heartbeat");
         };
-        if let Some(peer) = self
-            .peer_links
-            .all
-            .iter_mut()
-            .find(|p| p.name == heartbeat.node)
-        {
-            peer.heard_ms = Some(now.ms);
-            if heartbeat.state_reachable {
-                peer.state_seen_ms = Some(now.ms);
-            }
-            // A message that only carries reports says nothing of leaders.
-            if heartbeat.worker_heartbeats.is_empty() {
-                peer.writes_per_s = Some(heartbeat.writes_per_s)
-                    .filter(|w| w.is_finite() && *w >= 0.0)
-                    .unwrap_or(0.0);
-                peer.leads_ms = (heartbeat.node == heartbeat.leader).then_some(now.ms);
-                peer.leads_term = Term(heartbeat.term);
-                peer.unreachable = heartbeat.unreachable;
-                let ours = heartbeat.leader == self.settings.node_name
-                    && Term(heartbeat.term) == self.election.known_term();
-                peer.follows_ms = ours.then_some(now.ms);
-                peer.note_version(&heartbeat.version);
-            }
-        }
+        let sender = self.peers.index_of(&heartbeat.node);
+        self.record_peer_status(now, sender, &heartbeat);
         if heartbeat.limits_lowered {
             self.learn_limits(now, LimitEvidence::Peer);
         }
-        let known = |name: &str| self.peer_links.all.iter().any(|p| p.name == name);
-        if heartbeat.state_reachable && known(&heartbeat.node) && known(&heartbeat.leader) {
-            let (leader, term) = (heartbeat.leader.as_str(), Term(heartbeat.term));
-            if let Some(change) = self.election.observe_later_term(now, leader, term) {
-                self.on_leadership_change(now, change, out);
-            }
-        }
-        if heartbeat.node == heartbeat.leader {
-            self.gateway.leader_heard(now, Term(heartbeat.term));
-            for count in &heartbeat.job_progress {
-                let counts = TaskProgress {
-                    done: count.done,
-                    running: count.running,
-                    multi_host: count.multi_host,
-                };
-                let id = JobId::new(&count.job);
-                self.gateway
-                    .record_progress(&id, Term(heartbeat.term), counts);
-            }
-        }
-        let mut scheduler = SchedulerEffects::default();
+        self.observe_reported_leader(now, &heartbeat, effects);
+        self.record_leader_progress(now, &heartbeat);
+        let mut scheduler_effects = SchedulerEffects::default();
         for job in heartbeat.announced.iter().filter(|id| valid_job_id(id)) {
             self.scheduler
-                .announced(now, &JobId::new(job), &mut scheduler);
-        }
-        let index = self
-            .peer_links
-            .all
-            .iter()
-            .position(|p| p.name == heartbeat.node);
-        let mut answer = PeerHeartbeatResponse::default();
+                .announced(now, &JobId::new(job), &mut scheduler_effects);
+        }
+        let response = self.exchange_confirmations(now, sender, &heartbeat, &mut scheduler_effects);
+        let reached_elsewhere =
+            self.receive_forwarded(now, sender, &heartbeat, &mut scheduler_effects);
+        self.apply_scheduler_effects(now, scheduler_effects, effects);
+        if reached_elsewhere {
+            self.hand_over_if_unreached(now, &heartbeat.node, effects);
+        }
+        Reply {
+            status: 200,
+            body: peers::encode_response(&response),
+            retry_after_s: None,
+        }
+    }
+
+    fn record_peer_status(&mut self, now: Now, sender: Option<usize>, heartbeat: &PeerHeartbeat) {
+        let names_us_leader = heartbeat.leader == self.settings.node_name
+            && Term(heartbeat.term) == self.election.known_term();
+        if let Some(peer) = sender.and_then(|index| self.peers.get_mut(index)) {
+            peer.record_heartbeat(now, heartbeat, names_us_leader);
+        }
+    }
+
+    /// A peer that reaches the key-value store may know of a later term.
+    fn observe_reported_leader(
+        &mut self,
+        now: Now,
+        heartbeat: &PeerHeartbeat,
+        effects: &mut Vec<Effect>,
+    ) {
+        let is_peer = |name: &str| self.peers.find(name).is_some();
+        if !heartbeat.state_reachable || !is_peer(&heartbeat.node) || !is_peer(&heartbeat.leader) {
+            return;
+        }
+        let term = Term(heartbeat.term);
+        let change = self
+            .election
+            .observe_later_term(now, &heartbeat.leader, term);
+        if let Some(change) = change {
+            self.on_leadership_change(now, change, effects);
+        }
+    }
+
+    /// Takes in jobs' progress, if the heartbeat is the leader's.
+    fn record_leader_progress(&mut self, now: Now, heartbeat: &PeerHeartbeat) {
+        if heartbeat.node != heartbeat.leader {
+            return;
+        }
+        let term = Term(heartbeat.term);
+        self.gateway.leader_heard(now, term);
+        for job in &heartbeat.job_progress {
+            let progress = TaskProgress {
+                done: job.done,
+                running: job.running,
+                multi_host: job.multi_host,
+            };
+            self.gateway
+                .record_progress(&JobId::new(&job.job), term, progress);
+        }
+    }
+
+    /// Takes in the cancellations that the sender has confirmed, and responds with
+    /// those of this node that it asks for.
+    fn exchange_confirmations(
+        &mut self,
+        now: Now,
+        sender: Option<usize>,
+        heartbeat: &PeerHeartbeat,
+        scheduler_effects: &mut SchedulerEffects,
+    ) -> PeerHeartbeatResponse {
+        let mut response = PeerHeartbeatResponse::default();
         if let Some(cursor) = heartbeat.cursor {
-            answer.confirmations = Some(self.cancellations.confirmations(&cursor));
-            if let Some(index) = index {
+            response.confirmations = Some(self.cancellations.confirmations(&cursor));
+            if let Some(index) = sender {
                 self.cancellations.acknowledged(index, cursor);
             }
         }
-        if let (Some(index), Some(word)) = (index, &heartbeat.confirmations) {
-            let new = self
-                .cancellations
-                .receive_confirmations(now, index, None, word);
-            self.learned_cancelled(now, &new, &mut scheduler);
+        if let (Some(index), Some(confirmations)) = (sender, &heartbeat.confirmations) {
+            let cancelled =
+                self.cancellations
+                    .receive_confirmations(now, index, None, confirmations);
+            self.learn_cancelled(now, &cancelled, scheduler_effects);
         }
-        if !heartbeat.worker_heartbeats.is_empty() {
-            self.purpose = Purpose::ForwardedHeartbeats;
+        response
+    }
+
+    /// Takes in forwarded worker heartbeats. Returns whether a worker that should
+    /// report to this leader itself reaches the sender, while no worker reaches this
+    /// leader.
+    fn receive_forwarded(
+        &mut self,
+        now: Now,
+        sender: Option<usize>,
+        heartbeat: &PeerHeartbeat,
+        scheduler_effects: &mut SchedulerEffects,
+    ) -> bool {
+        if heartbeat.worker_heartbeats.is_empty() {
+            return false;
         }
-        let unreachable = !heartbeat.worker_heartbeats.is_empty() && self.unreachable(now);
-        let mut aside = false;
+        self.purpose = Purpose::ForwardedHeartbeats;
+        let unreached = self.unreached_by_workers(now);
+        let mut reached_elsewhere = false;
         for body in &heartbeat.worker_heartbeats {
-            if let Ok(report) = serde_json::from_slice::<WorkerHeartbeat>(body) {
-                // Machines that merely fail together reach nobody.
-                aside |= unreachable && self.forwarder_for(now, &report.zone).is_none();
-                if let Some(index) = index {
-                    self.routes.passed_on(now.ms, &report.machine, index);
-                }
-                self.scheduler
-                    .forwarded_heartbeat(now, &report, &mut scheduler);
+            let Ok(worker) = serde_json::from_slice::<WorkerHeartbeat>(body) else {
+                continue;
+            };
+            // Workers that merely fail together reach no other node either.
+            reached_elsewhere |= unreached && self.forwarder_for(now, &worker.zone).is_none();
+            if let Some(index) = sender {
+                self.heartbeat_routes
+                    .record_forwarded(now.ms, &worker.machine, index);
             }
+            self.scheduler
+                .forwarded_heartbeat(now, &worker, scheduler_effects);
         }
-        self.apply_scheduler_effects(now, scheduler, out);
-        if aside && self.election.is_leader() && !self.election.leadership_unconfirmed() {
-            // Workers of ours reach another and not us, nor do commands.
-            log::error!("leader steps aside: workers reach {} only", heartbeat.node);
-            self.handover.unreached = true;
-            self.step_aside(now, out);
-        }
-        Reply {
-            status: 200,
-            body: peers::encode_response(&answer),
-            retry_after_s: None,
+        reached_elsewhere
+    }
+
+    /// Processes the result of a heartbeat to a peer.
+    pub(super) fn on_peer_result(
+        &mut self,
+        now: Now,
+        index: usize,
+        sent_ms: u64,
+        result: CallResult,
+        effects: &mut Vec<Effect>,
+    ) {
+        let body = match result {
+            Ok((_, body)) => body,
+            Err(_) => {
+                let peer = self.peers.get(index);
+                if peer.is_some_and(|peer| peer.last_reported_leading()) {
+                    self.heartbeat_forwarder.forget_content();
+                }
+                return;
+            }
+        };
+        let Some(peer) = self.peers.get_mut(index) else {
+            return;
+        };
+        peer.record_response(now);
+        let response = peers::decode_response(&body).unwrap_or_default();
+        let Some(confirmations) = response.confirmations else {
+            return;
+        };
+        let known_incarnation = self.cancellations.cursor(index).map(|c| c.incarnation);
+        if known_incarnation != Some(confirmations.incarnation) {
+            // A new process of the peer knows no job's progress.
+            self.peers.forget_sent_progress();
         }
+        let cancelled =
+            self.cancellations
+                .receive_confirmations(now, index, Some(sent_ms), &confirmations);
+        let mut scheduler_effects = SchedulerEffects::default();
+        self.learn_cancelled(now, &cancelled, &mut scheduler_effects);
+        self.apply_scheduler_effects(now, scheduler_effects, effects);
     }
 
-    pub(super) fn send_heartbeats(&mut self, now: Now, out: &mut Vec<Effect>) {
-        // The leader hears its own word; what is cancelled, all should know.
-        let announced = !self.peer_links.announcements.is_empty() && !self.election.is_leader();
-        let urgent = announced || self.peer_links.cancellations_pending;
-        if now.ms < self.peer_links.heartbeat_due_ms && !urgent {
+    // ---- sending ----
+
+    /// Sends heartbeats when they are due, and at once when there is something that
+    /// can't wait.
+    pub(super) fn send_heartbeats(&mut self, now: Now, effects: &mut Vec<Effect>) {
+        let due = now.ms >= self.peers.next_heartbeat_ms();
+        // Announcements are for the leader; cancellations are for all.
+        let announces = self.peers.has_announcements() && !self.election.is_leader();
+        if !due && !announces && !self.peers.cancellations_pending() {
             return;
         }
-        if now.ms >= self.peer_links.heartbeat_due_ms {
-            self.peer_links.heartbeat_due_ms = now.ms + self.peer_links.heartbeat_interval_ms;
+        if due {
+            self.peers.schedule_heartbeat(now);
             self.share_writes(now);
-            self.routes.forget_old(now.ms);
-            self.check_successor(now, out);
+            self.heartbeat_routes.remove_expired(now.ms);
+            self.check_successor(now, effects);
         }
+        let mut heartbeat = self.next_heartbeat(now);
+        for index in 0..self.peers.len() {
+            heartbeat.cursor = self.cancellations.cursor(index);
+            heartbeat.confirmations = self.cancellations.unacknowledged(index);
+            self.send_to_peer(now, index, &heartbeat, effects);
+        }
+    }
+
+    /// The heartbeat but for what differs between its receivers.
+    fn next_heartbeat(&mut self, now: Now) -> PeerHeartbeat {
         let leader = match self.election.role() {
             Role::Leader { .. } => self.settings.node_name.clone(),
             Role::Follower(record) => record.node.clone(),
             Role::Unknown => String::new(),
         };
-        let mut heartbeat = PeerHeartbeat {
+        self.peers.clear_pending_cancellations();
+        PeerHeartbeat {
             node: self.settings.node_name.clone(),
             leader,
             term: self.election.known_term().0,
             state_reachable: self.kv.reachable(),
-            unreachable: self.handover.unreached || self.unreachable(now),
-            job_progress: Vec::new(),
-            announced: self
-                .peer_links
-                .announcements
-                .drain(..)
-                .map(|id| id.to_string())
-                .collect(),
+            unreachable: self.handover.reports_unreached() || self.unreached_by_workers(now),
+            job_progress: self.changed_progress(now),
+            announced: self.peers.take_announcements(),
             writes_per_s: self.kv.writes_per_s(now),
             cursor: None,
             confirmations: None,
             worker_heartbeats: Vec::new(),
-            limits_lowered: self.limits_tracker.effective.announced_apply(),
+            limits_lowered: self.limits.announced_apply(),
             version: VERSION.to_string(),
-        };
-        self.peer_links.cancellations_pending = false;
+        }
+    }
+
+    /// As leader, records jobs' progress for this node's own users, and returns what
+    /// the peers don't know of it.
+    fn changed_progress(&mut self, now: Now) -> Vec<JobProgress> {
+        let term = self.scheduler.term();
         if self.scheduler.leading() && !self.election.leadership_unconfirmed() {
-            self.gateway.leader_heard(now, self.scheduler.term());
-        }
-        if self.scheduler.active() {
-            let mut sent_counts = HashMap::new();
-            let mut bytes = 0;
-            for (id, counts) in self.scheduler.counts() {
-                self.gateway
-                    .record_progress(id, self.scheduler.term(), counts);
-                let sent = self.peer_links.sent_progress.get(id).copied();
-                if sent == Some(counts) {
-                    sent_counts.insert(id.clone(), counts);
-                } else if bytes < MAX_COUNT_BYTES {
-                    bytes += id.as_str().len() + COUNT_BYTES;
-                    heartbeat.job_progress.push(JobProgress {
-                        job: id.to_string(),
-                        done: counts.done,
-                        running: counts.running,
-                        multi_host: counts.multi_host,
-                    });
-                    sent_counts.insert(id.clone(), counts);
-                } else if let Some(sent) = sent {
-                    // The next heartbeat tells.
-                    sent_counts.insert(id.clone(), sent);
-                }
-            }
-            self.peer_links.sent_progress = sent_counts;
+            self.gateway.leader_heard(now, term);
         }
-        let timeout_ms = self.peer_links.heartbeat_interval_ms * 2;
-        for index in 0..self.peer_links.all.len() {
-            heartbeat.cursor = self.cancellations.cursor(index);
-            heartbeat.confirmations = self.cancellations.unacknowledged(index);
-            let call = Call {
-                target: Destination::Peer(self.peer_links.all[index].address.clone()),
-                method: "POST",
-                path: PEER_PATH.to_string(),
-                body: peers::encode(&heartbeat),
-                timeout_ms,
-            };
-            self.send(
-                OutgoingCall::Peer {
-                    index,
-                    sent_ms: now.ms,
-                },
-                call,
-                out,
-            );
+        if !self.scheduler.active() {
+            return Vec::new();
         }
+        let progress = self
+            .scheduler
+            .counts()
+            .inspect(|(id, progress)| self.gateway.record_progress(id, term, *progress));
+        self.peers.changed_progress(progress)
+    }
+
+    /// Sends a message to a peer.
+    pub(super) fn send_to_peer(
+        &mut self,
+        now: Now,
+        index: usize,
+        heartbeat: &PeerHeartbeat,
+        effects: &mut Vec<Effect>,
+    ) {
+        let Some(peer) = self.peers.get(index) else {
+            return;
+        };
+        let call = Call {
+            target: Destination::Peer(peer.address.clone()),
+            method: "POST",
+            path: PEER_PATH.to_string(),
+            body: peers::encode(heartbeat),
+            timeout_ms: self.peers.call_timeout_ms(),
+        };
+        let sent_ms = now.ms;
+        self.send(OutgoingCall::Peer { index, sent_ms }, call, effects);
     }
 }
--- a/src/node/requests.rs
+++ b/src/node/requests.rs
@@ -1,172 +1,156 @@
-//! Requests of users, workers and the load balancer, and who serves them.
+//! Routing of requests: users, workers and the load balancer on the client listener,
+//! the other controllers on the peer listener.
 
-use super::lease_proxy::proxy_answer;
 use super::Node;
 use crate::gateway::GatewayEffects;
 use crate::messages::{ConnectionId, Effect, Listener, Now, Reply, Request};
-use crate::scheduler::SchedulerEffects;
 use crate::usage::Purpose;
 use crate::wire::peers::PEER_PATH;
 use crate::wire::users::{READY_PATH, USER_JOBS_PATH};
 use crate::wire::workers::WORKER_HEARTBEAT_PATH;
-use crate::wire::workers::{RedirectTo, WorkerHeartbeat};
+
+/// A node that hasn't reached the key-value store for so many heartbeat intervals,
+/// while a peer has, isn't ready.
+const UNREADY_HEARTBEATS: u64 = 4;
+
+/// What a path on the client listener serves.
+#[derive(Clone, Copy, PartialEq, Eq, Debug)]
+enum ClientRoute<'a> {
+    Ready,
+    WorkerHeartbeat,
+    SubmitJob,
+    ShowJob(&'a str),
+    CancelJob(&'a str),
+}
+
+impl<'a> ClientRoute<'a> {
+    fn parse(path: &'a str) -> Option<Self> {
+        match path {
+            READY_PATH => return Some(ClientRoute::Ready),
+            WORKER_HEARTBEAT_PATH => return Some(ClientRoute::WorkerHeartbeat),
+            USER_JOBS_PATH => return Some(ClientRoute::SubmitJob),
+            _ => {}
+        }
+        // `/v2/runs/ID` or `/v2/runs/ID/abort`.
+        let job_path = path.strip_prefix(USER_JOBS_PATH)?.strip_prefix('/')?;
+        match job_path.split_once('/') {
+            None => Some(ClientRoute::ShowJob(job_path)),
+            Some((id, "abort")) => Some(ClientRoute::CancelJob(id)),
+            Some(_) => None,
+        }
+    }
+
+    fn method(self) -> &'static str {
+        match self {
+            ClientRoute::Ready | ClientRoute::ShowJob(_) => "GET",
+            ClientRoute::WorkerHeartbeat | ClientRoute::SubmitJob | ClientRoute::CancelJob(_) => {
+                "POST"
+            }
+        }
+    }
+
+    fn purpose(self) -> Purpose {
+        match self {
+            ClientRoute::Ready => Purpose::Probe,
+            ClientRoute::WorkerHeartbeat => Purpose::WorkerHeartbeat,
+            ClientRoute::SubmitJob => Purpose::Submission,
+            ClientRoute::ShowJob(_) => Purpose::Query,
+            ClientRoute::CancelJob(_) => Purpose::Cancellation,
+        }
+    }
+}
 
 impl Node {
     pub(super) fn route(
         &mut self,
         now: Now,
         conn: ConnectionId,
-        port: Listener,
-        request: Request,
-        out: &mut Vec<Effect>,
+        listener: Listener,
+        request: &Request,
+        effects: &mut Vec<Effect>,
     ) {
-        let path = request.path.split('?').next().unwrap_or("");
-        if port == Listener::Peer {
-            self.purpose = Purpose::PeerHeartbeat;
-            let reply = match (request.method.as_str(), path) {
-                ("POST", PEER_PATH) => self.on_peer_heartbeat(now, &request.body, out),
-                _ => Reply::error(404, "unknown path"),
-            };
-            out.push(Effect::Reply(conn, reply));
-            return;
+        match listener {
+            Listener::Peer => self.route_peer_request(now, conn, request, effects),
+            Listener::Client => self.route_client_request(now, conn, request, effects),
         }
-        let method = request.method.as_str();
-        let mut gateway = GatewayEffects::default();
-        let allowed = match path {
-            READY_PATH => {
-                self.purpose = Purpose::Probe;
-                if method == "GET" {
-                    out.push(Effect::Reply(conn, self.ready(now)));
-                }
-                method == "GET"
-            }
-            WORKER_HEARTBEAT_PATH => {
-                self.purpose = Purpose::WorkerHeartbeat;
-                if method == "POST" {
-                    self.on_worker_heartbeat(now, conn, &request.body, out);
-                }
-                method == "POST"
-            }
-            USER_JOBS_PATH => {
-                self.purpose = Purpose::Submission;
-                if method == "POST" {
-                    self.gateway.submit(now, conn, &request.body, &mut gateway);
+    }
+
+    fn route_peer_request(
+        &mut self,
+        now: Now,
+        conn: ConnectionId,
+        request: &Request,
+        effects: &mut Vec<Effect>,
+    ) {
+        self.purpose = Purpose::PeerHeartbeat;
+        let reply = match (request.method.as_str(), path_without_query(request)) {
+            ("POST", PEER_PATH) => self.on_peer_heartbeat(now, &request.body, effects),
+            _ => Reply::error(404, "unknown path"),
+        };
+        effects.push(Effect::Reply(conn, reply));
+    }
+
+    fn route_client_request(
+        &mut self,
+        now: Now,
+        conn: ConnectionId,
+        request: &Request,
+        effects: &mut Vec<Effect>,
+    ) {
+        let Some(route) = ClientRoute::parse(path_without_query(request)) else {
+            effects.push(Effect::Reply(conn, Reply::error(404, "unknown path")));
+            return;
+        };
+        self.purpose = route.purpose();
+        let mut gateway_effects = GatewayEffects::default();
+        if request.method != route.method() {
+            let reply = Reply::error(405, "method not allowed");
+            effects.push(Effect::Reply(conn, reply));
+        } else {
+            match route {
+                ClientRoute::Ready => effects.push(Effect::Reply(conn, self.ready(now))),
+                ClientRoute::WorkerHeartbeat => {
+                    self.on_worker_heartbeat(now, conn, &request.body, effects);
                 }
-                method == "POST"
-            }
-            _ => match job_path(path) {
-                Some((id, None)) => {
-                    self.purpose = Purpose::Query;
-                    if method == "GET" {
-                        self.gateway.show(now, conn, id, &mut gateway);
-                    }
-                    method == "GET"
+                ClientRoute::SubmitJob => {
+                    self.gateway
+                        .submit(now, conn, &request.body, &mut gateway_effects);
                 }
-                Some((id, Some("abort"))) => {
-                    self.purpose = Purpose::Cancellation;
-                    if method == "POST" {
-                        self.gateway.cancel(now, conn, id, &mut gateway);
-                    }
-                    method == "POST"
+                ClientRoute::ShowJob(id) => {
+                    self.gateway.show(now, conn, id, &mut gateway_effects);
                 }
-                _ => {
-                    out.push(Effect::Reply(conn, Reply::error(404, "unknown path")));
-                    return;
+                ClientRoute::CancelJob(id) => {
+                    self.gateway.cancel(now, conn, id, &mut gateway_effects);
                 }
-            },
-        };
-        if !allowed {
-            out.push(Effect::Reply(conn, Reply::error(405, "method not allowed")));
+            }
         }
-        self.apply_gateway_effects(now, gateway, out);
+        self.apply_gateway_effects(now, gateway_effects, effects);
     }
 
-    /// Ready means that requests can be taken. While the state service is
-    /// away from everybody it stays so: a 503 at once serves users better
-    /// than a node that balancers come back to slowly. A node that alone is
-    /// cut off steps aside.
-    pub(super) fn ready(&self, now: Now) -> Reply {
+    /// Whether requests can be taken. While no controller reaches the key-value store
+    /// the node stays ready: an immediate 503 serves users better than a node that
+    /// load balancers return to slowly. A node that alone doesn't reach it is not.
+    fn ready(&self, now: Now) -> Reply {
         if !self.gateway.has_catalog() {
             return Reply::retry_later(503, "machine types unknown yet", 1);
         }
-        let patience_ms = self.peer_links.heartbeat_interval_ms * 4;
-        let cut_off = !self.kv.reachable()
+        let unready_ms = self.peers.heartbeat_interval_ms() * UNREADY_HEARTBEATS;
+        let store_unreached = !self.kv.reachable()
             && self
                 .kv
                 .last_success_ms()
-                .is_none_or(|ok| now.ms > ok + patience_ms);
-        let others_reach = self
-            .peer_links
-            .all
+                .is_none_or(|success_ms| now.ms > success_ms + unready_ms);
+        let peer_reaches_store = self
+            .peers
             .iter()
-            .any(|p| p.state_seen_ms.is_some_and(|at| now.ms < at + patience_ms));
-        if cut_off && others_reach {
+            .any(|peer| peer.reached_store_within(now, unready_ms));
+        if store_unreached && peer_reaches_store {
             return Reply::retry_later(503, "the state service can't be reached from here", 1);
         }
-        Reply::json(200, &self.described())
-    }
-
-    pub(super) fn on_worker_heartbeat(
-        &mut self,
-        now: Now,
-        conn: ConnectionId,
-        body: &[u8],
-        out: &mut Vec<Effect>,
-    ) {
-        let report: WorkerHeartbeat = match serde_json::from_slice(body) {
-            Ok(report) => report,
-            Err(e) => {
-                out.push(Effect::Reply(conn, Reply::error(400, &e.to_string())));
-                return;
-            }
-        };
-        self.handover.unreached = false;
-        // Who may have missed cancellations for long renews no lease, whatever
-        // its part; nor may a worker be kept by answers that it has to drop.
-        let informed = self.cancellations.may_renew(now);
-        let stops = self.cancellations.stops(&report);
-        if self.scheduler.leading() {
-            if !informed || self.election.leadership_unconfirmed() {
-                out.push(Effect::Reply(conn, Reply::retry_later(503, "cut off", 1)));
-                return;
-            }
-            if let Some(peer) = self
-                .forwarder_for(now, &report.zone)
-                .filter(|peer| self.routes.send_to(now.ms, &report.machine, *peer))
-            {
-                let node = Some(self.peer_links.all[peer].name.as_str());
-                let reply = Reply::json(421, &RedirectTo { node });
-                out.push(Effect::Reply(conn, reply));
-                return;
-            }
-            let mut scheduler = SchedulerEffects::default();
-            self.scheduler
-                .worker_heartbeat(now, conn, &report, stops, &mut scheduler);
-            self.apply_scheduler_effects(now, scheduler, out);
-            return;
-        }
-        let forwards = self.forwards(now, &report.zone).filter(|_| informed);
-        let reply = if let Some(term) = forwards {
-            self.lease_proxy.last_answer_ms = Some(now.ms);
-            self.forwarding.add(now.ms, &report, body);
-            proxy_answer(&report, term, &stops)
-        } else if informed && self.proxies_leases(now) {
-            self.renew_by_proxy(now, &report, &stops)
-        } else {
-            None
-        };
-        out.push(Effect::Reply(
-            conn,
-            reply.unwrap_or_else(|| self.redirect(now)),
-        ));
+        Reply::json(200, &self.limits.node_info())
     }
 }
 
-/// `/v2/runs/ID` or `/v2/runs/ID/VERB`.
-fn job_path(path: &str) -> Option<(&str, Option<&str>)> {
-    let rest = path.strip_prefix(USER_JOBS_PATH)?.strip_prefix('/')?;
-    match rest.split_once('/') {
-        Some((id, verb)) => Some((id, Some(verb))),
-        None => Some((rest, None)),
-    }
+fn path_without_query(request: &Request) -> &str {
+    request.path.split('?').next().unwrap_or("")
 }
--- /dev/null
+++ b/src/node/worker_heartbeats.rs
@@ -0,0 +1,169 @@
+//! Worker heartbeats: who responds to them. The leader does, or redirects the worker
+//! to a follower in the worker's zone, which responds and forwards the heartbeats to
+//! the leader.
+
+use super::lease_proxy::proxy_response;
+use super::Node;
+use crate::ids::Term;
+use crate::messages::{ConnectionId, Effect, Now, Reply};
+use crate::scheduler::SchedulerEffects;
+use crate::wire::peers::PeerHeartbeat;
+use crate::wire::workers::{Command, RedirectTo, WorkerHeartbeat};
+
+/// A follower that forwards heartbeats was heard within so many heartbeat intervals.
+const FORWARDER_HEARTBEATS: u64 = 2;
+
+impl Node {
+    pub(super) fn on_worker_heartbeat(
+        &mut self,
+        now: Now,
+        conn: ConnectionId,
+        body: &[u8],
+        effects: &mut Vec<Effect>,
+    ) {
+        let heartbeat: WorkerHeartbeat = match serde_json::from_slice(body) {
+            Ok(heartbeat) => heartbeat,
+            Err(error) => {
+                effects.push(Effect::Reply(conn, Reply::error(400, &error.to_string())));
+                return;
+            }
+        };
+        self.handover.on_worker_heartbeat();
+        let stops = self.cancellations.stops(&heartbeat);
+        if self.scheduler.leading() {
+            self.process_as_leader(now, conn, &heartbeat, stops, effects);
+        } else {
+            let reply = self
+                .respond_as_follower(now, &heartbeat, body, &stops)
+                .unwrap_or_else(|| self.redirect_to_leader(now));
+            effects.push(Effect::Reply(conn, reply));
+        }
+    }
+
+    fn process_as_leader(
+        &mut self,
+        now: Now,
+        conn: ConnectionId,
+        heartbeat: &WorkerHeartbeat,
+        stops: Vec<Command>,
+        effects: &mut Vec<Effect>,
+    ) {
+        if !self.cancellations.may_renew(now) || self.election.leadership_unconfirmed() {
+            effects.push(Effect::Reply(conn, Reply::retry_later(503, "cut off", 1)));
+            return;
+        }
+        let forwarder = self.forwarder_for(now, &heartbeat.zone).filter(|peer| {
+            self.heartbeat_routes
+                .should_redirect(now.ms, &heartbeat.machine, *peer)
+        });
+        if let Some(peer) = forwarder.and_then(|index| self.peers.get(index)) {
+            let node = Some(peer.name.as_str());
+            let reply = Reply::json(421, &RedirectTo { node });
+            effects.push(Effect::Reply(conn, reply));
+            return;
+        }
+        let mut scheduler_effects = SchedulerEffects::default();
+        self.scheduler
+            .worker_heartbeat(now, conn, heartbeat, stops, &mut scheduler_effects);
+        self.apply_scheduler_effects(now, scheduler_effects, effects);
+    }
+
+    /// The response of a follower that forwards the heartbeat or proxies the lease.
+    fn respond_as_follower(
+        &mut self,
+        now: Now,
+        heartbeat: &WorkerHeartbeat,
+        body: &[u8],
+        stops: &[Command],
+    ) -> Option<Reply> {
+        // A controller that may have missed cancellations for long renews no lease,
+        // whatever its role; nor may a response keep a worker at a node that has to
+        // reject its heartbeats.
+        if !self.cancellations.may_renew(now) {
+            return None;
+        }
+        if let Some(term) = self.forwards_for_leader_of(now, &heartbeat.zone) {
+            self.lease_proxy.record_response(now);
+            self.heartbeat_forwarder.enqueue(now.ms, heartbeat, body);
+            return proxy_response(heartbeat, term, stops);
+        }
+        if self.proxies_leases(now) {
+            return self.renew_by_proxy(now, heartbeat, stops);
+        }
+        None
+    }
+
+    /// The number of the follower that responds to this zone's workers for this
+    /// leader: one in the zone itself, so that a partition between zones separates no
+    /// worker from its node.
+    pub(super) fn forwarder_for(&self, now: Now, zone: &str) -> Option<usize> {
+        if zone == self.settings.zone {
+            return None;
+        }
+        let recent_ms = self.peers.heartbeat_interval_ms() * FORWARDER_HEARTBEATS;
+        self.peers.position(|peer| {
+            // A peer that reaches neither this leader nor the store would redirect
+            // the worker back here, in an endless loop.
+            peer.zone == zone
+                && !peer.unreachable_by_workers()
+                && peer.followed_us_within(now, recent_ms)
+                && peer.reached_store_within(now, recent_ms)
+        })
+    }
+
+    /// The term of the leader for which this follower responds to a zone's workers and
+    /// forwards their heartbeats: the workers of its own zone for a leader in another
+    /// zone, and all workers for a leader that reports that no worker reaches it.
+    fn forwards_for_leader_of(&self, now: Now, zone: &str) -> Option<Term> {
+        // To hear the leader isn't enough: heartbeats that don't reach it are lost.
+        // Its heartbeats and its responses to ours are up to an interval apart. When
+        // both end in a partition, heartbeats were once neither forwarded nor
+        // responded to by a proxy in between, and the workers went elsewhere.
+        let response_ms = self.peers.silence_ms() + self.peers.heartbeat_interval_ms();
+        let in_own_zone = zone == self.settings.zone;
+        self.peers
+            .reporting_leaders(now)
+            .max_by_key(|leader| leader.reported_term())
+            .filter(|leader| {
+                leader.unreachable_by_workers() || (in_own_zone && leader.zone != zone)
+            })
+            .filter(|leader| leader.responded_within(now, response_ms))
+            .map(|leader| leader.reported_term())
+    }
+
+    /// Forwards queued worker heartbeats to the leader, several in one message.
+    pub(super) fn forward_worker_heartbeats(&mut self, now: Now, effects: &mut Vec<Effect>) {
+        let worker_heartbeats = self.heartbeat_forwarder.take_due(now.ms);
+        if worker_heartbeats.is_empty() {
+            return;
+        }
+        let Some(leader) = self.peers.last_leader_index() else {
+            return;
+        };
+        let message = PeerHeartbeat {
+            node: self.settings.node_name.clone(),
+            state_reachable: self.kv.reachable(),
+            worker_heartbeats,
+            ..PeerHeartbeat::default()
+        };
+        self.send_to_peer(now, leader, &message, effects);
+    }
+
+    /// Redirects a worker to the leader of the latest term: a peer that reports to
+    /// lead may be ahead of the record that this node last read. A worker redirected
+    /// to a leader that has just handed over, unreached, would lose its lease there.
+    fn redirect_to_leader(&self, now: Now) -> Reply {
+        let recorded = self
+            .election
+            .other_leader()
+            .map(|node| (self.election.known_term(), node));
+        let reported = self
+            .peers
+            .reporting_leaders(now)
+            .map(|leader| (leader.reported_term(), leader.name.as_str()));
+        match recorded.into_iter().chain(reported).max() {
+            Some((_, node)) => Reply::json(421, &RedirectTo { node: Some(node) }),
+            None => Reply::retry_later(503, "no leader known", 1),
+        }
+    }
+}
