--- a/src/gateway/dependencies.rs
+++ b/src/gateway/dependencies.rs
@@ -1,183 +1,190 @@
-//! Jobs that need others: whether a submission may name them, and whether an
-//! unfinished job is cancelled because one that it needs is.
+//! Jobs with dependencies: whether a submission may name them, and whether an unfinished
+//! job is cancelled because one of its dependencies is.
 
 use super::job_lookup::{read_final, JobLookup};
-use super::{
-    Gateway, GatewayEffects, PendingRequest, RequestKind, RequestNumber, RequestStep, SettledFact,
-    MAX_TRIES,
-};
+use super::pending_request::{PendingRequest, RequestKind, RequestNumber, RequestStep};
+use super::{Gateway, GatewayEffects, MAX_RETRIES};
 use crate::cancellations::{Cancellations, RecordStatus};
 use crate::ids::JobId;
-use crate::kv_client::{self, CallPriority, KvCall, KvResponse};
+use crate::kv_client::KvResponse;
 use crate::messages::{Now, Reply};
-use crate::records::jobs::{final_key, FinalState};
+use crate::records::jobs::FinalState;
 use lilacfork_dependencies::status::{dependency_status, DependencyState, DependencyStatus};
 
-/// A read of how a needed job has ended.
+/// A read of how a dependency has ended.
 #[derive(Debug)]
 pub(super) struct DependencyRead {
     /// The request that waits for it.
-    waiting: RequestNumber,
-    need: JobId,
-}
-
-impl PendingRequest {
-    /// Whether it is a submission, not written yet, that names this job.
-    fn names(&self, need: &JobId) -> bool {
-        match &self.goal {
-            RequestKind::Submit(submission) => {
-                self.tries == 0 && submission.spec.dependencies.contains(need)
-            }
-            _ => false,
-        }
-    }
+    request: RequestNumber,
+    dependency: JobId,
 }
 
 impl Gateway {
-    /// What the records, and what can't change any more, say of a job that is needed.
-    fn known_of<'a>(&self, need: &JobId, records: &'a Cancellations) -> DependencyState<'a> {
-        match self.facts.get(need) {
-            Some(SettledFact::Over(FinalState::Done, _)) => DependencyState::Done,
-            Some(SettledFact::Over(FinalState::Cancelled, _)) => DependencyState::Cancelled,
-            _ => match records.record_status(need) {
+    /// What the records, and what can't change any more, say of a dependency.
+    fn dependency_state<'a>(
+        &self,
+        dependency: &JobId,
+        records: &'a Cancellations,
+    ) -> DependencyState<'a> {
+        match self.memory.final_state(dependency) {
+            Some(FinalState::Done) => DependencyState::Done,
+            Some(FinalState::Cancelled) => DependencyState::Cancelled,
+            None => match records.record_status(dependency) {
                 RecordStatus::Cancelled => DependencyState::Cancelled,
-                RecordStatus::Unfinished => DependencyState::Unfinished(records.dependencies(need)),
+                RecordStatus::Unfinished => {
+                    DependencyState::Unfinished(records.dependencies(dependency))
+                }
                 RecordStatus::None => DependencyState::Unread,
             },
         }
     }
 
-    fn is_unread(&self, need: &JobId, records: &Cancellations) -> bool {
-        matches!(self.known_of(need, records), DependencyState::Unread)
+    fn is_unread(&self, dependency: &JobId, records: &Cancellations) -> bool {
+        matches!(
+            self.dependency_state(dependency, records),
+            DependencyState::Unread
+        )
     }
 
-    fn judge_needs(&self, needs: &[JobId], records: &Cancellations) -> DependencyStatus {
-        dependency_status(needs, |need| self.known_of(need, records))
+    fn dependency_status(
+        &self,
+        dependencies: &[JobId],
+        records: &Cancellations,
+    ) -> DependencyStatus {
+        dependency_status(dependencies, |dependency| {
+            self.dependency_state(dependency, records)
+        })
     }
 
-    /// A job's record stands, and doesn't say that it is cancelled.
-    pub(super) fn judge_unfinished(
+    /// Continues a request whose job has a record that doesn't say that it is cancelled.
+    pub(super) fn evaluate_unfinished(
         &mut self,
         now: Now,
-        number: RequestNumber,
-        task: PendingRequest,
+        request: PendingRequest,
         records: &Cancellations,
-        out: &mut GatewayEffects,
+        effects: &mut GatewayEffects,
     ) {
-        let known = match self.judge_needs(records.dependencies(&task.id), records) {
+        let dependencies = records.dependencies(&request.id);
+        let lookup = match self.dependency_status(dependencies, records) {
             DependencyStatus::Ready | DependencyStatus::Waiting => JobLookup::Unfinished,
             DependencyStatus::Cancelled => JobLookup::Cancelled,
-            DependencyStatus::Unread(needs) => {
-                self.read_needs(now, number, task, needs, out);
+            DependencyStatus::Unread(unread) => {
+                self.read_dependencies(now, request, unread, effects);
                 return;
             }
         };
-        self.known(now, number, task, known, out);
+        self.on_lookup(now, request, lookup, effects);
     }
 
-    /// A submission names jobs that it needs: the read that was made for it tells
-    /// whether they were accepted, and how they stand.
-    pub(super) fn judge_submission(
+    /// Continues a submission with dependencies: the records, which were read since it
+    /// arrived, show whether these were accepted, and their state.
+    pub(super) fn evaluate_submission(
         &mut self,
         now: Now,
-        number: RequestNumber,
-        mut task: PendingRequest,
+        mut request: PendingRequest,
         records: &Cancellations,
-        out: &mut GatewayEffects,
+        effects: &mut GatewayEffects,
     ) {
-        let RequestKind::Submit(submission) = &task.goal else {
-            self.give_up(task, out);
+        let RequestKind::Submit(submission) = &request.kind else {
+            self.give_up(&request, effects);
             return;
         };
-        let needs = &submission.spec.dependencies;
-        // That one is cancelled says nothing of whether the others were ever accepted.
-        let named = needs.iter().filter(|need| self.is_unread(need, records));
-        let named: Vec<JobId> = named.cloned().collect();
-        if !named.is_empty() {
-            self.read_needs(now, number, task, named, out);
+        let dependencies = &submission.spec.dependencies;
+        // That one of them is cancelled doesn't show that the others were ever accepted.
+        let unread: Vec<JobId> = dependencies
+            .iter()
+            .filter(|dependency| self.is_unread(dependency, records))
+            .cloned()
+            .collect();
+        if !unread.is_empty() {
+            self.read_dependencies(now, request, unread, effects);
             return;
         }
-        match self.judge_needs(needs, records) {
-            DependencyStatus::Unread(needs) => self.read_needs(now, number, task, needs, out),
-            verdict => {
-                task.born_cancelled = verdict == DependencyStatus::Cancelled;
-                self.accept(now, number, task, out);
+        match self.dependency_status(dependencies, records) {
+            DependencyStatus::Unread(unread) => {
+                self.read_dependencies(now, request, unread, effects);
+            }
+            status => {
+                request.cancelled_by_dependency = status == DependencyStatus::Cancelled;
+                self.accept(now, request, effects);
             }
         }
     }
 
-    fn read_needs(
+    fn read_dependencies(
         &mut self,
         now: Now,
-        number: RequestNumber,
-        mut task: PendingRequest,
-        needs: Vec<JobId>,
-        out: &mut GatewayEffects,
+        mut request: PendingRequest,
+        dependencies: Vec<JobId>,
+        effects: &mut GatewayEffects,
     ) {
-        if task.need_rounds >= MAX_TRIES {
-            self.give_up(task, out);
+        if request.dependency_rounds >= MAX_RETRIES {
+            self.give_up(&request, effects);
             return;
         }
-        task.step = RequestStep::ReadNeeds;
-        task.need_rounds += 1;
-        task.need_reads = needs.len();
-        let left = task.until_ms.saturating_sub(now.ms).max(1);
-        for need in needs {
-            self.next += 1;
-            out.calls.push(KvCall {
-                priority: CallPriority::Submission,
-                call: kv_client::get(&final_key(&need), left),
-                writes: 0,
-                expires_ms: task.until_ms,
-                tag: self.next,
-            });
-            let waiting = number;
-            self.need_reads
-                .insert(self.next, DependencyRead { waiting, need });
+        request.step = RequestStep::ReadDependencies;
+        request.dependency_rounds += 1;
+        for dependency in dependencies {
+            self.last_number += 1;
+            let number = self.last_number;
+            effects
+                .calls
+                .push(request.dependency_read_call(now, number, &dependency));
+            let read = DependencyRead {
+                request: request.number,
+                dependency,
+            };
+            self.dependency_reads.insert(number, read);
         }
-        self.tasks.insert(number, task);
+        self.requests.insert(request.number, request);
     }
 
-    /// How a needed job has ended was read, or couldn't be.
-    pub(super) fn need_answered(
+    /// How a dependency has ended was read, or couldn't be.
+    pub(super) fn on_dependency_response(
         &mut self,
         now: Now,
         read: &DependencyRead,
-        answer: &KvResponse,
-        out: &mut GatewayEffects,
+        response: &KvResponse,
+        effects: &mut GatewayEffects,
     ) {
-        let known = read_final(answer);
-        if let Some(JobLookup::Over(record)) = &known {
-            self.remember(&read.need, SettledFact::Over(record.state, record.tasks));
+        let lookup = read_final(response);
+        if let Some(JobLookup::Over(record)) = &lookup {
+            self.memory
+                .set_over(&read.dependency, record.state, record.tasks);
         }
-        let Some(mut task) = self.tasks.remove(&read.waiting) else {
+        let Some(mut request) = self.requests.remove(&read.request) else {
             return;
         };
-        task.need_reads = task.need_reads.saturating_sub(1);
-        let done = task.need_reads == 0;
-        match known {
-            None => self.give_up(task, out),
-            // It had no record when all were read, and is not over: nobody accepted
-            // it. A repeat of what was accepted gets its answer all the same.
-            Some(JobLookup::Absent) if task.names(&read.need) => {
-                let why = format!("attend: no such job {}", read.need);
-                task.goal = RequestKind::Refuse(Reply::error(422, &why));
-                self.read(now, read.waiting, task, RequestStep::ReadFinal, out);
+        match lookup {
+            None => self.give_up(&request, effects),
+            // It had no record when all were read, and is not over: it was never accepted.
+            // A submission that was itself accepted before gets its answer all the same.
+            Some(JobLookup::Absent) if request.depends_on(&read.dependency) => {
+                let reason = format!("attend: no such job {}", read.dependency);
+                request.kind = RequestKind::Reject(Reply::error(422, &reason));
+                self.read(now, request, RequestStep::ReadFinal, effects);
             }
             Some(_) => {
-                self.tasks.insert(read.waiting, task);
-                if done {
-                    self.needs_read.push(read.waiting);
+                self.requests.insert(read.request, request);
+                if !self.has_dependency_reads(read.request) {
+                    self.dependencies_read.push(read.request);
                 }
             }
         }
     }
 
-    /// Goes on with the requests for which everything asked for has been read.
-    pub fn judge_read(&mut self, now: Now, records: &Cancellations, out: &mut GatewayEffects) {
-        for number in std::mem::take(&mut self.needs_read) {
-            if let Some(task) = self.tasks.remove(&number) {
-                self.told(now, number, task, records, out);
+    /// Whether the request waits for further reads of its dependencies.
+    fn has_dependency_reads(&self, request: RequestNumber) -> bool {
+        self.dependency_reads
+            .values()
+            .any(|read| read.request == request)
+    }
+
+    /// Continues the requests whose dependencies have all been read.
+    pub fn judge_read(&mut self, now: Now, records: &Cancellations, effects: &mut GatewayEffects) {
+        for number in std::mem::take(&mut self.dependencies_read) {
+            if let Some(request) = self.requests.remove(&number) {
+                self.evaluate(now, request, records, effects);
             }
         }
     }
--- a/src/gateway/job_lookup.rs
+++ b/src/gateway/job_lookup.rs
@@ -13,66 +13,83 @@
     pub(super) record: JobRecord,
     /// All of it: what a later version wrote has to survive a change by this one.
     value: Value,
-    /// Its revision.
-    pub(super) version: u64,
+    /// The revision of its last change.
+    pub(super) mod_revision: u64,
 }
 
 impl StoredJob {
-    /// Whether more than its own record says how the job stands.
-    pub(super) fn waits_for_others(&self) -> bool {
+    /// Whether the job's state also depends on the records of its dependencies.
+    pub(super) fn has_open_dependencies(&self) -> bool {
         self.record.cancelled.is_none() && !self.record.spec.dependencies.is_empty()
     }
 
-    /// The same record, cancelled. It doesn't wait for anything any more; and one
-    /// that was accepted under larger limits must not be too large to be cancelled.
-    pub(super) fn cancelled(mut self, at: u64, value_bytes: usize) -> Value {
-        self.value["c"] = json!(at);
+    /// The same record, cancelled at this time of day. It has no dependencies any more;
+    /// and one that was accepted under larger limits must not be too large to be
+    /// cancelled.
+    pub(super) fn cancelled(mut self, wall_ms: u64, max_value_bytes: usize) -> Value {
+        self.value["c"] = json!(wall_ms);
         if let Some(spec) = self.value["spec"].as_object_mut() {
             spec.remove("attend");
         }
         let bytes = serde_json::to_vec(&self.value).map_or(0, |text| text.len());
-        if bytes > value_bytes {
-            // Nothing of it will be placed again.
+        if bytes > max_value_bytes {
+            // None of its tasks will be placed again, so the machine types can go.
             self.value["spec"]["gammes"] = json!([]);
         }
         self.value
     }
 }
 
-/// What the state service said of a job.
+/// What the key-value store says of a job.
 #[derive(Debug)]
 pub(super) enum JobLookup {
+    /// There is no record.
     Absent,
+    /// The record of an unfinished or cancelled job.
     Live(Box<StoredJob>),
-    /// As the last two, by a poll, which doesn't keep the records.
+    /// Unfinished, by a poll, which doesn't keep the records.
     Unfinished,
+    /// Cancelled, by a poll.
     Cancelled,
+    /// The record of a job that is over.
     Over(FinalRecord),
 }
 
-/// A 404 that the state service itself gives names its revision; any other is
-/// somebody's who knows of no job.
-pub(super) fn is_absent(answer: &KvResponse) -> bool {
-    answer.read::<TxnResponse>(404).is_some()
+impl JobLookup {
+    /// Whether it may be outdated by now.
+    pub(super) fn may_change(&self) -> bool {
+        match self {
+            JobLookup::Absent | JobLookup::Live(_) | JobLookup::Unfinished => true,
+            JobLookup::Cancelled | JobLookup::Over(_) => false,
+        }
+    }
+}
+
+/// A 404 from the key-value store itself names its revision; any other may come from a
+/// server that knows no jobs.
+fn is_absent(response: &KvResponse) -> bool {
+    response.read::<TxnResponse>(404).is_some()
 }
 
-pub(super) fn read_live(answer: &KvResponse) -> Option<JobLookup> {
-    if is_absent(answer) {
+/// Reads the record of an unfinished job; `None`: the response isn't usable.
+pub(super) fn read_live(response: &KvResponse) -> Option<JobLookup> {
+    if is_absent(response) {
         return Some(JobLookup::Absent);
     }
-    let item = answer.read::<KeyValue>(200)?;
+    let item = response.read::<KeyValue>(200)?;
     let record = JobRecord::deserialize(&item.value).ok()?;
     Some(JobLookup::Live(Box::new(StoredJob {
         record,
         value: item.value,
-        version: item.mod_revision,
+        mod_revision: item.mod_revision,
     })))
 }
 
-pub(super) fn read_final(answer: &KvResponse) -> Option<JobLookup> {
-    if is_absent(answer) {
+/// Reads the record of a job that is over; `None`: the response isn't usable.
+pub(super) fn read_final(response: &KvResponse) -> Option<JobLookup> {
+    if is_absent(response) {
         return Some(JobLookup::Absent);
     }
-    let item = answer.read::<KeyValue>(200)?;
+    let item = response.read::<KeyValue>(200)?;
     Some(JobLookup::Over(serde_json::from_value(item.value).ok()?))
 }
--- /dev/null
+++ b/src/gateway/lookups.rs
@@ -0,0 +1,214 @@
+//! Looking up a request's job, by a poll of all records or by reads of its own, and the
+//! response that follows from what was found.
+
+use super::job_lookup::{read_final, read_live, JobLookup, StoredJob};
+use super::job_memory::SettledFact;
+use super::pending_request::{PendingRequest, RequestKind, RequestNumber, RequestStep};
+use super::replies::{final_reply, not_found_reply, outcome_unknown_reply, unfinished_reply};
+use super::{Gateway, GatewayEffects};
+use crate::cancellations::{Cancellations, RecordStatus};
+use crate::ids::JobId;
+use crate::kv_client::KvResponse;
+use crate::messages::{Now, Reply};
+use crate::records::jobs::FinalState;
+
+impl Gateway {
+    /// Requests up to this number may be answered by a poll that is sent from now on.
+    pub fn asked_up_to(&self) -> RequestNumber {
+        self.last_number
+    }
+
+    /// Has the request wait for a poll that is sent from now on.
+    pub(super) fn await_poll(&mut self, mut request: PendingRequest, effects: &mut GatewayEffects) {
+        request.step = RequestStep::Poll;
+        effects.poll = true;
+        self.awaiting_poll.push_back(request.number);
+        self.requests.insert(request.number, request);
+    }
+
+    /// Reads a record for the request.
+    pub(super) fn read(
+        &mut self,
+        now: Now,
+        mut request: PendingRequest,
+        step: RequestStep,
+        effects: &mut GatewayEffects,
+    ) {
+        request.step = step;
+        effects.calls.push(request.read_call(now));
+        self.requests.insert(request.number, request);
+    }
+
+    /// A poll of all records, sent when the requests up to `last_number` had arrived, has
+    /// completed; `None`: it failed.
+    pub fn polled(
+        &mut self,
+        now: Now,
+        last_number: RequestNumber,
+        records: Option<&Cancellations>,
+        effects: &mut GatewayEffects,
+    ) {
+        while let Some(number) = self
+            .awaiting_poll
+            .pop_front_if(|number| *number <= last_number)
+        {
+            let Some(request) = self.requests.remove(&number) else {
+                continue;
+            };
+            match records {
+                Some(records) => self.evaluate(now, request, records, effects),
+                None => self.give_up(&request, effects),
+            }
+        }
+        effects.poll |= !self.awaiting_poll.is_empty();
+    }
+
+    /// Continues a request by the records, which were read since it arrived.
+    pub(super) fn evaluate(
+        &mut self,
+        now: Now,
+        request: PendingRequest,
+        records: &Cancellations,
+        effects: &mut GatewayEffects,
+    ) {
+        // What is known to be accepted isn't written again: that would only cost a write
+        // that fails.
+        let is_new = request.retries == 0 && self.memory.fact(&request.id).is_none();
+        match records.record_status(&request.id) {
+            RecordStatus::Cancelled => {
+                self.on_lookup(now, request, JobLookup::Cancelled, effects);
+            }
+            RecordStatus::Unfinished => self.evaluate_unfinished(now, request, records, effects),
+            RecordStatus::None if is_new && matches!(request.kind, RequestKind::Submit(_)) => {
+                self.evaluate_submission(now, request, records, effects);
+            }
+            RecordStatus::None => self.read(now, request, RequestStep::ReadFinal, effects),
+        }
+    }
+
+    /// The record of the unfinished job was read, or couldn't be.
+    pub(super) fn on_live_response(
+        &mut self,
+        now: Now,
+        request: PendingRequest,
+        response: &KvResponse,
+        effects: &mut GatewayEffects,
+    ) {
+        match read_live(response) {
+            Some(JobLookup::Absent) => self.read(now, request, RequestStep::ReadFinal, effects),
+            Some(lookup) => self.on_lookup(now, request, lookup, effects),
+            None => self.give_up(&request, effects),
+        }
+    }
+
+    /// The record of the job that is over was read, or couldn't be.
+    pub(super) fn on_final_response(
+        &mut self,
+        now: Now,
+        request: PendingRequest,
+        response: &KvResponse,
+        effects: &mut GatewayEffects,
+    ) {
+        match read_final(response) {
+            Some(lookup) => self.on_lookup(now, request, lookup, effects),
+            None => self.give_up(&request, effects),
+        }
+    }
+
+    /// A read made for this request, or a poll, has shown the state of its job.
+    pub(super) fn on_lookup(
+        &mut self,
+        now: Now,
+        request: PendingRequest,
+        lookup: JobLookup,
+        effects: &mut GatewayEffects,
+    ) {
+        // What isn't final may have changed since it was read, if that took so long that
+        // other requests have been answered meanwhile.
+        if lookup.may_change() && now.ms >= request.deadline_ms {
+            self.give_up(&request, effects);
+            return;
+        }
+        let reply = match lookup {
+            JobLookup::Over(record) => {
+                self.memory
+                    .set_over(&request.id, record.state, record.tasks);
+                final_reply(200, &request.id, record.state, record.tasks)
+            }
+            JobLookup::Cancelled => self.confirm_cancelled(&request.id, 200, effects),
+            JobLookup::Live(job) => {
+                self.on_live_job(now, request, *job, effects);
+                return;
+            }
+            JobLookup::Unfinished => self.unfinished_job_reply(now, &request.id),
+            JobLookup::Absent => absent_reply(&request.kind),
+        };
+        effects.replies.push((request.conn, reply));
+    }
+
+    /// The unfinished job's record was read.
+    fn on_live_job(
+        &mut self,
+        now: Now,
+        request: PendingRequest,
+        job: StoredJob,
+        effects: &mut GatewayEffects,
+    ) {
+        let is_cancellation = matches!(request.kind, RequestKind::Cancel);
+        if !is_cancellation && job.has_open_dependencies() {
+            // Its own record doesn't say whether one of its dependencies is cancelled.
+            if self.polls_tell_all {
+                self.await_poll(request, effects);
+            } else {
+                self.give_up(&request, effects);
+            }
+            return;
+        }
+        let reply = if job.record.cancelled.is_some() {
+            self.confirm_cancelled(&request.id, 200, effects)
+        } else if is_cancellation {
+            self.write_cancellation(now, request, job, effects);
+            return;
+        } else {
+            self.unfinished_job_reply(now, &request.id)
+        };
+        effects.replies.push((request.conn, reply));
+    }
+
+    /// The reply to a request whose job was unfinished when it was read.
+    fn unfinished_job_reply(&mut self, now: Now, id: &JobId) -> Reply {
+        // Another request may have found that it is over meanwhile.
+        match self.memory.fact(id) {
+            Some(SettledFact::Over { state, tasks }) => final_reply(200, id, state, tasks),
+            _ => self.accepted_reply(now, id, 200),
+        }
+    }
+
+    /// The reply for a job that is stored and unfinished.
+    pub(super) fn accepted_reply(&mut self, now: Now, id: &JobId, status: u16) -> Reply {
+        self.memory.set_accepted(id);
+        unfinished_reply(status, id, self.memory.progress_to_show(now, id))
+    }
+
+    /// The reply that a job is cancelled, and the effect that makes it known to all
+    /// controllers before the user is told.
+    pub(super) fn confirm_cancelled(
+        &mut self,
+        id: &JobId,
+        status: u16,
+        effects: &mut GatewayEffects,
+    ) -> Reply {
+        self.memory.set_over(id, FinalState::Cancelled, 0);
+        effects.cancelled.push(id.clone());
+        final_reply(status, id, FinalState::Cancelled, 0)
+    }
+}
+
+/// The reply to a request whose job has no record.
+fn absent_reply(kind: &RequestKind) -> Reply {
+    match kind {
+        RequestKind::Reject(reply) => reply.clone(),
+        RequestKind::Submit(_) => outcome_unknown_reply(),
+        RequestKind::Show | RequestKind::Cancel => not_found_reply(),
+    }
+}
--- /dev/null
+++ b/src/gateway/writes.rs
@@ -0,0 +1,127 @@
+//! Writing what a request asks for: the record of an accepted job, or a cancellation.
+
+use super::job_lookup::StoredJob;
+use super::pending_request::{PendingRequest, RequestKind, RequestStep};
+use super::{Gateway, GatewayEffects, MAX_RETRIES};
+use crate::kv_client::{CallPriority, KvResponse};
+use crate::limits::RequestSize;
+use crate::messages::{Now, Reply};
+use crate::records::jobs::job_key;
+use crate::wire::kv::Txn;
+
+impl Gateway {
+    /// Writes the record of a job that is to be accepted.
+    pub(super) fn accept(
+        &mut self,
+        now: Now,
+        request: PendingRequest,
+        effects: &mut GatewayEffects,
+    ) {
+        let RequestKind::Submit(submission) = &request.kind else {
+            self.give_up(&request, effects);
+            return;
+        };
+        let txn = if request.cancelled_by_dependency {
+            submission.accept_cancelled(now)
+        } else {
+            submission.accept(now)
+        };
+        self.write(now, request, CallPriority::Submission, &txn, effects);
+    }
+
+    /// Writes to an unfinished job's record that it is cancelled.
+    pub(super) fn write_cancellation(
+        &mut self,
+        now: Now,
+        request: PendingRequest,
+        job: StoredJob,
+        effects: &mut GatewayEffects,
+    ) {
+        let key = job_key(&request.id);
+        let txn = Txn::default()
+            .compare(key.clone(), job.mod_revision)
+            .put(key, job.cancelled(now.wall, self.guaranteed_value_bytes));
+        self.write(now, request, CallPriority::Cancel, &txn, effects);
+    }
+
+    fn write(
+        &mut self,
+        now: Now,
+        mut request: PendingRequest,
+        priority: CallPriority,
+        txn: &Txn,
+        effects: &mut GatewayEffects,
+    ) {
+        request.step = RequestStep::Write;
+        request.write_size = RequestSize::of(txn);
+        effects.calls.push(request.write_call(now, priority, txn));
+        self.requests.insert(request.number, request);
+    }
+
+    /// The response to a request's write.
+    pub(super) fn on_write_response(
+        &mut self,
+        now: Now,
+        mut request: PendingRequest,
+        response: &KvResponse,
+        effects: &mut GatewayEffects,
+    ) {
+        match response {
+            KvResponse::Status(200, _) if response.committed().is_some() => {
+                self.on_committed(now, request, effects);
+            }
+            // Another controller wrote first, or the outcome is unknown: a read shows it.
+            KvResponse::Status(200 | 409, _) | KvResponse::Indeterminate
+                if request.retries < MAX_RETRIES =>
+            {
+                request.retries += 1;
+                self.read(now, request, RequestStep::ReadLive, effects);
+            }
+            KvResponse::Status(400, _) => {
+                effects.refused = Some(request.write_size);
+                self.give_up(&request, effects);
+            }
+            _ => self.give_up(&request, effects),
+        }
+    }
+
+    fn on_committed(&mut self, now: Now, request: PendingRequest, effects: &mut GatewayEffects) {
+        let is_cancellation = matches!(request.kind, RequestKind::Cancel);
+        let reply = if is_cancellation {
+            log::info!("job cancelled job={}", request.id);
+            self.confirm_cancelled(&request.id, 200, effects)
+        } else {
+            self.on_accepted(now, &request, effects)
+        };
+        if !is_cancellation && !request.cancelled_by_dependency {
+            effects.announced.push(request.id);
+        }
+        effects.replies.push((request.conn, reply));
+    }
+
+    fn on_accepted(
+        &mut self,
+        now: Now,
+        request: &PendingRequest,
+        effects: &mut GatewayEffects,
+    ) -> Reply {
+        let class = match &request.kind {
+            RequestKind::Submit(submission) => &*submission.spec.class,
+            _ => "",
+        };
+        log::info!(
+            "job accepted job={} class={class} after_ms={}",
+            request.id,
+            now.ms - request.received_ms
+        );
+        if request.cancelled_by_dependency {
+            log::info!(
+                "job cancelled job={} reason=\"a dependency is cancelled\"",
+                request.id
+            );
+            self.confirm_cancelled(&request.id, 201, effects)
+        } else {
+            self.accepted_reply(now, &request.id, 201)
+        }
+    }
+}
--- a/src/wire/cloud.rs
+++ b/src/wire/cloud.rs
@@ -4,48 +4,48 @@
 use serde::{Deserialize, Serialize};
 use std::rc::Rc;
 
-/// The cloud's machine types.
+/// Path of the machine types.
 pub const CLOUD_CATALOG_PATH: &str = "/catalog";
-/// The cloud's machines, and rentals.
+/// Path of the machine list, and of provisioning.
 pub const CLOUD_MACHINES_PATH: &str = "/machines";
-/// Returns of machines.
+/// Path of the release of machines.
 pub const CLOUD_RELEASE_PATH: &str = "/machines/release";
 
-/// A machine type of the cloud's.
+/// A machine type.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 pub struct MachineType {
     /// Its name.
     #[serde(rename = "sku")]
     pub name: Rc<str>,
-    /// Cores.
+    /// Processor cores.
     pub cpus: f64,
     /// GPUs.
     pub gpus: f64,
     /// Memory in GB.
     #[serde(rename = "memoryGb")]
     pub memory_gb: f64,
-    /// The image cache in GB.
+    /// The size of the image cache in GB.
     #[serde(rename = "cacheGb", default)]
     pub image_cache_gb: f64,
-    /// How fast it fetches images.
+    /// The rate at which it pulls images.
     #[serde(rename = "pullGbPerS", default)]
     pub image_pull_gb_per_s: f64,
     /// The price per hour.
     #[serde(rename = "hourly")]
     pub hourly_price: f64,
-    /// The price per hour as a spot machine.
+    /// The price per hour of a spot instance.
     #[serde(rename = "marketPrice", default)]
     pub hourly_spot_price: f64,
-    /// The usual boot time.
+    /// The usual boot time in seconds.
     #[serde(rename = "startupS")]
     pub boot_s: f64,
-    /// The zones that have it.
+    /// The zones that offer it.
     #[serde(rename = "secteurs")]
     pub zones: Vec<Rc<str>>,
 }
 
 impl MachineType {
-    /// What a machine of the type holds.
+    /// The capacity of a machine of this type.
     pub fn capacity(&self) -> Resources {
         Resources {
             cpus: self.cpus,
@@ -53,6 +53,20 @@
             memory_gb: self.memory_gb,
         }
     }
+
+    fn is_plausible(&self) -> bool {
+        let amounts = [
+            self.cpus,
+            self.gpus,
+            self.memory_gb,
+            self.image_cache_gb,
+            self.hourly_price,
+            self.hourly_spot_price,
+            self.boot_s,
+        ];
+        let not_negative = |amount: &f64| amount.is_finite() && *amount >= 0.0;
+        amounts.iter().all(not_negative) && self.image_pull_gb_per_s.is_finite()
+    }
 }
 
 /// The cloud's machine types.
@@ -64,34 +78,24 @@
 }
 
 impl Catalog {
-    /// The catalogue, if it makes sense.
+    /// The catalog, if it has types and all their figures are plausible.
     pub fn validated(self) -> Option<Catalog> {
-        let fine = |t: &MachineType| {
-            [
-                t.cpus,
-                t.gpus,
-                t.memory_gb,
-                t.image_cache_gb,
-                t.hourly_price,
-                t.hourly_spot_price,
-                t.boot_s,
-            ]
-            .iter()
-            .all(|x| x.is_finite() && *x >= 0.0)
-                && t.image_pull_gb_per_s.is_finite()
-        };
-        (!self.types.is_empty() && self.types.iter().all(fine)).then_some(self)
+        let valid = !self.types.is_empty() && self.types.iter().all(MachineType::is_plausible);
+        valid.then_some(self)
     }
+
     /// The machine type of this name.
     pub fn find(&self, name: &str) -> Option<&MachineType> {
-        self.types.iter().find(|t| &*t.name == name)
+        self.types
+            .iter()
+            .find(|machine_type| &*machine_type.name == name)
     }
 }
 
-/// A rental.
+/// A provisioning order.
 #[derive(Debug, Serialize)]
 pub struct ProvisionRequest<'a> {
-    /// Its name, never used twice.
+    /// Its name, which is never used twice.
     #[serde(rename = "bon")]
     pub request: &'a str,
     /// The machine type.
@@ -100,34 +104,34 @@
     /// The zone.
     #[serde(rename = "secteur")]
     pub zone: &'a str,
-    /// Spot machines.
+    /// Whether spot instances are ordered.
     #[serde(rename = "occasion")]
     pub spot: bool,
-    /// How many.
+    /// How many machines are ordered.
     #[serde(rename = "howMany")]
     pub count: u32,
 }
 
-/// Names of machines.
+/// Machines by their names: the response to an order, or the machines to release.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct MachineNames {
-    /// The names.
+    /// The names of the machines.
     #[serde(rename = "bancs")]
     pub machines: Vec<String>,
 }
 
-/// What the cloud's list says of a machine.
+/// The state of a machine in the cloud's list.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ListedState {
-    /// It boots.
+    /// It is booting.
     #[serde(rename = "starting")]
     Booting,
-    /// It runs.
+    /// It is running.
     Running,
     /// It stopped by itself.
     Failed,
-    /// Anything newer than this program.
+    /// A state that this version doesn't know.
     #[serde(other)]
     Other,
 }
@@ -137,7 +141,7 @@
 pub struct ListedMachine {
     /// Its name.
     pub id: String,
-    /// Where direct commands reach it.
+    /// The address that takes direct commands.
     #[serde(default)]
     pub address: String,
     /// Its type.
@@ -146,24 +150,24 @@
     /// Its zone.
     #[serde(rename = "secteur")]
     pub zone: String,
-    /// A spot machine.
+    /// Whether it is a spot instance.
     #[serde(rename = "occasion")]
     pub spot: bool,
-    /// What it is doing.
+    /// Its state.
     #[serde(rename = "etat")]
     pub state: ListedState,
-    /// Seconds since its rental.
+    /// Seconds since it was provisioned.
     #[serde(rename = "heldS", default)]
     pub age_s: f64,
 }
 
-/// A page of the cloud's list.
+/// A page of the cloud's machine list.
 #[derive(Debug, Deserialize)]
 pub struct MachineList {
-    /// The machines, by name.
+    /// The machines, ordered by name.
     #[serde(rename = "bancs")]
     pub machines: Vec<ListedMachine>,
-    /// There are more.
+    /// There are more pages.
     #[serde(rename = "truncated", default)]
     pub more: bool,
 }
--- a/src/wire/kv.rs
+++ b/src/wire/kv.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A value in the state service.
+/// The value of a key.
 pub type Value = serde_json::Value;
 
 /// A key with its value.
@@ -25,41 +25,41 @@
     /// The keys, in order.
     #[serde(rename = "rows")]
     pub items: Vec<KeyValue>,
-    /// There are more.
+    /// There are more pages.
     #[serde(rename = "truncated", default)]
     pub more: bool,
-    /// The revision that they were read at.
+    /// The revision of the store at which they were read.
     #[serde(rename = "tirage")]
     pub revision: u64,
 }
 
-/// The answer to a transaction.
+/// The response to a transaction.
 #[derive(Debug, Deserialize)]
 pub struct TxnResponse {
-    /// The revision of the state service.
+    /// The revision of the store.
     #[serde(rename = "tirage")]
     pub revision: u64,
-    /// The keys whose guards failed.
+    /// The keys whose compares failed.
     #[serde(default)]
     pub failed: Vec<String>,
 }
 
-/// A condition of a transaction.
+/// A compare of a transaction.
 #[derive(Clone, Debug, Serialize)]
 pub struct Compare {
     /// The key.
     #[serde(rename = "k")]
     pub key: String,
-    /// The revision that it must have; 0: it must not exist.
+    /// The mod revision that the key must have; 0: it must not exist.
     #[serde(rename = "retouche")]
     pub mod_revision: u64,
 }
 
-/// A change of a transaction.
+/// A write operation of a transaction.
 #[derive(Clone, Debug, Serialize)]
 #[serde(untagged)]
 pub enum WriteOp {
-    /// Sets a key.
+    /// Puts a key.
     Put {
         /// The key.
         #[serde(rename = "set")]
@@ -67,11 +67,11 @@
         /// Its value.
         #[serde(rename = "v")]
         value: Value,
-        /// The lease that it ends with.
+        /// The lease that the key expires with.
         #[serde(rename = "bail", skip_serializing_if = "Option::is_none")]
         lease: Option<u64>,
     },
-    /// Removes a key.
+    /// Deletes a key.
     Delete {
         /// The key.
         #[serde(rename = "drop")]
@@ -79,27 +79,28 @@
     },
 }
 
-/// A transaction.
+/// A transaction: all its writes happen if all its compares hold, else none does.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Txn {
-    /// What must hold.
+    /// What has to hold.
     #[serde(rename = "guards")]
     pub compares: Vec<Compare>,
-    /// What it changes.
+    /// What it writes.
     #[serde(rename = "writes")]
     pub writes: Vec<WriteOp>,
 }
 
 impl Txn {
-    /// Demands that a key has this revision.
-    pub fn compare(mut self, key: impl Into<String>, version: u64) -> Self {
+    /// Requires that a key has this mod revision; 0: that it doesn't exist.
+    pub fn compare(mut self, key: impl Into<String>, mod_revision: u64) -> Self {
         self.compares.push(Compare {
             key: key.into(),
-            mod_revision: version,
+            mod_revision,
         });
         self
     }
-    /// Sets a key.
+
+    /// Puts a key.
     pub fn put(mut self, key: impl Into<String>, value: Value) -> Self {
         self.writes.push(WriteOp::Put {
             key: key.into(),
@@ -108,7 +109,8 @@
         });
         self
     }
-    /// Sets a key that ends with a lease.
+
+    /// Puts a key that expires with a lease.
     pub fn put_leased(mut self, key: impl Into<String>, value: Value, lease: u64) -> Self {
         self.writes.push(WriteOp::Put {
             key: key.into(),
@@ -117,31 +119,32 @@
         });
         self
     }
-    /// Removes a key.
+
+    /// Deletes a key.
     pub fn delete(mut self, key: impl Into<String>) -> Self {
         self.writes.push(WriteOp::Delete { key: key.into() });
         self
     }
 }
 
-/// A lease that was granted.
+/// The response to the request for a lease.
 #[derive(Debug, Deserialize)]
 pub struct LeaseGranted {
-    /// Its number.
+    /// The lease's number.
     #[serde(rename = "bail")]
     pub lease: u64,
 }
 
-/// A change that was seen.
+/// A change of a key.
 #[derive(Debug, Deserialize)]
 pub struct WatchEvent {
-    /// The key that was set.
+    /// The key, if it was put.
     #[serde(rename = "set", default)]
     pub put: Option<String>,
-    /// The key that was removed.
+    /// The key, if it was deleted.
     #[serde(rename = "drop", default)]
     pub delete: Option<String>,
-    /// The value that was set.
+    /// The value that was put.
     #[serde(rename = "v", default)]
     pub value: Value,
     /// The revision of the change.
@@ -149,10 +152,10 @@
     pub mod_revision: u64,
 }
 
-/// The answer to a watch.
+/// The response to a watch.
 #[derive(Debug, Deserialize)]
 pub struct WatchResponse {
-    /// The revision up to which it tells.
+    /// The revision of the store up to which it lists changes.
     #[serde(rename = "tirage")]
     pub revision: u64,
     /// The changes since.
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -2,28 +2,36 @@
 //! for each counterpart.
 //!
 //! This is the one place where the protocol's field names are mapped to the terms of
-//! the code, by serde attributes. Names that the protocol shares with the code aren't
-//! listed.
+//! the code, by serde attributes. Names that the protocol shares with the code, or that
+//! differ only by case (`memoryGb`, `memory_gb`), aren't listed.
 //!
 //! | protocol | counterpart | term here |
 //! | --- | --- | --- |
-//! | `run` (`/v2/runs`) | users | job |
-//! | `piece`, `pieces` | users, workers | task, tasks |
+//! | `run` (`/v2/runs`, ids `run-...`), `abort` | users | job, cancellation |
+//! | `pieces` | users | number of tasks |
+//! | `piece`, `pieces` | workers | task, tasks |
 //! | `gabarit` | users | class |
 //! | `equipe` | users | team |
 //! | `genre`: `array`, `service`, `group` | users | kind: job array, service, gang |
 //! | `rang` | users | priority |
 //! | `moule`, `pullGb` | users | container image, image size |
-//! | `gammes`, `gamme`, `sku` | users, workers, cloud | machine types, machine type |
-//! | `secteur`, `secteurs` | all | zone, zones |
+//! | `cacheGb`, `pullGbPerS` | cloud | size of the image cache, image pull rate |
+//! | `gammes` | users, cloud | machine types: the allowed ones, all of them |
+//! | `gamme` | workers, cloud | machine type |
+//! | `sku` | cloud | name of a machine type |
+//! | `secteur` | users, workers, cloud | zone |
+//! | `secteurs` | cloud | zones |
 //! | `samePlace` | users | all tasks in one zone |
-//! | `occasion`, `marketPrice` | all | spot instance, its price |
+//! | `occasion` | users, workers, cloud | spot instance |
+//! | `hourly`, `marketPrice` | cloud | hourly price, hourly price of a spot instance |
 //! | `prevuS` | users | estimated run time |
 //! | `jalonS`, `sauvegardeS` | users | checkpoint interval, time to save a checkpoint |
 //! | `echeanceS` | users | deadline |
 //! | `attend` | users | dependencies |
-//! | `etat` | all | state or phase |
-//! | `banc`, `bancs` | workers, cloud | machine, machines |
+//! | `etat` | users, workers, cloud | state of a job or machine, phase of a task |
+//! | `beat` (`/agent/beat`) | workers | heartbeat |
+//! | `banc` | workers | machine |
+//! | `bancs` | cloud | machines |
 //! | `quart` | workers | agent epoch: rises each time the worker's lease expires |
 //! | `numero` | workers | sequence number of a heartbeat within its epoch |
 //! | `jeton` | workers | fencing token |
@@ -35,11 +43,16 @@
 //! | `halt`, `reap` | workers | stop, acknowledge an end |
 //! | `rendreA` | workers | redirect to a controller |
 //! | `bon`, `howMany` | cloud | provisioning order, count |
-//! | `hourly`, `startupS`, `heldS` | cloud | hourly price, boot time, age |
+//! | `starting` | cloud | booting |
+//! | `startupS`, `heldS` | cloud | boot time, age |
+//! | `truncated` | cloud, key-value store | there are more pages |
+//! | `rows`, `k`, `v` | key-value store | items of a page, key, value |
 //! | `retouche` | key-value store | mod revision of a key |
 //! | `tirage` | key-value store | revision of the store |
 //! | `guards`, `writes`, `set`, `drop` | key-value store | compares, write operations, put, delete |
 //! | `bail` | key-value store | lease |
+//!
+//! Controllers' messages to each other are protocol buffers, whose fields have numbers.
 
 pub mod cloud;
 pub mod kv;
--- a/src/wire/users.rs
+++ b/src/wire/users.rs
@@ -1,17 +1,18 @@
-//! Users: submissions, questions about jobs, cancellations.
+//! Users: submissions, queries and cancellations of jobs.
 
 use crate::ids::JobId;
 use lilacfork_common::resources::Resources;
-use lilacfork_dependencies::validation;
+use lilacfork_dependencies::validation::{self, DependencyError};
 use serde::{Deserialize, Deserializer, Serialize};
 use std::rc::Rc;
+use thiserror::Error;
 
-/// Users' submissions; a job's own path starts with it.
+/// Path of submissions; the path of a job starts with it.
 pub const USER_JOBS_PATH: &str = "/v2/runs";
-/// The load balancer's probe.
+/// Path of the load balancer's readiness probe.
 pub const READY_PATH: &str = "/ready";
 
-/// What kind of job it is.
+/// The kind of a job.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum JobKind {
@@ -24,24 +25,25 @@
     Gang,
 }
 
-/// Most important first, so that the derived order is the serving order.
+/// The priority of a job. The most important comes first, so that the derived order is
+/// the order of the queue.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Priority {
-    /// Before all others.
+    /// Ahead of all others.
     Critical,
-    /// Before ordinary work.
+    /// Ahead of ordinary work.
     High,
     /// Ordinary work.
     Standard,
-    /// What fills gaps.
+    /// Runs in capacity that is otherwise idle.
     Idle,
 }
 
 /// A job as its user describes it.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// Its id, chosen by the user.
+    /// Its id, which its user chooses.
     pub id: JobId,
     /// The class of jobs that it belongs to.
     #[serde(rename = "gabarit")]
@@ -58,14 +60,14 @@
     /// How many tasks it has.
     #[serde(rename = "pieces")]
     pub tasks: u32,
-    /// Cores of a task.
+    /// Processor cores of a task.
     pub cpus: f64,
     /// GPUs of a task.
     pub gpus: f64,
     /// Memory of a task in GB.
     #[serde(rename = "memoryGb")]
     pub memory_gb: f64,
-    /// The image that a machine must have.
+    /// The container image of its tasks.
     #[serde(rename = "moule")]
     pub image: Rc<str>,
     /// The image's size in GB.
@@ -80,21 +82,21 @@
     /// All tasks in one zone.
     #[serde(rename = "samePlace")]
     pub same_zone: bool,
-    /// At most half of the tasks in one zone.
+    /// At most half of the tasks, rounded up, in one zone.
     pub spread: bool,
-    /// It may use spot machines.
+    /// Whether it may use spot instances.
     #[serde(rename = "occasion")]
     pub spot: bool,
-    /// The owner's estimate of a task's run time.
+    /// The user's estimate of a task's run time.
     #[serde(rename = "prevuS")]
     pub estimated_run_s: f64,
-    /// How often a task saves by itself; 0: never.
+    /// The interval at which a task saves checkpoints by itself; 0: never.
     #[serde(rename = "jalonS")]
     pub checkpoint_interval_s: f64,
-    /// How long a task takes to save when it is stopped.
+    /// How long a task takes to save a checkpoint when it is stopped.
     #[serde(rename = "sauvegardeS")]
     pub checkpoint_save_s: f64,
-    /// When it should be done, after its submission.
+    /// The time after its submission within which it should be done.
     #[serde(rename = "echeanceS", default, skip_serializing_if = "Option::is_none")]
     pub deadline_s: Option<f64>,
     /// Jobs that have to be done before any of its tasks starts.
@@ -107,9 +109,43 @@
     pub dependencies: Vec<JobId>,
 }
 
+/// Bounds of what a submission may ask for.
 const MAX_TASKS: u32 = 100_000;
+const MAX_AMOUNT: f64 = 1e9;
+const MAX_NAME_BYTES: usize = 200;
+const MAX_JOB_ID_BYTES: usize = 100;
 
-/// A list that may be null.
+/// What is wrong with a submission. The text is sent to its user, so it names the
+/// protocol's fields.
+#[derive(Debug, Error)]
+pub enum JobSpecError {
+    /// The body isn't a job in JSON.
+    #[error(transparent)]
+    Json(#[from] serde_json::Error),
+    /// A name that can't be a job's id.
+    #[error("{field}: not a job id")]
+    InvalidJobId {
+        /// The field.
+        field: &'static str,
+    },
+    /// A number outside its bounds.
+    #[error("{field}: out of range")]
+    OutOfRange {
+        /// The field.
+        field: &'static str,
+    },
+    /// A name that is empty or too long.
+    #[error("{field}: empty or too long")]
+    InvalidName {
+        /// The field.
+        field: &'static str,
+    },
+    /// Dependencies that can't be.
+    #[error("attend: {0}")]
+    Dependencies(#[from] DependencyError),
+}
+
+/// Reads a list that may be null.
 fn null_is_none<'de, D: Deserializer<'de>>(source: D) -> Result<Vec<JobId>, D::Error> {
     Ok(Option::<Vec<JobId>>::deserialize(source)?.unwrap_or_default())
 }
@@ -124,88 +160,100 @@
         }
     }
 
-    /// Reads and checks a submission. Everything wrong with it is a 400.
-    pub fn parse(body: &[u8]) -> Result<JobSpec, String> {
-        let spec: JobSpec = serde_json::from_slice(body).map_err(|e| e.to_string())?;
-        if !valid_job_id(spec.id.as_str()) {
-            return Err("id: not a job id".into());
-        }
+    /// Reads and checks a submission.
+    pub fn parse(body: &[u8]) -> Result<JobSpec, JobSpecError> {
+        let spec: JobSpec = serde_json::from_slice(body)?;
+        check_job_id("id", &spec.id)?;
         if spec.tasks == 0 || spec.tasks > MAX_TASKS {
-            return Err("pieces: out of range".into());
+            return Err(JobSpecError::OutOfRange { field: "pieces" });
+        }
+        spec.check_amounts()?;
+        spec.check_names()?;
+        for dependency in &spec.dependencies {
+            check_job_id("attend", dependency)?;
         }
+        validation::validate(&spec.id, &spec.dependencies)?;
+        Ok(spec)
+    }
+
+    fn check_amounts(&self) -> Result<(), JobSpecError> {
         let amounts = [
-            ("cpus", spec.cpus),
-            ("gpus", spec.gpus),
-            ("memoryGb", spec.memory_gb),
-            ("pullGb", spec.image_gb),
-            ("prevuS", spec.estimated_run_s),
-            ("jalonS", spec.checkpoint_interval_s),
-            ("sauvegardeS", spec.checkpoint_save_s),
-            ("echeanceS", spec.deadline_s.unwrap_or(0.0)),
+            ("cpus", self.cpus),
+            ("gpus", self.gpus),
+            ("memoryGb", self.memory_gb),
+            ("pullGb", self.image_gb),
+            ("prevuS", self.estimated_run_s),
+            ("jalonS", self.checkpoint_interval_s),
+            ("sauvegardeS", self.checkpoint_save_s),
+            ("echeanceS", self.deadline_s.unwrap_or(0.0)),
         ];
-        for (name, amount) in amounts {
-            if !amount.is_finite() || !(0.0..=1e9).contains(&amount) {
-                return Err(format!("{name}: out of range"));
+        for (field, amount) in amounts {
+            // Comparisons with NaN are false, so it isn't contained either.
+            if !(0.0..=MAX_AMOUNT).contains(&amount) {
+                return Err(JobSpecError::OutOfRange { field });
             }
         }
-        for (name, text) in [
-            ("gabarit", &spec.class),
-            ("equipe", &spec.team),
-            ("moule", &spec.image),
-        ] {
-            if text.is_empty() || text.len() > 200 {
-                return Err(format!("{name}: empty or too long"));
+        Ok(())
+    }
+
+    fn check_names(&self) -> Result<(), JobSpecError> {
+        let names = [
+            ("gabarit", &self.class),
+            ("equipe", &self.team),
+            ("moule", &self.image),
+        ];
+        for (field, name) in names {
+            if name.is_empty() || name.len() > MAX_NAME_BYTES {
+                return Err(JobSpecError::InvalidName { field });
             }
         }
-        if !spec
-            .dependencies
-            .iter()
-            .all(|need| valid_job_id(need.as_str()))
-        {
-            return Err("attend: not a job id".into());
-        }
-        validation::validate(&spec.id, &spec.dependencies).map_err(|e| format!("attend: {e}"))?;
-        Ok(spec)
+        Ok(())
+    }
+}
+
+fn check_job_id(field: &'static str, id: &JobId) -> Result<(), JobSpecError> {
+    if valid_job_id(id.as_str()) {
+        Ok(())
+    } else {
+        Err(JobSpecError::InvalidJobId { field })
     }
 }
 
-/// The id alone, from a body that may otherwise be invalid.
+/// The job id from a submission that may otherwise be invalid.
 pub fn peek_job_id(body: &[u8]) -> Option<JobId> {
     #[derive(Deserialize)]
     struct IdOnly {
         id: JobId,
     }
-    let peek: IdOnly = serde_json::from_slice(body).ok()?;
-    valid_job_id(peek.id.as_str()).then_some(peek.id)
+    let IdOnly { id } = serde_json::from_slice(body).ok()?;
+    valid_job_id(id.as_str()).then_some(id)
 }
 
-/// `run-` and digits or letters; ids become keys of the state service, so
-/// nothing that could leave its place in a path gets through.
+/// Whether this is a job id: `run-` and letters, digits, `-` or `_`. Ids become keys of
+/// the key-value store, so they must not contain what has a meaning in a path.
 pub fn valid_job_id(id: &str) -> bool {
-    id.len() <= 100
-        && id.strip_prefix("run-").is_some_and(|rest| {
-            !rest.is_empty()
-                && rest
-                    .bytes()
-                    .all(|b| b.is_ascii_alphanumeric() || b == b'-' || b == b'_')
-        })
+    let allowed = |byte: u8| byte.is_ascii_alphanumeric() || byte == b'-' || byte == b'_';
+    id.len() <= MAX_JOB_ID_BYTES
+        && id
+            .strip_prefix("run-")
+            .is_some_and(|rest| !rest.is_empty() && rest.bytes().all(allowed))
 }
 
-/// A job's state as its user sees it.
+/// The state of a job as its user sees it.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum JobPhase {
-    /// No task runs.
+    /// None of its tasks is running.
     Pending,
-    /// A task runs.
+    /// At least one of its tasks is running.
     Running,
-    /// Every task is done.
+    /// All its tasks are done.
     Done,
     /// Its user cancelled it.
     Cancelled,
 }
 
-/// The answer to a user about a job.
+/// The response to a user about a job.
 #[derive(Debug, Serialize)]
 pub struct JobStatus<'a> {
     /// The job.
@@ -216,7 +264,7 @@
     /// Tasks that are done, for display.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub done: Option<u32>,
-    /// Tasks that run, for display.
+    /// Tasks that are running, for display.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub running: Option<u32>,
 }
--- a/src/wire/workers.rs
+++ b/src/wire/workers.rs
@@ -3,26 +3,26 @@
 use crate::ids::{AgentEpoch, Attempt, FencingToken, TaskRef};
 use serde::{Deserialize, Serialize};
 
-/// Workers' reports.
+/// Path of the workers' heartbeats.
 pub const WORKER_HEARTBEAT_PATH: &str = "/agent/beat";
-/// Direct commands to a worker.
+/// Path of direct commands, at a worker.
 pub const WORKER_COMMANDS_PATH: &str = "/commands";
 
-/// What a task on a machine is doing.
+/// The phase of a task on a machine.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum TaskPhase {
-    /// It waits for its image.
+    /// It waits for its container image.
     #[serde(rename = "pulling")]
     PullingImage,
-    /// It runs.
+    /// It is running.
     Running,
-    /// It was told to stop and saves.
+    /// It was stopped and saves a checkpoint.
     #[serde(rename = "flushing")]
     Checkpointing,
-    /// It ended; see [`EndReason`].
+    /// It ended; see [`ExitReason`].
     Ended,
-    /// Anything newer than this program: on the machine, as far as we know.
+    /// A phase that this version doesn't know: the task counts as being on the machine.
     #[serde(other)]
     Other,
 }
@@ -33,48 +33,48 @@
 pub enum ExitReason {
     /// It completed.
     Done,
-    /// It was stopped by command.
+    /// It was stopped by a command.
     Stopped,
     /// It failed.
     Error,
-    /// Its start was refused: not enough room.
+    /// Its start was rejected: not enough free capacity.
     Full,
-    /// Its start was refused: another attempt is there.
+    /// Its start was rejected: another attempt is on the machine.
     Busy,
-    /// Its start was refused: no such job or task.
+    /// Its start was rejected: no such job or task.
     Unknown,
-    /// Anything newer than this program.
+    /// A reason that this version doesn't know.
     #[serde(other)]
     Other,
 }
 
-/// A task in a worker's report.
+/// The status of a task in a worker's heartbeat.
 #[derive(Clone, PartialEq, Eq, Hash, Debug, Deserialize)]
 pub struct TaskStatus {
-    /// The task. `None`: its name is none that a task can have.
+    /// The task; `None`: the name can't be a task's.
     #[serde(rename = "piece", deserialize_with = "TaskRef::deserialize_name")]
     pub task: Option<TaskRef>,
     /// Its attempt.
     #[serde(rename = "essai")]
     pub attempt: Attempt,
-    /// What it is doing.
+    /// Its phase.
     #[serde(rename = "etat")]
     pub phase: TaskPhase,
     /// Why it ended.
     #[serde(rename = "motif", default)]
     pub reason: Option<ExitReason>,
-    /// Whether its progress was saved.
+    /// Whether a checkpoint of its progress was saved.
     #[serde(rename = "stored", default)]
     pub checkpointed: Option<bool>,
 }
 
-/// A worker's report.
+/// A worker's heartbeat.
 #[derive(Clone, Debug, Deserialize)]
 pub struct WorkerHeartbeat {
     /// The machine.
     #[serde(rename = "banc")]
     pub machine: String,
-    /// Where direct commands reach it.
+    /// The address that takes direct commands.
     #[serde(default)]
     pub address: String,
     /// Its type.
@@ -83,27 +83,27 @@
     /// Its zone.
     #[serde(rename = "secteur")]
     pub zone: String,
-    /// A spot machine.
+    /// Whether it is a spot instance.
     #[serde(rename = "occasion")]
     pub spot: bool,
-    /// Rises each time its lease ends.
+    /// Rises each time the worker's lease expires.
     #[serde(rename = "quart")]
     pub agent_epoch: AgentEpoch,
-    /// Rises with every report of a session.
+    /// Rises with every heartbeat of an agent epoch.
     #[serde(rename = "numero")]
     pub sequence: u64,
-    /// The highest token that it has seen.
+    /// The highest fencing token that the worker has seen.
     #[serde(rename = "jeton")]
     pub fencing_token: FencingToken,
-    /// Seconds until the cloud takes it.
+    /// Seconds until the cloud takes the spot instance away.
     #[serde(rename = "preavisS", default)]
     pub preemption_notice_s: Option<f64>,
-    /// All tasks on it, ended ones included.
+    /// All tasks on the machine, ended ones included.
     #[serde(rename = "pieces", default)]
     pub tasks: Vec<TaskStatus>,
 }
 
-/// What a worker is told to do.
+/// A command to a worker.
 #[derive(Clone, PartialEq, Debug, Serialize)]
 #[serde(tag = "geste", rename_all = "lowercase")]
 pub enum Command {
@@ -125,11 +125,11 @@
         /// Its attempt.
         #[serde(rename = "essai")]
         attempt: Attempt,
-        /// How long it may save.
+        /// How many seconds it has to save a checkpoint.
         #[serde(rename = "delaiS")]
         grace_s: u64,
     },
-    /// Leave an ended task out of the reports.
+    /// Acknowledge the end of a task, which the heartbeats leave out from then on.
     #[serde(rename = "reap")]
     Acknowledge {
         /// The task.
@@ -141,35 +141,35 @@
     },
 }
 
-/// The answer to a report.
+/// The response to a heartbeat.
 #[derive(Debug, Serialize)]
 pub struct HeartbeatResponse<'a> {
-    /// Who is entitled to give commands.
+    /// The leader's fencing token.
     #[serde(rename = "jeton")]
     pub fencing_token: FencingToken,
-    /// What the worker is to do, in order.
+    /// The commands, in order.
     #[serde(rename = "consignes")]
     pub commands: &'a [Command],
 }
 
-/// Commands sent straight to a worker.
+/// Commands that are sent to a worker between its heartbeats.
 #[derive(Debug, Serialize)]
 pub struct DirectCommands<'a> {
-    /// Who is entitled to give commands.
+    /// The leader's fencing token.
     #[serde(rename = "jeton")]
     pub fencing_token: FencingToken,
-    /// The session that they are meant for.
+    /// The agent epoch that the commands are for.
     #[serde(rename = "quart")]
     pub agent_epoch: AgentEpoch,
-    /// What the worker is to do, in order.
+    /// The commands, in order.
     #[serde(rename = "consignes")]
     pub commands: &'a [Command],
 }
 
-/// Sends a worker elsewhere.
+/// Redirects a worker to another controller.
 #[derive(Debug, Serialize)]
 pub struct RedirectTo<'a> {
-    /// The controller to report to.
+    /// The controller to send heartbeats to; `None`: any other.
     #[serde(rename = "rendreA", skip_serializing_if = "Option::is_none")]
     pub node: Option<&'a str>,
 }
