--- a/src/bounded_map.rs
+++ b/src/bounded_map.rs
@@ -1,20 +1,26 @@
-//! A map that forgets its oldest entries, so that what a process remembers of
-//! jobs can't grow without end.
+//! A map that evicts its oldest entries, so that what a process remembers of jobs is
+//! bounded.
 
 use std::collections::{BTreeMap, HashMap};
 use std::hash::Hash;
 
-/// When an entry came, among all others.
-type Age = u64;
+/// The number of an entry in the order of insertion.
+type Sequence = u64;
 
-/// At most `capacity` entries; a new one beyond that removes the oldest.
+#[derive(Debug)]
+struct Entry<V> {
+    sequence: Sequence,
+    value: V,
+}
+
+/// A map of at most `capacity` entries; a new one beyond that evicts the oldest.
 #[derive(Debug)]
 pub struct BoundedMap<K, V> {
     capacity: usize,
-    entries: HashMap<K, (Age, V)>,
-    /// Keys in the order in which they came.
-    by_age: BTreeMap<Age, K>,
-    next: Age,
+    entries: HashMap<K, Entry<V>>,
+    /// Keys in the order of insertion.
+    insertion_order: BTreeMap<Sequence, K>,
+    last_sequence: Sequence,
 }
 
 impl<K: Clone + Eq + Hash, V> BoundedMap<K, V> {
@@ -23,46 +29,51 @@
         BoundedMap {
             capacity,
             entries: HashMap::new(),
-            by_age: BTreeMap::new(),
-            next: 0,
+            insertion_order: BTreeMap::new(),
+            last_sequence: 0,
         }
     }
 
-    /// The value of a key, if it is remembered.
+    /// The value of a key, if it is in the map.
     pub fn get(&self, key: &K) -> Option<&V> {
-        self.entries.get(key).map(|(_, value)| value)
+        self.entries.get(key).map(|entry| &entry.value)
     }
 
-    /// How many entries are remembered.
+    /// The number of entries.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether nothing is remembered.
+    /// Whether there are no entries.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Sets a value; a known key keeps its age.
+    /// Sets a value; a key that is in the map keeps its age.
     pub fn insert(&mut self, key: K, value: V) {
-        if let Some((_, known)) = self.entries.get_mut(&key) {
-            *known = value;
+        if let Some(entry) = self.entries.get_mut(&key) {
+            entry.value = value;
             return;
         }
-        self.next += 1;
-        self.by_age.insert(self.next, key.clone());
-        self.entries.insert(key, (self.next, value));
+        self.last_sequence += 1;
+        let sequence = self.last_sequence;
+        self.insertion_order.insert(sequence, key.clone());
+        self.entries.insert(key, Entry { sequence, value });
         if self.entries.len() > self.capacity {
-            if let Some((_, oldest)) = self.by_age.pop_first() {
-                self.entries.remove(&oldest);
-            }
+            self.evict_oldest();
+        }
+    }
+
+    fn evict_oldest(&mut self) {
+        if let Some((_, oldest)) = self.insertion_order.pop_first() {
+            self.entries.remove(&oldest);
         }
     }
 
-    /// Forgets a key.
+    /// Removes a key.
     pub fn remove(&mut self, key: &K) {
-        if let Some((age, _)) = self.entries.remove(key) {
-            self.by_age.remove(&age);
+        if let Some(entry) = self.entries.remove(key) {
+            self.insertion_order.remove(&entry.sequence);
         }
     }
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,12 +1,16 @@
-//! The program: reads settings, starts the reactor, and runs until killed.
+//! The program: reads settings, starts the reactor, and runs until it is killed.
 
 use clap::Parser;
 use lilacfork::node::Node;
 use lilacfork::reactor::Reactor;
-use lilacfork::settings::Settings;
-use lilacfork::tuning::Tuning;
-use std::path::PathBuf;
+use lilacfork::settings::{Settings, SettingsError};
+use lilacfork::tuning::{Tuning, TuningError};
+use std::path::{Path, PathBuf};
 use std::process::ExitCode;
+use thiserror::Error;
+
+/// The exit code for wrong settings.
+const EXIT_INVALID_SETTINGS: u8 = 2;
 
 /// A scheduler for fleets that serve language models.
 #[derive(Parser)]
@@ -26,6 +30,15 @@
     config: Option<PathBuf>,
 }
 
+/// What is wrong with the settings.
+#[derive(Debug, Error)]
+enum ConfigError {
+    #[error(transparent)]
+    Settings(#[from] SettingsError),
+    #[error(transparent)]
+    Tuning(#[from] TuningError),
+}
+
 fn init_logging() {
     let env = env_logger::Env::new().filter_or("LOG_LEVEL", "info");
     env_logger::Builder::from_env(env)
@@ -34,61 +47,64 @@
         .init();
 }
 
-fn load(args: &Args) -> Result<Option<(Settings, Tuning)>, String> {
-    let options = match &args.ini {
-        Some(path) => Tuning::load(path).map_err(|e| e.to_string())?,
-        None => Tuning::default(),
-    };
-    let Some(config) = &args.config else {
-        return Ok(None);
+fn load(config: &Path, ini: Option<&Path>) -> Result<(Settings, Tuning), ConfigError> {
+    let Some(ini) = ini else {
+        return Ok((Settings::load(config)?, Tuning::default()));
     };
-    let settings = Settings::load(config).map_err(|e| e.to_string())?;
-    if let Some(path) = &args.ini {
-        let file = path.display().to_string();
-        let checked = options.check(&settings.site, &file);
-        checked.map_err(|e| e.to_string())?;
-    }
-    Ok(Some((settings, options)))
+    let tuning = Tuning::load(ini)?;
+    let settings = Settings::load(config)?;
+    tuning.check(&settings.site, &ini.display().to_string())?;
+    Ok((settings, tuning))
 }
 
-fn main() -> ExitCode {
-    let args = Args::parse();
-    if args.keys {
-        print!("{}", Tuning::describe());
-        println!("# [replica_parts] CLASS = PARTS, for each class whose replicas span machines");
-        return ExitCode::SUCCESS;
-    }
-    init_logging();
-    let (settings, options) = match load(&args) {
-        Ok(Some(loaded)) => loaded,
-        Ok(None) => return ExitCode::from(2),
-        Err(why) => {
-            eprintln!("lilacfork: {why}");
-            return ExitCode::from(2);
-        }
-    };
-    if args.check {
-        println!("settings are fine");
-        return ExitCode::SUCCESS;
-    }
+fn print_keys() {
+    print!("{}", Tuning::describe());
+    println!("# [replica_parts] CLASS = PARTS, for each class whose replicas span machines");
+}
+
+fn run(settings: Settings, tuning: Tuning) -> ExitCode {
     let endpoints = settings.endpoints();
     let bounds = settings.site.limits.bounds();
     let peers = settings.peers.len();
     let name = settings.node_name.clone();
-    let mut node = Node::new(settings, options, fastrand::u64(1..1 << 50));
+    let mut node = Node::new(settings, tuning, fastrand::u64(1..1 << 50));
     let reactor = match Reactor::new(endpoints, bounds, peers) {
         Ok(reactor) => reactor,
-        Err(e) => {
-            eprintln!("lilacfork: can't listen: {e}");
+        Err(error) => {
+            eprintln!("lilacfork: can't listen: {error}");
             return ExitCode::FAILURE;
         }
     };
-    log::info!("node {name} started");
+    log::info!("node started node={name}");
     match reactor.run(&mut node) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(e) => {
-            log::error!("reactor: {e}");
+        Err(error) => {
+            log::error!("reactor failed reason=\"{error}\"");
             ExitCode::FAILURE
         }
     }
 }
+
+fn main() -> ExitCode {
+    let args = Args::parse();
+    if args.keys {
+        print_keys();
+        return ExitCode::SUCCESS;
+    }
+    init_logging();
+    let Some(config) = &args.config else {
+        return ExitCode::from(EXIT_INVALID_SETTINGS);
+    };
+    let (settings, tuning) = match load(config, args.ini.as_deref()) {
+        Ok(loaded) => loaded,
+        Err(error) => {
+            eprintln!("lilacfork: {error}");
+            return ExitCode::from(EXIT_INVALID_SETTINGS);
+        }
+    };
+    if args.check {
+        println!("settings are fine");
+        return ExitCode::SUCCESS;
+    }
+    run(settings, tuning)
+}
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,5 +1,5 @@
-//! The platform's settings file (TOML). Unknown fields are ignored, since new
-//! ones may come; the known ones are checked.
+//! The platform's settings file (TOML). Unknown keys are ignored, since new ones may
+//! come up; the known ones are checked.
 
 use crate::reactor::{Endpoints, ResourceBounds};
 use crate::wire::users::JobSpec;
@@ -11,55 +11,114 @@
 /// What is wrong with the platform's settings.
 #[derive(Debug, Error)]
 pub enum SettingsError {
-    #[error("{file}: {why}")]
     /// The file can't be read.
-    Read {
+    #[error("{file}: {reason}")]
+    Unreadable {
         /// The file.
         file: String,
         /// Why.
-        why: String,
+        reason: String,
     },
-    #[error("{file}: {key}: {why}")]
-    /// A key's value can't be taken.
-    Key {
+    /// The value of a key is invalid.
+    #[error("{file}: {key}: {reason}")]
+    InvalidKey {
         /// The file.
         file: String,
         /// The key.
-        key: String,
+        key: &'static str,
         /// Why.
-        why: String,
+        reason: InvalidSetting,
     },
 }
 
+/// Why the value of a key in the platform's settings is invalid.
+#[derive(Clone, Copy, PartialEq, Debug, Error)]
+pub enum InvalidSetting {
+    /// It has to be a positive number.
+    #[error("must be a number above 0")]
+    NotPositive,
+    /// It has to be a number that isn't negative.
+    #[error("must be 0 or more")]
+    Negative,
+    /// One of several amounts is negative.
+    #[error("amounts must be 0 or more")]
+    NegativeAmount,
+    /// It is lower than the lowest that works.
+    #[error("must be at least {min}")]
+    TooLow {
+        /// The lowest value.
+        min: f64,
+    },
+    /// The connections that aren't the workers' take more than there are.
+    #[error("too few: a quarter is for calls to state service, cloud, peers and workers")]
+    TooFewConnections,
+    /// A name is missing.
+    #[error("must not be empty")]
+    Empty,
+    /// No zone is named.
+    #[error("must name at least one zone")]
+    NoZone,
+}
+
+/// A key whose value is invalid, in a file yet to be named.
+#[derive(Clone, Copy, Debug)]
+struct InvalidKey {
+    key: &'static str,
+    reason: InvalidSetting,
+}
+
+impl InvalidKey {
+    /// Passes if `valid`; else the key is invalid for this reason.
+    fn unless(valid: bool, key: &'static str, reason: InvalidSetting) -> Result<(), InvalidKey> {
+        if valid {
+            Ok(())
+        } else {
+            Err(InvalidKey { key, reason })
+        }
+    }
+
+    fn unless_positive(value: f64, key: &'static str) -> Result<(), InvalidKey> {
+        let valid = value.is_finite() && value > 0.0;
+        InvalidKey::unless(valid, key, InvalidSetting::NotPositive)
+    }
+
+    /// Passes if the value is a number of at least `min`.
+    fn unless_at_least(min: f64, value: f64, key: &'static str) -> Result<(), InvalidKey> {
+        let valid = value.is_finite() && value >= min;
+        InvalidKey::unless(valid, key, InvalidSetting::TooLow { min })
+    }
+}
+
 /// An idle controller takes 1 MB, one that leads 150 machines 2.5 MB, and
 /// requests up to a quarter of the whole.
-const LEAST_RAM_MB: f64 = 8.0;
+const MIN_RAM_MB: f64 = 8.0;
 
-/// A job's end takes two changes, and a transaction should hold more than one.
-const LEAST_TXN_OPS: usize = 4;
+/// The end of a job takes two write operations, and a transaction should hold more than
+/// one end.
+const MIN_TXN_OPS: usize = 4;
 
 /// A job's own record, cut down to what its cancellation needs, fits into this.
-const LEAST_NEXT_VALUE_KB: f64 = 2.0;
+const MIN_NEXT_VALUE_KB: f64 = 2.0;
 
 /// The platform's settings of one controller.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Settings {
     /// This controller's name.
     pub node_name: String,
-    /// The zone that it stands in.
+    /// The zone that it is in.
     #[serde(rename = "domain")]
     pub zone: String,
-    /// Where users and workers are taken.
+    /// The address for users and workers.
     pub client_listen: SocketAddrV4,
-    /// Where other controllers are taken.
+    /// The address for other controllers.
     #[serde(rename = "back")]
     pub peer_listen: SocketAddrV4,
     /// The other controllers; this one may be among them.
     #[serde(default)]
     pub peers: Vec<PeerSettings>,
-    /// The services that it uses.
+    /// The addresses of the services that it uses.
     pub services: Services,
-    /// The deployment.
+    /// The settings of the deployment.
     #[serde(rename = "settings")]
     pub site: Site,
 }
@@ -70,10 +129,10 @@
     /// Its name.
     #[serde(rename = "node_name")]
     pub name: String,
-    /// The zone that it stands in.
+    /// The zone that it is in.
     #[serde(rename = "domain")]
     pub zone: String,
-    /// Where it takes controllers' messages.
+    /// Its address for other controllers.
     #[serde(rename = "peer_addr")]
     pub addr: SocketAddrV4,
 }
@@ -83,154 +142,216 @@
 pub struct Services {
     /// The cloud.
     pub cloud: SocketAddrV4,
-    /// The state service.
+    /// The key-value store.
     pub state: SocketAddrV4,
 }
 
-/// The deployment, the same for all controllers.
+/// The settings of the deployment, the same for all controllers.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Site {
     /// The zones.
     pub zones: Vec<String>,
-    /// How far the times of day of two machines may differ.
+    /// How far the clocks of two machines may differ.
     #[serde(default)]
     pub skew_ms: f64,
     /// The teams.
     #[serde(default)]
     pub teams: Vec<Team>,
-    /// What the users expect.
+    /// The service-level objectives (SLO).
     #[serde(default)]
     pub objectives: Vec<ServiceLevelObjective>,
     /// The workers' intervals.
     pub workers: Workers,
-    /// The state service's limits.
+    /// The key-value store's limits.
     pub state: StateLimits,
     /// The cloud's limits.
     pub cloud: CloudLimits,
-    /// What a controller may use.
+    /// The resources that a controller may use.
     pub limits: ProcessLimits,
 }
 
-/// A team's guarantee and limit; 0 is none.
+impl Site {
+    fn check_rates_and_times(&self) -> Result<(), InvalidKey> {
+        let positive = [
+            ("settings.workers.report_s", self.workers.heartbeat_s),
+            ("settings.workers.lease_s", self.workers.lease_s),
+            ("settings.workers.cancel_s", self.workers.cancel_s),
+            ("settings.state.rps", self.state.rps),
+            ("settings.state.write_rps", self.state.write_rps),
+            ("settings.state.value_kb", self.state.value_kb),
+            ("settings.cloud.rps", self.cloud.rps),
+            ("settings.limits.cores", self.limits.cores),
+            ("settings.limits.ram_mb", self.limits.ram_mb),
+        ];
+        for (key, value) in positive {
+            InvalidKey::unless_positive(value, key)?;
+        }
+        InvalidKey::unless(
+            is_not_negative(self.cloud.list_lag_s),
+            "settings.cloud.list_lag_s",
+            InvalidSetting::Negative,
+        )
+    }
+
+    /// Whether a service-level objective is about this class.
+    pub fn names_class(&self, class: &str) -> bool {
+        self.objectives
+            .iter()
+            .any(|objective| objective.is_for_class(class))
+    }
+}
+
+fn is_not_negative(value: f64) -> bool {
+    value.is_finite() && value >= 0.0
+}
+
+/// A team's quota: its guarantee and its limit; 0 is none.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Team {
     /// Its name.
     pub name: String,
-    /// Guaranteed cores.
+    /// Guaranteed processor cores.
     #[serde(default)]
     pub cpus: f64,
-    /// Most cores.
+    /// The limit of processor cores.
     #[serde(default)]
     pub cpus_max: f64,
     /// Guaranteed GPUs.
     #[serde(default)]
     pub gpus: f64,
-    /// Most GPUs.
+    /// The limit of GPUs.
     #[serde(default)]
     pub gpus_max: f64,
 }
 
-/// An aim on starting or finishing. Kinds and fields that are not known are
-/// kept as they come and simply match nothing.
+impl Team {
+    fn check(&self) -> Result<(), InvalidKey> {
+        let amounts = [self.cpus, self.cpus_max, self.gpus, self.gpus_max];
+        InvalidKey::unless(
+            amounts.into_iter().all(is_not_negative),
+            "settings.teams",
+            InvalidSetting::NegativeAmount,
+        )
+    }
+}
+
+/// A service-level objective on waiting or finishing. Unknown kinds are kept as they are
+/// and match nothing.
 #[derive(Clone, Debug, Deserialize)]
 pub struct ServiceLevelObjective {
-    /// What is aimed at.
+    /// What it is about: `wait`, `finished` or `deadline`.
     pub kind: String,
-    /// The class that it is about.
+    /// The class of jobs that it is for.
     pub class: Option<String>,
     /// The time that it names.
     pub within_s: Option<f64>,
-    /// The share of jobs that should keep it.
+    /// The share of jobs that should meet it.
     pub share: Option<f64>,
     /// The multiple of the deadline that it names.
     pub times: Option<f64>,
 }
 
+impl ServiceLevelObjective {
+    fn is_for_class(&self, class: &str) -> bool {
+        self.class.as_deref() == Some(class)
+    }
+
+    fn within_ms(&self) -> Option<u64> {
+        self.within_s
+            .filter(|seconds| is_not_negative(*seconds))
+            .map(|seconds| (seconds * 1000.0) as u64)
+    }
+}
+
 /// The workers' intervals.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Workers {
-    /// Between two reports.
+    /// Between two heartbeats.
     #[serde(rename = "report_s")]
     pub heartbeat_s: f64,
-    /// The lease that an answered report renews.
+    /// The lease that an answered heartbeat renews.
     pub lease_s: f64,
-    /// Within which a cancelled job's tasks are gone.
+    /// The time within which a cancelled job's tasks are gone.
     pub cancel_s: f64,
 }
 
-/// The state service's limits.
+/// The key-value store's limits.
 #[derive(Clone, Debug, Deserialize)]
 pub struct StateLimits {
     /// Requests per second.
     pub rps: f64,
-    /// Changes per second.
+    /// Write operations per second.
     pub write_rps: f64,
     /// The size of a value.
     pub value_kb: f64,
-    /// Changes in a transaction.
+    /// Write operations in a transaction.
     pub txn_ops: usize,
-    /// The limits that it will have at some later time, without notice.
+    /// The limits that it will have from some later time on, without notice.
     #[serde(default)]
     pub next: Option<NextStateLimits>,
 }
 
-/// Announced limits of the state service. What isn't named stays as it is.
+/// Announced limits of the key-value store. What isn't named stays as it is.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 pub struct NextStateLimits {
     /// Requests per second.
     pub rps: Option<f64>,
-    /// Changes per second.
+    /// Write operations per second.
     pub write_rps: Option<f64>,
     /// The size of a value.
     pub value_kb: Option<f64>,
-    /// Changes in a transaction.
+    /// Write operations in a transaction.
     pub txn_ops: Option<usize>,
 }
 
 impl NextStateLimits {
-    fn check(&self) -> Result<(), (&'static str, &'static str)> {
+    fn check(&self) -> Result<(), InvalidKey> {
         let rates = [
             ("settings.state.next.rps", self.rps),
             ("settings.state.next.write_rps", self.write_rps),
         ];
-        for (key, value) in rates {
-            if value.is_some_and(|v| !v.is_finite() || v <= 0.0) {
-                return Err((key, "must be a number above 0"));
+        for (key, rate) in rates {
+            if let Some(rate) = rate {
+                InvalidKey::unless_positive(rate, key)?;
             }
         }
-        let holds = |v: f64| v.is_finite() && v >= LEAST_NEXT_VALUE_KB;
-        if self.value_kb.is_some_and(|v| !holds(v)) {
-            return Err(("settings.state.next.value_kb", "must be at least 2"));
+        if let Some(value_kb) = self.value_kb {
+            let key = "settings.state.next.value_kb";
+            InvalidKey::unless_at_least(MIN_NEXT_VALUE_KB, value_kb, key)?;
         }
-        if self.txn_ops.is_some_and(|ops| ops < LEAST_TXN_OPS) {
-            return Err(("settings.state.next.txn_ops", "must be at least 4"));
+        if let Some(txn_ops) = self.txn_ops {
+            check_txn_ops(txn_ops, "settings.state.next.txn_ops")?;
         }
         Ok(())
     }
 }
 
+fn check_txn_ops(txn_ops: usize, key: &'static str) -> Result<(), InvalidKey> {
+    InvalidKey::unless_at_least(MIN_TXN_OPS as f64, txn_ops as f64, key)
+}
+
 /// The cloud's limits.
 #[derive(Clone, Debug, Deserialize)]
 pub struct CloudLimits {
     /// Requests per second.
     pub rps: f64,
-    /// How far the machine list lags.
+    /// How far the machine list lags behind.
     pub list_lag_s: f64,
 }
 
-/// What a controller may use.
+/// The resources that a controller may use.
 #[derive(Clone, Debug, Deserialize)]
 pub struct ProcessLimits {
     /// Processor cores.
     pub cores: f64,
-    /// Memory.
+    /// Memory in MB.
     pub ram_mb: f64,
     /// Connections.
     pub max_connections: usize,
 }
 
 impl ProcessLimits {
-    /// What the reactor may take of it.
+    /// The bounds of the reactor.
     pub fn bounds(&self) -> ResourceBounds {
         ResourceBounds {
             max_connections: self.max_connections,
@@ -243,80 +364,60 @@
     /// Reads and checks a file.
     pub fn load(path: &Path) -> Result<Settings, SettingsError> {
         let file = path.display().to_string();
-        let text = std::fs::read_to_string(path).map_err(|e| SettingsError::Read {
-            file: file.clone(),
-            why: e.to_string(),
-        })?;
-        Settings::parse(&text, &file)
+        match std::fs::read_to_string(path) {
+            Ok(text) => Settings::parse(&text, &file),
+            Err(error) => Err(SettingsError::Unreadable {
+                file,
+                reason: error.to_string(),
+            }),
+        }
     }
 
-    /// Checks what was read; `file` is named in errors.
+    /// Parses and checks the text of a file; `file` is named in errors.
     pub fn parse(text: &str, file: &str) -> Result<Settings, SettingsError> {
-        let settings: Settings = toml::from_str(text).map_err(|e| SettingsError::Read {
-            file: file.to_string(),
-            why: e.to_string().trim().replace('\n', " "),
-        })?;
-        settings.check().map_err(|(key, why)| SettingsError::Key {
-            file: file.to_string(),
-            key: key.to_string(),
-            why: why.to_string(),
-        })?;
+        let settings: Settings =
+            toml::from_str(text).map_err(|error| SettingsError::Unreadable {
+                file: file.to_string(),
+                reason: error.to_string().trim().replace('\n', " "),
+            })?;
+        settings
+            .check()
+            .map_err(|InvalidKey { key, reason }| SettingsError::InvalidKey {
+                file: file.to_string(),
+                key,
+                reason,
+            })?;
         Ok(settings)
     }
 
-    fn check(&self) -> Result<(), (&'static str, &'static str)> {
+    fn check(&self) -> Result<(), InvalidKey> {
         let site = &self.site;
-        let positive = [
-            ("settings.workers.report_s", site.workers.heartbeat_s),
-            ("settings.workers.lease_s", site.workers.lease_s),
-            ("settings.workers.cancel_s", site.workers.cancel_s),
-            ("settings.state.rps", site.state.rps),
-            ("settings.state.write_rps", site.state.write_rps),
-            ("settings.state.value_kb", site.state.value_kb),
-            ("settings.cloud.rps", site.cloud.rps),
-            ("settings.limits.cores", site.limits.cores),
-            ("settings.limits.ram_mb", site.limits.ram_mb),
-        ];
-        for (key, value) in positive {
-            if !value.is_finite() || value <= 0.0 {
-                return Err((key, "must be a number above 0"));
-            }
-        }
-        if !site.cloud.list_lag_s.is_finite() || site.cloud.list_lag_s < 0.0 {
-            return Err(("settings.cloud.list_lag_s", "must be 0 or more"));
-        }
-        if site.state.txn_ops < LEAST_TXN_OPS {
-            return Err(("settings.state.txn_ops", "must be at least 4"));
-        }
+        site.check_rates_and_times()?;
+        check_txn_ops(site.state.txn_ops, "settings.state.txn_ops")?;
         if let Some(next) = &site.state.next {
             next.check()?;
         }
-        let bounds = site.limits.bounds();
-        if bounds.worker_connections(self.peers.len()).is_none() {
-            return Err((
-                "settings.limits.max_connections",
-                "too few: a quarter is for calls to state service, cloud, peers and workers",
-            ));
-        }
-        if site.limits.ram_mb < LEAST_RAM_MB {
-            return Err(("settings.limits.ram_mb", "must be at least 8"));
-        }
-        if self.node_name.is_empty() {
-            return Err(("node_name", "must not be empty"));
-        }
-        if site.zones.is_empty() {
-            return Err(("settings.zones", "must name at least one zone"));
-        }
-        for team in &site.teams {
-            let amounts = [team.cpus, team.cpus_max, team.gpus, team.gpus_max];
-            if amounts.iter().any(|a| !a.is_finite() || *a < 0.0) {
-                return Err(("settings.teams", "amounts must be 0 or more"));
-            }
-        }
-        Ok(())
+        let connections = site.limits.bounds().worker_connections(self.peers.len());
+        InvalidKey::unless(
+            connections.is_some(),
+            "settings.limits.max_connections",
+            InvalidSetting::TooFewConnections,
+        )?;
+        InvalidKey::unless_at_least(MIN_RAM_MB, site.limits.ram_mb, "settings.limits.ram_mb")?;
+        InvalidKey::unless(
+            !self.node_name.is_empty(),
+            "node_name",
+            InvalidSetting::Empty,
+        )?;
+        InvalidKey::unless(
+            !site.zones.is_empty(),
+            "settings.zones",
+            InvalidSetting::NoZone,
+        )?;
+        site.teams.iter().try_for_each(Team::check)
     }
 
-    /// Where it listens, and where its services are.
+    /// The addresses on which it listens, and those of its services.
     pub fn endpoints(&self) -> Endpoints {
         Endpoints {
             client: self.client_listen,
@@ -328,47 +429,55 @@
 
     /// The team of this name.
     pub fn team(&self, name: &str) -> Option<&Team> {
-        self.site.teams.iter().find(|t| t.name == name)
+        self.site.teams.iter().find(|team| team.name == name)
     }
 
-    /// Whether a controller stands in this zone.
+    /// Whether a controller is in this zone.
     pub fn has_controller(&self, zone: &str) -> bool {
-        self.zone == zone || self.peers.iter().any(|p| p.zone == zone)
+        self.zone == zone || self.peers.iter().any(|peer| peer.zone == zone)
     }
 
-    /// How long leases may be renewed without word of cancellations: a lease
-    /// renewed at the end of it has to end within the time a cancellation has,
-    /// with a report interval, or a twentieth of that time, to spare for a
-    /// stop that was just being sent when the word stopped.
+    /// How long after the cancellation watermark leases may be renewed: a lease renewed at
+    /// the end of it has to end within the time a cancellation has, with a heartbeat
+    /// interval, or a twentieth of that time, to spare for a stop command that was just
+    /// being sent when the watermark stood still.
     pub fn max_cancellation_lag_ms(&self) -> u64 {
         let workers = &self.site.workers;
         let spare_s = workers.heartbeat_s.max(workers.cancel_s / 20.0);
-        let left_s = workers.cancel_s - workers.lease_s - spare_s;
-        (left_s.max(0.0) * 1000.0) as u64
+        let lag_s = workers.cancel_s - workers.lease_s - spare_s;
+        (lag_s.max(0.0) * 1000.0) as u64
     }
 
-    /// How long after a machine was last heard its tasks can live on by
-    /// leases that somebody without word of cancellations renews.
+    /// How long after a machine's last heartbeat its tasks may survive by leases that a
+    /// controller renews without knowing of new cancellations.
     pub fn max_task_survival_ms(&self) -> u64 {
         let workers = &self.site.workers;
         self.max_cancellation_lag_ms() + ((workers.lease_s + workers.heartbeat_s) * 1000.0) as u64
     }
 
-    /// The class's aim on waiting, in milliseconds.
-    pub fn wait_slo_ms(&self, class: &str) -> Option<u64> {
+    /// The class's objectives of this kind.
+    fn objectives<'a>(
+        &'a self,
+        kind: &'static str,
+        class: &'a str,
+    ) -> impl Iterator<Item = &'a ServiceLevelObjective> + 'a {
         self.site
             .objectives
             .iter()
-            .filter(|o| o.kind == "wait" && o.class.as_deref() == Some(class))
-            .filter_map(|o| o.within_s)
-            .filter(|s| s.is_finite() && *s >= 0.0)
-            .map(|s| (s * 1000.0) as u64)
+            .filter(move |objective| objective.kind == kind && objective.is_for_class(class))
+    }
+
+    /// The class's objective on waiting, in milliseconds.
+    pub fn wait_slo_ms(&self, class: &str) -> Option<u64> {
+        self.objectives("wait", class)
+            .filter_map(ServiceLevelObjective::within_ms)
             .min()
     }
 
-    /// The aim on waiting that makes room for work: that of services, which
-    /// have nothing else. Arrays with a deadline wait in its order, and their
-    /// start aim is one more date in it.
+    /// The objective on waiting for which other work is preempted or displaced: that of
+    /// jobs without a deadline, such as services, which have no other objective. Jobs with
+    /// a deadline wait in the order of their deadlines, in which their objective on waiting
+    /// is one more date.
     pub fn start_slo_ms(&self, spec: &JobSpec) -> Option<u64> {
         match spec.deadline_s {
             Some(_) => None,
@@ -379,29 +488,21 @@
     /// The times after its submission, in milliseconds, by which a job of the
     /// class should be done whatever its own deadline.
     pub fn finish_slos_ms<'a>(&'a self, class: &'a str) -> impl Iterator<Item = u64> + 'a {
-        self.site
-            .objectives
-            .iter()
-            .filter(move |o| o.kind == "finished" && o.class.as_deref() == Some(class))
-            .filter_map(|o| o.within_s)
-            .filter(|s| s.is_finite() && *s >= 0.0)
-            .map(|s| (s * 1000.0) as u64)
+        self.objectives("finished", class)
+            .filter_map(ServiceLevelObjective::within_ms)
     }
 
     /// The multiples of its deadline by which the class's jobs should be
     /// done, in order; the deadline itself is always one.
     pub fn deadline_multiples(&self, class: &str) -> Vec<f64> {
-        let mut times: Vec<f64> = self
-            .site
-            .objectives
-            .iter()
-            .filter(|o| o.kind == "deadline" && o.class.as_deref() == Some(class))
-            .filter_map(|o| o.times)
-            .filter(|t| t.is_finite() && *t > 0.0)
+        let mut multiples: Vec<f64> = self
+            .objectives("deadline", class)
+            .filter_map(|objective| objective.times)
+            .filter(|multiple| multiple.is_finite() && *multiple > 0.0)
             .collect();
-        times.push(1.0);
-        times.sort_by(f64::total_cmp);
-        times.dedup();
-        times
+        multiples.push(1.0);
+        multiples.sort_by(f64::total_cmp);
+        multiples.dedup();
+        multiples
     }
 }
