--- a/loadtest/src/checker.rs
+++ b/loadtest/src/checker.rs
@@ -1,16 +1,16 @@
-//! Judges a history by PROTOCOL's rules. It knows what was asked and what
-//! happened on machines, and nothing of how the controllers work.
+//! Checks a history against PROTOCOL's rules. It knows the requests and what happened
+//! on machines, and nothing about how the controllers work.
 
-use crate::history::{Entry, Event, Verb};
+use crate::history::{Entry, Event, UserRequest};
 use crate::replica_groups::{ReplicaFigures, Replicas};
-use crate::scenario::Scenario;
+use crate::scenario::{MachineRange, Scenario};
 use lilacfork::ids::TaskRef;
 use lilacfork::wire::users::JobSpec;
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// Every answer about a job fails for so long: it counts as forgotten.
-const UNANSWERED_US: u64 = 90_000_000;
+/// After so long without a successful response a job counts as forgotten.
+const MAX_UNANSWERED_US: u64 = 90_000_000;
 
 /// The rules of PROTOCOL.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug, Serialize)]
@@ -30,9 +30,9 @@
     Invented,
     /// A job is called done before all its tasks are.
     NotDone,
-    /// What was said of a job's end is taken back.
+    /// A reported final state of a job is revoked.
     WentBack,
-    /// Parts of an incomplete replica are said to be running.
+    /// Tasks of an incomplete replica are reported as running.
     IncompleteServes,
     /// What is left of an incomplete replica stays on machines for too long.
     LeftAlone,
@@ -43,9 +43,9 @@
     Orphaned,
 }
 
-/// A broken rule.
+/// A violation of a rule.
 #[derive(Clone, PartialEq, Debug, Serialize)]
-pub struct Broken {
+pub struct Violation {
     /// The rule.
     pub rule: Rule,
     /// When, in microseconds since 1970.
@@ -61,14 +61,14 @@
     accepted: bool,
     /// When its cancellation was confirmed.
     cancelled_us: Option<u64>,
-    /// The end that a user was told of.
-    told: Option<String>,
+    /// The final state that a user was told.
+    final_state: Option<String>,
     finished: BTreeSet<u32>,
-    /// Since when every answer has failed.
+    /// Since when every request has failed.
     unanswered_since_us: Option<u64>,
 }
 
-/// Follows a history event by event.
+/// Checks a history event by event.
 pub struct Checker<'a> {
     scenario: &'a Scenario,
     jobs: HashMap<String, JobHistory>,
@@ -77,7 +77,7 @@
     placed: BTreeMap<String, BTreeMap<u32, u32>>,
     team_gpus: HashMap<String, f64>,
     replicas: Replicas<'a>,
-    broken: Vec<Broken>,
+    violations: Vec<Violation>,
 }
 
 impl<'a> Checker<'a> {
@@ -90,22 +90,27 @@
             placed: BTreeMap::new(),
             team_gpus: HashMap::new(),
             replicas: Replicas::new(scenario),
-            broken: Vec::new(),
+            violations: Vec::new(),
         }
     }
 
-    /// Judges a whole history, and tells how replicas that span machines fared.
-    pub fn judge(scenario: &Scenario, history: &[Entry]) -> (Vec<Broken>, Option<ReplicaFigures>) {
+    /// Checks a whole history; the result has the figures on multi-host replicas, too.
+    pub fn judge(
+        scenario: &Scenario,
+        history: &[Entry],
+    ) -> (Vec<Violation>, Option<ReplicaFigures>) {
         let mut checker = Checker::new(scenario);
         for entry in history {
-            checker.take(entry);
+            checker.observe(entry);
         }
         if let Some(last) = history.last() {
-            checker.overstayed(last.at_us);
+            checker.check_remaining_tasks(last.at_us);
             checker.replicas.end(last.at_us);
         }
-        checker.broken.extend(checker.replicas.take_broken());
-        (checker.broken, checker.replicas.figures())
+        checker
+            .violations
+            .extend(checker.replicas.take_violations());
+        (checker.violations, checker.replicas.figures())
     }
 
     fn spec(&mut self, job: &str) -> Option<JobSpec> {
@@ -114,15 +119,15 @@
         spec.or_insert_with(|| scenario.job(job)).clone()
     }
 
-    fn breaks(&mut self, rule: Rule, at_us: u64, what: &str) {
-        self.broken.push(Broken {
+    fn add_violation(&mut self, rule: Rule, at_us: u64, what: &str) {
+        self.violations.push(Violation {
             rule,
             at_us,
             what: what.to_string(),
         });
     }
 
-    fn take(&mut self, entry: &Entry) {
+    fn observe(&mut self, entry: &Entry) {
         let at_us = entry.at_us;
         match &entry.event {
             Event::Submitted { job } => self.job(job).submitted = true,
@@ -132,13 +137,13 @@
             }
             Event::Answered {
                 job,
-                verb,
+                request,
                 status,
                 state,
                 running,
             } => {
-                self.answered(at_us, job, *verb, *status, state);
-                self.replicas.said(at_us, job, *running);
+                self.answered(at_us, job, *request, *status, state);
+                self.replicas.reported_running(at_us, job, *running);
             }
             Event::Started { task, machine } => self.started(at_us, task, *machine),
             Event::Finished { task } => {
@@ -155,56 +160,64 @@
         self.jobs.entry(job.to_string()).or_default()
     }
 
-    fn answered(&mut self, at_us: u64, name: &str, verb: Verb, status: u16, state: &str) {
+    fn answered(&mut self, at_us: u64, name: &str, request: UserRequest, status: u16, state: &str) {
         let tasks = self.spec(name).map_or(0, |spec| spec.tasks);
-        let needs = self.all_needs(name);
-        let with_need = needs.iter().any(|need| self.job(need).cancel_asked);
-        let most_us = (self.scenario.workers.cancel_s * 1e6) as u64;
-        let orphaned = needs.iter().any(|need| {
-            let since_us = self.job(need).cancelled_us;
-            since_us.is_some_and(|since_us| at_us > since_us + most_us)
+        let dependencies = self.all_dependencies(name);
+        let has_cancelled_dependency = dependencies
+            .iter()
+            .any(|dependency| self.job(dependency).cancel_asked);
+        let limit_us = (self.scenario.workers.cancel_s * 1e6) as u64;
+        let orphaned = dependencies.iter().any(|dependency| {
+            let since_us = self.job(dependency).cancelled_us;
+            since_us.is_some_and(|since_us| at_us > since_us + limit_us)
         });
         let job = self.job(name);
-        let mut broken = Vec::new();
+        let mut violated = Vec::new();
         match status {
             200 | 201 => {
                 job.unanswered_since_us = None;
                 if !job.submitted {
-                    broken.push(Rule::Invented);
+                    violated.push(Rule::Invented);
                 }
-                job.accepted |= verb == Verb::Submit;
-                if job.told.as_ref().is_some_and(|told| told != state) {
-                    broken.push(Rule::WentBack);
+                job.accepted |= request == UserRequest::Submit;
+                if job
+                    .final_state
+                    .as_ref()
+                    .is_some_and(|final_state| final_state != state)
+                {
+                    violated.push(Rule::WentBack);
                 }
                 if orphaned && matches!(state, "pending" | "running") {
-                    broken.push(Rule::Orphaned);
+                    violated.push(Rule::Orphaned);
                 }
                 if state == "cancelled" {
-                    if !job.cancel_asked && !with_need {
-                        broken.push(Rule::WentBack);
+                    if !job.cancel_asked && !has_cancelled_dependency {
+                        violated.push(Rule::WentBack);
                     }
                     job.cancelled_us.get_or_insert(at_us);
                 }
                 if state == "done" && (job.finished.len() as u32) < tasks {
-                    broken.push(Rule::NotDone);
+                    violated.push(Rule::NotDone);
                 }
                 if matches!(state, "done" | "cancelled") {
-                    job.told.get_or_insert_with(|| state.to_string());
+                    job.final_state.get_or_insert_with(|| state.to_string());
                 }
             }
-            404 if job.accepted => broken.push(Rule::Forgotten),
-            400 | 422 if job.accepted && verb == Verb::Submit => broken.push(Rule::Forgotten),
+            404 if job.accepted => violated.push(Rule::Forgotten),
+            400 | 422 if job.accepted && request == UserRequest::Submit => {
+                violated.push(Rule::Forgotten)
+            }
             404 => {}
             _ if job.accepted => {
                 let since_us = *job.unanswered_since_us.get_or_insert(at_us);
-                if at_us > since_us + UNANSWERED_US {
-                    broken.push(Rule::Forgotten);
+                if at_us > since_us + MAX_UNANSWERED_US {
+                    violated.push(Rule::Forgotten);
                 }
             }
             _ => {}
         }
-        for rule in broken {
-            self.breaks(rule, at_us, name);
+        for rule in violated {
+            self.add_violation(rule, at_us, name);
         }
     }
 
@@ -228,40 +241,40 @@
         let moved = others.insert(task.index, machine).is_some();
         self.replicas.started(at_us, &task);
         if elsewhere {
-            self.breaks(Rule::RanTwice, at_us, name);
+            self.add_violation(Rule::RanTwice, at_us, name);
         }
         if crowded {
-            self.breaks(Rule::WrongPlace, at_us, name);
+            self.add_violation(Rule::WrongPlace, at_us, name);
         }
         if !moved {
             let used = self.team_gpus.entry(spec.team.to_string()).or_insert(0.0);
             *used += spec.gpus;
             if *used > self.scenario.team_gpus_max + 1e-6 {
-                self.breaks(Rule::Quota, at_us, name);
+                self.add_violation(Rule::Quota, at_us, name);
             }
         }
-        self.not_cancelled(at_us, &job, name);
+        self.check_not_cancelled(at_us, &job, name);
         if !spec
             .dependencies
             .iter()
-            .all(|need| self.is_done(need.as_str()))
+            .all(|dependency| self.is_done(dependency.as_str()))
         {
-            self.breaks(Rule::TooEarly, at_us, name);
+            self.add_violation(Rule::TooEarly, at_us, name);
         }
     }
 
-    /// The jobs that this one needs, directly or through others.
-    fn all_needs(&mut self, job: &str) -> BTreeSet<String> {
+    /// The jobs that this one depends on, directly or through others.
+    fn all_dependencies(&mut self, job: &str) -> BTreeSet<String> {
         let mut found = BTreeSet::new();
-        let mut left = vec![job.to_string()];
-        while let Some(job) = left.pop() {
-            for need in self
+        let mut pending = vec![job.to_string()];
+        while let Some(job) = pending.pop() {
+            for dependency in self
                 .spec(&job)
                 .into_iter()
                 .flat_map(|spec| spec.dependencies)
             {
-                if found.insert(need.to_string()) {
-                    left.push(need.to_string());
+                if found.insert(dependency.to_string()) {
+                    pending.push(dependency.to_string());
                 }
             }
         }
@@ -274,12 +287,12 @@
         self.job(job).finished.len() as u32 >= tasks
     }
 
-    /// A task is on a machine at this time: it may be.
-    fn not_cancelled(&mut self, at_us: u64, job: &str, task: &str) {
-        let most_us = (self.scenario.workers.cancel_s * 1e6) as u64;
+    /// A task is on a machine at this time: its job mustn't have been cancelled long ago.
+    fn check_not_cancelled(&mut self, at_us: u64, job: &str, task: &str) {
+        let limit_us = (self.scenario.workers.cancel_s * 1e6) as u64;
         let cancelled_us = self.job(job).cancelled_us;
-        if cancelled_us.is_some_and(|since| at_us > since + most_us) {
-            self.breaks(Rule::RanCancelled, at_us, task);
+        if cancelled_us.is_some_and(|since| at_us > since + limit_us) {
+            self.add_violation(Rule::RanCancelled, at_us, task);
         }
     }
 
@@ -297,13 +310,15 @@
         if let Some(spec) = self.spec(&job) {
             *self.team_gpus.entry(spec.team.to_string()).or_insert(0.0) -= spec.gpus;
         }
-        self.not_cancelled(at_us, &job, name);
+        self.check_not_cancelled(at_us, &job, name);
     }
 
-    fn lost(&mut self, at_us: u64, (from, to): (u32, u32)) {
+    fn lost(&mut self, at_us: u64, machines: MachineRange) {
         let mut gone = Vec::new();
         for (job, tasks) in &self.placed {
-            let lost = tasks.iter().filter(|(_, m)| (from..=to).contains(*m));
+            let lost = tasks
+                .iter()
+                .filter(|(_, machine)| machines.contains(**machine));
             gone.extend(lost.map(|(task, machine)| (format!("{job}/{task}"), *machine)));
         }
         for (task, machine) in gone {
@@ -311,15 +326,15 @@
         }
     }
 
-    /// What is still on machines when the history ends.
-    fn overstayed(&mut self, at_us: u64) {
+    /// Checks the tasks that are still on machines when the history ends.
+    fn check_remaining_tasks(&mut self, at_us: u64) {
         let placed: Vec<(String, u32)> = self
             .placed
             .iter()
             .flat_map(|(job, tasks)| tasks.keys().map(move |task| (job.clone(), *task)))
             .collect();
         for (job, task) in placed {
-            self.not_cancelled(at_us, &job, &format!("{job}/{task}"));
+            self.check_not_cancelled(at_us, &job, &format!("{job}/{task}"));
         }
     }
 }
--- a/loadtest/src/cloud.rs
+++ b/loadtest/src/cloud.rs
@@ -1,10 +1,10 @@
-//! A stand-in for the cloud, by its published protocol. It rents out hollow
-//! machines that aren't up yet, and tells their processes.
+//! A simulated cloud, by its published protocol. It provisions machines that aren't up
+//! yet, and notifies their processes.
 
-use crate::control::{self, Command, Stats};
+use crate::control::{self, SimulatorCommand, Stats};
 use crate::history::Recorder;
-use crate::net::{now_us, Asker, Incoming, Net};
-use crate::part::{Part, PartConfig, Role, WorkerProcess};
+use crate::net::{now_us, Incoming, Network, RequestHandle};
+use crate::process::{ProcessConfig, ProcessRole, Simulator, WorkerProcess};
 use crate::scenario::Scenario;
 use lilacfork::messages::{Reply, Request};
 use serde::Deserialize;
@@ -13,8 +13,10 @@
 use std::io;
 use std::net::SocketAddrV4;
 
-const MOST_LISTED: usize = 500;
-const IDLE_US: u64 = 1_000_000;
+const MAX_LISTED: usize = 500;
+/// The largest number of machines provisioned by one order.
+const MAX_PROVISIONED_AT_ONCE: usize = 50;
+const IDLE_INTERVAL_US: u64 = 1_000_000;
 
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum MachineState {
@@ -23,7 +25,7 @@
     Failed,
 }
 
-struct Rented {
+struct ProvisionedMachine {
     state: MachineState,
     since_us: u64,
     /// When it is up.
@@ -31,45 +33,50 @@
 }
 
 #[derive(Deserialize)]
-struct RentBody {
-    bon: String,
-    gamme: String,
-    secteur: String,
-    occasion: bool,
+struct ProvisionBody {
+    #[serde(rename = "bon")]
+    order: String,
+    #[serde(rename = "gamme")]
+    machine_type: String,
+    #[serde(rename = "secteur")]
+    zone: String,
+    #[serde(rename = "occasion")]
+    spot: bool,
     #[serde(rename = "howMany")]
-    how_many: usize,
+    count: usize,
 }
 
 #[derive(Deserialize)]
 struct ReleaseBody {
-    bancs: Vec<String>,
+    #[serde(rename = "bancs")]
+    machines: Vec<String>,
 }
 
 /// The cloud.
-pub struct CloudPart {
+pub struct CloudSimulator {
     scenario: Scenario,
     processes: Vec<WorkerProcess>,
-    rented: BTreeMap<u32, Rented>,
-    /// Numbers that were never rented.
+    provisioned: BTreeMap<u32, ProvisionedMachine>,
+    /// Numbers that were never provisioned.
     unused: Vec<u32>,
     orders: HashMap<String, Vec<String>>,
     requests: f64,
 }
 
-impl CloudPart {
-    /// All machines of the start run already.
+impl CloudSimulator {
+    /// The initial machines are up already.
     pub fn new(
-        config: &PartConfig,
-        net: &mut Net,
+        config: &ProcessConfig,
+        net: &mut Network,
         listeners: &mut Vec<SocketAddrV4>,
-    ) -> io::Result<CloudPart> {
+    ) -> io::Result<CloudSimulator> {
         listeners.push(net.listen()?);
-        let Role::Cloud { workers } = &config.role else {
+        let ProcessRole::Cloud { workers } = &config.role else {
             return Err(io::ErrorKind::InvalidInput.into());
         };
         let now = now_us();
         let up = |number| {
-            let running = Rented {
+            let running = ProvisionedMachine {
                 state: MachineState::Running,
                 since_us: now,
                 up_us: now,
@@ -77,9 +84,9 @@
             (number, running)
         };
         let scenario = config.scenario.clone();
-        Ok(CloudPart {
+        Ok(CloudSimulator {
             processes: workers.clone(),
-            rented: (0..scenario.workers.count).map(up).collect(),
+            provisioned: (0..scenario.workers.count).map(up).collect(),
             unused: (scenario.workers.count..scenario.machine_count()).collect(),
             orders: HashMap::new(),
             requests: 0.0,
@@ -93,41 +100,41 @@
             .find(|p| (p.first..=p.last).contains(&number))
     }
 
-    /// Tells the machines' processes, and waits until they have heard.
-    fn tell(&self, machines: &[u32], command: impl Fn(Vec<u32>) -> Command) {
+    /// Sends a command to the machines' processes, and waits for their responses.
+    fn notify(&self, machines: &[u32], command: impl Fn(Vec<u32>) -> SimulatorCommand) {
         for process in &self.processes {
             let own: Vec<u32> = machines
                 .iter()
                 .copied()
-                .filter(|n| (process.first..=process.last).contains(n))
+                .filter(|number| (process.first..=process.last).contains(number))
                 .collect();
             if !own.is_empty() {
-                // One that is lost or paused has nothing to hear it with.
+                // A process that is lost or paused doesn't respond.
                 let _ = control::send(process.control, &command(own));
             }
         }
     }
 
-    fn rent(&mut self, body: &[u8]) -> Reply {
-        let Ok(order) = serde_json::from_slice::<RentBody>(body) else {
+    fn provision(&mut self, body: &[u8]) -> Reply {
+        let Ok(order) = serde_json::from_slice::<ProvisionBody>(body) else {
             return Reply::error(400, "malformed");
         };
-        if let Some(names) = self.orders.get(&order.bon) {
+        if let Some(names) = self.orders.get(&order.order) {
             return Reply::json(200, &json!({ "bancs": names }));
         }
         let scenario = &self.scenario;
         let wanted = |number: &u32| {
             let machine = scenario.machine(*number);
-            !order.occasion
-                && scenario.machine_types[machine.machine_type].name == order.gamme
-                && scenario.zones[machine.zone] == order.secteur
+            !order.spot
+                && scenario.machine_types[machine.machine_type].name == order.machine_type
+                && scenario.zones[machine.zone] == order.zone
         };
         let numbers: Vec<u32> = self
             .unused
             .iter()
             .copied()
             .filter(wanted)
-            .take(order.how_many.min(50))
+            .take(order.count.min(MAX_PROVISIONED_AT_ONCE))
             .collect();
         if numbers.is_empty() {
             return Reply::error(503, "no capacity");
@@ -136,19 +143,22 @@
         let boot_s = scenario.machine_types[scenario.machine(numbers[0]).machine_type].boot_s;
         let now = now_us();
         for number in &numbers {
-            let starting = Rented {
+            let starting = ProvisionedMachine {
                 state: MachineState::Starting,
                 since_us: now,
                 up_us: now + (boot_s * 1e6) as u64,
             };
-            self.rented.insert(*number, starting);
+            self.provisioned.insert(*number, starting);
         }
-        self.tell(&numbers, |machines| Command::Boot {
+        self.notify(&numbers, |machines| SimulatorCommand::Boot {
             machines,
             after_ms: (boot_s * 1000.0) as u64,
         });
-        let names: Vec<String> = numbers.iter().map(|n| scenario.machine(*n).name).collect();
-        self.orders.insert(order.bon, names.clone());
+        let names: Vec<String> = numbers
+            .iter()
+            .map(|number| scenario.machine(*number).name)
+            .collect();
+        self.orders.insert(order.order, names.clone());
         Reply::json(200, &json!({ "bancs": names }))
     }
 
@@ -157,41 +167,44 @@
             return Reply::error(400, "malformed");
         };
         let numbers: Vec<u32> = body
-            .bancs
+            .machines
             .iter()
             .filter_map(|name| Scenario::machine_number(name))
             .collect();
-        self.tell(&numbers, |machines| Command::Remove { machines });
-        self.rented.retain(|number, _| !numbers.contains(number));
+        self.notify(&numbers, |machines| SimulatorCommand::Remove { machines });
+        self.provisioned
+            .retain(|number, _| !numbers.contains(number));
         Reply::json(200, &json!({}))
     }
 
     fn list(&self, path: &str) -> Reply {
         let query = path.split_once('?').map_or("", |(_, query)| query);
         let from = query.split('&').find_map(|p| p.strip_prefix("from="));
-        let from = from.and_then(Scenario::machine_number).map_or(0, |n| n + 1);
+        let from = from
+            .and_then(Scenario::machine_number)
+            .map_or(0, |number| number + 1);
         let now = now_us();
         let lag_us = (self.scenario.cloud.list_lag_s * 1e6) as u64;
         let listed = self
-            .rented
+            .provisioned
             .range(from..)
-            .filter(|(_, m)| now >= m.since_us + lag_us);
+            .filter(|(_, machine)| now >= machine.since_us + lag_us);
         let rows: Vec<serde_json::Value> = listed
-            .take(MOST_LISTED + 1)
-            .map(|(number, m)| self.row(*number, m, now))
+            .take(MAX_LISTED + 1)
+            .map(|(number, machine)| self.row(*number, machine, now))
             .collect();
-        let more = rows.len() > MOST_LISTED;
-        let rows = &rows[..rows.len().min(MOST_LISTED)];
+        let more = rows.len() > MAX_LISTED;
+        let rows = &rows[..rows.len().min(MAX_LISTED)];
         Reply::json(200, &json!({"bancs": rows, "truncated": more}))
     }
 
-    fn row(&self, number: u32, rented: &Rented, now: u64) -> serde_json::Value {
+    fn row(&self, number: u32, provisioned: &ProvisionedMachine, now: u64) -> serde_json::Value {
         let machine = self.scenario.machine(number);
         let address = self
             .process(number)
             .map(|p| p.addresses[(number - p.first) as usize]);
-        let state = match rented.state {
-            MachineState::Starting if now < rented.up_us => "starting",
+        let state = match provisioned.state {
+            MachineState::Starting if now < provisioned.up_us => "starting",
             MachineState::Failed => "failed",
             _ => "running",
         };
@@ -202,41 +215,46 @@
             "secteur": self.scenario.zones[machine.zone],
             "occasion": false,
             "etat": state,
-            "heldS": now.saturating_sub(rented.since_us) as f64 / 1e6,
+            "heldS": now.saturating_sub(provisioned.since_us) as f64 / 1e6,
         })
     }
 
-    fn request(&mut self, net: &mut Net, asker: Asker, request: &Request) {
+    fn request(&mut self, net: &mut Network, request_handle: RequestHandle, request: &Request) {
         self.requests += 1.0;
         let path = request.path.split('?').next().unwrap_or("");
         let reply = match (request.method.as_str(), path) {
             ("GET", "/catalog") => Reply::json(200, &self.scenario.catalog()),
             ("GET", "/machines") => self.list(&request.path),
-            ("POST", "/machines") => self.rent(&request.body),
+            ("POST", "/machines") => self.provision(&request.body),
             ("POST", "/machines/release") => self.release(&request.body),
             _ => Reply::error(404, "unknown path"),
         };
-        net.reply(asker, &reply);
+        net.reply(request_handle, &reply);
     }
 }
 
-impl Part for CloudPart {
-    fn incoming(&mut self, net: &mut Net, incoming: Incoming) -> io::Result<()> {
-        if let Incoming::Request { asker, request, .. } = incoming {
-            self.request(net, asker, &request);
+impl Simulator for CloudSimulator {
+    fn incoming(&mut self, net: &mut Network, incoming: Incoming) -> io::Result<()> {
+        if let Incoming::Request {
+            request_handle,
+            request,
+            ..
+        } = incoming
+        {
+            self.request(net, request_handle, &request);
         }
         Ok(())
     }
 
-    fn tick(&mut self, _: &mut Net) -> io::Result<u64> {
-        Ok(now_us() + IDLE_US)
+    fn tick(&mut self, _: &mut Network) -> io::Result<u64> {
+        Ok(now_us() + IDLE_INTERVAL_US)
     }
 
-    fn command(&mut self, _: &mut Net, command: &Command) -> io::Result<()> {
-        if let Command::Failed { machines } = command {
+    fn command(&mut self, _: &mut Network, command: &SimulatorCommand) -> io::Result<()> {
+        if let SimulatorCommand::MarkFailed { machines } = command {
             for number in machines {
-                if let Some(rented) = self.rented.get_mut(number) {
-                    rented.state = MachineState::Failed;
+                if let Some(provisioned) = self.provisioned.get_mut(number) {
+                    provisioned.state = MachineState::Failed;
                 }
             }
         }
@@ -247,7 +265,7 @@
         stats.counters.insert("requests".into(), self.requests);
         stats
             .counters
-            .insert("rented".into(), self.rented.len() as f64);
+            .insert("rented".into(), self.provisioned.len() as f64);
     }
 
     fn recorder(&mut self) -> Option<&mut Recorder> {
--- a/loadtest/src/control.rs
+++ b/loadtest/src/control.rs
@@ -1,4 +1,4 @@
-//! What the harness tells the hollow parts, and how: one small POST at a time.
+//! The harness's commands to simulators: one small POST request each.
 
 use crate::net::Traffic;
 use lilacfork::http;
@@ -7,32 +7,32 @@
 use std::net::{SocketAddrV4, TcpStream};
 use std::time::Duration;
 
-/// Where a part takes commands.
+/// The path of commands.
 pub const CONTROL_PATH: &str = "/control";
-/// How long the harness waits for an answer.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// How long a response is waited for.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A command to a part. Those that don't concern it are ignored.
+/// A command to a simulator, which ignores those for other simulators.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
-pub enum Command {
-    /// Say what was counted so far.
+pub enum SimulatorCommand {
+    /// Return the counters.
     Stats,
     /// End.
     Stop,
-    /// State service: refuse this controller, or all, for a while.
-    Refuse {
+    /// Key-value store: reject the requests of this controller, or of all, for a while.
+    RejectRequests {
         /// The controller's number.
         controller: Option<usize>,
         /// For how long.
         for_ms: u64,
     },
-    /// State service: the announced limits come into force.
-    LowerLimits,
-    /// Workers: these machines come up after a while.
+    /// Key-value store: the announced limits come into force.
+    ApplyNextLimits,
+    /// Workers: these machines boot, which takes a while.
     Boot {
         /// The machines' numbers.
         machines: Vec<u32>,
-        /// After how long.
+        /// How long.
         after_ms: u64,
     },
     /// Workers: these machines are gone at once.
@@ -40,20 +40,20 @@
         /// The machines' numbers.
         machines: Vec<u32>,
     },
-    /// Workers: these machines reach nobody for a while.
-    Silence {
+    /// Workers: these machines are unreachable for a while.
+    Isolate {
         /// The machines' numbers.
         machines: Vec<u32>,
         /// For how long.
         for_ms: u64,
     },
     /// Cloud: these machines have failed.
-    Failed {
+    MarkFailed {
         /// The machines' numbers.
         machines: Vec<u32>,
     },
-    /// Workers: those of this zone reach nobody for a while.
-    Cut {
+    /// Workers: those of this zone are unreachable for a while.
+    IsolateZone {
         /// The zone's number.
         zone: usize,
         /// For how long.
@@ -61,46 +61,46 @@
     },
 }
 
-/// What a part has counted.
+/// The counters of a simulator.
 #[derive(Clone, Default, Debug, Serialize, Deserialize)]
 pub struct Stats {
     /// Messages and bytes.
     pub traffic: Traffic,
     /// Open connections.
     pub sockets: usize,
-    /// Counters of the part's own, by name.
+    /// The simulator's own counters, by name.
     pub counters: std::collections::BTreeMap<String, f64>,
 }
 
-/// What a part says once it can be reached.
+/// What a simulator prints once it can be reached.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Ready {
-    /// Where it takes commands.
+    /// Where it accepts commands.
     pub control: SocketAddrV4,
     /// Its other listeners.
     pub listeners: Vec<SocketAddrV4>,
 }
 
-/// Sends a command and waits for the answer.
-pub fn send(to: SocketAddrV4, command: &Command) -> io::Result<Stats> {
+/// Sends a command and waits for the response.
+pub fn send(to: SocketAddrV4, command: &SimulatorCommand) -> io::Result<Stats> {
     let body = serde_json::to_vec(command)?;
-    let answer = request(to, "POST", CONTROL_PATH, &body)?;
-    Ok(serde_json::from_slice(&answer)?)
+    let response = request(to, "POST", CONTROL_PATH, &body)?;
+    Ok(serde_json::from_slice(&response)?)
 }
 
-/// Makes one request and waits for the body of a good answer.
+/// Makes one request and waits for the body of a successful response.
 pub fn request(to: SocketAddrV4, method: &str, path: &str, body: &[u8]) -> io::Result<Vec<u8>> {
-    let response = ask(to, method, path, body)?;
+    let response = call(to, method, path, body)?;
     match response.status {
         200 => Ok(response.body),
         status => Err(io::Error::other(format!("status {status}"))),
     }
 }
 
-/// Makes one request and waits for the answer: its status and body.
-pub fn ask(to: SocketAddrV4, method: &str, path: &str, body: &[u8]) -> io::Result<http::Response> {
+/// Makes one request and waits for the response.
+pub fn call(to: SocketAddrV4, method: &str, path: &str, body: &[u8]) -> io::Result<http::Response> {
     let mut stream = TcpStream::connect(to)?;
-    stream.set_read_timeout(Some(PATIENCE))?;
+    stream.set_read_timeout(Some(RESPONSE_TIMEOUT))?;
     let mut output = Vec::new();
     http::write_request(&mut output, method, path, "lilacfork", body);
     stream.write_all(&output)?;
--- a/loadtest/src/failover.rs
+++ b/loadtest/src/failover.rs
@@ -1,6 +1,6 @@
-//! How long the fleet was without a leader: from the moment at which one ended or
-//! stood still to the next one's election, to its being active, and to the first
-//! start that only the new one can have ordered.
+//! How long failovers take: from the moment at which a leader is killed or paused to
+//! the next one's election, to its being active, and to the first task start that
+//! only the new leader can have commanded.
 
 use crate::history::{Entry, Event};
 use jiff::Timestamp;
@@ -10,57 +10,64 @@
 use std::fmt;
 use std::path::Path;
 
-/// What became of a leader.
+/// How a leader was lost.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum How {
-    /// Its process was ended.
+pub enum LossCause {
+    /// Its process was killed.
     Killed,
-    /// Its process stood still.
+    /// Its process was paused.
     Paused,
 }
 
-/// A leader that a fault took away.
+/// A leader's loss by a fault.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub struct LeaderEnd {
+pub struct LeaderLoss {
     /// When, in microseconds since 1970.
     pub at_us: u64,
-    /// How.
-    pub how: How,
+    /// Its cause.
+    pub cause: LossCause,
 }
 
-/// What a controller's log says of its leadership.
+/// A step of leadership that a controller logs.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
-pub enum Step {
+pub enum LeadershipStep {
     /// It was elected.
     Elected,
-    /// It has read everything that is stored.
+    /// It has loaded all stored records.
     Active,
 }
 
-/// A line of a log, with its time in microseconds since 1970.
-pub type LoggedStep = (u64, Step);
+/// A step of leadership with its time.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
+pub struct LoggedStep {
+    /// Microseconds since 1970.
+    pub at_us: u64,
+    /// The step.
+    pub step: LeadershipStep,
+}
 
-/// One change of leader; times in seconds from the end of the old one. `None`: it
-/// didn't come before the next end, or the run's.
+/// One failover; times in seconds from the loss of the old leader. `None`: it
+/// didn't happen before the next loss, or the end of the load test.
 #[derive(Clone, PartialEq, Debug, Serialize)]
-pub struct Takeover {
-    /// How the old leader ended.
-    pub how: How,
+pub struct Failover {
+    /// How the old leader was lost.
+    #[serde(rename = "how")]
+    pub cause: LossCause,
     /// Until the next was elected.
     pub elected_s: Option<f64>,
     /// Until it was active.
     pub active_s: Option<f64>,
-    /// Until a task started whose job was submitted after the end, under the next
+    /// Until a task started whose job was submitted after the loss, under the next
     /// leader: the old one may last a moment longer than the fault says.
     pub decision_s: Option<f64>,
 }
 
-impl fmt::Display for Takeover {
+impl fmt::Display for Failover {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let how = match self.how {
-            How::Killed => "killed",
-            How::Paused => "paused",
+        let cause = match self.cause {
+            LossCause::Killed => "killed",
+            LossCause::Paused => "paused",
         };
         let after = |seconds: Option<f64>| match seconds {
             Some(seconds) => format!("{seconds:.2} s"),
@@ -68,7 +75,7 @@
         };
         write!(
             f,
-            "leader {how}: next elected after {}, active after {}, first new start after {}",
+            "leader {cause}: next elected after {}, active after {}, first new start after {}",
             after(self.elected_s),
             after(self.active_s),
             after(self.decision_s)
@@ -76,18 +83,52 @@
     }
 }
 
-/// The step that a line of a controller's log tells of.
-pub fn logged_step(line: &str) -> Option<LoggedStep> {
-    let (time, rest) = line.strip_prefix('[')?.split_once(' ')?;
-    let step = if rest.contains("] leader term=") && rest.ends_with(" elected, loading") {
-        Step::Elected
-    } else if rest.contains("] leader term=") && rest.contains(" active, jobs=") {
-        Step::Active
+/// The message of a log line, without time, level and module.
+fn message_of(line: &str) -> Option<&str> {
+    line.strip_prefix('[')?
+        .split_once("] ")
+        .map(|(_, text)| text)
+}
+
+/// What a message reports of its controller's leadership, and for which term.
+///
+/// Both forms are read, because the load test also runs the version that is in
+/// production: `leader elected term=N` and `leader active term=N jobs=...`, and
+/// formerly `leader term=N elected, loading` and `leader term=N active, jobs=...`.
+fn parse_leadership(message: &str) -> Option<(LeadershipStep, u64)> {
+    let rest = message.strip_prefix("leader ")?;
+    let (step, term) = if let Some(rest) = rest.strip_prefix("elected term=") {
+        (LeadershipStep::Elected, rest)
+    } else if let Some(rest) = rest.strip_prefix("active term=") {
+        (LeadershipStep::Active, rest.split_once(" jobs=")?.0)
     } else {
-        return None;
+        let (term, what) = rest.strip_prefix("term=")?.split_once(' ')?;
+        match what {
+            "elected, loading" => (LeadershipStep::Elected, term),
+            _ if what.starts_with("active, jobs=") => (LeadershipStep::Active, term),
+            _ => return None,
+        }
     };
+    Some((step, term.parse().ok()?))
+}
+
+/// The step of leadership that a line of a controller's log reports.
+pub fn logged_step(line: &str) -> Option<LoggedStep> {
+    let (step, _) = parse_leadership(message_of(line)?)?;
+    let (time, _) = line.strip_prefix('[')?.split_once(' ')?;
     let time: Timestamp = time.parse().ok()?;
-    Some((u64::try_from(time.as_microsecond()).ok()?, step))
+    Some(LoggedStep {
+        at_us: u64::try_from(time.as_microsecond()).ok()?,
+        step,
+    })
+}
+
+/// The terms for which a controller's log reports that it was elected.
+pub fn elected_terms(log: &str) -> impl Iterator<Item = u64> + '_ {
+    log.lines().filter_map(|line| {
+        let (step, term) = parse_leadership(message_of(line)?)?;
+        (step == LeadershipStep::Elected).then_some(term)
+    })
 }
 
 /// The steps in all controllers' logs, in the order of time.
@@ -101,41 +142,55 @@
     steps
 }
 
-/// The changes of leader that these ends caused.
-pub fn takeovers(ends: &[LeaderEnd], logged: &[LoggedStep], history: &[Entry]) -> Vec<Takeover> {
-    let mut submitted: HashMap<&str, u64> = HashMap::new();
+/// The terms for which the log file of a controller reports that it was elected.
+pub fn read_elected_terms(log: &Path) -> Vec<u64> {
+    let text = std::fs::read_to_string(log).unwrap_or_default();
+    elected_terms(&text).collect()
+}
+
+/// When each job was first submitted.
+fn submission_times(history: &[Entry]) -> HashMap<&str, u64> {
+    let mut submitted = HashMap::new();
     for entry in history {
         if let Event::Submitted { job } = &entry.event {
-            submitted.entry(job).or_insert(entry.at_us);
+            submitted.entry(job.as_str()).or_insert(entry.at_us);
         }
     }
-    let followed = ends.iter().skip(1).map(|end| end.at_us);
-    let until = followed.chain(std::iter::once(u64::MAX));
-    let takeover = |(end, until_us): (&LeaderEnd, u64)| {
-        let within = |at_us: u64| at_us > end.at_us && at_us < until_us;
-        let since = |at_us: u64| (at_us - end.at_us) as f64 / 1e6;
-        let step = |wanted: Step| {
-            let first = logged
+    submitted
+}
+
+/// The failovers that these losses caused.
+pub fn failovers(losses: &[LeaderLoss], logged: &[LoggedStep], history: &[Entry]) -> Vec<Failover> {
+    let submitted = submission_times(history);
+    let next_losses = losses.iter().skip(1).map(|loss| loss.at_us);
+    let ends = next_losses.chain(std::iter::once(u64::MAX));
+    let failover = |(loss, until_us): (&LeaderLoss, u64)| {
+        let is_within = |at_us: u64| at_us > loss.at_us && at_us < until_us;
+        let seconds_since = |at_us: u64| (at_us - loss.at_us) as f64 / 1e6;
+        let first_us = |step: LeadershipStep| {
+            logged
                 .iter()
-                .find(|(at, step)| within(*at) && *step == wanted);
-            first.map(|(at, _)| *at)
+                .find(|logged| is_within(logged.at_us) && logged.step == step)
+                .map(|logged| logged.at_us)
         };
-        let elected_us = step(Step::Elected);
-        let new = |entry: &&Entry| match &entry.event {
-            Event::Started { task, .. } => {
-                let job = TaskRef::parse(task).map(|task| task.job);
-                let came = job.and_then(|job| submitted.get(job.as_str()).copied());
-                let elected = elected_us.is_some_and(|elected| entry.at_us > elected);
-                within(entry.at_us) && elected && came.is_some_and(|came| came > end.at_us)
-            }
-            _ => false,
+        let elected_us = first_us(LeadershipStep::Elected);
+        let is_new_start = |entry: &&Entry| {
+            let Event::Started { task, .. } = &entry.event else {
+                return false;
+            };
+            let submitted_us =
+                TaskRef::parse(task).and_then(|task| submitted.get(task.job.as_str()).copied());
+            is_within(entry.at_us)
+                && elected_us.is_some_and(|elected_us| entry.at_us > elected_us)
+                && submitted_us.is_some_and(|submitted_us| submitted_us > loss.at_us)
         };
-        Takeover {
-            how: end.how,
-            elected_s: elected_us.map(since),
-            active_s: step(Step::Active).map(since),
-            decision_s: history.iter().find(new).map(|entry| since(entry.at_us)),
+        let first_start = history.iter().find(is_new_start);
+        Failover {
+            cause: loss.cause,
+            elected_s: elected_us.map(seconds_since),
+            active_s: first_us(LeadershipStep::Active).map(seconds_since),
+            decision_s: first_start.map(|entry| seconds_since(entry.at_us)),
         }
     };
-    ends.iter().zip(until).map(takeover).collect()
+    losses.iter().zip(ends).map(failover).collect()
 }
--- /dev/null
+++ b/loadtest/src/harness/startup.rs
@@ -0,0 +1,204 @@
+//! Starts the processes of a load test.
+
+use super::controller_settings::{settings_text, write_ini, Addresses};
+use super::processes::{spawn, Controller, SimulatorProcess};
+use super::{process_error, LoadTest, RunError, RunOptions, HARNESS_HISTORY};
+use crate::control;
+use crate::history::Recorder;
+use crate::net::now_us;
+use crate::process::{ProcessRole, WorkerProcess};
+use crate::process_stats::UsageByProcess;
+use crate::scenario::{MachineRange, Scenario};
+use lilacfork::wire::users::READY_PATH;
+use std::collections::BTreeMap;
+use std::fs::File;
+use std::io;
+use std::net::{Ipv4Addr, SocketAddrV4, TcpListener};
+use std::path::Path;
+use std::process::Command;
+use std::time::Duration;
+
+/// How long controllers may take to become ready.
+const READY_TIMEOUT_US: u64 = 30_000_000;
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Ports for controllers lie below those that the kernel assigns.
+const CONTROLLER_PORTS: std::ops::Range<u16> = 15_000..30_000;
+const MAX_PORT_ATTEMPTS: u32 = 1000;
+
+/// An address that is free, outside the range from which the kernel gives ports to
+/// connections: it has to stay free until its controller is started, and started
+/// again.
+fn free_address(rng: &mut fastrand::Rng, taken: &[SocketAddrV4]) -> io::Result<SocketAddrV4> {
+    for _ in 0..MAX_PORT_ATTEMPTS {
+        let address = SocketAddrV4::new(Ipv4Addr::LOCALHOST, rng.u16(CONTROLLER_PORTS));
+        if !taken.contains(&address) && TcpListener::bind(address).is_ok() {
+            return Ok(address);
+        }
+    }
+    Err(io::ErrorKind::AddrNotAvailable.into())
+}
+
+fn free_addresses(count: usize) -> io::Result<Vec<SocketAddrV4>> {
+    let mut rng = fastrand::Rng::new();
+    let mut addresses = Vec::new();
+    for _ in 0..count {
+        addresses.push(free_address(&mut rng, &addresses)?);
+    }
+    Ok(addresses)
+}
+
+/// The processes of simulated workers.
+#[derive(Default)]
+struct WorkerProcesses {
+    workers: Vec<SimulatorProcess>,
+    machine_ranges: Vec<MachineRange>,
+    /// How the simulated cloud reaches them.
+    known_to_cloud: Vec<WorkerProcess>,
+}
+
+impl WorkerProcesses {
+    fn start(
+        dir: &Path,
+        scenario: &Scenario,
+        controllers: &[SocketAddrV4],
+    ) -> Result<WorkerProcesses, RunError> {
+        let mut started = WorkerProcesses::default();
+        let per_process = scenario.workers.per_process;
+        for first in (0..scenario.machine_count()).step_by(per_process as usize) {
+            let last = (first + per_process).min(scenario.machine_count()) - 1;
+            let name = format!("workers-{first}");
+            let role = ProcessRole::Workers { first, last };
+            let simulator = SimulatorProcess::start(dir, &name, role, scenario, controllers)?;
+            started.known_to_cloud.push(WorkerProcess {
+                first,
+                last,
+                control: simulator.ready.control,
+                addresses: simulator.ready.listeners.clone(),
+            });
+            started.workers.push(simulator);
+            started.machine_ranges.push(MachineRange { first, last });
+        }
+        Ok(started)
+    }
+}
+
+impl LoadTest {
+    /// Starts all processes but the users', and waits until the controllers are ready.
+    pub(super) fn start(scenario: Scenario, options: &RunOptions) -> Result<LoadTest, RunError> {
+        let dir = options.dir.clone();
+        std::fs::create_dir_all(&dir).map_err(process_error("run directory"))?;
+        let count = scenario.controllers.count as usize;
+        let addresses = free_addresses(count * 2).map_err(process_error("ports"))?;
+        let (clients, peers) = addresses.split_at(count);
+        let kv_store =
+            SimulatorProcess::start(&dir, "kv_store", ProcessRole::KvStore, &scenario, clients)?;
+        let WorkerProcesses {
+            workers,
+            machine_ranges,
+            known_to_cloud,
+        } = WorkerProcesses::start(&dir, &scenario, clients)?;
+        let cloud = SimulatorProcess::start(
+            &dir,
+            "cloud",
+            ProcessRole::Cloud {
+                workers: known_to_cloud,
+            },
+            &scenario,
+            clients,
+        )?;
+        let ini_arguments = write_ini(&dir, &scenario).map_err(process_error("settings"))?;
+        let mut load_test = LoadTest {
+            ini_arguments,
+            rng: fastrand::Rng::with_seed(scenario.seed),
+            recorder: Recorder::create(&dir.join(HARNESS_HISTORY))
+                .map_err(process_error("history"))?,
+            program: options.program.clone(),
+            log_level: options.log_level.clone(),
+            addresses: clients.to_vec(),
+            controllers: Vec::new(),
+            kv_store,
+            workers,
+            machine_ranges,
+            users: None,
+            scheduled: BTreeMap::new(),
+            scheduled_count: 0,
+            leader_losses: Vec::new(),
+            usage: UsageByProcess::default(),
+            cloud: None,
+            scenario,
+            dir,
+        };
+        let cloud_address = cloud.ready.listeners[0];
+        load_test.cloud = Some(cloud);
+        for number in 0..count {
+            load_test
+                .write_settings(number, clients, peers, cloud_address)
+                .map_err(process_error("settings"))?;
+            load_test.start_controller(number)?;
+        }
+        load_test.wait_ready(clients)?;
+        Ok(load_test)
+    }
+
+    fn write_settings(
+        &mut self,
+        number: usize,
+        clients: &[SocketAddrV4],
+        peers: &[SocketAddrV4],
+        cloud: SocketAddrV4,
+    ) -> io::Result<()> {
+        let addresses = Addresses {
+            clients,
+            peers,
+            state: self.kv_store.ready.listeners[number],
+            cloud,
+        };
+        let text = settings_text(&self.scenario, number, &addresses);
+        let settings = self.dir.join(format!("controller-{number}.toml"));
+        let log = self.dir.join(format!("controller-{number}.log"));
+        std::fs::write(&settings, text)?;
+        self.controllers.push(Controller {
+            settings,
+            log,
+            process: None,
+        });
+        Ok(())
+    }
+
+    /// Starts a controller, for the first time or again.
+    pub(super) fn start_controller(&mut self, number: usize) -> Result<(), RunError> {
+        let controller = &mut self.controllers[number];
+        let name = format!("controller-{number}");
+        let log = File::options()
+            .create(true)
+            .append(true)
+            .open(&controller.log);
+        let log = log.map_err(process_error(&name))?;
+        let mut command = Command::new(&self.program);
+        command
+            .arg("--config")
+            .arg(&controller.settings)
+            .args(&self.ini_arguments)
+            .env("LOG_LEVEL", &self.log_level)
+            .stderr(log);
+        controller.process = Some(spawn(command, &name)?);
+        Ok(())
+    }
+
+    fn wait_ready(&self, clients: &[SocketAddrV4]) -> Result<(), RunError> {
+        let until_us = now_us() + READY_TIMEOUT_US;
+        for address in clients {
+            while control::request(*address, "GET", READY_PATH, b"").is_err() {
+                if now_us() > until_us {
+                    let source = io::ErrorKind::TimedOut.into();
+                    return Err(RunError::Process {
+                        process: "controllers don't get ready".into(),
+                        source,
+                    });
+                }
+                std::thread::sleep(READY_POLL_INTERVAL);
+            }
+        }
+        Ok(())
+    }
+}
--- a/loadtest/src/history.rs
+++ b/loadtest/src/history.rs
@@ -1,24 +1,25 @@
-//! What happened, as each hollow part writes it down: one line of JSON an
-//! event, in a file of its own.
+//! The history of a load test: each simulator writes its events to a file of its own,
+//! one line of JSON each.
 
 use crate::net::now_us;
+use crate::scenario::MachineRange;
 use serde::{Deserialize, Serialize};
 use std::fs::File;
 use std::io::{self, BufRead, BufReader, BufWriter, Write};
 use std::path::Path;
 
-/// What a user asked for.
+/// The kinds of users' requests.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
-pub enum Verb {
-    /// To take a job.
+pub enum UserRequest {
+    /// To accept a job.
     Submit,
     /// How a job is.
-    Show,
+    Query,
     /// To cancel a job.
     Cancel,
 }
 
-/// Something that the rules speak of.
+/// An event that the rules are about.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 pub enum Event {
     /// A user submits a job for the first time.
@@ -31,18 +32,17 @@
         /// The job.
         job: String,
     },
-    /// A user was answered, with this status and state.
+    /// A user received a response, or none.
     Answered {
         /// The job.
         job: String,
-        /// What was asked.
-        verb: Verb,
-        /// The HTTP status; 0: no answer came.
+        /// The request.
+        request: UserRequest,
+        /// The HTTP status; 0: there was no response.
         status: u16,
-        /// The job's state, as far as the answer names one.
+        /// The job's state, as far as the response names one.
         state: String,
-        /// How many tasks are said to run, where that is looked at: for jobs whose
-        /// replicas span machines.
+        /// How many tasks run, by the response; only of jobs with multi-host replicas.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         running: Option<u32>,
     },
@@ -58,17 +58,17 @@
         /// The task.
         task: String,
     },
-    /// A task is on a machine no longer.
+    /// A task has left its machine.
     Left {
         /// The task.
         task: String,
         /// The machine's number.
         machine: u32,
     },
-    /// Machines are gone with all that they ran.
+    /// Machines are lost with all tasks that they ran.
     Lost {
-        /// The machines' numbers, from and to, the last one included.
-        machines: (u32, u32),
+        /// The machines.
+        machines: MachineRange,
     },
 }
 
@@ -81,21 +81,21 @@
     pub event: Event,
 }
 
-/// The file that a part writes.
+/// Writes a simulator's history.
 pub struct Recorder {
     file: BufWriter<File>,
 }
 
 impl Recorder {
-    /// Begins a file.
+    /// Creates the file.
     pub fn create(path: &Path) -> io::Result<Recorder> {
         Ok(Recorder {
             file: BufWriter::new(File::create(path)?),
         })
     }
 
-    /// Writes down what happens now.
-    pub fn note(&mut self, event: Event) -> io::Result<()> {
+    /// Records an event that happens now.
+    pub fn record(&mut self, event: Event) -> io::Result<()> {
         let entry = Entry {
             at_us: now_us(),
             event,
@@ -104,14 +104,14 @@
         self.file.write_all(b"\n")
     }
 
-    /// Makes sure that nothing is lost if this process ends.
+    /// Writes what is buffered, so that it survives the end of this process.
     pub fn flush(&mut self) -> io::Result<()> {
         self.file.flush()
     }
 }
 
-/// Reads files, and puts their events in the order of time. A last line that was
-/// cut off by its writer's end is left out.
+/// Reads files, and sorts their events by time. A last line that was truncated when its
+/// writer ended is skipped.
 pub fn read(paths: &[std::path::PathBuf]) -> io::Result<Vec<Entry>> {
     let mut entries: Vec<Entry> = Vec::new();
     for path in paths {
--- a/loadtest/src/lib.rs
+++ b/loadtest/src/lib.rs
@@ -1,10 +1,10 @@
-//! A scale run of lilacfork on one machine: real controllers beside hollow
-//! workers, users, a state service and a cloud, all on loopback.
+//! A load test of lilacfork on one machine: real controllers beside simulated
+//! workers, users, a key-value store and a cloud, all on loopback.
 //!
-//! "Hollow" means that the protocol is spoken in full while nothing is done: a
-//! task "runs" until a clock says that it is over. Each part is a process of its
-//! own ([`part`]); [`harness`] starts, disturbs and ends them, and
-//! [`checker`] judges the history that they wrote.
+//! A simulator implements the protocol in full without doing the work: a task
+//! "runs" until its time is over. Each simulator is a process of its own
+//! ([`process`]); [`harness`] starts and ends them and injects faults, and
+//! [`checker`] checks the history that they write.
 
 #![deny(missing_docs)]
 #![warn(clippy::too_many_lines, clippy::cognitive_complexity)]
@@ -16,12 +16,12 @@
 pub mod failover;
 pub mod harness;
 pub mod history;
+pub mod kv_store;
 pub mod net;
-pub mod part;
+pub mod process;
 pub mod process_stats;
 pub mod replica_groups;
 pub mod report;
 pub mod scenario;
-pub mod state;
 pub mod users;
 pub mod workers;
--- a/loadtest/src/main.rs
+++ b/loadtest/src/main.rs
@@ -1,29 +1,30 @@
-//! The program: one run, or one of its hollow parts.
+//! The program: one load test, or one of its simulators.
 
 use clap::{Parser, Subcommand};
 use lilacfork_loadtest::harness::{self, RunOptions};
-use lilacfork_loadtest::part;
-use lilacfork_loadtest::scenario::Scenario;
+use lilacfork_loadtest::process;
+use lilacfork_loadtest::process_stats::open_files_limit;
+use lilacfork_loadtest::scenario::{Scenario, ScenarioError};
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// A scale run of lilacfork on this machine, all on loopback.
+/// A load test of lilacfork on this machine, all on loopback
 #[derive(Parser)]
 #[command(version, about)]
 struct Args {
     #[command(subcommand)]
-    verb: Verb,
+    action: Action,
 }
 
 #[derive(Subcommand)]
-enum Verb {
+enum Action {
     /// Start everything, measure, end everything
     Run(RunArgs),
-    /// Read a scenario, say whether it can be run here, and exit
+    /// Read a scenario, tell whether it can be run here, and exit
     Check(RunArgs),
-    /// A hollow part of a run; started by `run`
+    /// One simulator of a load test; started by `run`
     #[command(hide = true)]
-    Part {
+    Simulate {
         /// Its configuration
         config: PathBuf,
     },
@@ -45,10 +46,10 @@
     /// Without the scenario's faults
     #[arg(long)]
     no_faults: bool,
-    /// Each part of a replica that spans machines is repaired alone
+    /// Each task of a multi-host replica is repaired independently
     #[arg(long)]
     parts_alone: bool,
-    /// Each answer of the state service goes out so many milliseconds later
+    /// Delay of each response of the key-value store, in milliseconds
     #[arg(long)]
     answer_ms: Option<f64>,
     /// The controllers' program
@@ -66,8 +67,8 @@
 }
 
 impl RunArgs {
-    fn scenario(&self) -> Result<Scenario, String> {
-        let mut scenario = Scenario::load(&self.scenario).map_err(|e| e.to_string())?;
+    fn scenario(&self) -> Result<Scenario, ScenarioError> {
+        let mut scenario = Scenario::load(&self.scenario)?;
         if let Some(workers) = self.workers.filter(|n| *n > 0) {
             scenario = scenario.resized(workers);
         }
@@ -77,23 +78,23 @@
         if self.no_faults {
             scenario.faults.clear();
         }
-        scenario.parts_alone |= self.parts_alone;
+        scenario.ungrouped_replicas |= self.parts_alone;
         if let Some(answer_ms) = self.answer_ms.filter(|ms| *ms >= 0.0) {
-            scenario.state.answer_ms = answer_ms;
+            scenario.state.response_delay_ms = answer_ms;
         }
         Ok(scenario.loaded(self.load))
     }
 }
 
-fn wrong(why: impl std::fmt::Display) -> ExitCode {
-    eprintln!("lilacfork-loadtest: {why}");
+fn usage_error(reason: impl std::fmt::Display) -> ExitCode {
+    eprintln!("lilacfork-loadtest: {reason}");
     ExitCode::from(2)
 }
 
 fn run(args: &RunArgs) -> ExitCode {
     let scenario = match args.scenario() {
         Ok(scenario) => scenario,
-        Err(why) => return wrong(why),
+        Err(error) => return usage_error(error),
     };
     let unique = format!("lilacfork-loadtest-{}", std::process::id());
     let options = RunOptions {
@@ -106,8 +107,8 @@
     };
     let report = match harness::run(scenario, &options) {
         Ok(report) => report,
-        Err(why) => {
-            eprintln!("lilacfork-loadtest: {why}");
+        Err(error) => {
+            eprintln!("lilacfork-loadtest: {error}");
             return ExitCode::FAILURE;
         }
     };
@@ -116,10 +117,10 @@
     if let Some(path) = &args.json {
         let text = serde_json::to_vec_pretty(&report).unwrap_or_default();
         if let Err(e) = std::fs::write(path, text) {
-            return wrong(format_args!("{}: {e}", path.display()));
+            return usage_error(format_args!("{}: {e}", path.display()));
         }
     }
-    if report.broken.is_empty() {
+    if report.violations.is_empty() {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
@@ -129,27 +130,24 @@
 fn check(args: &RunArgs) -> ExitCode {
     let scenario = match args.scenario() {
         Ok(scenario) => scenario,
-        Err(why) => return wrong(why),
+        Err(error) => return usage_error(error),
     };
-    match harness::check_size(
-        &scenario,
-        lilacfork_loadtest::process_stats::open_files_limit(),
-    ) {
+    match harness::check_size(&scenario, open_files_limit()) {
         Ok(()) => {
             println!("the scenario is fine and fits here");
             ExitCode::SUCCESS
         }
-        Err(why) => wrong(why),
+        Err(error) => usage_error(error),
     }
 }
 
 fn main() -> ExitCode {
-    match Args::parse().verb {
-        Verb::Run(args) => run(&args),
-        Verb::Check(args) => check(&args),
-        Verb::Part { config } => match part::run(&config) {
+    match Args::parse().action {
+        Action::Run(args) => run(&args),
+        Action::Check(args) => check(&args),
+        Action::Simulate { config } => match process::run(&config) {
             Ok(()) => ExitCode::SUCCESS,
-            Err(why) => wrong(why),
+            Err(error) => usage_error(error),
         },
     }
 }
--- a/loadtest/src/net.rs
+++ b/loadtest/src/net.rs
@@ -1,4 +1,4 @@
-//! Sockets of a hollow part: many listeners and many links on one thread.
+//! Sockets of a simulator process: many listeners and many links on one thread.
 //!
 //! The program's own reactor has two listeners and shares connections between
 //! calls to one address. Here a thousand workers each have a listener and a
@@ -15,67 +15,65 @@
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4, TcpListener, TcpStream};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// The most that is read at once.
+/// How much is read at once.
 const READ_BYTES: usize = 64 * 1024;
-/// The error number of a connection that is under way.
-const IN_PROGRESS: i32 = 115;
 
-/// Microseconds since 1970: one clock for all processes of a run.
+/// Microseconds since 1970: one clock for all processes of a load test.
 pub fn now_us() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .map_or(0, |d| d.as_micros() as u64)
 }
 
-/// A connection on which somebody waits for an answer.
+/// A request whose response its sender waits for.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
-pub struct Asker(usize);
+pub struct RequestHandle(usize);
 
-/// Who makes calls: each has one connection at a time.
+/// A source of calls: each has one connection at a time.
 pub type Link = u64;
 
-/// What came in.
+/// A message that has arrived, or a call that has failed.
 #[derive(Debug)]
 pub enum Incoming {
-    /// A request, by the listener of this number.
+    /// A request.
     Request {
-        /// The listener.
+        /// The number of the listener.
         listener: usize,
-        /// Who waits for the answer.
-        asker: Asker,
+        /// What to respond to.
+        request_handle: RequestHandle,
         /// The request.
         request: Request,
     },
-    /// The answer to a link's call; `None`: there won't be one.
-    Answer {
+    /// The outcome of a link's call.
+    Response {
         /// The link.
         link: Link,
-        /// Status and body.
-        answer: Option<http::Response>,
+        /// The response; `None`: the call has failed.
+        response: Option<http::Response>,
     },
 }
 
-/// Messages and bytes, both ways.
+/// Messages and bytes in both directions.
 #[derive(Clone, Copy, Default, Debug, Serialize, Deserialize)]
 pub struct Traffic {
-    /// Messages taken.
+    /// Messages received.
     pub messages_in: u64,
     /// Messages sent.
     pub messages_out: u64,
-    /// Bytes taken.
+    /// Bytes received.
     pub bytes_in: u64,
     /// Bytes sent.
     pub bytes_out: u64,
 }
 
-enum Role {
+enum ConnectionRole {
     Server { listener: usize },
     Client { link: Link },
 }
 
-struct Conn {
+struct Connection {
     stream: TcpStream,
-    role: Role,
+    role: ConnectionRole,
     peer: SocketAddrV4,
     connected: bool,
     /// Server: a request is being worked on. Client: a call is in flight.
@@ -83,19 +81,19 @@
     deadline_us: u64,
     input: Vec<u8>,
     output: Vec<u8>,
-    writes: bool,
+    wants_to_write: bool,
 }
 
 /// All sockets of one process.
-pub struct Net {
+pub struct Network {
     poller: Poller,
     listeners: Vec<TcpListener>,
-    conns: HashMap<usize, Conn>,
+    connections: HashMap<usize, Connection>,
     links: HashMap<Link, usize>,
     deadlines: BTreeSet<(u64, usize)>,
     next_key: usize,
     events: Events,
-    /// What came in and waits to be taken.
+    /// What has arrived and hasn't been returned yet.
     incoming: Vec<Incoming>,
     /// Counted since the start.
     pub traffic: Traffic,
@@ -104,13 +102,13 @@
 /// Listener keys lie above those of connections.
 const FIRST_LISTENER: usize = 1 << 40;
 
-impl Net {
-    /// No sockets yet.
-    pub fn new() -> io::Result<Net> {
-        Ok(Net {
+impl Network {
+    /// A network without sockets.
+    pub fn new() -> io::Result<Network> {
+        Ok(Network {
             poller: Poller::new()?,
             listeners: Vec::new(),
-            conns: HashMap::new(),
+            connections: HashMap::new(),
             links: HashMap::new(),
             deadlines: BTreeSet::new(),
             next_key: 0,
@@ -143,8 +141,8 @@
         }
     }
 
-    /// Makes a call on a link. A call that is still in flight there is given up
-    /// without a word, as is the connection if it leads elsewhere.
+    /// Makes a call on a link. A call that is still in flight there is dropped without
+    /// an outcome, and its connection closed, as is one to another address.
     pub fn call(
         &mut self,
         link: Link,
@@ -154,11 +152,11 @@
         body: &[u8],
         timeout_ms: u64,
     ) {
-        let usable = self
-            .links
-            .get(&link)
-            .copied()
-            .filter(|key| self.conns.get(key).is_some_and(|c| !c.busy && c.peer == to));
+        let usable = self.links.get(&link).copied().filter(|key| {
+            self.connections
+                .get(key)
+                .is_some_and(|connection| !connection.busy && connection.peer == to)
+        });
         let key = match usable {
             Some(key) => key,
             None => {
@@ -166,19 +164,22 @@
                 match self.connect(link, to) {
                     Ok(key) => key,
                     Err(_) => {
-                        self.incoming.push(Incoming::Answer { link, answer: None });
+                        self.incoming.push(Incoming::Response {
+                            link,
+                            response: None,
+                        });
                         return;
                     }
                 }
             }
         };
-        let Some(conn) = self.conns.get_mut(&key) else {
+        let Some(connection) = self.connections.get_mut(&key) else {
             return;
         };
-        http::write_request(&mut conn.output, method, path, "lilacfork", body);
-        conn.busy = true;
-        conn.deadline_us = now_us() + timeout_ms * 1000;
-        self.deadlines.insert((conn.deadline_us, key));
+        http::write_request(&mut connection.output, method, path, "lilacfork", body);
+        connection.busy = true;
+        connection.deadline_us = now_us() + timeout_ms * 1000;
+        self.deadlines.insert((connection.deadline_us, key));
         self.traffic.messages_out += 1;
         self.flush(key);
     }
@@ -186,38 +187,36 @@
     /// Closes a link's connection, if it has one.
     pub fn close_link(&mut self, link: Link) {
         if let Some(key) = self.links.get(&link).copied() {
-            self.drop_conn(key);
+            self.close_connection(key);
         }
     }
 
     /// Closes all connections that came in by a listener.
-    pub fn close_listener_conns(&mut self, listener: usize) {
-        let of_listener =
-            |c: &Conn| matches!(c.role, Role::Server { listener: l } if l == listener);
+    pub fn close_listener_connections(&mut self, listener: usize) {
+        let of_listener = |connection: &Connection| matches!(connection.role, ConnectionRole::Server { listener: l } if l == listener);
         let keys: Vec<usize> = self
-            .conns
+            .connections
             .iter()
-            .filter(|(_, c)| of_listener(c))
-            .map(|(k, _)| *k)
+            .filter(|(_, connection)| of_listener(connection))
+            .map(|(key, _)| *key)
             .collect();
         for key in keys {
-            self.drop_conn(key);
+            self.close_connection(key);
         }
     }
 
-    /// Answers a request.
-    pub fn reply(&mut self, asker: Asker, reply: &Reply) {
-        let Some(conn) = self.conns.get_mut(&asker.0) else {
+    /// Responds to a request.
+    pub fn reply(&mut self, request_handle: RequestHandle, reply: &Reply) {
+        let Some(connection) = self.connections.get_mut(&request_handle.0) else {
             return;
         };
-        conn.busy = false;
-        http::write_reply(&mut conn.output, reply, false);
+        connection.busy = false;
+        http::write_reply(&mut connection.output, reply, false);
         self.traffic.messages_out += 1;
-        self.flush(asker.0);
+        self.flush(request_handle.0);
     }
 
-    /// Waits until something comes in, or until then; what came in is handed
-    /// over.
+    /// Waits for messages until then at the latest, and returns those that arrived.
     pub fn wait(&mut self, until_us: u64) -> io::Result<Vec<Incoming>> {
         let deadline_us = self
             .deadlines
@@ -251,7 +250,7 @@
 
     /// How many connections are open.
     pub fn open(&self) -> usize {
-        self.conns.len()
+        self.connections.len()
     }
 
     fn expire(&mut self) {
@@ -259,26 +258,31 @@
         while let Some((at, key)) = self.deadlines.first().copied().filter(|(at, _)| *at <= now) {
             self.deadlines.remove(&(at, key));
             if self
-                .conns
+                .connections
                 .get(&key)
-                .is_some_and(|c| c.busy && c.deadline_us == at)
+                .is_some_and(|connection| connection.busy && connection.deadline_us == at)
             {
                 self.fail(key);
             }
         }
     }
 
-    fn insert(&mut self, stream: TcpStream, role: Role, peer: SocketAddrV4) -> io::Result<usize> {
+    fn insert(
+        &mut self,
+        stream: TcpStream,
+        role: ConnectionRole,
+        peer: SocketAddrV4,
+    ) -> io::Result<usize> {
         let key = self.next_key;
         self.next_key += 1;
-        let connected = matches!(role, Role::Server { .. });
+        let connected = matches!(role, ConnectionRole::Server { .. });
         let interest = Event::new(key, true, !connected);
         // Safety: a connection is deleted from the poller before it is dropped.
         unsafe {
             self.poller
                 .add_with_mode(&stream, interest, PollMode::Level)?
         };
-        let conn = Conn {
+        let connection = Connection {
             stream,
             role,
             peer,
@@ -287,9 +291,9 @@
             deadline_us: 0,
             input: Vec::new(),
             output: Vec::new(),
-            writes: !connected,
+            wants_to_write: !connected,
         };
-        self.conns.insert(key, conn);
+        self.connections.insert(key, connection);
         Ok(key)
     }
 
@@ -299,35 +303,35 @@
         socket.set_tcp_nodelay(true)?;
         match socket.connect(&SocketAddr::V4(to).into()) {
             Ok(()) => {}
-            Err(e) if e.raw_os_error() == Some(IN_PROGRESS) => {}
+            Err(e) if e.raw_os_error() == Some(libc::EINPROGRESS) => {}
             Err(e) => return Err(e),
         }
-        let key = self.insert(socket.into(), Role::Client { link }, to)?;
+        let key = self.insert(socket.into(), ConnectionRole::Client { link }, to)?;
         self.links.insert(link, key);
         Ok(key)
     }
 
     fn accept(&mut self, listener: usize) {
         while let Ok((stream, SocketAddr::V4(peer))) = self.listeners[listener].accept() {
-            let fit = stream
+            let configured = stream
                 .set_nonblocking(true)
                 .and_then(|()| stream.set_nodelay(true));
-            if fit.is_ok() {
-                let _ = self.insert(stream, Role::Server { listener }, peer);
+            if configured.is_ok() {
+                let _ = self.insert(stream, ConnectionRole::Server { listener }, peer);
             }
         }
     }
 
     fn ready(&mut self, event: Event) {
-        let Some(conn) = self.conns.get_mut(&event.key) else {
+        let Some(connection) = self.connections.get_mut(&event.key) else {
             return;
         };
-        if !conn.connected {
-            if !matches!(conn.stream.take_error(), Ok(None)) {
+        if !connection.connected {
+            if !matches!(connection.stream.take_error(), Ok(None)) {
                 self.fail(event.key);
                 return;
             }
-            conn.connected = event.writable;
+            connection.connected = event.writable;
         }
         if event.readable {
             self.read(event.key);
@@ -339,14 +343,14 @@
 
     fn read(&mut self, key: usize) {
         let mut buffer = [0; READ_BYTES];
-        let Some(conn) = self.conns.get_mut(&key) else {
+        let Some(connection) = self.connections.get_mut(&key) else {
             return;
         };
-        let ended = match conn.stream.read(&mut buffer) {
+        let ended = match connection.stream.read(&mut buffer) {
             Ok(0) => true,
             Ok(n) => {
                 self.traffic.bytes_in += n as u64;
-                conn.input.extend_from_slice(&buffer[..n]);
+                connection.input.extend_from_slice(&buffer[..n]);
                 false
             }
             Err(e) => !matches!(
@@ -354,9 +358,13 @@
                 io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted
             ),
         };
-        let parsed = match conn.role {
-            Role::Server { listener } if !conn.busy => Self::parse_request(conn, listener, key),
-            Role::Client { link } if conn.busy => Self::parse_answer(conn, link, ended),
+        let parsed = match connection.role {
+            ConnectionRole::Server { listener } if !connection.busy => {
+                Self::parse_request(connection, listener, key)
+            }
+            ConnectionRole::Client { link } if connection.busy => {
+                Self::parse_response(connection, link, ended)
+            }
             _ => Ok(None),
         };
         match parsed {
@@ -364,7 +372,7 @@
                 self.traffic.messages_in += 1;
                 self.incoming.push(incoming);
                 if ended {
-                    self.drop_conn(key);
+                    self.close_connection(key);
                 }
             }
             Ok(None) if !ended => {}
@@ -373,73 +381,76 @@
     }
 
     fn parse_request(
-        conn: &mut Conn,
+        connection: &mut Connection,
         listener: usize,
         key: usize,
     ) -> Result<Option<Incoming>, http::HttpError> {
-        let Some(parsed) = http::parse_request(&conn.input, http::MAX_REQUEST_BODY)? else {
+        let Some(parsed) = http::parse_request(&connection.input, http::MAX_REQUEST_BODY)? else {
             return Ok(None);
         };
-        conn.input.drain(..parsed.size);
-        conn.busy = true;
+        connection.input.drain(..parsed.size);
+        connection.busy = true;
         Ok(Some(Incoming::Request {
             listener,
-            asker: Asker(key),
+            request_handle: RequestHandle(key),
             request: parsed.message,
         }))
     }
 
-    fn parse_answer(
-        conn: &mut Conn,
+    fn parse_response(
+        connection: &mut Connection,
         link: Link,
         ended: bool,
     ) -> Result<Option<Incoming>, http::HttpError> {
-        let Some(parsed) = http::parse_response(&conn.input, ended)? else {
+        let Some(parsed) = http::parse_response(&connection.input, ended)? else {
             return Ok(None);
         };
-        conn.input.drain(..parsed.size);
-        conn.busy = false;
-        Ok(Some(Incoming::Answer {
+        connection.input.drain(..parsed.size);
+        connection.busy = false;
+        Ok(Some(Incoming::Response {
             link,
-            answer: Some(parsed.message),
+            response: Some(parsed.message),
         }))
     }
 
-    /// The connection is broken: a call in flight on it has no answer.
+    /// A connection has failed: so has a call in flight on it.
     fn fail(&mut self, key: usize) {
-        let link = match self.conns.get(&key) {
-            Some(conn) if conn.busy => match conn.role {
-                Role::Client { link } => Some(link),
-                Role::Server { .. } => None,
+        let link = match self.connections.get(&key) {
+            Some(connection) if connection.busy => match connection.role {
+                ConnectionRole::Client { link } => Some(link),
+                ConnectionRole::Server { .. } => None,
             },
             _ => None,
         };
-        self.drop_conn(key);
+        self.close_connection(key);
         if let Some(link) = link {
-            self.incoming.push(Incoming::Answer { link, answer: None });
+            self.incoming.push(Incoming::Response {
+                link,
+                response: None,
+            });
         }
     }
 
-    fn drop_conn(&mut self, key: usize) {
-        let Some(conn) = self.conns.remove(&key) else {
+    fn close_connection(&mut self, key: usize) {
+        let Some(connection) = self.connections.remove(&key) else {
             return;
         };
-        if let Role::Client { link } = conn.role {
+        if let ConnectionRole::Client { link } = connection.role {
             self.links.remove(&link);
         }
-        let _ = self.poller.delete(&conn.stream);
+        let _ = self.poller.delete(&connection.stream);
     }
 
     fn flush(&mut self, key: usize) {
-        let Some(conn) = self.conns.get_mut(&key) else {
+        let Some(connection) = self.connections.get_mut(&key) else {
             return;
         };
         let mut broken = false;
-        while conn.connected && !conn.output.is_empty() {
-            match conn.stream.write(&conn.output) {
+        while connection.connected && !connection.output.is_empty() {
+            match connection.stream.write(&connection.output) {
                 Ok(n) if n > 0 => {
                     self.traffic.bytes_out += n as u64;
-                    conn.output.drain(..n);
+                    connection.output.drain(..n);
                 }
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => break,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
@@ -449,13 +460,13 @@
                 }
             }
         }
-        let writes = !conn.connected || !conn.output.is_empty();
-        if writes != conn.writes {
-            conn.writes = writes;
-            let interest = Event::new(key, true, writes);
+        let wants_to_write = !connection.connected || !connection.output.is_empty();
+        if wants_to_write != connection.wants_to_write {
+            connection.wants_to_write = wants_to_write;
+            let interest = Event::new(key, true, wants_to_write);
             broken |= self
                 .poller
-                .modify_with_mode(&conn.stream, interest, PollMode::Level)
+                .modify_with_mode(&connection.stream, interest, PollMode::Level)
                 .is_err();
         }
         if broken {
--- a/loadtest/src/report.rs
+++ b/loadtest/src/report.rs
@@ -1,10 +1,10 @@
-//! The figures of a run, as a table and as JSON.
+//! The figures of a load test, as a table and as JSON.
 
-use crate::checker::{Broken, Rule};
+use crate::checker::{Rule, Violation};
 use crate::control::Stats;
-use crate::failover::Takeover;
+use crate::failover::Failover;
 use crate::history::{Entry, Event};
-use crate::process_stats::Used;
+use crate::process_stats::ProcessUsage;
 use crate::replica_groups::ReplicaFigures;
 use crate::scenario::Scenario;
 use hdrhistogram::Histogram;
@@ -15,7 +15,7 @@
 
 /// How long tasks waited, from their job's first submission.
 #[derive(Clone, Default, Debug, Serialize)]
-pub struct Waits {
+pub struct WaitFigures {
     /// Tasks that started.
     pub tasks: u64,
     /// Half of them waited no longer, in seconds.
@@ -23,8 +23,9 @@
     /// All but one in a hundred.
     pub p99_s: f64,
     /// The longest.
-    pub most_s: f64,
-    /// Share within the class's aim.
+    #[serde(rename = "most_s")]
+    pub max_s: f64,
+    /// Share within the class's service-level objective.
     pub in_time: f64,
     /// Tasks submitted in time that had not started at the end.
     pub not_started: u64,
@@ -40,7 +41,8 @@
     /// Of the busiest one: cores on the mean, and in its busiest second.
     pub busiest_mean: f64,
     /// See `busiest_mean`.
-    pub busiest_most: f64,
+    #[serde(rename = "busiest_most")]
+    pub busiest_max: f64,
     /// Memory of the largest one, in MB.
     pub resident_mb: f64,
     /// Sockets of the one with most.
@@ -60,37 +62,40 @@
     pub controllers: u32,
     /// The measured time in seconds.
     pub measured_s: f64,
-    /// By role.
+    /// By process role.
     pub roles: BTreeMap<String, RoleFigures>,
     /// Tasks started a second: on the mean, and in the best second.
     pub starts_per_s: [f64; 2],
     /// Tasks running at the end.
     pub tasks_running: f64,
-    /// Replicas that span machines; `None`: the scenario has none.
+    /// Multi-host replicas; `None`: the scenario has none.
     pub replicas: Option<ReplicaFigures>,
     /// By class.
-    pub waits: BTreeMap<String, Waits>,
-    /// What control costs a worker: messages and bytes a second.
+    pub waits: BTreeMap<String, WaitFigures>,
+    /// The load of the protocol per worker: messages a second.
     pub worker_messages_per_s: f64,
-    /// See `worker_messages_per_s`.
+    /// Likewise: bytes a second.
     pub worker_bytes_per_s: f64,
-    /// Submissions, health, and counters of the parts.
+    /// Counters of the simulators, by kind and name.
     pub counters: BTreeMap<String, f64>,
-    /// Changes of leader that faults caused.
-    pub takeovers: Vec<Takeover>,
-    /// The leader's own word on where its time went (its last `usage` line).
+    /// Failovers that faults caused.
+    #[serde(rename = "takeovers")]
+    pub failovers: Vec<Failover>,
+    /// Where the leader's processor time went: its last `usage` line.
     pub leader_usage: String,
     /// Leaders that were elected.
     pub elections: usize,
-    /// Broken rules, by rule.
-    pub broken: BTreeMap<Rule, usize>,
+    /// Violation rules, by rule.
+    #[serde(rename = "broken")]
+    pub violations: BTreeMap<Rule, usize>,
     /// The first of them.
-    pub first_broken: Vec<Broken>,
+    #[serde(rename = "first_broken")]
+    pub first_violations: Vec<Violation>,
 }
 
 /// What one role's processes used, put together.
 pub fn role_figures(
-    used: &[Used],
+    used: &[ProcessUsage],
     before: &[Stats],
     after: &[Stats],
     measured_s: f64,
@@ -102,7 +107,7 @@
     for one in used {
         role.cores_mean += one.cores_mean;
         role.busiest_mean = role.busiest_mean.max(one.cores_mean);
-        role.busiest_most = role.busiest_most.max(one.cores_most);
+        role.busiest_max = role.busiest_max.max(one.cores_max);
         role.resident_mb = role.resident_mb.max(one.resident_mb);
         role.sockets = role.sockets.max(one.sockets);
     }
@@ -142,7 +147,7 @@
     history: &[Entry],
     from_us: u64,
     to_us: u64,
-) -> BTreeMap<String, Waits> {
+) -> BTreeMap<String, WaitFigures> {
     let mut submitted: HashMap<&str, u64> = HashMap::new();
     let mut started: HashSet<&str> = HashSet::new();
     let mut by_class: BTreeMap<usize, Vec<u64>> = BTreeMap::new();
@@ -184,9 +189,9 @@
     expected.into_iter().map(class_waits).collect()
 }
 
-fn wait_figures(waited_us: &[u64], tasks: u64, within_s: Option<f64>) -> Waits {
+fn wait_figures(waited_us: &[u64], tasks: u64, within_s: Option<f64>) -> WaitFigures {
     let Ok(mut histogram) = Histogram::<u64>::new(3) else {
-        return Waits::default();
+        return WaitFigures::default();
     };
     for us in waited_us {
         let _ = histogram.record(us / 1000);
@@ -194,18 +199,18 @@
     let quantile_s = |q: f64| histogram.value_at_quantile(q) as f64 / 1000.0;
     let within_us = within_s.map_or(u64::MAX, |s| (s * 1e6) as u64);
     let in_time = waited_us.iter().filter(|us| **us <= within_us).count();
-    Waits {
+    WaitFigures {
         tasks: waited_us.len() as u64,
         p50_s: quantile_s(0.5),
         p99_s: quantile_s(0.99),
-        most_s: histogram.max() as f64 / 1000.0,
+        max_s: histogram.max() as f64 / 1000.0,
         in_time: in_time as f64 / tasks.max(1) as f64,
         not_started: tasks.saturating_sub(waited_us.len() as u64),
     }
 }
 
 impl Report {
-    /// The table that people read.
+    /// The table for people.
     pub fn table(&self) -> String {
         let mut text = String::new();
         // Writing to a String cannot fail.
@@ -223,7 +228,7 @@
                 r.processes,
                 r.cores_mean,
                 r.busiest_mean,
-                r.busiest_most,
+                r.busiest_max,
                 r.resident_mb,
                 r.sockets,
                 r.messages_per_s[0],
@@ -243,7 +248,7 @@
             let _ = writeln!(
                 text,
                 "{class}: {} tasks started, waited p50 {:.2} s, p99 {:.2} s, most {:.2} s; in time {:.3}; {} not started",
-                w.tasks, w.p50_s, w.p99_s, w.most_s, w.in_time, w.not_started
+                w.tasks, w.p50_s, w.p99_s, w.max_s, w.in_time, w.not_started
             );
         }
         if let Some(replicas) = &self.replicas {
@@ -252,17 +257,17 @@
         for (name, value) in &self.counters {
             let _ = writeln!(text, "{name}: {value:.1}");
         }
-        for takeover in &self.takeovers {
-            let _ = writeln!(text, "{takeover}");
+        for failover in &self.failovers {
+            let _ = writeln!(text, "{failover}");
         }
         let _ = writeln!(text, "leader: {}", self.leader_usage);
-        if self.broken.is_empty() {
+        if self.violations.is_empty() {
             let _ = writeln!(text, "rules: none broken");
         } else {
             let _ = writeln!(
                 text,
                 "rules broken: {:?}, first {:?}",
-                self.broken, self.first_broken
+                self.violations, self.first_violations
             );
         }
         text
--- /dev/null
+++ b/loadtest/src/scenario/jobs.rs
@@ -0,0 +1,105 @@
+//! Jobs by name: every process derives a job's description from its name and the
+//! scenario's seed.
+
+use super::Scenario;
+use lilacfork::ids::JobId;
+use lilacfork::wire::users::{JobKind, JobSpec};
+use std::rc::Rc;
+
+impl Scenario {
+    /// The name of a class's job.
+    pub fn job_name(class: usize, number: u32) -> String {
+        format!("run-{class}x{number}")
+    }
+
+    /// Class and number in a job's name.
+    pub fn job_number(&self, job: &str) -> Option<(usize, u32)> {
+        let (class, number) = job.strip_prefix("run-")?.split_once('x')?;
+        let class = class.parse().ok().filter(|c| *c < self.classes.len())?;
+        Some((class, number.parse().ok()?))
+    }
+
+    /// Random numbers for a job, or one of its tasks: the same in every process.
+    fn random_numbers(&self, class: usize, number: u32, task: u32) -> fastrand::Rng {
+        let job = (class as u64) << 48 | u64::from(number) << 16;
+        fastrand::Rng::with_seed(
+            self.seed ^ (job + u64::from(task)).wrapping_mul(0x9E37_79B9_7F4A_7C15),
+        )
+    }
+
+    /// A job as its user describes it.
+    pub fn job(&self, name: &str) -> Option<JobSpec> {
+        let (class_index, number) = self.job_number(name)?;
+        let class = &self.classes[class_index];
+        let mut rng = self.random_numbers(class_index, number, u32::MAX >> 1);
+        let estimate_s = (class.run_s[0] + class.run_s[1]) / 2.0;
+        let is_array = class.kind == JobKind::Array;
+        Some(JobSpec {
+            id: JobId::new(name),
+            class: Rc::from(class.name.as_str()),
+            team: Rc::from(format!("team-{}", rng.u32(..self.teams)).as_str()),
+            kind: class.kind,
+            priority: class.priority,
+            tasks: class.tasks[rng.usize(..class.tasks.len())],
+            cpus: class.cpus,
+            gpus: class.gpus,
+            memory_gb: class.memory_gb,
+            image: Rc::from(format!("{}-{}", class.name, rng.u32(..class.images.max(1))).as_str()),
+            image_gb: class.image_gb,
+            types: None,
+            zone: None,
+            same_zone: false,
+            spread: class.spread,
+            spot: false,
+            estimated_run_s: if is_array { estimate_s } else { 0.0 },
+            checkpoint_interval_s: 0.0,
+            checkpoint_save_s: 0.0,
+            deadline_s: class.deadline_runs.map(|runs| runs * class.run_s[1]),
+            dependencies: self.dependencies(class_index, number),
+        })
+    }
+
+    fn dependencies(&self, class: usize, number: u32) -> Vec<JobId> {
+        let after = self.classes[class].after.iter();
+        let earlier =
+            after.filter_map(|name| self.classes.iter().position(|class| class.name == *name));
+        earlier
+            .map(|class| JobId::new(&Scenario::job_name(class, number)))
+            .collect()
+    }
+
+    /// The jobs that depend on this one directly.
+    pub fn dependents(&self, job: &str) -> Vec<String> {
+        let Some((class, number)) = self.job_number(job) else {
+            return Vec::new();
+        };
+        let name = &self.classes[class].name;
+        let later = self.classes.iter().enumerate();
+        let later = later.filter(|(_, class)| class.after.contains(name));
+        later
+            .map(|(class, _)| Scenario::job_name(class, number))
+            .collect()
+    }
+
+    /// How many tasks a multi-host replica of the job has; `None`: its replicas have one
+    /// host each.
+    pub fn tasks_per_replica(&self, job: &str) -> Option<u32> {
+        let (class, _) = self.job_number(job)?;
+        Some(self.classes[class].tasks_per_replica).filter(|size| *size > 0)
+    }
+
+    /// How long a task runs, or a service's user keeps it, in seconds.
+    pub fn run_s(&self, job: &str, task: u32) -> Option<f64> {
+        let (class, number) = self.job_number(job)?;
+        let [shortest_s, longest_s] = self.classes[class].run_s;
+        Some(shortest_s + (longest_s - shortest_s) * self.random_numbers(class, number, task).f64())
+    }
+
+    /// Whether the job's user cancels it early.
+    pub fn cancelled_early(&self, job: &str) -> bool {
+        self.job_number(job).is_some_and(|(class, number)| {
+            let mut rng = self.random_numbers(class, number, u32::MAX >> 2);
+            rng.f64() < self.classes[class].cancelled
+        })
+    }
+}
--- /dev/null
+++ b/loadtest/src/workers/heartbeats.rs
@@ -0,0 +1,170 @@
+//! Heartbeats to the controllers, and the lease that their responses renew.
+
+use super::protocol::{CommandsBody, HeartbeatBody, TaskStatus};
+use super::{HeartbeatInFlight, Timer, WorkerSimulator};
+use crate::net::{now_us, Link, Network};
+use lilacfork::http::Response;
+use lilacfork::wire::workers::WORKER_HEARTBEAT_PATH;
+use std::io;
+
+/// How long the response to a heartbeat is waited for.
+const HEARTBEAT_TIMEOUT_MS: u64 = 4000;
+/// Between two heartbeats at least (PROTOCOL, "Workers -> controller nodes").
+const MIN_HEARTBEAT_INTERVAL_US: u64 = 500_000;
+/// Before the next controller is tried (likewise).
+const CONTROLLER_RETRY_DELAY_US: u64 = 1_000_000;
+/// Heartbeats go out at their interval, give or take this share.
+const HEARTBEAT_JITTER: f64 = 0.25;
+
+/// The number in a controller's name.
+fn controller_number(name: &str) -> Option<usize> {
+    name.strip_prefix("controller-")?.parse().ok()
+}
+
+impl WorkerSimulator {
+    /// Something has changed that the controllers should learn soon.
+    pub(super) fn state_changed(&mut self, index: usize) {
+        let worker = &self.workers[index];
+        let soonest_us = (worker.last_heartbeat_us + MIN_HEARTBEAT_INTERVAL_US).max(now_us());
+        if worker.in_flight.is_none() && soonest_us < worker.heartbeat_due_us {
+            self.schedule_heartbeat(index, soonest_us);
+        }
+    }
+
+    pub(super) fn heartbeat_body(&mut self, index: usize) -> Vec<u8> {
+        let worker = &mut self.workers[index];
+        worker.sequence += 1;
+        let tasks = worker.tasks.iter().map(|(name, task)| TaskStatus {
+            task: name,
+            attempt: task.attempt,
+            phase: task.phase,
+            reason: task.reason,
+        });
+        let body = HeartbeatBody {
+            machine: &worker.machine.name,
+            address: worker.address.to_string(),
+            machine_type: &self.scenario.machine_types[worker.machine.machine_type].name,
+            zone: &self.scenario.zones[worker.machine.zone],
+            spot: false,
+            epoch: worker.epoch,
+            sequence: worker.sequence,
+            token: worker.token,
+            tasks: tasks.collect(),
+        };
+        serde_json::to_vec(&body).unwrap_or_default()
+    }
+
+    pub(super) fn send_heartbeat(&mut self, net: &mut Network, index: usize, now: u64) {
+        if !self.workers[index].up || self.workers[index].in_flight.is_some() {
+            return;
+        }
+        if self.is_isolated(index, now) {
+            self.try_next_controller(index, now);
+            return;
+        }
+        let body = self.heartbeat_body(index);
+        let worker = &mut self.workers[index];
+        worker.in_flight = Some(HeartbeatInFlight {
+            sent_us: now,
+            epoch: worker.epoch,
+        });
+        worker.last_heartbeat_us = now;
+        let to = self.controllers[worker.controller];
+        self.heartbeats += 1;
+        net.call(
+            index as Link,
+            to,
+            "POST",
+            WORKER_HEARTBEAT_PATH,
+            &body,
+            HEARTBEAT_TIMEOUT_MS,
+        );
+    }
+
+    fn try_next_controller(&mut self, index: usize, now: u64) {
+        let count = self.controllers.len();
+        let worker = &mut self.workers[index];
+        worker.controller = (worker.controller + 1) % count;
+        self.schedule_heartbeat(index, now + CONTROLLER_RETRY_DELAY_US);
+    }
+
+    pub(super) fn handle_response(
+        &mut self,
+        index: usize,
+        response: Option<Response>,
+    ) -> io::Result<()> {
+        let now = now_us();
+        let Some(in_flight) = self.workers[index].in_flight.take() else {
+            return Ok(());
+        };
+        if !self.workers[index].up {
+            return Ok(());
+        }
+        let response = response.filter(|_| !self.is_isolated(index, now));
+        let Response { status, body } = response.unwrap_or_default();
+        let body: Option<CommandsBody> = serde_json::from_slice(&body).ok();
+        match (status, body) {
+            (200, Some(body)) => self.accept_response(index, in_flight, &body)?,
+            (421, Some(body)) => self.follow_redirect(index, body.redirect_to, now),
+            _ => self.try_next_controller(index, now),
+        }
+        Ok(())
+    }
+
+    /// A controller has accepted a heartbeat: its lease is renewed, and the commands
+    /// in the response are executed.
+    fn accept_response(
+        &mut self,
+        index: usize,
+        heartbeat: HeartbeatInFlight,
+        body: &CommandsBody,
+    ) -> io::Result<()> {
+        let interval_us = self.scenario.workers.report_s * 1e6;
+        let jitter = 1.0 + HEARTBEAT_JITTER * (self.rng.f64() * 2.0 - 1.0);
+        let next_us = heartbeat.sent_us + (interval_us * jitter) as u64;
+        self.schedule_heartbeat(index, next_us);
+        let worker = &mut self.workers[index];
+        let token = body.token.unwrap_or(0);
+        if heartbeat.epoch != worker.epoch || token < worker.token || token == 0 {
+            return Ok(());
+        }
+        worker.lease_renewed_us = heartbeat.sent_us;
+        worker.observe_token(token);
+        self.execute(index, &body.commands)
+    }
+
+    /// Another controller takes this worker's heartbeats.
+    fn follow_redirect(&mut self, index: usize, redirect_to: Option<String>, now: u64) {
+        let current = self.workers[index].controller;
+        let other = redirect_to
+            .and_then(|name| controller_number(&name))
+            .filter(|number| *number < self.controllers.len() && *number != current);
+        match other {
+            Some(number) => {
+                self.workers[index].controller = number;
+                let delay_us = self.rng.u64(..MIN_HEARTBEAT_INTERVAL_US);
+                self.schedule_heartbeat(index, now + delay_us);
+            }
+            None => self.try_next_controller(index, now),
+        }
+    }
+
+    /// When the lease has expired, all tasks end and a new epoch begins.
+    pub(super) fn check_lease(&mut self, index: usize, now: u64) -> io::Result<()> {
+        let expires_us = self.workers[index].lease_renewed_us + self.lease_us();
+        if !self.workers[index].up {
+            return Ok(());
+        }
+        if now > expires_us {
+            self.expired_leases += 1;
+            self.end_all_tasks(index)?;
+            let worker = &mut self.workers[index];
+            worker.epoch += 1;
+            worker.sequence = 0;
+            worker.lease_renewed_us = now;
+        }
+        let next_us = self.workers[index].lease_renewed_us + self.lease_us() + 1;
+        self.set_timer(next_us, index, Timer::Lease);
+        Ok(())
+    }
+}
--- /dev/null
+++ b/loadtest/src/workers/mod.rs
@@ -0,0 +1,386 @@
+//! Simulated workers, by the published protocol: heartbeats on their schedule and on
+//! change, tokens, epochs, leases, commands, image fetches, and task runs by the
+//! clock. Each has a listener and a connection of its own.
+
+mod heartbeats;
+mod protocol;
+mod tasks;
+
+use crate::control::{SimulatorCommand, Stats};
+use crate::history::Recorder;
+use crate::net::{now_us, Incoming, Link, Network, RequestHandle};
+use crate::process::{ProcessConfig, ProcessRole, Simulator, CONTROL_LISTENER};
+use crate::scenario::{Machine, Scenario};
+use lilacfork::messages::{Reply, Request};
+use lilacfork::placement::Resources;
+use lilacfork::wire::users::JobSpec;
+use lilacfork::wire::workers::WORKER_COMMANDS_PATH;
+use protocol::{CommandsBody, EndReason, Phase};
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::io;
+use std::net::SocketAddrV4;
+
+/// When to look again if no timer is set.
+const IDLE_INTERVAL_US: u64 = 1_000_000;
+
+struct Task {
+    attempt: u64,
+    phase: Phase,
+    reason: Option<EndReason>,
+    spec: Option<JobSpec>,
+}
+
+/// An image in a worker's cache.
+struct CachedImage {
+    name: String,
+    size_gb: f64,
+}
+
+/// A heartbeat whose response isn't there yet.
+#[derive(Clone, Copy)]
+struct HeartbeatInFlight {
+    sent_us: u64,
+    epoch: u64,
+}
+
+struct Worker {
+    number: u32,
+    machine: Machine,
+    address: SocketAddrV4,
+    up: bool,
+    epoch: u64,
+    sequence: u64,
+    token: u64,
+    controller: usize,
+    tasks: BTreeMap<String, Task>,
+    used: Resources,
+    /// Most recently used last.
+    cached_images: VecDeque<CachedImage>,
+    fetching_images: BTreeSet<String>,
+    /// When the last accepted heartbeat was sent, or the epoch began.
+    lease_renewed_us: u64,
+    in_flight: Option<HeartbeatInFlight>,
+    last_heartbeat_us: u64,
+    heartbeat_due_us: u64,
+    /// Until when it is unreachable.
+    isolated_until_us: u64,
+}
+
+impl Worker {
+    /// Keeps the highest fencing token.
+    fn observe_token(&mut self, token: u64) {
+        self.token = self.token.max(token);
+    }
+}
+
+#[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
+enum Timer {
+    Heartbeat,
+    Lease,
+    Boot,
+    ImageFetched {
+        image: String,
+    },
+    TaskDone {
+        task: String,
+        attempt: u64,
+        epoch: u64,
+    },
+}
+
+/// A timer with its time and its worker's index.
+#[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
+struct ScheduledTimer {
+    at_us: u64,
+    worker: usize,
+    timer: Timer,
+}
+
+/// The workers of one process.
+pub struct WorkerSimulator {
+    scenario: Scenario,
+    controllers: Vec<SocketAddrV4>,
+    workers: Vec<Worker>,
+    first: u32,
+    timers: BTreeSet<ScheduledTimer>,
+    recorder: Recorder,
+    rng: fastrand::Rng,
+    /// Until when each zone's workers are unreachable.
+    zone_isolated_until_us: Vec<u64>,
+    heartbeats: u64,
+    starts: u64,
+    expired_leases: u64,
+}
+
+impl WorkerSimulator {
+    /// Opens a listener for each.
+    pub fn new(
+        config: &ProcessConfig,
+        net: &mut Network,
+        listeners: &mut Vec<SocketAddrV4>,
+    ) -> io::Result<WorkerSimulator> {
+        let ProcessRole::Workers { first, last } = config.role else {
+            return Err(io::ErrorKind::InvalidInput.into());
+        };
+        let scenario = config.scenario.clone();
+        let now = now_us();
+        let mut simulator = WorkerSimulator {
+            controllers: config.controllers.clone(),
+            workers: Vec::new(),
+            first,
+            timers: BTreeSet::new(),
+            recorder: Recorder::create(&config.history)?,
+            rng: fastrand::Rng::with_seed(scenario.seed + u64::from(first)),
+            zone_isolated_until_us: vec![0; scenario.zones.len()],
+            heartbeats: 0,
+            starts: 0,
+            expired_leases: 0,
+            scenario,
+        };
+        for number in first..=last {
+            let address = net.listen()?;
+            listeners.push(address);
+            simulator.add_worker(number, address, now);
+        }
+        Ok(simulator)
+    }
+
+    fn add_worker(&mut self, number: u32, address: SocketAddrV4, now: u64) {
+        let up = number < self.scenario.workers.count;
+        let index = self.workers.len();
+        self.workers.push(Worker {
+            number,
+            machine: self.scenario.machine(number),
+            address,
+            up,
+            epoch: 1,
+            sequence: 0,
+            token: 0,
+            controller: self.rng.usize(..self.controllers.len()),
+            tasks: BTreeMap::new(),
+            used: Resources::default(),
+            cached_images: VecDeque::new(),
+            fetching_images: BTreeSet::new(),
+            lease_renewed_us: now,
+            in_flight: None,
+            last_heartbeat_us: 0,
+            heartbeat_due_us: 0,
+            isolated_until_us: 0,
+        });
+        if up {
+            // Workers don't send their heartbeats in step.
+            let delay_us = self
+                .rng
+                .u64(..(self.scenario.workers.report_s * 1e6) as u64);
+            self.begin_epoch(index, now + delay_us);
+        }
+    }
+
+    fn begin_epoch(&mut self, index: usize, at_us: u64) {
+        self.workers[index].lease_renewed_us = at_us;
+        self.schedule_heartbeat(index, at_us);
+        self.set_timer(at_us + self.lease_us(), index, Timer::Lease);
+    }
+
+    fn lease_us(&self) -> u64 {
+        (self.scenario.workers.lease_s * 1e6) as u64
+    }
+
+    fn set_timer(&mut self, at_us: u64, worker: usize, timer: Timer) {
+        self.timers.insert(ScheduledTimer {
+            at_us,
+            worker,
+            timer,
+        });
+    }
+
+    fn schedule_heartbeat(&mut self, index: usize, at_us: u64) {
+        let worker = &mut self.workers[index];
+        self.timers.remove(&ScheduledTimer {
+            at_us: worker.heartbeat_due_us,
+            worker: index,
+            timer: Timer::Heartbeat,
+        });
+        worker.heartbeat_due_us = at_us;
+        self.set_timer(at_us, index, Timer::Heartbeat);
+    }
+
+    fn is_isolated(&self, index: usize, now: u64) -> bool {
+        let worker = &self.workers[index];
+        now < self.zone_isolated_until_us[worker.machine.zone].max(worker.isolated_until_us)
+    }
+
+    /// The index of the machine with this number.
+    fn index_of(&self, number: u32) -> usize {
+        (number - self.first) as usize
+    }
+
+    fn handle_request(
+        &mut self,
+        net: &mut Network,
+        index: usize,
+        request_handle: RequestHandle,
+        request: &Request,
+    ) -> io::Result<()> {
+        if !self.workers[index].up || self.is_isolated(index, now_us()) {
+            // No response: the worker is unreachable.
+            return Ok(());
+        }
+        let mut status = 200;
+        if request.path == WORKER_COMMANDS_PATH {
+            let Ok(body) = serde_json::from_slice::<CommandsBody>(&request.body) else {
+                net.reply(request_handle, &Reply::error(400, "malformed"));
+                return Ok(());
+            };
+            let (Some(token), Some(epoch)) = (body.token, body.epoch) else {
+                net.reply(
+                    request_handle,
+                    &Reply::error(400, "jeton or quart is missing"),
+                );
+                return Ok(());
+            };
+            let worker = &self.workers[index];
+            if token < worker.token || epoch != worker.epoch {
+                status = 409;
+            }
+            self.workers[index].observe_token(token);
+            if status == 200 {
+                self.execute(index, &body.commands)?;
+            }
+        }
+        let reply = Reply {
+            status,
+            body: self.heartbeat_body(index),
+            retry_after_s: None,
+        };
+        net.reply(request_handle, &reply);
+        Ok(())
+    }
+
+    fn remove_machines(&mut self, net: &mut Network, machines: &[u32]) -> io::Result<()> {
+        for number in machines {
+            let index = self.index_of(*number);
+            self.end_all_tasks(index)?;
+            self.workers[index].up = false;
+            net.close_link(index as Link);
+            net.close_listener_connections(CONTROL_LISTENER + 1 + index);
+        }
+        Ok(())
+    }
+
+    fn handle_timer(
+        &mut self,
+        net: &mut Network,
+        index: usize,
+        timer: Timer,
+        now: u64,
+    ) -> io::Result<()> {
+        match timer {
+            Timer::Heartbeat => self.send_heartbeat(net, index, now),
+            Timer::Lease => self.check_lease(index, now)?,
+            Timer::Boot => {
+                self.workers[index].up = true;
+                self.begin_epoch(index, now);
+            }
+            Timer::ImageFetched { image } => self.image_fetched(index, &image)?,
+            Timer::TaskDone {
+                task,
+                attempt,
+                epoch,
+            } => {
+                let worker = &self.workers[index];
+                let is_current = worker
+                    .tasks
+                    .get(&task)
+                    .is_some_and(|known| known.attempt == attempt);
+                if is_current && worker.epoch == epoch {
+                    self.end_task(index, &task, EndReason::Done)?;
+                }
+            }
+        }
+        Ok(())
+    }
+}
+
+impl Simulator for WorkerSimulator {
+    fn incoming(&mut self, net: &mut Network, incoming: Incoming) -> io::Result<()> {
+        match incoming {
+            Incoming::Request {
+                listener,
+                request_handle,
+                request,
+            } => self.handle_request(
+                net,
+                listener - CONTROL_LISTENER - 1,
+                request_handle,
+                &request,
+            ),
+            Incoming::Response { link, response } => self.handle_response(link as usize, response),
+        }
+    }
+
+    fn tick(&mut self, net: &mut Network) -> io::Result<u64> {
+        let now = now_us();
+        while self.timers.first().is_some_and(|first| first.at_us <= now) {
+            let Some(due) = self.timers.pop_first() else {
+                break;
+            };
+            // A lease that expired while this process was paused is handled first.
+            let expires_us = self.workers[due.worker].lease_renewed_us + self.lease_us();
+            if due.timer != Timer::Lease && now > expires_us {
+                self.check_lease(due.worker, now)?;
+            }
+            self.handle_timer(net, due.worker, due.timer, now)?;
+        }
+        let first_us = self.timers.first().map(|first| first.at_us);
+        Ok(first_us.unwrap_or(now + IDLE_INTERVAL_US))
+    }
+
+    fn command(&mut self, net: &mut Network, command: &SimulatorCommand) -> io::Result<()> {
+        match command {
+            SimulatorCommand::Boot { machines, after_ms } => {
+                for number in machines {
+                    let index = self.index_of(*number);
+                    self.set_timer(now_us() + after_ms * 1000, index, Timer::Boot);
+                }
+            }
+            SimulatorCommand::Remove { machines } => self.remove_machines(net, machines)?,
+            SimulatorCommand::Isolate { machines, for_ms } => {
+                for number in machines {
+                    let index = self.index_of(*number);
+                    self.workers[index].isolated_until_us = now_us() + for_ms * 1000;
+                }
+            }
+            SimulatorCommand::IsolateZone { zone, for_ms } => {
+                self.zone_isolated_until_us[*zone] = now_us() + for_ms * 1000
+            }
+            _ => {}
+        }
+        Ok(())
+    }
+
+    fn stats(&self, stats: &mut Stats) {
+        let up = self.workers.iter().filter(|w| w.up).count();
+        let running = |w: &Worker| {
+            w.tasks
+                .values()
+                .filter(|t| t.phase == Phase::Running)
+                .count()
+        };
+        let tasks: usize = self.workers.iter().map(running).sum();
+        let counters = [
+            ("workers", up as f64),
+            ("tasks_running", tasks as f64),
+            ("reports", self.heartbeats as f64),
+            ("starts", self.starts as f64),
+            ("leases_ended", self.expired_leases as f64),
+        ];
+        stats
+            .counters
+            .extend(counters.map(|(name, n)| (name.to_string(), n)));
+    }
+
+    fn recorder(&mut self) -> Option<&mut Recorder> {
+        Some(&mut self.recorder)
+    }
+}
--- a/loadtest/tests/checker.rs
+++ b/loadtest/tests/checker.rs
@@ -1,8 +1,8 @@
 //! The checker can fail: one broken history for each rule, and a sound one.
 
 use lilacfork_loadtest::checker::{Checker, Rule};
-use lilacfork_loadtest::history::{Entry, Event, Verb};
-use lilacfork_loadtest::scenario::Scenario;
+use lilacfork_loadtest::history::{Entry, Event, UserRequest};
+use lilacfork_loadtest::scenario::{MachineRange, Scenario};
 
 fn scenario() -> Scenario {
     let mut scenario =
@@ -31,10 +31,10 @@
     Event::Submitted { job: job.into() }
 }
 
-fn answered(job: &str, verb: Verb, status: u16, state: &str) -> Event {
+fn answered(job: &str, request: UserRequest, status: u16, state: &str) -> Event {
     Event::Answered {
         job: job.into(),
-        verb,
+        request,
         status,
         state: state.into(),
         running: None,
@@ -42,7 +42,7 @@
 }
 
 fn accepted(job: &str) -> Event {
-    answered(job, Verb::Submit, 201, "pending")
+    answered(job, UserRequest::Submit, 201, "pending")
 }
 
 fn started(job: &str, task: u32, machine: u32) -> Event {
@@ -77,15 +77,20 @@
         (0, accepted(ARRAY)),
         (1, started(ARRAY, 0, 7)),
         (1, started(ARRAY, 1, 8)),
-        (2, answered(ARRAY, Verb::Show, 200, "running")),
-        (3, Event::Lost { machines: (8, 8) }),
+        (2, answered(ARRAY, UserRequest::Query, 200, "running")),
+        (
+            3,
+            Event::Lost {
+                machines: MachineRange { first: 8, last: 8 },
+            },
+        ),
         (4, started(ARRAY, 1, 9)),
         (5, finished(ARRAY, 0)),
         (5, left(ARRAY, 0, 7)),
         (6, finished(ARRAY, 1)),
         (6, left(ARRAY, 1, 9)),
-        (7, answered(ARRAY, Verb::Show, 200, "done")),
-        (8, answered("run-2x77-never", Verb::Show, 404, "")),
+        (7, answered(ARRAY, UserRequest::Query, 200, "done")),
+        (8, answered("run-2x77-never", UserRequest::Query, 404, "")),
     ];
     assert_eq!(rules(events), []);
 }
@@ -148,7 +153,7 @@
                     job: SERVICE.into(),
                 },
             ),
-            (2, answered(SERVICE, Verb::Cancel, 200, "cancelled")),
+            (2, answered(SERVICE, UserRequest::Cancel, 200, "cancelled")),
             (last, left(SERVICE, 0, 7)),
         ]
     };
@@ -163,22 +168,25 @@
 
 #[test]
 fn an_accepted_job_that_isnt_known_is_seen() {
-    let asked = |verb, status| {
-        let answer = answered(ARRAY, verb, status, "");
+    let asked = |request, status| {
+        let answer = answered(ARRAY, request, status, "");
         vec![(0, submitted(ARRAY)), (0, accepted(ARRAY)), (1, answer)]
     };
-    assert_eq!(rules(asked(Verb::Show, 404)), [Rule::Forgotten]);
-    assert_eq!(rules(asked(Verb::Submit, 400)), [Rule::Forgotten]);
-    assert_eq!(rules(asked(Verb::Submit, 422)), [Rule::Forgotten]);
-    assert_eq!(rules(asked(Verb::Show, 503)), []);
-    let mut unanswered = asked(Verb::Show, 503);
-    unanswered.push((92, answered(ARRAY, Verb::Show, 0, "")));
+    assert_eq!(rules(asked(UserRequest::Query, 404)), [Rule::Forgotten]);
+    assert_eq!(rules(asked(UserRequest::Submit, 400)), [Rule::Forgotten]);
+    assert_eq!(rules(asked(UserRequest::Submit, 422)), [Rule::Forgotten]);
+    assert_eq!(rules(asked(UserRequest::Query, 503)), []);
+    let mut unanswered = asked(UserRequest::Query, 503);
+    unanswered.push((92, answered(ARRAY, UserRequest::Query, 0, "")));
     assert_eq!(rules(unanswered), [Rule::Forgotten]);
 }
 
 #[test]
 fn a_job_that_nobody_submitted_is_seen() {
-    let events = vec![(0, answered("run-2x5-never", Verb::Show, 200, "pending"))];
+    let events = vec![(
+        0,
+        answered("run-2x5-never", UserRequest::Query, 200, "pending"),
+    )];
     assert_eq!(rules(events), [Rule::Invented]);
 }
 
@@ -188,7 +196,7 @@
         (0, submitted(ARRAY)),
         (0, accepted(ARRAY)),
         (1, finished(ARRAY, 0)),
-        (2, answered(ARRAY, Verb::Show, 200, "done")),
+        (2, answered(ARRAY, UserRequest::Query, 200, "done")),
     ];
     assert_eq!(rules(events), [Rule::NotDone]);
 }
@@ -200,16 +208,16 @@
         (0, accepted(ARRAY)),
         (1, finished(ARRAY, 0)),
         (1, finished(ARRAY, 1)),
-        (2, answered(ARRAY, Verb::Show, 200, "done")),
+        (2, answered(ARRAY, UserRequest::Query, 200, "done")),
     ];
     let mut running = base.clone();
-    running.push((3, answered(ARRAY, Verb::Show, 200, "running")));
+    running.push((3, answered(ARRAY, UserRequest::Query, 200, "running")));
     assert_eq!(rules(running), [Rule::WentBack]);
     // A job that its user didn't cancel is called cancelled.
     let events = vec![
         (0, submitted(SERVICE)),
         (0, accepted(SERVICE)),
-        (1, answered(SERVICE, Verb::Show, 200, "cancelled")),
+        (1, answered(SERVICE, UserRequest::Query, 200, "cancelled")),
     ];
     assert_eq!(rules(events), [Rule::WentBack]);
 }
@@ -219,14 +227,14 @@
     let mut scenario = scenario();
     scenario.team_gpus_max = 8.0;
     scenario.classes[0].tasks = vec![2];
-    scenario.classes[0].parts = 2;
+    scenario.classes[0].tasks_per_replica = 2;
     scenario
 }
 
 fn said(second: u64, running: u32) -> (u64, Event) {
     let event = Event::Answered {
         job: SERVICE.into(),
-        verb: Verb::Show,
+        request: UserRequest::Query,
         status: 200,
         state: if running > 0 { "running" } else { "pending" }.into(),
         running: Some(running),
@@ -248,7 +256,12 @@
         said(1, 0),
         (2, started(SERVICE, 1, 7)),
         said(3, 2),
-        (20, Event::Lost { machines: (7, 7) }),
+        (
+            20,
+            Event::Lost {
+                machines: MachineRange { first: 7, last: 7 },
+            },
+        ),
     ]
 }
 
@@ -277,7 +290,7 @@
         "before it was ever complete"
     );
     let mut alone = pairs.clone();
-    alone.parts_alone = true;
+    alone.ungrouped_replicas = true;
     assert_eq!(replica_rules(&alone, half), [], "not judged");
 }
 
@@ -324,10 +337,10 @@
         (figures.seen, figures.repaired, figures.incomplete_at_end),
         (1, 1, 0)
     );
-    assert!((figures.repair_most_s - 20.0).abs() < 0.1, "{figures:?}");
+    assert!((figures.repair_max_s - 20.0).abs() < 0.1, "{figures:?}");
     // One part of two GPUs for 14 s.
-    assert!((figures.alone_gpu_s - 28.0).abs() < 0.1, "{figures:?}");
-    assert!((figures.alone_most_s - 14.0).abs() < 0.1, "{figures:?}");
+    assert!((figures.incomplete_gpu_s - 28.0).abs() < 0.1, "{figures:?}");
+    assert!((figures.incomplete_max_s - 14.0).abs() < 0.1, "{figures:?}");
 }
 
 /// Jobs of one pipeline: the second needs the first, the third the second.
@@ -377,9 +390,9 @@
     assert_eq!(judge(half), [Rule::TooEarly]);
     let cancel = vec![
         (3, Event::CancelAsked { job: one.clone() }),
-        (4, answered(&one, Verb::Cancel, 200, "cancelled")),
+        (4, answered(&one, UserRequest::Cancel, 200, "cancelled")),
     ];
-    let said = |at, state| vec![(at, answered(&three, Verb::Show, 200, state))];
+    let said = |at, state| vec![(at, answered(&three, UserRequest::Query, 200, state))];
     assert_eq!(
         judge([cancel.clone(), said(40, "pending"), said(41, "cancelled")].concat()),
         []
--- a/loadtest/tests/loopback.rs
+++ b/loadtest/tests/loopback.rs
@@ -7,10 +7,10 @@
 use lilacfork::settings::Settings;
 use lilacfork::tuning::Tuning;
 use lilacfork_loadtest::checker::{Checker, Rule};
-use lilacfork_loadtest::control::{self, Command, Ready};
+use lilacfork_loadtest::control::{self, Ready, SimulatorCommand};
 use lilacfork_loadtest::harness::{settings_text, Addresses};
 use lilacfork_loadtest::history;
-use lilacfork_loadtest::part::{PartConfig, Role, WorkerProcess};
+use lilacfork_loadtest::process::{ProcessConfig, ProcessRole, WorkerProcess};
 use lilacfork_loadtest::scenario::Scenario;
 use serde_json::Value;
 use std::io::{BufRead, BufReader};
@@ -45,22 +45,27 @@
     scenario
 }
 
-/// A hollow part that ends with the test.
-struct Part {
+/// A simulator process that ends with the test.
+struct SimulatorProcess {
     child: Child,
     ready: Ready,
     history: PathBuf,
 }
 
-impl Drop for Part {
+impl Drop for SimulatorProcess {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-fn part(dir: &Path, name: &str, role: Role, controllers: &[SocketAddrV4]) -> Part {
-    let config = PartConfig {
+fn start_simulator(
+    dir: &Path,
+    name: &str,
+    role: ProcessRole,
+    controllers: &[SocketAddrV4],
+) -> SimulatorProcess {
+    let config = ProcessConfig {
         role,
         scenario: scenario(),
         controllers: controllers.to_vec(),
@@ -70,16 +75,16 @@
     let text = serde_json::to_vec(&config).expect("a configuration");
     std::fs::write(&path, text).expect("a directory to write to");
     let mut child = std::process::Command::new(env!("CARGO_BIN_EXE_lilacfork-loadtest"))
-        .arg("part")
+        .arg("simulate")
         .arg(&path)
         .stdout(Stdio::piped())
         .spawn()
-        .expect("the part starts");
+        .expect("the simulator starts");
     let stdout = child.stdout.take().expect("its output");
     let mut line = String::new();
     let mut output = BufReader::new(stdout);
     output.read_line(&mut line).expect("its first line");
-    Part {
+    SimulatorProcess {
         child,
         ready: serde_json::from_str(&line).expect("where it listens"),
         history: config.history,
@@ -156,24 +161,29 @@
     std::fs::create_dir_all(&dir).expect("a directory");
     let addresses = free_addresses(2);
     let (clients, peers) = addresses.split_at(1);
-    let state = part(&dir, "state", Role::State, clients);
+    let kv_store = start_simulator(&dir, "state", ProcessRole::KvStore, clients);
     let last = MACHINES + 1;
-    let workers = part(&dir, "workers", Role::Workers { first: 0, last }, clients);
+    let workers = start_simulator(
+        &dir,
+        "workers",
+        ProcessRole::Workers { first: 0, last },
+        clients,
+    );
     let known = WorkerProcess {
         first: 0,
         last,
         control: workers.ready.control,
         addresses: workers.ready.listeners.clone(),
     };
-    let role = Role::Cloud {
+    let role = ProcessRole::Cloud {
         workers: vec![known],
     };
-    let cloud = part(&dir, "cloud", role, clients);
-    let state_address = state.ready.listeners[0];
+    let cloud = start_simulator(&dir, "cloud", role, clients);
+    let kv_store_address = kv_store.ready.listeners[0];
     let listens = Addresses {
         clients,
         peers,
-        state: state_address,
+        state: kv_store_address,
         cloud: cloud.ready.listeners[0],
     };
     run_controller(settings_text(&scenario(), 0, &listens));
@@ -182,28 +192,31 @@
     let spec = scenario().job(JOB).expect("a job of the scenario");
     let body = serde_json::to_vec(&spec).expect("a submission");
     until("the job is accepted", || {
-        let answer = control::ask(client, "POST", "/v2/runs", &body).ok();
+        let answer = control::call(client, "POST", "/v2/runs", &body).ok();
         answer.filter(|answer| matches!(answer.status, 200 | 201))
     });
     until("both replicas serve", || {
         running(client).filter(|running| *running == 4)
     });
-    let before = until("the placement", || placement(state_address));
+    let before = until("the placement", || placement(kv_store_address));
     assert_eq!(before[0].0, before[1].0, "one generation");
     assert_ne!(before[0].1, before[1].1, "two machines");
     let dies = Scenario::machine_number(&before[1].1).expect("a machine's name");
     let machines = vec![dies];
     let removed = control::send(
         workers.ready.control,
-        &Command::Remove {
+        &SimulatorCommand::Remove {
             machines: machines.clone(),
         },
     );
     removed.expect("the machine dies");
-    let listed = control::send(cloud.ready.control, &Command::Failed { machines });
+    let listed = control::send(
+        cloud.ready.control,
+        &SimulatorCommand::MarkFailed { machines },
+    );
     listed.expect("the cloud knows");
     let after = until("the next generation is stored", || {
-        placement(state_address).filter(|rows| rows.len() == 4 && rows[0].0 > before[0].0)
+        placement(kv_store_address).filter(|rows| rows.len() == 4 && rows[0].0 > before[0].0)
     });
     assert_eq!(after[0].0, after[1].0, "one generation again");
     assert_ne!(after[1].1, before[1].1, "elsewhere");
@@ -211,7 +224,7 @@
     until("both replicas serve again", || {
         running(client).filter(|running| *running == 4)
     });
-    control::send(workers.ready.control, &Command::Stop).expect("the workers end");
+    control::send(workers.ready.control, &SimulatorCommand::Stop).expect("the workers end");
     let events = history::read(std::slice::from_ref(&workers.history)).expect("their history");
     let (broken, _) = Checker::judge(&scenario(), &events);
     let ever = [Rule::RanTwice, Rule::Quota, Rule::WrongPlace];
--- a/loadtest/tests/scenario.rs
+++ b/loadtest/tests/scenario.rs
@@ -18,25 +18,31 @@
         assert_ne!(text, PLANNED, "{from}");
         Scenario::parse(&text).expect_err(to)
     };
-    let (key, why) = wrong("report_s", "raport_s");
+    let error = wrong("report_s", "raport_s");
     assert!(
-        key.starts_with("line ") && why.contains("raport_s"),
-        "{key}: {why}"
+        error.key.starts_with("line ") && error.reason.contains("raport_s"),
+        "{error}"
     );
-    assert_eq!(wrong("run_s = 60.0", "run_s = 0.0").0, "run_s");
-    assert_eq!(wrong("count = 24", "count = 0").0, "controllers.count");
-    assert_eq!(wrong("tasks = [8, 12, 16]", "tasks = []").0, "class.tasks");
+    assert_eq!(wrong("run_s = 60.0", "run_s = 0.0").key, "run_s");
+    assert_eq!(wrong("count = 24", "count = 0").key, "controllers.count");
     assert_eq!(
-        wrong("run_s = [300.0, 900.0]", "run_s = [9.0, 3.0]").0,
+        wrong("tasks = [8, 12, 16]", "tasks = []").key,
+        "class.tasks"
+    );
+    assert_eq!(
+        wrong("run_s = [300.0, 900.0]", "run_s = [9.0, 3.0]").key,
         "class.run_s"
     );
     let later = PIPELINES.replacen("after = [\"scan\"]", "after = [\"report\"]", 1);
-    assert_eq!(Scenario::parse(&later).expect_err("later").0, "class.after");
+    assert_eq!(
+        Scenario::parse(&later).expect_err("later").key,
+        "class.after"
+    );
     let untold = PIPELINES.replace("[state.next]", "[[class]]");
     assert!(Scenario::parse(&untold).is_err());
     let cut = format!("{PLANNED}\n[[fault]]\nat_s = 1.0\nkind = \"zone_cut\"\nzone = \"moon\"\n");
     assert_eq!(
-        Scenario::parse(&cut).expect_err("no such zone").0,
+        Scenario::parse(&cut).expect_err("no such zone").key,
         "fault.zone"
     );
 }
