--- a/loadtest/src/checker.rs
+++ b/loadtest/src/checker.rs
@@ -28,17 +28,17 @@
     Forgotten,
     /// A job that nobody submitted is known.
     Invented,
-    /// A job is called done before all its tasks are.
+    /// A job is reported as done before all its tasks are.
     NotDone,
     /// A reported final state of a job is revoked.
     WentBack,
     /// Tasks of an incomplete replica are reported as running.
     IncompleteServes,
-    /// What is left of an incomplete replica stays on machines for too long.
+    /// The remaining tasks of an incomplete replica stay on machines for too long.
     LeftAlone,
-    /// A task starts before all jobs that its job needs are done.
+    /// A task starts before all jobs that its job depends on are done.
     TooEarly,
-    /// A job is called pending or running too long after one that it needs was
+    /// A job is reported as pending or running too long after one that it depends on was
     /// cancelled.
     Orphaned,
 }
@@ -68,6 +68,57 @@
     unanswered_since_us: Option<u64>,
 }
 
+/// What the rules on responses about a job need besides its own history.
+struct JobContext {
+    /// How many tasks it has.
+    tasks: u32,
+    /// A job that it depends on has been cancelled, or is about to be.
+    has_cancelled_dependency: bool,
+    /// A job that it depends on was cancelled so long ago that it has to be, too.
+    is_orphan: bool,
+}
+
+impl JobHistory {
+    /// A user was told this state; returns the rules that this violates.
+    fn observe_state(&mut self, at_us: u64, state: &str, context: &JobContext) -> Vec<Rule> {
+        let mut violated = Vec::new();
+        self.unanswered_since_us = None;
+        if !self.submitted {
+            violated.push(Rule::Invented);
+        }
+        let revokes = |final_state: &String| final_state != state;
+        if self.final_state.as_ref().is_some_and(revokes) {
+            violated.push(Rule::WentBack);
+        }
+        if context.is_orphan && matches!(state, "pending" | "running") {
+            violated.push(Rule::Orphaned);
+        }
+        if state == "cancelled" {
+            if !self.cancel_asked && !context.has_cancelled_dependency {
+                violated.push(Rule::WentBack);
+            }
+            self.cancelled_us.get_or_insert(at_us);
+        }
+        if state == "done" && (self.finished.len() as u32) < context.tasks {
+            violated.push(Rule::NotDone);
+        }
+        if matches!(state, "done" | "cancelled") {
+            self.final_state.get_or_insert_with(|| state.to_string());
+        }
+        violated
+    }
+
+    /// A request about an accepted job failed; returns the rules that this violates.
+    fn observe_failure(&mut self, at_us: u64) -> Vec<Rule> {
+        let since_us = *self.unanswered_since_us.get_or_insert(at_us);
+        if at_us > since_us + MAX_UNANSWERED_US {
+            vec![Rule::Forgotten]
+        } else {
+            Vec::new()
+        }
+    }
+}
+
 /// Checks a history event by event.
 pub struct Checker<'a> {
     scenario: &'a Scenario,
@@ -161,66 +212,49 @@
     }
 
     fn answered(&mut self, at_us: u64, name: &str, request: UserRequest, status: u16, state: &str) {
-        let tasks = self.spec(name).map_or(0, |spec| spec.tasks);
-        let dependencies = self.all_dependencies(name);
-        let has_cancelled_dependency = dependencies
-            .iter()
-            .any(|dependency| self.job(dependency).cancel_asked);
-        let limit_us = (self.scenario.workers.cancel_s * 1e6) as u64;
-        let orphaned = dependencies.iter().any(|dependency| {
-            let since_us = self.job(dependency).cancelled_us;
-            since_us.is_some_and(|since_us| at_us > since_us + limit_us)
-        });
+        let context = self.job_context(at_us, name);
         let job = self.job(name);
-        let mut violated = Vec::new();
-        match status {
+        let violated = match status {
             200 | 201 => {
-                job.unanswered_since_us = None;
-                if !job.submitted {
-                    violated.push(Rule::Invented);
-                }
                 job.accepted |= request == UserRequest::Submit;
-                if job
-                    .final_state
-                    .as_ref()
-                    .is_some_and(|final_state| final_state != state)
-                {
-                    violated.push(Rule::WentBack);
-                }
-                if orphaned && matches!(state, "pending" | "running") {
-                    violated.push(Rule::Orphaned);
-                }
-                if state == "cancelled" {
-                    if !job.cancel_asked && !has_cancelled_dependency {
-                        violated.push(Rule::WentBack);
-                    }
-                    job.cancelled_us.get_or_insert(at_us);
-                }
-                if state == "done" && (job.finished.len() as u32) < tasks {
-                    violated.push(Rule::NotDone);
-                }
-                if matches!(state, "done" | "cancelled") {
-                    job.final_state.get_or_insert_with(|| state.to_string());
-                }
+                job.observe_state(at_us, state, &context)
             }
-            404 if job.accepted => violated.push(Rule::Forgotten),
-            400 | 422 if job.accepted && request == UserRequest::Submit => {
-                violated.push(Rule::Forgotten)
-            }
-            404 => {}
-            _ if job.accepted => {
-                let since_us = *job.unanswered_since_us.get_or_insert(at_us);
-                if at_us > since_us + MAX_UNANSWERED_US {
-                    violated.push(Rule::Forgotten);
-                }
-            }
-            _ => {}
-        }
+            404 if job.accepted => vec![Rule::Forgotten],
+            400 | 422 if job.accepted && request == UserRequest::Submit => vec![Rule::Forgotten],
+            404 => Vec::new(),
+            _ if job.accepted => job.observe_failure(at_us),
+            _ => Vec::new(),
+        };
         for rule in violated {
             self.add_violation(rule, at_us, name);
         }
     }
 
+    /// What the scenario and the history of other jobs tell about a job.
+    fn job_context(&mut self, at_us: u64, name: &str) -> JobContext {
+        let tasks = self.spec(name).map_or(0, |spec| spec.tasks);
+        let dependencies = self.all_dependencies(name);
+        let limit_us = self.cancellation_limit_us();
+        let is_orphan = |dependency: &String| {
+            let cancelled_us = self.jobs.get(dependency).and_then(|job| job.cancelled_us);
+            cancelled_us.is_some_and(|since_us| at_us > since_us + limit_us)
+        };
+        let cancel_asked = |dependency: &String| {
+            self.jobs
+                .get(dependency)
+                .is_some_and(|job| job.cancel_asked)
+        };
+        JobContext {
+            tasks,
+            has_cancelled_dependency: dependencies.iter().any(cancel_asked),
+            is_orphan: dependencies.iter().any(is_orphan),
+        }
+    }
+
+    fn cancellation_limit_us(&self) -> u64 {
+        (self.scenario.workers.cancel_s * 1e6) as u64
+    }
+
     fn started(&mut self, at_us: u64, name: &str, machine: u32) {
         let Some(task) = TaskRef::parse(name) else {
             return;
@@ -229,24 +263,26 @@
         let Some(spec) = self.spec(&job) else {
             return;
         };
-        let others = self.placed.entry(job.clone()).or_default();
-        let elsewhere = others.get(&task.index).is_some_and(|m| *m != machine);
+        let placed = self.placed.entry(job.clone()).or_default();
+        let runs_elsewhere = placed
+            .get(&task.index)
+            .is_some_and(|other| *other != machine);
         let zone = self.scenario.machine(machine).zone;
-        let in_zone = |m: &u32| self.scenario.machine(*m).zone == zone;
-        let there = others
+        let in_same_zone = placed
             .iter()
-            .filter(|(t, m)| **t != task.index && in_zone(m))
+            .filter(|(index, _)| **index != task.index)
+            .filter(|(_, other)| self.scenario.machine(**other).zone == zone)
             .count() as u32;
-        let crowded = spec.spread && there >= spec.tasks.div_ceil(2);
-        let moved = others.insert(task.index, machine).is_some();
+        let violates_spread = spec.spread && in_same_zone >= spec.tasks.div_ceil(2);
+        let was_placed = placed.insert(task.index, machine).is_some();
         self.replicas.started(at_us, &task);
-        if elsewhere {
+        if runs_elsewhere {
             self.add_violation(Rule::RanTwice, at_us, name);
         }
-        if crowded {
+        if violates_spread {
             self.add_violation(Rule::WrongPlace, at_us, name);
         }
-        if !moved {
+        if !was_placed {
             let used = self.team_gpus.entry(spec.team.to_string()).or_insert(0.0);
             *used += spec.gpus;
             if *used > self.scenario.team_gpus_max + 1e-6 {
@@ -289,7 +325,7 @@
 
     /// A task is on a machine at this time: its job mustn't have been cancelled long ago.
     fn check_not_cancelled(&mut self, at_us: u64, job: &str, task: &str) {
-        let limit_us = (self.scenario.workers.cancel_s * 1e6) as u64;
+        let limit_us = self.cancellation_limit_us();
         let cancelled_us = self.job(job).cancelled_us;
         if cancelled_us.is_some_and(|since| at_us > since + limit_us) {
             self.add_violation(Rule::RanCancelled, at_us, task);
--- a/loadtest/src/report.rs
+++ b/loadtest/src/report.rs
@@ -11,7 +11,7 @@
 use lilacfork::ids::TaskRef;
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap, HashSet};
-use std::fmt::Write;
+use std::fmt::{self, Write};
 
 /// How long tasks waited, from their job's first submission.
 #[derive(Clone, Default, Debug, Serialize)]
@@ -104,12 +104,12 @@
         processes: used.len(),
         ..RoleFigures::default()
     };
-    for one in used {
-        role.cores_mean += one.cores_mean;
-        role.busiest_mean = role.busiest_mean.max(one.cores_mean);
-        role.busiest_max = role.busiest_max.max(one.cores_max);
-        role.resident_mb = role.resident_mb.max(one.resident_mb);
-        role.sockets = role.sockets.max(one.sockets);
+    for process in used {
+        role.cores_mean += process.cores_mean;
+        role.busiest_mean = role.busiest_mean.max(process.cores_mean);
+        role.busiest_max = role.busiest_max.max(process.cores_max);
+        role.resident_mb = role.resident_mb.max(process.resident_mb);
+        role.sockets = role.sockets.max(process.sockets);
     }
     for (old, new) in before.iter().zip(after) {
         let per_s = |old: u64, new: u64| new.saturating_sub(old) as f64 / measured_s;
@@ -124,17 +124,15 @@
 /// Task starts a second within a time: the mean, and the best second.
 pub fn starts_per_s(history: &[Entry], from_us: u64, to_us: u64) -> [f64; 2] {
     let mut by_second: HashMap<u64, u64> = HashMap::new();
-    let mut all = 0;
-    for entry in history
+    let mut all: u64 = 0;
+    let started = history
         .iter()
-        .filter(|e| (from_us..to_us).contains(&e.at_us))
-    {
-        if matches!(entry.event, Event::Started { .. }) {
-            *by_second
-                .entry((entry.at_us - from_us) / 1_000_000)
-                .or_insert(0) += 1;
-            all += 1;
-        }
+        .filter(|entry| (from_us..to_us).contains(&entry.at_us))
+        .filter(|entry| matches!(entry.event, Event::Started { .. }));
+    for entry in started {
+        let second = (entry.at_us - from_us) / 1_000_000;
+        *by_second.entry(second).or_insert(0) += 1;
+        all += 1;
     }
     let seconds = (to_us.saturating_sub(from_us) as f64 / 1e6).max(1e-3);
     let best = by_second.values().copied().max().unwrap_or(0);
@@ -210,66 +208,84 @@
 }
 
 impl Report {
-    /// The table for people.
+    /// The report as text.
     pub fn table(&self) -> String {
         let mut text = String::new();
         // Writing to a String cannot fail.
-        let _ = writeln!(
+        let _ = self.write_roles(&mut text);
+        let _ = self.write_tasks(&mut text);
+        let _ = self.write_counters(&mut text);
+        let _ = self.write_leadership_and_rules(&mut text);
+        text
+    }
+
+    fn write_roles(&self, text: &mut String) -> fmt::Result {
+        writeln!(
             text,
             "{} workers, {} controllers, {:.0} s measured, {} elections",
             self.workers, self.controllers, self.measured_s, self.elections
-        );
-        let _ = writeln!(text, "| role | processes | cores, all | busiest: mean, most | MB, largest | sockets, most | messages/s in, out | KB/s in, out |");
-        let _ = writeln!(text, "| --- | --- | --- | --- | --- | --- | --- | --- |");
-        for (name, r) in &self.roles {
-            let _ = writeln!(
+        )?;
+        writeln!(text, "| role | processes | cores, all | busiest: mean, most | MB, largest | sockets, most | messages/s in, out | KB/s in, out |")?;
+        writeln!(text, "| --- | --- | --- | --- | --- | --- | --- | --- |")?;
+        for (name, role) in &self.roles {
+            writeln!(
                 text,
                 "| {name} | {} | {:.3} | {:.3}, {:.2} | {:.1} | {} | {:.0}, {:.0} | {:.0}, {:.0} |",
-                r.processes,
-                r.cores_mean,
-                r.busiest_mean,
-                r.busiest_max,
-                r.resident_mb,
-                r.sockets,
-                r.messages_per_s[0],
-                r.messages_per_s[1],
-                r.bytes_per_s[0] / 1000.0,
-                r.bytes_per_s[1] / 1000.0,
-            );
+                role.processes,
+                role.cores_mean,
+                role.busiest_mean,
+                role.busiest_max,
+                role.resident_mb,
+                role.sockets,
+                role.messages_per_s[0],
+                role.messages_per_s[1],
+                role.bytes_per_s[0] / 1000.0,
+                role.bytes_per_s[1] / 1000.0,
+            )?;
         }
+        Ok(())
+    }
+
+    fn write_tasks(&self, text: &mut String) -> fmt::Result {
         let [mean, best] = self.starts_per_s;
-        let _ = writeln!(text, "starts a second: {mean:.1} on the mean, {best:.0} in the best second; {} tasks running at the end", self.tasks_running);
-        let _ = writeln!(
+        writeln!(text, "starts a second: {mean:.1} on the mean, {best:.0} in the best second; {} tasks running at the end", self.tasks_running)?;
+        writeln!(
             text,
             "per worker: {:.2} messages and {:.0} bytes a second",
             self.worker_messages_per_s, self.worker_bytes_per_s
-        );
-        for (class, w) in &self.waits {
-            let _ = writeln!(
+        )?;
+        for (class, wait) in &self.waits {
+            writeln!(
                 text,
                 "{class}: {} tasks started, waited p50 {:.2} s, p99 {:.2} s, most {:.2} s; in time {:.3}; {} not started",
-                w.tasks, w.p50_s, w.p99_s, w.max_s, w.in_time, w.not_started
-            );
+                wait.tasks, wait.p50_s, wait.p99_s, wait.max_s, wait.in_time, wait.not_started
+            )?;
         }
+        Ok(())
+    }
+
+    fn write_counters(&self, text: &mut String) -> fmt::Result {
         if let Some(replicas) = &self.replicas {
-            let _ = writeln!(text, "{replicas}");
+            writeln!(text, "{replicas}")?;
         }
         for (name, value) in &self.counters {
-            let _ = writeln!(text, "{name}: {value:.1}");
+            writeln!(text, "{name}: {value:.1}")?;
         }
+        Ok(())
+    }
+
+    fn write_leadership_and_rules(&self, text: &mut String) -> fmt::Result {
         for failover in &self.failovers {
-            let _ = writeln!(text, "{failover}");
+            writeln!(text, "{failover}")?;
         }
-        let _ = writeln!(text, "leader: {}", self.leader_usage);
+        writeln!(text, "leader: {}", self.leader_usage)?;
         if self.violations.is_empty() {
-            let _ = writeln!(text, "rules: none broken");
-        } else {
-            let _ = writeln!(
-                text,
-                "rules broken: {:?}, first {:?}",
-                self.violations, self.first_violations
-            );
+            return writeln!(text, "rules: none broken");
         }
-        text
+        writeln!(
+            text,
+            "rules broken: {:?}, first {:?}",
+            self.violations, self.first_violations
+        )
     }
 }
