--- a/loadtest/src/report.rs
+++ b/loadtest/src/report.rs
@@ -1,21 +1,21 @@
-//! The figures of a run, as a table and as JSON.
+//! The figures of a load test, as a table and as JSON.
 
-use crate::checker::{Broken, Rule};
+use crate::checker::{Rule, Violation};
 use crate::control::Stats;
-use crate::failover::Takeover;
+use crate::failover::Failover;
 use crate::history::{Entry, Event};
-use crate::process_stats::Used;
+use crate::process_stats::ProcessUsage;
 use crate::replica_groups::ReplicaFigures;
 use crate::scenario::Scenario;
 use hdrhistogram::Histogram;
 use lilacfork::ids::TaskRef;
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap, HashSet};
-use std::fmt::Write;
+use std::fmt::{self, Write};
 
 /// How long tasks waited, from their job's first submission.
 #[derive(Clone, Default, Debug, Serialize)]
-pub struct Waits {
+pub struct WaitFigures {
     /// Tasks that started.
     pub tasks: u64,
     /// Half of them waited no longer, in seconds.
@@ -23,8 +23,9 @@
     /// All but one in a hundred.
     pub p99_s: f64,
     /// The longest.
-    pub most_s: f64,
-    /// Share within the class's aim.
+    #[serde(rename = "most_s")]
+    pub max_s: f64,
+    /// Share within the class's service-level objective.
     pub in_time: f64,
     /// Tasks submitted in time that had not started at the end.
     pub not_started: u64,
@@ -40,7 +41,8 @@
     /// Of the busiest one: cores on the mean, and in its busiest second.
     pub busiest_mean: f64,
     /// See `busiest_mean`.
-    pub busiest_most: f64,
+    #[serde(rename = "busiest_most")]
+    pub busiest_max: f64,
     /// Memory of the largest one, in MB.
     pub resident_mb: f64,
     /// Sockets of the one with most.
@@ -60,37 +62,40 @@
     pub controllers: u32,
     /// The measured time in seconds.
     pub measured_s: f64,
-    /// By role.
+    /// By process role.
     pub roles: BTreeMap<String, RoleFigures>,
     /// Tasks started a second: on the mean, and in the best second.
     pub starts_per_s: [f64; 2],
     /// Tasks running at the end.
     pub tasks_running: f64,
-    /// Replicas that span machines; `None`: the scenario has none.
+    /// Multi-host replicas; `None`: the scenario has none.
     pub replicas: Option<ReplicaFigures>,
     /// By class.
-    pub waits: BTreeMap<String, Waits>,
-    /// What control costs a worker: messages and bytes a second.
+    pub waits: BTreeMap<String, WaitFigures>,
+    /// The load of the protocol per worker: messages a second.
     pub worker_messages_per_s: f64,
-    /// See `worker_messages_per_s`.
+    /// Likewise: bytes a second.
     pub worker_bytes_per_s: f64,
-    /// Submissions, health, and counters of the parts.
+    /// Counters of the simulators, by kind and name.
     pub counters: BTreeMap<String, f64>,
-    /// Changes of leader that faults caused.
-    pub takeovers: Vec<Takeover>,
-    /// The leader's own word on where its time went (its last `usage` line).
+    /// Failovers that faults caused.
+    #[serde(rename = "takeovers")]
+    pub failovers: Vec<Failover>,
+    /// Where the leader's processor time went: its last `usage` line.
     pub leader_usage: String,
     /// Leaders that were elected.
     pub elections: usize,
-    /// Broken rules, by rule.
-    pub broken: BTreeMap<Rule, usize>,
+    /// Violation rules, by rule.
+    #[serde(rename = "broken")]
+    pub violations: BTreeMap<Rule, usize>,
     /// The first of them.
-    pub first_broken: Vec<Broken>,
+    #[serde(rename = "first_broken")]
+    pub first_violations: Vec<Violation>,
 }
 
 /// What one role's processes used, put together.
 pub fn role_figures(
-    used: &[Used],
+    used: &[ProcessUsage],
     before: &[Stats],
     after: &[Stats],
     measured_s: f64,
@@ -99,12 +104,12 @@
         processes: used.len(),
         ..RoleFigures::default()
     };
-    for one in used {
-        role.cores_mean += one.cores_mean;
-        role.busiest_mean = role.busiest_mean.max(one.cores_mean);
-        role.busiest_most = role.busiest_most.max(one.cores_most);
-        role.resident_mb = role.resident_mb.max(one.resident_mb);
-        role.sockets = role.sockets.max(one.sockets);
+    for process in used {
+        role.cores_mean += process.cores_mean;
+        role.busiest_mean = role.busiest_mean.max(process.cores_mean);
+        role.busiest_max = role.busiest_max.max(process.cores_max);
+        role.resident_mb = role.resident_mb.max(process.resident_mb);
+        role.sockets = role.sockets.max(process.sockets);
     }
     for (old, new) in before.iter().zip(after) {
         let per_s = |old: u64, new: u64| new.saturating_sub(old) as f64 / measured_s;
@@ -119,17 +124,15 @@
 /// Task starts a second within a time: the mean, and the best second.
 pub fn starts_per_s(history: &[Entry], from_us: u64, to_us: u64) -> [f64; 2] {
     let mut by_second: HashMap<u64, u64> = HashMap::new();
-    let mut all = 0;
-    for entry in history
+    let mut all: u64 = 0;
+    let started = history
         .iter()
-        .filter(|e| (from_us..to_us).contains(&e.at_us))
-    {
-        if matches!(entry.event, Event::Started { .. }) {
-            *by_second
-                .entry((entry.at_us - from_us) / 1_000_000)
-                .or_insert(0) += 1;
-            all += 1;
-        }
+        .filter(|entry| (from_us..to_us).contains(&entry.at_us))
+        .filter(|entry| matches!(entry.event, Event::Started { .. }));
+    for entry in started {
+        let second = (entry.at_us - from_us) / 1_000_000;
+        *by_second.entry(second).or_insert(0) += 1;
+        all += 1;
     }
     let seconds = (to_us.saturating_sub(from_us) as f64 / 1e6).max(1e-3);
     let best = by_second.values().copied().max().unwrap_or(0);
@@ -142,7 +145,7 @@
     history: &[Entry],
     from_us: u64,
     to_us: u64,
-) -> BTreeMap<String, Waits> {
+) -> BTreeMap<String, WaitFigures> {
     let mut submitted: HashMap<&str, u64> = HashMap::new();
     let mut started: HashSet<&str> = HashSet::new();
     let mut by_class: BTreeMap<usize, Vec<u64>> = BTreeMap::new();
@@ -184,9 +187,9 @@
     expected.into_iter().map(class_waits).collect()
 }
 
-fn wait_figures(waited_us: &[u64], tasks: u64, within_s: Option<f64>) -> Waits {
+fn wait_figures(waited_us: &[u64], tasks: u64, within_s: Option<f64>) -> WaitFigures {
     let Ok(mut histogram) = Histogram::<u64>::new(3) else {
-        return Waits::default();
+        return WaitFigures::default();
     };
     for us in waited_us {
         let _ = histogram.record(us / 1000);
@@ -194,77 +197,95 @@
     let quantile_s = |q: f64| histogram.value_at_quantile(q) as f64 / 1000.0;
     let within_us = within_s.map_or(u64::MAX, |s| (s * 1e6) as u64);
     let in_time = waited_us.iter().filter(|us| **us <= within_us).count();
-    Waits {
+    WaitFigures {
         tasks: waited_us.len() as u64,
         p50_s: quantile_s(0.5),
         p99_s: quantile_s(0.99),
-        most_s: histogram.max() as f64 / 1000.0,
+        max_s: histogram.max() as f64 / 1000.0,
         in_time: in_time as f64 / tasks.max(1) as f64,
         not_started: tasks.saturating_sub(waited_us.len() as u64),
     }
 }
 
 impl Report {
-    /// The table that people read.
+    /// The report as text.
     pub fn table(&self) -> String {
         let mut text = String::new();
         // Writing to a String cannot fail.
-        let _ = writeln!(
+        let _ = self.write_roles(&mut text);
+        let _ = self.write_tasks(&mut text);
+        let _ = self.write_counters(&mut text);
+        let _ = self.write_leadership_and_rules(&mut text);
+        text
+    }
+
+    fn write_roles(&self, text: &mut String) -> fmt::Result {
+        writeln!(
             text,
             "{} workers, {} controllers, {:.0} s measured, {} elections",
             self.workers, self.controllers, self.measured_s, self.elections
-        );
-        let _ = writeln!(text, "| role | processes | cores, all | busiest: mean, most | MB, largest | sockets, most | messages/s in, out | KB/s in, out |");
-        let _ = writeln!(text, "| --- | --- | --- | --- | --- | --- | --- | --- |");
-        for (name, r) in &self.roles {
-            let _ = writeln!(
+        )?;
+        writeln!(text, "| role | processes | cores, all | busiest: mean, most | MB, largest | sockets, most | messages/s in, out | KB/s in, out |")?;
+        writeln!(text, "| --- | --- | --- | --- | --- | --- | --- | --- |")?;
+        for (name, role) in &self.roles {
+            writeln!(
                 text,
                 "| {name} | {} | {:.3} | {:.3}, {:.2} | {:.1} | {} | {:.0}, {:.0} | {:.0}, {:.0} |",
-                r.processes,
-                r.cores_mean,
-                r.busiest_mean,
-                r.busiest_most,
-                r.resident_mb,
-                r.sockets,
-                r.messages_per_s[0],
-                r.messages_per_s[1],
-                r.bytes_per_s[0] / 1000.0,
-                r.bytes_per_s[1] / 1000.0,
-            );
+                role.processes,
+                role.cores_mean,
+                role.busiest_mean,
+                role.busiest_max,
+                role.resident_mb,
+                role.sockets,
+                role.messages_per_s[0],
+                role.messages_per_s[1],
+                role.bytes_per_s[0] / 1000.0,
+                role.bytes_per_s[1] / 1000.0,
+            )?;
         }
+        Ok(())
+    }
+
+    fn write_tasks(&self, text: &mut String) -> fmt::Result {
         let [mean, best] = self.starts_per_s;
-        let _ = writeln!(text, "starts a second: {mean:.1} on the mean, {best:.0} in the best second; {} tasks running at the end", self.tasks_running);
-        let _ = writeln!(
+        writeln!(text, "starts a second: {mean:.1} on the mean, {best:.0} in the best second; {} tasks running at the end", self.tasks_running)?;
+        writeln!(
             text,
             "per worker: {:.2} messages and {:.0} bytes a second",
             self.worker_messages_per_s, self.worker_bytes_per_s
-        );
-        for (class, w) in &self.waits {
-            let _ = writeln!(
+        )?;
+        for (class, wait) in &self.waits {
+            writeln!(
                 text,
                 "{class}: {} tasks started, waited p50 {:.2} s, p99 {:.2} s, most {:.2} s; in time {:.3}; {} not started",
-                w.tasks, w.p50_s, w.p99_s, w.most_s, w.in_time, w.not_started
-            );
+                wait.tasks, wait.p50_s, wait.p99_s, wait.max_s, wait.in_time, wait.not_started
+            )?;
         }
+        Ok(())
+    }
+
+    fn write_counters(&self, text: &mut String) -> fmt::Result {
         if let Some(replicas) = &self.replicas {
-            let _ = writeln!(text, "{replicas}");
+            writeln!(text, "{replicas}")?;
         }
         for (name, value) in &self.counters {
-            let _ = writeln!(text, "{name}: {value:.1}");
+            writeln!(text, "{name}: {value:.1}")?;
         }
-        for takeover in &self.takeovers {
-            let _ = writeln!(text, "{takeover}");
+        Ok(())
+    }
+
+    fn write_leadership_and_rules(&self, text: &mut String) -> fmt::Result {
+        for failover in &self.failovers {
+            writeln!(text, "{failover}")?;
         }
-        let _ = writeln!(text, "leader: {}", self.leader_usage);
-        if self.broken.is_empty() {
-            let _ = writeln!(text, "rules: none broken");
-        } else {
-            let _ = writeln!(
-                text,
-                "rules broken: {:?}, first {:?}",
-                self.broken, self.first_broken
-            );
+        writeln!(text, "leader: {}", self.leader_usage)?;
+        if self.violations.is_empty() {
+            return writeln!(text, "rules: none broken");
         }
-        text
+        writeln!(
+            text,
+            "rules broken: {:?}, first {:?}",
+            self.violations, self.first_violations
+        )
     }
 }
