--- a/benches/events.rs
+++ b/benches/events.rs
@@ -1,20 +1,18 @@
 //! What one event costs a leader of a full fleet: time, allocations and bytes.
 //! `cargo bench` prints them; only the counts are the same everywhere.
 
-#[path = "../tests/integration/simulation/mod.rs"]
-mod simulation;
+#[path = "../tests/full_leader/mod.rs"]
+mod full_leader;
 
 use divan::{AllocProfiler, Bencher};
-use lilacfork::messages::{ConnectionId, Effect, Listener, Now, Request};
-use lilacfork::node::Node;
+use full_leader::simulation::service;
+use full_leader::Leader;
+use lilacfork::messages::Request;
 use lilacfork::reactor::Handler;
-use serde_json::Value;
-use simulation::fixtures::full_fleet;
-use simulation::service;
 use std::cell::RefCell;
 
 #[global_allocator]
-static ALLOC: AllocProfiler = AllocProfiler::system();
+static ALLOCATOR: AllocProfiler = AllocProfiler::system();
 
 /// Machines of the fleet; each runs eight tasks.
 const MACHINES: [usize; 2] = [20, 150];
@@ -23,57 +21,6 @@
     divan::main();
 }
 
-/// A leader whose fleet is full, and a way to talk to it without the rest.
-struct Leader {
-    node: Node,
-    now: Now,
-    effects: Vec<Effect>,
-    report: Value,
-    seq: u64,
-}
-
-impl Leader {
-    fn new(machines: usize) -> Leader {
-        let mut w = full_fleet(machines);
-        let leader = w.leader().expect("somebody leads");
-        let report = w.worker_report("vm-0001");
-        let now = Now {
-            ms: w.now,
-            wall: 1_000_000 + w.now,
-        };
-        let node = w.nodes[leader].take().expect("the leader is up");
-        Leader {
-            node,
-            now,
-            effects: Vec::new(),
-            seq: report["numero"].as_u64().expect("a number"),
-            report,
-        }
-    }
-
-    fn request(&mut self, request: Request) {
-        self.node.request(
-            self.now,
-            ConnectionId(1),
-            Listener::Client,
-            request,
-            &mut self.effects,
-        );
-        self.effects.clear();
-    }
-
-    /// The next report of a machine, as bytes.
-    fn next_report(&mut self) -> Request {
-        self.seq += 1;
-        self.report["numero"] = self.seq.into();
-        Request {
-            method: "POST".into(),
-            path: "/agent/beat".into(),
-            body: self.report.to_string().into_bytes(),
-        }
-    }
-}
-
 fn get(path: &str) -> Request {
     Request {
         method: "GET".into(),
@@ -89,23 +36,23 @@
         .bench_local_values(|request| leader.borrow_mut().request(request));
 }
 
-/// A report with nothing new.
+/// A heartbeat with nothing new.
 #[divan::bench(args = MACHINES)]
-fn report_unchanged(bencher: Bencher, machines: usize) {
-    bench_requests(bencher, machines, Leader::next_report);
+fn heartbeat_unchanged(bencher: Bencher, machines: usize) {
+    bench_requests(bencher, machines, Leader::next_heartbeat);
 }
 
-/// A report whose first task goes from fetching to running and back.
+/// A heartbeat whose first task goes from fetching its image to running and back.
 #[divan::bench(args = MACHINES)]
-fn report_changed(bencher: Bencher, machines: usize) {
+fn heartbeat_changed(bencher: Bencher, machines: usize) {
     bench_requests(bencher, machines, |leader| {
-        let phase = if leader.seq % 2 == 0 {
+        let state = if leader.sequence.is_multiple_of(2) {
             "running"
         } else {
             "pulling"
         };
-        leader.report["pieces"][0]["etat"] = phase.into();
-        leader.next_report()
+        leader.heartbeat["pieces"][0]["etat"] = state.into();
+        leader.next_heartbeat()
     });
 }
 
@@ -137,7 +84,7 @@
     });
 }
 
-/// A turn in which a full round is due: a report interval has passed.
+/// A turn in which a full round is due: a heartbeat interval has passed.
 #[divan::bench(args = MACHINES)]
 fn full_round(bencher: Bencher, machines: usize) {
     let mut leader = Leader::new(machines);
--- a/tests/integration/cancellations.rs
+++ b/tests/integration/cancellations.rs
@@ -39,7 +39,7 @@
 /// for a reason to believe that it had missed nothing.
 fn gap(also: Also, refused_ms: u64) -> Simulation {
     let mut w = two_services();
-    w.state.mute_watches = true;
+    w.state.watches_stalled = true;
     if also == Also::TwoChanges {
         for _ in 0..2 {
             let leader = w.leader().unwrap();
@@ -87,7 +87,7 @@
 
 /// Ends the outage: what wasn't cancelled is served, the rest stays ended.
 fn settle(mut w: Simulation) {
-    w.state.mute_watches = false;
+    w.state.watches_stalled = false;
     w.state_returns();
     w.run_for(20_000);
     assert_eq!(w.on_machines("run-1"), 0);
@@ -205,7 +205,7 @@
     assert_eq!(w.submit(0, &service("run-1", 8)), 201);
     w.run_for(200);
     assert_eq!(w.on_machines("run-1"), 0, "the start is lost");
-    w.state.mute_watches = true;
+    w.state.watches_stalled = true;
     refuse(&mut w, leader, true);
     assert_eq!(w.cancel((leader + 1) % 3, "run-1").1, "cancelled");
     w.state.away = true;
@@ -216,7 +216,7 @@
     }
     w.run_for(15_000);
     let heard = w
-        .report_answers
+        .heartbeat_replies
         .iter()
         .any(|(_, n, s)| (*n, *s) == (leader, 200));
     assert!(heard, "they report to it");
--- a/tests/integration/dependencies.rs
+++ b/tests/integration/dependencies.rs
@@ -350,7 +350,7 @@
         match self.rng.u32(0..8) {
             0 => w.kill(node),
             1 => {
-                w.frozen.insert(node, w.now + self.rng.u64(500..9000));
+                w.paused_until.insert(node, w.now + self.rng.u64(500..9000));
             }
             2 => {
                 let mut rng = self.rng.fork();
--- a/tests/integration/fault_interactions.rs
+++ b/tests/integration/fault_interactions.rs
@@ -280,7 +280,7 @@
         match trouble {
             0 => m.silent = true,
             1 => m.deaf = true,
-            _ => w.cuts = (0..3).map(|n| (n, "b".to_string())).collect(),
+            _ => w.partitions = (0..3).map(|n| (n, "b".to_string())).collect(),
         }
         w.run_for(1000);
         let mut next = service("run-3", 8);
@@ -889,7 +889,7 @@
             ("POST", "/v2/runs", 4000),
         ] {
             let mut w = up(3);
-            w.answers_first = true;
+            w.responses_first_on_resume = true;
             let leader = w.leader().unwrap();
             let follower = (leader + 1) % 3;
             let spec = service("run-1", 2);
@@ -904,7 +904,7 @@
             let asked = w.ask(follower, method, path, body);
             w.run_for(asleep_after_ms);
             let wakes = w.now + asleep_ms;
-            w.frozen.insert(follower, wakes);
+            w.paused_until.insert(follower, wakes);
             w.run_for(500);
             assert_eq!(w.cancel(leader, "run-1"), (200, "cancelled".into()));
             w.run_until(wakes + 200);
--- a/tests/integration/large_fleets.rs
+++ b/tests/integration/large_fleets.rs
@@ -158,7 +158,7 @@
     assert_eq!(w.trace.len(), started, "nothing started again");
 
     let old = w.leader().unwrap();
-    w.frozen.insert(old, w.now + 14_000);
+    w.paused_until.insert(old, w.now + 14_000);
     w.run_for(24_000);
     assert_ne!(w.leader(), Some(old));
     assert_eq!(w.on_machines("run-"), 8000, "nor for the frozen leader");
--- a/tests/integration/leadership.rs
+++ b/tests/integration/leadership.rs
@@ -80,7 +80,7 @@
     w.run_for(8000);
     let new = (0..3).find(|n| *n != old && w.nodes[*n].as_ref().unwrap().is_leader());
     assert!(new.is_some());
-    w.report_answers.clear();
+    w.heartbeat_replies.clear();
     let mut report = w.worker_report("vm-z1");
     report["jeton"] = json!(3u64 << 20);
     w.deliver_report(old, &report);
@@ -89,10 +89,10 @@
     w.deliver_report(old, &later);
     w.run_for(3000);
     let ok = w
-        .report_answers
+        .heartbeat_replies
         .iter()
         .any(|(_, n, s)| *n == old && *s == 200);
-    assert!(!ok, "{:?}", w.report_answers);
+    assert!(!ok, "{:?}", w.heartbeat_replies);
     heal(&mut w);
     w.run_for(5000);
     assert_eq!(w.on_machines("run-1"), 56);
@@ -159,7 +159,7 @@
             _ => Fate::Pass,
         }
     });
-    w.cuts = vec![(old, "a".into()), (old, "b".into())];
+    w.partitions = vec![(old, "a".into()), (old, "b".into())];
     while w.leader() == Some(old) {
         w.run_for(10);
     }
@@ -194,13 +194,13 @@
     assert_eq!(term(&w), Some(1), "no silence, no step");
     let started = w.trace.len();
     let until = w.now + 60_000;
-    w.frozen.insert((first + 1) % 3, until);
+    w.paused_until.insert((first + 1) % 3, until);
     w.run_for(20_000);
     let leader = w.leader().unwrap();
     assert_eq!(leader, (first + 2) % 3, "the only one with a successor");
     w.run_for(15_000);
     assert_eq!(term(&w), Some(2), "one step");
-    w.frozen.insert(leader, until);
+    w.paused_until.insert(leader, until);
     w.run_for(20_000);
     assert_eq!(w.on_machines("run-1"), 16);
     assert_eq!(w.trace.len(), started, "no lease ended: {:?}", w.trace);
@@ -217,13 +217,13 @@
     w.run_for(3000);
     let first = w.leader().unwrap();
     let until = w.now + 60_000;
-    w.frozen.insert(first, until);
+    w.paused_until.insert(first, until);
     w.run_for(8000);
     let led = |w: &Simulation, n: usize| w.nodes[n].as_ref().unwrap().is_leader();
     let second = (0..3).find(|n| *n != first && led(&w, *n)).unwrap();
     let third = 3 - first - second;
     let wakes = w.now + 16_000;
-    w.frozen.insert(second, wakes);
+    w.paused_until.insert(second, wakes);
     w.run_until(wakes - 10);
     assert!(led(&w, third));
     let mut alone_ms = 0;
@@ -247,7 +247,7 @@
 fn a_worker_that_cannot_reach_the_follower_of_its_zone_is_kept_by_the_leader() {
     let (mut w, names) = full_zone(3);
     assert_ne!(w.leader(), Some(1));
-    w.cuts = vec![(1, "b".into())];
+    w.partitions = vec![(1, "b".into())];
     w.run_for(40_000);
     assert_eq!(w.trace.len(), 56, "no task ends: {:?}", w.trace);
     assert!(gone(&w, &names).is_empty(), "none is given up");
--- a/tests/integration/network_partitions.rs
+++ b/tests/integration/network_partitions.rs
@@ -196,11 +196,11 @@
     let (mut w, names) = full_zone(3);
     let old = w.leader().unwrap();
     let woken = w.now + 14_000;
-    w.frozen.insert(old, woken);
+    w.paused_until.insert(old, woken);
     w.run_for(13_900);
-    w.report_answers.clear();
+    w.heartbeat_replies.clear();
     w.run_for(12_000);
-    let answered = w.report_answers.iter().filter(|(_, n, _)| *n == old);
+    let answered = w.heartbeat_replies.iter().filter(|(_, n, _)| *n == old);
     let statuses: Vec<u16> = answered.map(|(_, _, status)| *status).collect();
     assert!(
         !statuses.is_empty() && !statuses.contains(&200),
@@ -243,7 +243,7 @@
     assert_eq!(w.submit(0, &service("run-1", 16)), 201);
     w.run_for(3000);
     let deaf = w.leader().unwrap();
-    w.cuts = vec![(deaf, "a".into()), (deaf, "b".into())];
+    w.partitions = vec![(deaf, "a".into()), (deaf, "b".into())];
     w.run_for(8000);
     let leader = w.leader().unwrap();
     assert_ne!(leader, deaf);
@@ -274,7 +274,7 @@
         w.run_for(3000);
         assert_eq!(w.on_machines("run-"), 16);
         let leader = w.leader().unwrap();
-        w.cuts = cut_zones();
+        w.partitions = cut_zones();
         w.hook = Box::new(move |_, node, call| match &call.target {
             Destination::Peer(addr) if crosses(node, addr) => Fate::LoseRequest,
             // The far follower alone loses the state service too.
@@ -306,12 +306,12 @@
         _ => Fate::Pass,
     });
     // The watch in flight ends unheard: it is lost with the next one.
-    w.state.mute_watches = true;
+    w.state.watches_stalled = true;
     assert_eq!(w.cancel((leader + 1) % 3, "run-1").1, "cancelled");
     w.state.away = true;
     w.run_for(25_000);
     assert_eq!(w.on_machines("run-1"), 0);
-    w.state.mute_watches = false;
+    w.state.watches_stalled = false;
     w.state_returns();
     w.run_for(15_000);
     assert_eq!(w.poll(leader, "run-1").1, "cancelled");
--- a/tests/integration/observer.rs
+++ b/tests/integration/observer.rs
@@ -2,23 +2,23 @@
 //! can't see, no trace checks.
 
 use crate::simulation::array;
-use crate::simulation::observer::{Observer, Placed, Question, Verb, Verdict};
+use crate::simulation::observer::{Observer, RunningTask, UserRequest, Verb, Verdict};
 use serde_json::{json, Value};
 
 fn observer() -> Observer {
     Observer::new(30_000, &[("blue", 2.0)])
 }
 
-fn ask(verb: Verb, job: &str, asked_ms: u64) -> Question {
-    Question {
+fn ask(verb: Verb, job: &str, asked_ms: u64) -> UserRequest {
+    UserRequest {
         verb,
         job: job.into(),
         asked_ms,
     }
 }
 
-fn on<'a>(task: &'a str, machine: &'a str, zone: &'a str) -> Placed<'a> {
-    Placed {
+fn on<'a>(task: &'a str, machine: &'a str, zone: &'a str) -> RunningTask<'a> {
+    RunningTask {
         task,
         machine,
         zone,
@@ -37,7 +37,10 @@
 #[track_caller]
 fn breaks(rule: &str, verdict: Verdict) {
     let said = verdict.expect_err(rule);
-    assert!(said.starts_with(rule), "{rule} expected: {said}");
+    assert!(
+        said.to_string().starts_with(rule),
+        "{rule} expected: {said}"
+    );
 }
 
 fn cancelled(at_ms: u64) -> Observer {
@@ -79,7 +82,7 @@
     let mut o = accepted(spec);
     let start = on("run-1/0", "vm-b", "b");
     breaks("wrong_place", o.starts(20, start, [].into_iter()));
-    let spot = Placed {
+    let spot = RunningTask {
         spot: true,
         ..on("run-1/0", "vm-a", "a")
     };
--- a/tests/integration/policy.rs
+++ b/tests/integration/policy.rs
@@ -1,5 +1,6 @@
 //! The pure parts, as tables.
 
+use crate::simulation::SETTINGS;
 use lilacfork::cloud::Offer;
 use lilacfork::ids::{FencingToken, Term};
 use lilacfork::kv_client::{self, CallPriority, KvCall, KvClient};
@@ -228,19 +229,11 @@
 
 #[test]
 fn settings_and_options_say_what_is_wrong() {
-    let good = include_str!("simulation/mod.rs");
-    let good = good
-        .split("r#\"")
-        .nth(1)
-        .unwrap()
-        .split("\"#")
-        .next()
-        .unwrap();
     assert!(
-        Settings::parse(&format!("unheard = 1\n{good}"), "f").is_ok(),
+        Settings::parse(&format!("unheard = 1\n{SETTINGS}"), "f").is_ok(),
         "unknown fields pass"
     );
-    let bad = good.replace("lease_s = 10.0", "lease_s = 0.0");
+    let bad = SETTINGS.replace("lease_s = 10.0", "lease_s = 0.0");
     let error = Settings::parse(&bad, "f.toml").unwrap_err().to_string();
     assert_eq!(
         error,
@@ -260,7 +253,7 @@
             "f.toml: settings.limits.ram_mb: must be at least 8",
         ),
     ] {
-        let error = Settings::parse(&good.replace(from, to), "f.toml").unwrap_err();
+        let error = Settings::parse(&SETTINGS.replace(from, to), "f.toml").unwrap_err();
         assert_eq!(error.to_string(), says);
     }
     let ini = |text: &str| Tuning::from_ini(&ini::Ini::load_from_str(text).unwrap(), "f.ini");
--- a/tests/integration/randomized_faults.rs
+++ b/tests/integration/randomized_faults.rs
@@ -199,11 +199,11 @@
             }
             19 => {
                 let until = self.w.now + self.rng.u64(1000..9000);
-                self.w.frozen.insert(node, until);
+                self.w.paused_until.insert(node, until);
             }
             20 => self.w.cloud_away = !self.w.cloud_away,
             22 => sky.garbled = self.rng.u32(0..12),
-            21 => self.w.state.mute_watches = !self.w.state.mute_watches,
+            21 => self.w.state.watches_stalled = !self.w.state.watches_stalled,
             _ => {}
         }
         self.weather.set(sky);
@@ -251,9 +251,9 @@
 
     fn calm(&mut self) {
         self.weather.set(Weather::default());
-        self.w.frozen.clear();
+        self.w.paused_until.clear();
         self.w.cloud_away = false;
-        self.w.state.mute_watches = false;
+        self.w.state.watches_stalled = false;
         if self.w.state.away {
             self.w.state_returns();
         }
--- a/tests/integration/simulation/fixtures.rs
+++ b/tests/integration/simulation/fixtures.rs
@@ -28,7 +28,7 @@
 
 /// Neither workers nor controllers hear those of the other zone.
 pub fn cut_between_zones(w: &mut Simulation) {
-    w.cuts = cut_zones();
+    w.partitions = cut_zones();
     w.hook = Box::new(|_, node, call| match &call.target {
         Destination::Peer(addr) if crosses(node, addr) => Fate::LoseRequest,
         _ => Fate::Pass,
@@ -38,7 +38,7 @@
 /// The second node's zone is apart from the other one, and the node from the state
 /// service too.
 pub fn cut_zone_from_everything(w: &mut Simulation) {
-    w.cuts = cut_zones();
+    w.partitions = cut_zones();
     w.hook = Box::new(|_, node, call| match &call.target {
         Destination::Peer(addr) if crosses(node, addr) => Fate::LoseRequest,
         Destination::KvStore | Destination::KvWatch if node == 1 => Fate::LoseRequest,
@@ -46,29 +46,9 @@
     });
 }
 
-/// Three controllers and full machines of eight tasks, all in one zone.
-pub fn full_fleet(machines: usize) -> Simulation {
-    let mut w = Simulation::new(3);
-    w.capacity = 0;
-    w.run_ms = 600_000;
-    for n in 0..machines {
-        w.add_machine(&format!("vm-{n:04}"), "a", false, true);
-    }
-    w.run_until(5000);
-    for n in 0..machines / 5 {
-        let mut spec = service(&format!("run-s{n}"), 40);
-        spec["gabarit"] = json!("help");
-        w.ask(n % 3, "POST", "/v2/runs", spec);
-        w.run_for(200);
-    }
-    w.run_for(8000);
-    assert_eq!(w.on_machines("run-"), machines * 8, "all are full");
-    w
-}
-
 /// Whatever was cut or lost is heard again.
 pub fn heal(w: &mut Simulation) {
-    w.cuts.clear();
+    w.partitions.clear();
     w.hook = Box::new(|_, _, _| Fate::Pass);
 }
 
--- /dev/null
+++ b/tests/integration/simulation/kv_store.rs
@@ -0,0 +1,344 @@
+//! Stand-in for the consensus-backed key-value store: compare-and-swap transactions,
+//! leases, lists and watches.
+
+use super::events::{CallOrigin, Event};
+use super::Simulation;
+use lilacfork::messages::{Call, CallResult};
+use serde_json::{json, Value};
+use std::collections::{BTreeMap, HashMap};
+
+/// Records in one page of a list.
+const PAGE: usize = 500;
+/// From a change until its event reaches a watch.
+const WATCH_LATENCY_MS: u64 = 1;
+/// The store's own limits, whatever [`SizeLimits`] a test sets.
+const MAX_WRITES: usize = 16;
+const MAX_TXN_BYTES: usize = 64 * 1024;
+const MAX_VALUE_BYTES: usize = 32 * 1024;
+/// Compares that a transaction may have for each of its operations.
+const COMPARES_PER_OP: usize = 4;
+
+/// How large a transaction and a value may be.
+#[derive(Clone, Copy, Debug)]
+pub struct SizeLimits {
+    pub value_bytes: usize,
+    pub txn_ops: usize,
+}
+
+struct Lease {
+    ttl_ms: u64,
+    expires_ms: u64,
+}
+
+/// A change of a key; without a value it was deleted.
+struct Change {
+    revision: u64,
+    key: String,
+    value: Option<Value>,
+}
+
+/// A call that waits for changes under a prefix.
+struct Watch {
+    origin: CallOrigin,
+    prefix: String,
+    from_revision: u64,
+    until_ms: u64,
+}
+
+/// The store's records, and what a test may make of it.
+#[derive(Default)]
+pub struct KvStore {
+    /// Value, revision of the last change and lease, by key.
+    pub items: BTreeMap<String, (Value, u64, Option<u64>)>,
+    /// The revision of the last transaction.
+    pub revision: u64,
+    leases: HashMap<u64, Lease>,
+    last_lease: u64,
+    history: Vec<Change>,
+    watches: Vec<Watch>,
+    /// Every call but a watch is answered with 503, and no lease expires.
+    pub away: bool,
+    /// Watches stay open and are not answered.
+    pub watches_stalled: bool,
+    /// Larger transactions and values than these are rejected.
+    pub limits: Option<SizeLimits>,
+    /// Puts and deletes carried out so far.
+    pub changes: usize,
+    /// Transactions rejected as too large.
+    pub too_large: usize,
+}
+
+fn reply(status: u16, body: Value) -> CallResult {
+    Ok((status, body.to_string().into_bytes()))
+}
+
+/// A parameter of a URL's query, or the empty string.
+fn query_parameter<'a>(query: &'a str, name: &str) -> &'a str {
+    query
+        .split('&')
+        .find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='))
+        .unwrap_or("")
+}
+
+impl KvStore {
+    fn record_change(&mut self, key: &str, value: Option<Value>) {
+        self.history.push(Change {
+            revision: self.revision,
+            key: key.into(),
+            value,
+        });
+    }
+
+    /// Changes under a prefix after a revision, and the store's revision.
+    fn changes_after(&self, prefix: &str, from_revision: u64) -> Value {
+        let changes = self
+            .history
+            .iter()
+            .filter(|change| change.revision > from_revision && change.key.starts_with(prefix));
+        let events: Vec<Value> = changes
+            .map(
+                |Change {
+                     revision,
+                     key,
+                     value,
+                 }| match value {
+                    Some(value) => json!({"set": key, "v": value, "retouche": revision}),
+                    None => json!({"drop": key, "retouche": revision}),
+                },
+            )
+            .collect();
+        json!({"tirage": self.revision, "events": events})
+    }
+
+    /// A page of the records under a prefix, after a key.
+    fn list(&self, prefix: &str, after: &str) -> CallResult {
+        let mut rows: Vec<Value> = self
+            .items
+            .iter()
+            .filter(|(key, _)| key.starts_with(prefix) && key.as_str() > after)
+            .take(PAGE + 1)
+            .map(|(key, item)| json!({"k": key, "v": item.0, "retouche": item.1}))
+            .collect();
+        let truncated = rows.len() > PAGE;
+        rows.truncate(PAGE);
+        let page = json!({"rows": rows, "truncated": truncated, "tirage": self.revision});
+        reply(200, page)
+    }
+
+    fn get(&self, key: &str) -> CallResult {
+        match self.items.get(key) {
+            Some(item) => reply(200, json!({"k": key, "v": item.0, "retouche": item.1})),
+            None => reply(404, json!({"tirage": self.revision})),
+        }
+    }
+
+    /// Whether a test's limits forbid a transaction.
+    fn is_too_large(&self, txn: &Value, writes: &[Value]) -> bool {
+        let Some(limits) = self.limits else {
+            return false;
+        };
+        let value_bytes = |write: &Value| write.get("v").map_or(0, |v| v.to_string().len());
+        let compares = txn["guards"].as_array().map_or(0, Vec::len);
+        writes.len() > limits.txn_ops
+            || compares > limits.txn_ops * COMPARES_PER_OP
+            || writes
+                .iter()
+                .any(|write| value_bytes(write) > limits.value_bytes)
+    }
+
+    /// Keys of a transaction whose revision isn't the one it compares with.
+    fn failed_compares(&self, txn: &Value) -> Vec<String> {
+        let key = |compare: &Value| compare["k"].as_str().unwrap_or("").to_string();
+        let revision = |key: &str| self.items.get(key).map_or(0, |item| item.1);
+        let compares = txn["guards"].as_array().into_iter().flatten();
+        compares
+            .filter(|compare| Some(revision(&key(compare))) != compare["retouche"].as_u64())
+            .map(key)
+            .collect()
+    }
+
+    fn apply(&mut self, writes: &[Value]) {
+        self.revision += 1;
+        self.changes += writes.len();
+        for write in writes {
+            if let Some(key) = write["set"].as_str() {
+                let value = &write["v"];
+                assert!(
+                    value.to_string().len() <= MAX_VALUE_BYTES,
+                    "value too large"
+                );
+                let item = (value.clone(), self.revision, write["bail"].as_u64());
+                self.items.insert(key.into(), item);
+                self.record_change(key, Some(value.clone()));
+            } else if let Some(key) = write["drop"].as_str() {
+                self.items.remove(key);
+                self.record_change(key, None);
+            }
+        }
+    }
+
+    /// Deletes the keys of a lease, each in a revision of its own.
+    fn end_lease(&mut self, lease: u64) {
+        self.leases.remove(&lease);
+        let keys: Vec<String> = self
+            .items
+            .iter()
+            .filter(|(_, item)| item.2 == Some(lease))
+            .map(|(key, _)| key.clone())
+            .collect();
+        for key in keys {
+            self.revision += 1;
+            self.items.remove(&key);
+            self.record_change(&key, None);
+        }
+    }
+}
+
+impl Simulation {
+    /// Carries out a call; `None`: a watch that waits.
+    pub(super) fn kv_store_call(&mut self, origin: CallOrigin, call: &Call) -> Option<CallResult> {
+        let (path, query) = call.path.split_once('?').unwrap_or((&call.path, ""));
+        let is_watch = path == "/follow" && !query_parameter(query, "waitMs").is_empty();
+        if self.state.away && !is_watch {
+            return Some(reply(503, json!({})));
+        }
+        if is_watch {
+            self.open_watch(origin, query);
+            return None;
+        }
+        let (prefix, from) = (
+            query_parameter(query, "under"),
+            query_parameter(query, "from"),
+        );
+        let body: Value = serde_json::from_slice(&call.body).unwrap_or(Value::Null);
+        let outcome = match path {
+            "/follow" => {
+                let from_revision = from.parse().unwrap_or(0);
+                reply(200, self.state.changes_after(prefix, from_revision))
+            }
+            "/kv" => self.state.list(prefix, from),
+            "/leases" => self.grant_lease(&body),
+            _ => {
+                if let Some(key) = path.strip_prefix("/kv/") {
+                    self.state.get(key)
+                } else if let Some(lease) = path.strip_prefix("/leases/") {
+                    self.lease_call(lease, call.method)
+                } else {
+                    self.transaction(&body, call.body.len())
+                }
+            }
+        };
+        Some(outcome)
+    }
+
+    fn open_watch(&mut self, origin: CallOrigin, query: &str) {
+        let wait_ms: u64 = query_parameter(query, "waitMs").parse().unwrap_or(0);
+        let until_ms = self.now + wait_ms;
+        self.state.watches.push(Watch {
+            origin,
+            prefix: query_parameter(query, "under").into(),
+            from_revision: query_parameter(query, "from").parse().unwrap_or(0),
+            until_ms,
+        });
+        self.schedule(until_ms, Event::LeaseExpiry);
+        self.serve_watches();
+    }
+
+    /// Answers the watches that have changes or have waited for long enough.
+    fn serve_watches(&mut self) {
+        if self.state.away || self.state.watches_stalled {
+            return;
+        }
+        for watch in std::mem::take(&mut self.state.watches) {
+            let changes = self.state.changes_after(&watch.prefix, watch.from_revision);
+            let nothing_new = changes["events"].as_array().is_none_or(Vec::is_empty);
+            if nothing_new && self.now < watch.until_ms {
+                self.state.watches.push(watch);
+            } else {
+                self.return_outcome(watch.origin, WATCH_LATENCY_MS, reply(200, changes));
+            }
+        }
+    }
+
+    fn grant_lease(&mut self, body: &Value) -> CallResult {
+        let ttl_ms = body["ttlMs"].as_u64().unwrap_or(1000);
+        let expires_ms = self.now + ttl_ms;
+        self.state.last_lease += 1;
+        let id = self.state.last_lease;
+        self.state.leases.insert(id, Lease { ttl_ms, expires_ms });
+        self.schedule(expires_ms + 1, Event::LeaseExpiry);
+        reply(200, json!({ "bail": id }))
+    }
+
+    /// Renews a lease or revokes it.
+    fn lease_call(&mut self, path: &str, method: &str) -> CallResult {
+        let id = path.split('/').next().and_then(|id| id.parse().ok());
+        let id: u64 = id.unwrap_or(0);
+        let Some(lease) = self.state.leases.get_mut(&id) else {
+            return reply(404, json!({}));
+        };
+        if method == "DELETE" {
+            self.state.end_lease(id);
+            self.serve_watches();
+        } else {
+            lease.expires_ms = self.now + lease.ttl_ms;
+            let check_ms = lease.expires_ms + 1;
+            self.schedule(check_ms, Event::LeaseExpiry);
+        }
+        reply(200, json!({}))
+    }
+
+    /// Ends the leases that have expired; an outage ends none.
+    pub(super) fn expire_leases(&mut self) {
+        if self.state.away {
+            return;
+        }
+        let leases = self.state.leases.iter();
+        let expired: Vec<u64> = leases
+            .filter(|(_, lease)| lease.expires_ms <= self.now)
+            .map(|(id, _)| *id)
+            .collect();
+        for id in expired {
+            self.state.end_lease(id);
+            self.serve_watches();
+        }
+    }
+
+    /// The outage is over: every lease has its full time again.
+    pub fn state_returns(&mut self) {
+        self.state.away = false;
+        let now = self.now;
+        let mut checks_ms = Vec::new();
+        for lease in self.state.leases.values_mut() {
+            lease.expires_ms = now + lease.ttl_ms;
+            checks_ms.push(lease.expires_ms + 1);
+        }
+        for check_ms in checks_ms {
+            self.schedule(check_ms, Event::LeaseExpiry);
+        }
+        self.serve_watches();
+    }
+
+    /// Carries out writes if all compares hold.
+    fn transaction(&mut self, txn: &Value, bytes: usize) -> CallResult {
+        let writes = txn["writes"].as_array().cloned().unwrap_or_default();
+        if self.state.is_too_large(txn, &writes) {
+            self.state.too_large += 1;
+            return reply(400, json!({"error": "too large"}));
+        }
+        let failed = self.state.failed_compares(txn);
+        if !failed.is_empty() {
+            let revision = self.state.revision;
+            return reply(409, json!({"failed": failed, "tirage": revision}));
+        }
+        assert!(
+            writes.len() <= MAX_WRITES,
+            "too many writes in a transaction"
+        );
+        assert!(bytes <= MAX_TXN_BYTES, "transaction too large");
+        self.state.apply(&writes);
+        let revision = self.state.revision;
+        self.serve_watches();
+        reply(200, json!({ "tirage": revision }))
+    }
+}
--- a/tests/integration/simulation/observer.rs
+++ b/tests/integration/simulation/observer.rs
@@ -1,25 +1,32 @@
-//! An independent observer of the protocol's rules: it is told what users ask
-//! and hear and what workers start and finish, knows nothing of the service,
-//! and says which rule a history breaks.
+//! An independent observer of the protocol's rules. It learns what users ask and are
+//! told and what workers start and finish, knows nothing of how controllers work, and
+//! reports the rule that a history breaks.
 
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
+use std::fmt;
 
-/// A task on a machine, at the moment it is looked at.
+/// The job of a task, by the task's name.
+pub(super) fn job_of(task: &str) -> &str {
+    task.rsplit_once('/').map_or("", |(job, _)| job)
+}
+
+/// A task on a machine, at the moment of the observation.
 #[derive(Clone, Copy, Debug)]
-pub struct Placed<'a> {
+pub struct RunningTask<'a> {
     pub task: &'a str,
     pub machine: &'a str,
     pub zone: &'a str,
     pub spot: bool,
 }
 
-impl Placed<'_> {
-    pub fn job(&self) -> &str {
-        self.task.rsplit_once('/').map_or("", |(job, _)| job)
+impl RunningTask<'_> {
+    fn job(&self) -> &str {
+        job_of(self.task)
     }
 }
 
+/// What a user asks for.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Verb {
     Submit,
@@ -27,27 +34,89 @@
     Cancel,
 }
 
-/// What a user asked, and when.
+/// A user's request about a job.
 #[derive(Clone, Debug)]
-pub struct Question {
+pub struct UserRequest {
     pub verb: Verb,
     pub job: String,
     pub asked_ms: u64,
 }
 
+/// The rules of the protocol.
+#[derive(Clone, Copy, PartialEq, Eq, Debug)]
+pub enum Rule {
+    /// A job that users were told is known stays known.
+    Forgotten,
+    /// Only what users submitted is known and started.
+    Invented,
+    /// A final state doesn't change, and only users cancel.
+    WentBack,
+    /// A job is done once all of its tasks have completed.
+    NotDone,
+    /// Jobs end with the cancellation of one that they need.
+    Orphaned,
+    /// A task is on one machine at most.
+    RanTwice,
+    /// A cancelled job's tasks end in time.
+    RanCancelled,
+    /// A task starts after the jobs that its job needs.
+    TooEarly,
+    /// A task runs only where its job may.
+    WrongPlace,
+    /// A team stays within its limit.
+    Quota,
+}
+
+impl fmt::Display for Rule {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        f.write_str(match self {
+            Rule::Forgotten => "forgotten",
+            Rule::Invented => "invented",
+            Rule::WentBack => "went_back",
+            Rule::NotDone => "not_done",
+            Rule::Orphaned => "orphaned",
+            Rule::RanTwice => "ran_twice",
+            Rule::RanCancelled => "ran_cancelled",
+            Rule::TooEarly => "too_early",
+            Rule::WrongPlace => "wrong_place",
+            Rule::Quota => "quota",
+        })
+    }
+}
+
 /// The rule that a history breaks, and how.
-pub type Verdict = Result<(), String>;
+#[derive(Clone, PartialEq, Eq, Debug, thiserror::Error)]
+#[error("{rule}: {details}")]
+pub struct Violation {
+    rule: Rule,
+    details: String,
+}
+
+pub type Verdict = Result<(), Violation>;
+
+fn broken(rule: Rule, details: String) -> Verdict {
+    Err(Violation { rule, details })
+}
 
+/// A final state of which a user was told.
+#[derive(Debug)]
+struct FinalState {
+    state: String,
+    /// When a user was told first.
+    told_ms: u64,
+}
+
+/// What has happened so far, as far as the rules need it.
 pub struct Observer {
     cancel_ms: u64,
     /// GPUs that a team may use at once.
     limits: HashMap<String, f64>,
     specs: HashMap<String, Value>,
     /// When a user was first told that the job is known.
-    accepted: HashMap<String, u64>,
+    accepted_ms: HashMap<String, u64>,
     cancel_asked: HashSet<String>,
-    /// The final state that a user was told, and when first.
-    finals: BTreeMap<String, (String, u64)>,
+    final_states: BTreeMap<String, FinalState>,
+    /// Tasks that have completed, by job.
     finished: HashMap<String, BTreeSet<u32>>,
     /// Starts after a confirmed cancellation: allowed for `cancel_s`, and
     /// counted.
@@ -55,31 +124,38 @@
 }
 
 impl Observer {
+    /// `cancel_ms`: how long tasks may be on machines after their job's cancellation.
+    /// `limits`: GPUs that each limited team may use at once.
     pub fn new(cancel_ms: u64, limits: &[(&str, f64)]) -> Self {
         Observer {
             cancel_ms,
-            limits: limits.iter().map(|(t, l)| (t.to_string(), *l)).collect(),
+            limits: limits
+                .iter()
+                .map(|(team, limit)| (team.to_string(), *limit))
+                .collect(),
             specs: HashMap::new(),
-            accepted: HashMap::new(),
+            accepted_ms: HashMap::new(),
             cancel_asked: HashSet::new(),
-            finals: BTreeMap::new(),
+            final_states: BTreeMap::new(),
             finished: HashMap::new(),
             starts_after_cancel: Vec::new(),
         }
     }
 
+    /// The specification with which a job was first submitted.
     pub fn spec(&self, job: &str) -> Option<&Value> {
         self.specs.get(job)
     }
 
-    /// When the job's cancellation was first confirmed to anybody.
-    pub fn confirmed_ms(&self, job: &str) -> Option<u64> {
-        self.finals
+    /// When the job's cancellation was first confirmed to any user.
+    fn confirmed_ms(&self, job: &str) -> Option<u64> {
+        self.final_states
             .get(job)
-            .filter(|(state, _)| state == "cancelled")
-            .map(|(_, at)| *at)
+            .filter(|told| told.state == "cancelled")
+            .map(|told| told.told_ms)
     }
 
+    /// A user submits a job.
     pub fn submitted(&mut self, spec: &Value) {
         if let Some(id) = spec["id"].as_str() {
             self.specs
@@ -88,129 +164,158 @@
         }
     }
 
+    /// A user asks for a job's cancellation.
     pub fn cancel_asked(&mut self, job: &str) {
         self.cancel_asked.insert(job.to_string());
     }
 
-    fn needs(&self, job: &str) -> impl Iterator<Item = &str> {
-        let needs = self.specs.get(job).and_then(|s| s["attend"].as_array());
-        needs.into_iter().flatten().filter_map(Value::as_str)
+    /// A task has completed by itself.
+    pub fn finished(&mut self, task: &str) {
+        if let Some((job, index)) = task.rsplit_once('/') {
+            if let Ok(index) = index.parse() {
+                self.finished
+                    .entry(job.to_string())
+                    .or_default()
+                    .insert(index);
+            }
+        }
+    }
+
+    fn dependencies(&self, job: &str) -> impl Iterator<Item = &str> {
+        let names = self
+            .specs
+            .get(job)
+            .and_then(|spec| spec["attend"].as_array());
+        names.into_iter().flatten().filter_map(Value::as_str)
     }
 
     /// The jobs that this one needs, directly or through others.
-    fn all_needs<'a>(&'a self, job: &'a str) -> BTreeSet<&'a str> {
+    fn all_dependencies<'a>(&'a self, job: &'a str) -> BTreeSet<&'a str> {
         let mut found = BTreeSet::new();
         let mut left = vec![job];
         while let Some(job) = left.pop() {
-            left.extend(self.needs(job).filter(|need| found.insert(*need)));
+            let dependencies = self.dependencies(job);
+            left.extend(dependencies.filter(|dependency| found.insert(*dependency)));
         }
         found
     }
 
+    fn finished_tasks(&self, job: &str) -> usize {
+        self.finished.get(job).map_or(0, BTreeSet::len)
+    }
+
     /// All tasks of the job have completed.
     fn is_done(&self, job: &str) -> bool {
-        let all = self.specs.get(job).and_then(|s| s["pieces"].as_u64());
-        let finished = self.finished.get(job).map_or(0, BTreeSet::len);
-        all.is_some_and(|all| finished as u64 >= all)
+        let tasks = self.specs.get(job).and_then(|spec| spec["pieces"].as_u64());
+        tasks.is_some_and(|tasks| self.finished_tasks(job) as u64 >= tasks)
     }
 
     fn cancelled_by_its_user(&self, job: &str) -> bool {
-        let mut with_it = self.all_needs(job).into_iter().chain([job]);
-        // A cancellation that was answered with done takes nobody along.
-        let done = |job: &str| matches!(self.finals.get(job), Some((told, _)) if told == "done");
+        let mut with_it = self.all_dependencies(job).into_iter().chain([job]);
+        // A cancellation that was answered with done cancels no dependents.
+        let done = |job: &str| {
+            self.final_states
+                .get(job)
+                .is_some_and(|t| t.state == "done")
+        };
         with_it.any(|job| self.cancel_asked.contains(job) && !done(job))
     }
 
-    /// A task has completed by itself.
-    pub fn finished(&mut self, task: &str) {
-        if let Some((job, index)) = task.rsplit_once('/') {
-            if let Ok(index) = index.parse() {
-                self.finished
-                    .entry(job.to_string())
-                    .or_default()
-                    .insert(index);
-            }
-        }
-    }
-
-    /// What a user hears. An answer may be as old as its question: only what
-    /// was told before that was asked binds it.
-    pub fn answered(&mut self, now: u64, q: &Question, status: u16, state: &str) -> Verdict {
-        let job = &q.job;
-        let known = self.accepted.get(job).is_some_and(|at| *at < q.asked_ms);
-        if known {
-            if status == 404 {
-                return Err(format!("forgotten: {job} gets a 404 at {now}"));
-            }
-            if q.verb == Verb::Submit && (status == 400 || status == 422) {
-                return Err(format!("forgotten: {job} repeated gets {status} at {now}"));
-            }
-        }
+    /// A user gets a response. It may be as old as its request: only what users were
+    /// told before the request binds it.
+    pub fn answered(
+        &mut self,
+        now: u64,
+        request: &UserRequest,
+        status: u16,
+        state: &str,
+    ) -> Verdict {
+        let job = &request.job;
+        self.still_known(now, request, status)?;
         if status != 200 && status != 201 {
             return Ok(());
         }
         let Some(spec) = self.specs.get(job) else {
-            return Err(format!("invented: nobody submitted {job}"));
+            return broken(Rule::Invented, format!("nobody submitted {job}"));
         };
-        self.accepted.entry(job.clone()).or_insert(now);
-        if let Some((told, at)) = self.finals.get(job) {
-            if *at < q.asked_ms && told != state {
-                return Err(format!(
-                    "went_back: {job} was {told} at {at} and is {state} at {now}"
-                ));
+        self.accepted_ms.entry(job.clone()).or_insert(now);
+        if let Some(told) = self.final_states.get(job) {
+            if told.told_ms < request.asked_ms && told.state != state {
+                let (before, at) = (&told.state, told.told_ms);
+                let details = format!("{job} was {before} at {at} and is {state} at {now}");
+                return broken(Rule::WentBack, details);
             }
         }
         match state {
             "done" => {
-                let all = spec["pieces"].as_u64().unwrap_or(0) as usize;
-                let finished = self.finished.get(job).map_or(0, BTreeSet::len);
-                if finished < all {
-                    return Err(format!("not_done: {job} has {finished} of {all} at {now}"));
+                let tasks = spec["pieces"].as_u64().unwrap_or(0) as usize;
+                let finished = self.finished_tasks(job);
+                if finished < tasks {
+                    let details = format!("{job} has {finished} of {tasks} at {now}");
+                    return broken(Rule::NotDone, details);
                 }
             }
             "cancelled" if !self.cancelled_by_its_user(job) => {
-                return Err(format!("went_back: {job} is cancelled, its user didn't"));
+                let details = format!("{job} is cancelled, its user didn't");
+                return broken(Rule::WentBack, details);
             }
             "cancelled" => {}
             _ => return self.orphaned(now, job, state),
         }
-        self.finals
+        self.final_states
             .entry(job.clone())
-            .or_insert_with(|| (state.to_string(), now));
+            .or_insert_with(|| FinalState {
+                state: state.to_string(),
+                told_ms: now,
+            });
+        Ok(())
+    }
+
+    /// Whether a job that was known before a request is known to its response.
+    fn still_known(&self, now: u64, request: &UserRequest, status: u16) -> Verdict {
+        let job = &request.job;
+        let accepted_ms = self.accepted_ms.get(job);
+        if accepted_ms.is_none_or(|at| *at >= request.asked_ms) {
+            return Ok(());
+        }
+        if status == 404 {
+            return broken(Rule::Forgotten, format!("{job} gets a 404 at {now}"));
+        }
+        if request.verb == Verb::Submit && (status == 400 || status == 422) {
+            let details = format!("{job} repeated gets {status} at {now}");
+            return broken(Rule::Forgotten, details);
+        }
         Ok(())
     }
 
+    /// Whether a job that hasn't ended may live on after those that it needs.
     fn orphaned(&self, now: u64, job: &str, state: &str) -> Verdict {
-        for need in self.all_needs(job) {
-            let told = self.confirmed_ms(need);
-            if let Some(at) = told.filter(|at| now > at + self.cancel_ms) {
-                return Err(format!(
-                    "orphaned: {job} is {state} at {now}, {need} cancelled at {at}"
-                ));
+        for dependency in self.all_dependencies(job) {
+            let confirmed_ms = self.confirmed_ms(dependency);
+            if let Some(at) = confirmed_ms.filter(|at| now > at + self.cancel_ms) {
+                let details = format!("{job} is {state} at {now}, {dependency} cancelled at {at}");
+                return broken(Rule::Orphaned, details);
             }
         }
         Ok(())
     }
 
-    /// A task starts while all these are on machines.
+    /// A task starts while the others are on machines.
     pub fn starts<'a>(
         &mut self,
         now: u64,
-        start: Placed<'a>,
-        others: impl Iterator<Item = Placed<'a>> + Clone,
+        start: RunningTask<'a>,
+        others: impl Iterator<Item = RunningTask<'a>> + Clone,
     ) -> Verdict {
-        let (task, machine) = (start.task, start.machine);
-        if let Some(there) = others.clone().find(|o| o.task == task) {
-            return Err(format!(
-                "ran_twice: {task} starts on {machine} while on {}",
-                there.machine
-            ));
+        let RunningTask { task, machine, .. } = start;
+        if let Some(other) = others.clone().find(|other| other.task == task) {
+            let details = format!("{task} starts on {machine} while on {}", other.machine);
+            return broken(Rule::RanTwice, details);
         }
         if let Some(at) = self.confirmed_ms(start.job()) {
             if now > at + self.cancel_ms {
-                return Err(format!(
-                    "ran_cancelled: {task} starts on {machine} at {now}"
-                ));
+                let details = format!("{task} starts on {machine} at {now}");
+                return broken(Rule::RanCancelled, details);
             }
             self.starts_after_cancel.push(format!(
                 "{task} on {machine} {} ms after its cancellation",
@@ -218,26 +323,27 @@
             ));
         }
         let Some(spec) = self.specs.get(start.job()) else {
-            return Err(format!("invented: {task} of no job starts"));
+            return broken(Rule::Invented, format!("{task} of no job starts"));
         };
-        if let Some(need) = self.needs(start.job()).find(|need| !self.is_done(need)) {
-            return Err(format!("too_early: {task} starts before {need} is done"));
+        let mut dependencies = self.dependencies(start.job());
+        if let Some(dependency) = dependencies.find(|dependency| !self.is_done(dependency)) {
+            let details = format!("{task} starts before {dependency} is done");
+            return broken(Rule::TooEarly, details);
         }
         self.place(spec, start, others.clone())?;
         self.quota(spec, start, others)
     }
 
+    /// Whether a job's task may start there.
     fn place<'a>(
         &self,
         spec: &Value,
-        start: Placed<'a>,
-        others: impl Iterator<Item = Placed<'a>>,
+        start: RunningTask<'a>,
+        others: impl Iterator<Item = RunningTask<'a>>,
     ) -> Verdict {
         let wrong = |why: &str| {
-            Err(format!(
-                "wrong_place: {} on {}: {why}",
-                start.task, start.machine
-            ))
+            let details = format!("{} on {}: {why}", start.task, start.machine);
+            broken(Rule::WrongPlace, details)
         };
         if spec["secteur"].as_str().is_some_and(|z| z != start.zone) {
             return wrong("zone");
@@ -251,7 +357,7 @@
             return Ok(());
         }
         let (mut here, mut elsewhere) = (1, 0);
-        for other in others.filter(|o| o.job() == start.job()) {
+        for other in others.filter(|other| other.job() == start.job()) {
             if other.zone == start.zone {
                 here += 1;
             } else {
@@ -267,11 +373,12 @@
         Ok(())
     }
 
+    /// Whether a team stays within its limit with one task more.
     fn quota<'a>(
         &self,
         spec: &Value,
-        start: Placed<'a>,
-        others: impl Iterator<Item = Placed<'a>>,
+        start: RunningTask<'a>,
+        others: impl Iterator<Item = RunningTask<'a>>,
     ) -> Verdict {
         let team = spec["equipe"].as_str().unwrap_or("");
         let Some(limit) = self.limits.get(team) else {
@@ -279,31 +386,28 @@
         };
         let gpus = |spec: &Value| spec["gpus"].as_f64().unwrap_or(0.0);
         let used: f64 = others
-            .filter_map(|o| self.specs.get(o.job()))
-            .filter(|s| s["equipe"].as_str() == Some(team))
+            .filter_map(|other| self.specs.get(other.job()))
+            .filter(|spec| spec["equipe"].as_str() == Some(team))
             .map(gpus)
             .sum();
         if used + gpus(spec) > limit + 1e-9 {
-            return Err(format!(
-                "quota: {team} uses {used} of {limit} when {} starts",
-                start.task
-            ));
+            let task = start.task;
+            let details = format!("{team} uses {used} of {limit} when {task} starts");
+            return broken(Rule::Quota, details);
         }
         Ok(())
     }
 
     /// Whether all that are on machines may be there.
-    pub fn present<'a>(&self, now: u64, placed: impl Iterator<Item = Placed<'a>>) -> Verdict {
-        if self.finals.is_empty() {
+    pub fn present<'a>(&self, now: u64, running: impl Iterator<Item = RunningTask<'a>>) -> Verdict {
+        if self.final_states.is_empty() {
             return Ok(());
         }
-        for p in placed {
-            if let Some(at) = self.confirmed_ms(p.job()) {
+        for RunningTask { task, machine, .. } in running {
+            if let Some(at) = self.confirmed_ms(job_of(task)) {
                 if now > at + self.cancel_ms {
-                    return Err(format!(
-                        "ran_cancelled: {} is on {} at {now}, cancelled at {at}",
-                        p.task, p.machine
-                    ));
+                    let details = format!("{task} is on {machine} at {now}, cancelled at {at}");
+                    return broken(Rule::RanCancelled, details);
                 }
             }
         }
--- a/tests/integration/traces.rs
+++ b/tests/integration/traces.rs
@@ -367,11 +367,11 @@
         Fate::Pass
     });
     // The watch is late, so the leader reads, and reads again.
-    w.state.mute_watches = true;
+    w.state.watches_stalled = true;
     let other = (leader + 1) % 3;
     assert_eq!(w.cancel(other, "run-1").1, "cancelled");
     w.run_for(2000);
-    w.state.mute_watches = false;
+    w.state.watches_stalled = false;
     w.run_for(5000);
     assert_eq!(
         w.state.items["leader/term"].0["term"], 1,
--- a/tests/integration/version_compatibility.rs
+++ b/tests/integration/version_compatibility.rs
@@ -1,7 +1,7 @@
 //! Two versions on one set of data, and limits of the state service that fall while
 //! the service runs.
 
-use crate::simulation::state::SizeLimits;
+use crate::simulation::kv_store::SizeLimits;
 use crate::simulation::{array, service, Fate, Simulation, SETTINGS};
 use lilacfork::ids::JobId;
 use lilacfork::records::jobs::JobRecord;
