--- a/src/placement.rs
+++ b/src/placement.rs
@@ -80,29 +80,44 @@
     allowed && zone && room
 }
 
-/// Every rental that could hold a task of the job, with its nominal price.
-pub fn feasible_offers(spec: &JobSpec, catalog: &Catalog) -> Vec<(Offer, f64, Resources, f64)> {
+/// A rental that could hold a task of a job.
+#[derive(Clone, Debug, PartialEq)]
+pub struct FeasibleOffer {
+    /// What would be rented.
+    pub offer: Offer,
+    /// The price per hour.
+    pub hourly_price: f64,
+    /// What a machine of the type holds.
+    pub capacity: Resources,
+    /// The boot time that the catalog states, in seconds.
+    pub nominal_boot_s: f64,
+}
+
+/// Every rental that could hold a task of the job.
+pub fn feasible_offers(spec: &JobSpec, catalog: &Catalog) -> Vec<FeasibleOffer> {
     let mut offers = Vec::new();
-    for t in catalog.types.iter().filter(|t| fits_machine_type(spec, t)) {
-        for zone in &t.zones {
-            if spec.zone.as_ref().is_some_and(|only| only != zone) {
-                continue;
-            }
+    let fitting = catalog.types.iter();
+    for machine_type in fitting.filter(|t| fits_machine_type(spec, t)) {
+        let zones = machine_type.zones.iter();
+        for zone in zones.filter(|zone| spec.zone.as_ref().is_none_or(|only| only == *zone)) {
             for spot in [true, false] {
-                if spot && (!spec.spot || t.hourly_spot_price <= 0.0) {
+                if spot && (!spec.spot || machine_type.hourly_spot_price <= 0.0) {
                     continue;
                 }
-                let price = if spot {
-                    t.hourly_spot_price
-                } else {
-                    t.hourly_price
-                };
-                let offer = Offer {
-                    machine_type: t.name.clone(),
-                    zone: zone.clone(),
-                    spot,
-                };
-                offers.push((offer, price, t.capacity(), t.boot_s));
+                offers.push(FeasibleOffer {
+                    offer: Offer {
+                        machine_type: machine_type.name.clone(),
+                        zone: zone.clone(),
+                        spot,
+                    },
+                    hourly_price: if spot {
+                        machine_type.hourly_spot_price
+                    } else {
+                        machine_type.hourly_price
+                    },
+                    capacity: machine_type.capacity(),
+                    nominal_boot_s: machine_type.boot_s,
+                });
             }
         }
     }
--- a/src/scheduler/provisioning/estimate_store.rs
+++ b/src/scheduler/provisioning/estimate_store.rs
@@ -1,6 +1,6 @@
-//! What a leader has learned, stored at leisure, so that the next one doesn't
-//! begin with the catalog's figures. It is a hint: a record that is missing,
-//! old or unreadable costs nothing but the time to learn again.
+//! Storage of the online estimates, so that the next leader doesn't begin with the
+//! catalog's figures. The record is a hint: when it is missing, outdated or
+//! unreadable, the leader only has to learn the estimates again.
 
 use crate::kv_client::{self, CallPriority, KvResponse};
 use crate::messages::Now;
@@ -9,36 +9,36 @@
 use crate::scheduler::{Scheduler, SchedulerEffects, SchedulerKvCall, CALL_TIMEOUT_MS};
 use crate::wire::kv::{KeyValue, Txn};
 
-/// It is stored at most once in so many report intervals.
-const STORE_REPORTS: u64 = 30;
+/// The record is written at most once in so many heartbeat intervals.
+const WRITE_HEARTBEATS: u64 = 30;
 
 /// A record older than so many workers' leases is ignored: machines may boot
 /// differently by now.
-const FRESH_LEASES: u64 = 90;
+const MAX_AGE_LEASES: u64 = 90;
 
 /// At most so many values of a kind are stored.
-const MOST_VALUES: usize = 64;
+const MAX_VALUES: usize = 64;
 
-/// When the record was stored last, and what it held.
+/// When the record was written last, and what it held.
 #[derive(Debug, Default)]
 pub(in crate::scheduler) struct EstimateStore {
-    /// Samples that the stored record, or one on its way, is made of.
+    /// How many samples the stored record, or the one being written, is made of.
     samples_stored: u64,
     due_ms: u64,
-    writing: bool,
+    write_in_flight: bool,
 }
 
 impl EstimateStore {
-    /// A new leadership: nothing is on its way, and the predecessor's record
-    /// comes first.
-    pub fn restart(&mut self, now: Now, report_ms: u64) {
-        self.writing = false;
-        self.due_ms = now.ms + report_ms * STORE_REPORTS;
+    /// A new leadership: no write is in flight, and the predecessor's record
+    /// is read before it is overwritten.
+    fn restart(&mut self, now: Now, heartbeat_ms: u64) {
+        self.write_in_flight = false;
+        self.due_ms = now.ms + heartbeat_ms * WRITE_HEARTBEATS;
     }
 }
 
 impl Scheduler {
-    /// Asks for what the leader before has learned.
+    /// Reads the estimates of the previous leader.
     pub(in crate::scheduler) fn read_learned(&mut self, now: Now, out: &mut SchedulerEffects) {
         self.estimate_store
             .restart(now, self.heartbeat_interval_ms());
@@ -53,46 +53,41 @@
         );
     }
 
-    /// Takes over what the leader before has learned.
-    pub(in crate::scheduler) fn on_learned(&mut self, now: Now, answer: &KvResponse) {
-        let Some(item) = answer.read::<KeyValue>(200) else {
+    /// Restores the estimates of the previous leader.
+    pub(in crate::scheduler) fn on_learned(&mut self, now: Now, response: &KvResponse) {
+        let Some(item) = response.read::<KeyValue>(200) else {
             return;
         };
         let record: EstimateRecord = match serde_json::from_value(item.value) {
             Ok(record) => record,
-            Err(e) => {
-                log::error!("record {ESTIMATES_KEY} can't be read and is ignored: {e}");
+            Err(error) => {
+                log::error!("estimates ignored key={ESTIMATES_KEY} reason=\"unreadable: {error}\"");
                 return;
             }
         };
         let age_ms = now.wall.saturating_sub(record.written_at);
-        if age_ms > self.lease_ms() * FRESH_LEASES {
-            log::info!("record {ESTIMATES_KEY} is {age_ms} ms old and ignored");
+        if age_ms > self.lease_ms() * MAX_AGE_LEASES {
+            log::info!("estimates ignored key={ESTIMATES_KEY} reason=\"outdated\" age_ms={age_ms}");
             return;
         }
         self.estimates.restore(&record);
     }
 
-    /// Stores what was learned since, when nothing else is to be written.
+    /// Stores the estimates when there are new samples and no other transaction
+    /// is in flight.
     pub(in crate::scheduler) fn store_learned(&mut self, now: Now, out: &mut SchedulerEffects) {
         let samples = self.estimates.samples();
-        let pause_ms = self.heartbeat_interval_ms() * STORE_REPORTS;
+        let pause_ms = self.heartbeat_interval_ms() * WRITE_HEARTBEATS;
         let store = &mut self.estimate_store;
         let due = now.ms >= store.due_ms && samples != store.samples_stored;
-        if !due || store.writing || self.commits.transaction.is_some() {
+        if !due || store.write_in_flight || self.commits.transaction.is_some() {
             return;
         }
-        store.writing = true;
+        store.write_in_flight = true;
         store.samples_stored = samples;
         store.due_ms = now.ms + pause_ms;
-        let most_bytes = self.limits.value_bytes;
-        let mut record = self.estimates.to_record(now.wall, MOST_VALUES);
-        // Half a hint is better than one that isn't taken.
-        let too_long = |record: &EstimateRecord| record.bytes() > most_bytes;
-        while too_long(&record) && record.boots.len() + record.estimates.len() > 0 {
-            record.boots.truncate(record.boots.len() / 2);
-            record.estimates.truncate(record.estimates.len() / 2);
-        }
+        let mut record = self.estimates.to_record(now.wall, MAX_VALUES);
+        truncate_to(&mut record, self.limits.value_bytes);
         let value = serde_json::to_value(record).unwrap_or_default();
         let txn = Txn::default()
             .compare(LEADER_KEY, self.leader_key_revision)
@@ -101,8 +96,18 @@
         self.ask_transaction(now, CallPriority::Background, &txn, tag, out);
     }
 
-    /// Whether it was stored or not, the next one will hold the same and more.
+    /// The write has ended. Whether it succeeded doesn't matter: the next one
+    /// holds the same and more.
     pub(in crate::scheduler) fn on_learned_stored(&mut self) {
-        self.estimate_store.writing = false;
+        self.estimate_store.write_in_flight = false;
+    }
+}
+
+/// Halves the record until the store takes it: half of the estimates are better
+/// than a record that is rejected.
+fn truncate_to(record: &mut EstimateRecord, max_bytes: usize) {
+    while record.bytes() > max_bytes && record.boots.len() + record.estimates.len() > 0 {
+        record.boots.truncate(record.boots.len() / 2);
+        record.estimates.truncate(record.estimates.len() / 2);
     }
 }
--- a/src/scheduler/provisioning/mod.rs
+++ b/src/scheduler/provisioning/mod.rs
@@ -1,7 +1,14 @@
-//! Scale out and in, and the online estimates that both go by.
+//! Scale out and scale in, and the online estimates that both go by.
 
+mod arrivals;
 mod boot_times;
 pub(super) mod estimate_store;
+mod moving_average;
+mod offer_choice;
 pub(super) mod offers;
 pub(super) mod online_estimates;
-pub(super) mod scaling;
+mod pending_machines;
+mod scale_in;
+pub(super) mod scale_out;
+
+pub(super) use scale_out as scaling;
--- a/src/scheduler/workers/failure_detection.rs
+++ b/src/scheduler/workers/failure_detection.rs
@@ -245,6 +245,6 @@
         let waited_s = (now.ms - provisioned_ms) as f64 / 1000.0;
         let nominal_s = self.nominal_boot_s(&machine_type);
         self.estimates
-            .gave_up_boot(&machine_type, nominal_s, provisioned_ms, waited_s);
+            .boot_overdue(&machine_type, nominal_s, provisioned_ms, waited_s);
     }
 }
--- a/src/scheduler/workers/machines.rs
+++ b/src/scheduler/workers/machines.rs
@@ -56,7 +56,7 @@
             self.add_machine(now, name, offer.clone(), 0.0)
                 .provisioned_this_term = true;
         }
-        self.provisioning.refused.remove(&offer);
+        self.provisioning.capacity_available(&offer);
     }
 
     /// Adds a machine, or describes one that is known by its name only. `age_s`:
@@ -156,7 +156,7 @@
         };
         // The cloud has capacity for this offer again, even if it refused it
         // lately.
-        self.provisioning.refused.remove(&machine.offer);
+        self.provisioning.capacity_available(&machine.offer);
         log::info!(
             "machine released machine={id} tasks={}",
             machine.tasks.len()
