--- a/common/src/ids.rs
+++ b/common/src/ids.rs
@@ -1,5 +1,5 @@
-//! Newtypes for names and numbers, so that a session never passes for an
-//! attempt and a token never for a sequence.
+//! Newtypes for identifiers, so that the compiler tells an agent epoch from an
+//! attempt and a fencing token from a sequence number.
 
 use serde::de::Visitor;
 use serde::{Deserialize, Deserializer, Serialize};
@@ -7,24 +7,25 @@
 use std::rc::Rc;
 
 macro_rules! name {
-    ($(#[$doc:meta])* $t:ident) => {
+    ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
         #[derive(Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Debug, Serialize, Deserialize)]
         #[serde(transparent)]
-        pub struct $t(pub Rc<str>);
+        pub struct $name(pub Rc<str>);
 
-        impl $t {
-            /// The name, as it goes over the wire.
-            pub fn new(s: &str) -> Self {
-                $t(Rc::from(s))
+        impl $name {
+            /// From the name, as it goes over the wire.
+            pub fn new(name: &str) -> Self {
+                $name(Rc::from(name))
             }
+
             /// The name, as it goes over the wire.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
         }
 
-        impl fmt::Display for $t {
+        impl fmt::Display for $name {
             fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
                 f.write_str(&self.0)
             }
@@ -40,21 +41,17 @@
     /// A machine, named by the cloud.
     MachineId
 );
-name!(
-    /// An image: weights and engine.
-    ImageId
-);
 
 macro_rules! number {
-    ($(#[$doc:meta])* $t:ident) => {
+    ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
         #[derive(
             Clone, Copy, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Debug, Serialize, Deserialize,
         )]
         #[serde(transparent)]
-        pub struct $t(pub u64);
+        pub struct $name(pub u64);
 
-        impl fmt::Display for $t {
+        impl fmt::Display for $name {
             fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
                 write!(f, "{}", self.0)
             }
@@ -63,27 +60,28 @@
 }
 
 number!(
-    /// One try at a task; never reused within a job's shard.
+    /// An attempt to run a task; its number is never reused within a placement range
+    /// of the job.
     Attempt
 );
 number!(
-    /// A worker's session; it grows when the worker's lease expires.
+    /// A worker's epoch; it rises when the worker's lease expires.
     AgentEpoch
 );
 number!(
-    /// A revision of the state service.
+    /// A revision of the key-value store.
     Revision
 );
 number!(
-    /// A leadership; grows with every election.
+    /// A leader's term; it rises with every election.
     Term
 );
 number!(
-    /// What workers compare: (term, sequence) in one integer.
+    /// A fencing token, which workers compare: (term, sequence) in one integer.
     FencingToken
 );
 
-/// Bits of a token that hold the leader's own sequence. Twenty leave the whole
+/// Bits of a token that hold the sequence within the term. Twenty leave the whole
 /// token exact even for a peer that reads numbers as doubles, for 2^33 terms.
 const SEQUENCE_BITS: u32 = 20;
 
@@ -92,11 +90,13 @@
     pub fn new(term: Term, sequence: u64) -> Self {
         FencingToken((term.0 << SEQUENCE_BITS) | (sequence & ((1 << SEQUENCE_BITS) - 1)))
     }
+
     /// The term that it belongs to.
     pub fn term(self) -> Term {
         Term(self.0 >> SEQUENCE_BITS)
     }
-    /// The next token of the same term; `None` when the term's are used up.
+
+    /// The next token of the same term; `None` when the term's tokens are used up.
     pub fn next(self) -> Option<FencingToken> {
         let next = FencingToken(self.0 + 1);
         (next.term() == self.term()).then_some(next)
@@ -108,28 +108,26 @@
 pub struct TaskRef {
     /// Its job.
     pub job: JobId,
-    /// Its number in the job.
+    /// Its index in the job.
     pub index: u32,
 }
 
 impl TaskRef {
     /// Reads `JOB/INDEX`; `None` for anything else.
-    pub fn parse(s: &str) -> Option<TaskRef> {
-        let (job, index) = s.rsplit_once('/')?;
+    pub fn parse(name: &str) -> Option<TaskRef> {
+        let (job, index) = name.rsplit_once('/')?;
         Some(TaskRef {
             job: JobId::new(job),
             index: index.parse().ok()?,
         })
     }
-}
 
-impl TaskRef {
-    /// Reads a name in a message; one that no task can have is `None`.
+    /// Deserializes a task's name; one that no task can have is `None`.
     pub fn deserialize_name<'de, D: Deserializer<'de>>(
         deserializer: D,
     ) -> Result<Option<TaskRef>, D::Error> {
-        struct Name;
-        impl Visitor<'_> for Name {
+        struct NameVisitor;
+        impl Visitor<'_> for NameVisitor {
             type Value = Option<TaskRef>;
             fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
                 f.write_str("a task's name")
@@ -138,7 +136,7 @@
                 Ok(TaskRef::parse(name))
             }
         }
-        deserializer.deserialize_str(Name)
+        deserializer.deserialize_str(NameVisitor)
     }
 }
 
--- a/common/src/lib.rs
+++ b/common/src/lib.rs
@@ -1,5 +1,5 @@
-//! What lilacfork's packages share, and what depends on none of them: names and
-//! numbers, the time, amounts of a machine, and circuit breakers.
+//! What lilacfork's packages share and what depends on none of them: identifiers,
+//! time, resources, and the attribution of failures.
 
 #![deny(missing_docs)]
 #![warn(clippy::too_many_lines, clippy::cognitive_complexity)]
--- a/common/src/resources.rs
+++ b/common/src/resources.rs
@@ -1,9 +1,10 @@
-//! Amounts of a machine, or of what a task takes of it.
+//! Resources: what a machine holds, or what a task requests.
 
-/// Rounding of decimal amounts must not turn a machine away.
+/// Amounts that differ by less are equal: the rounding of decimals must not make a
+/// task too large for a machine.
 const ROUNDING_TOLERANCE: f64 = 1e-6;
 
-/// Amounts of a machine, or of what a task takes of it.
+/// What a machine holds, or what a task requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Resources {
     /// Processor cores.
@@ -15,18 +16,20 @@
 }
 
 impl Resources {
-    /// Whether this much is there.
-    pub fn covers(&self, need: &Resources) -> bool {
-        need.cpus <= self.cpus + ROUNDING_TOLERANCE
-            && need.gpus <= self.gpus + ROUNDING_TOLERANCE
-            && need.memory_gb <= self.memory_gb + ROUNDING_TOLERANCE
+    /// Whether a request fits in here.
+    pub fn covers(&self, request: &Resources) -> bool {
+        request.cpus <= self.cpus + ROUNDING_TOLERANCE
+            && request.gpus <= self.gpus + ROUNDING_TOLERANCE
+            && request.memory_gb <= self.memory_gb + ROUNDING_TOLERANCE
     }
-    /// Adds to it.
+
+    /// Adds to each amount.
     pub fn add(&mut self, other: &Resources) {
         self.cpus += other.cpus;
         self.gpus += other.gpus;
         self.memory_gb += other.memory_gb;
     }
+
     /// So many times as much.
     pub fn scaled(&self, times: f64) -> Resources {
         Resources {
@@ -35,31 +38,35 @@
             memory_gb: self.memory_gb * times,
         }
     }
-    /// Takes from it.
+
+    /// Subtracts from each amount.
     pub fn subtract(&mut self, other: &Resources) {
         self.cpus -= other.cpus;
         self.gpus -= other.gpus;
         self.memory_gb -= other.memory_gb;
     }
-    /// How many times `need` goes in here.
-    pub fn count_of(&self, need: &Resources) -> u32 {
-        let ratio = |have: f64, want: f64| {
-            if want > 0.0 {
-                (have + ROUNDING_TOLERANCE) / want
+
+    /// How many times a request fits in here.
+    pub fn count_of(&self, request: &Resources) -> u32 {
+        let ratio = |available: f64, requested: f64| {
+            if requested > 0.0 {
+                (available + ROUNDING_TOLERANCE) / requested
             } else {
                 f64::INFINITY
             }
         };
-        let n = ratio(self.cpus, need.cpus)
-            .min(ratio(self.gpus, need.gpus))
-            .min(ratio(self.memory_gb, need.memory_gb));
-        n.min(f64::from(u32::MAX)).max(0.0) as u32
+        let count = ratio(self.cpus, request.cpus)
+            .min(ratio(self.gpus, request.gpus))
+            .min(ratio(self.memory_gb, request.memory_gb));
+        count.min(f64::from(u32::MAX)).max(0.0) as u32
     }
-    /// The share of `whole` that this takes, by the scarcest amount.
-    pub fn dominant_share(&self, whole: &Resources) -> f64 {
-        let part = |x: f64, y: f64| if y > 0.0 { x / y } else { 0.0 };
-        part(self.cpus, whole.cpus)
-            .max(part(self.gpus, whole.gpus))
-            .max(part(self.memory_gb, whole.memory_gb))
+
+    /// The share of `total` that this takes of the resource of which it takes the
+    /// largest share (dominant resource).
+    pub fn dominant_share(&self, total: &Resources) -> f64 {
+        let share = |part: f64, total: f64| if total > 0.0 { part / total } else { 0.0 };
+        share(self.cpus, total.cpus)
+            .max(share(self.gpus, total.gpus))
+            .max(share(self.memory_gb, total.memory_gb))
     }
 }
--- a/common/src/time.rs
+++ b/common/src/time.rs
@@ -1,11 +1,11 @@
-//! The time, as actors are told it.
+//! The time, which actors get with every message.
 
-/// The two clocks, read once per turn by the reactor and passed in.
+/// Both clocks, read once per turn of the event loop.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Now {
-    /// Steady clock, milliseconds.
+    /// Monotonic clock, in milliseconds.
     pub ms: u64,
-    /// Time of day, milliseconds since 1970; shared between controllers up to
-    /// the bound in the settings.
+    /// Time of day, in milliseconds since 1970. Controllers' clocks differ by no
+    /// more than the bound in the settings.
     pub wall: u64,
 }
--- a/src/scheduler/workers/machines.rs
+++ b/src/scheduler/workers/machines.rs
@@ -90,9 +90,7 @@
         });
         if !machine.is_described() {
             // It was known from a stored assignment only.
-            machine.offer = offer;
-            machine.capacity = capacity;
-            machine.image_cache_gb = image_cache_gb;
+            machine.describe(offer, capacity, image_cache_gb);
         }
         machine.provisioned_ms = machine.provisioned_ms.min(provisioned_ms);
         machine
