--- a/src/scheduler/workers/direct_commands.rs
+++ b/src/scheduler/workers/direct_commands.rs
@@ -13,22 +13,33 @@
     /// Sends commands straight to the workers that have something to do.
     pub(in crate::scheduler) fn push_commands(&mut self, now: Now, out: &mut SchedulerEffects) {
         for id in std::mem::take(&mut self.machines_to_command) {
-            // While a call is in flight nothing is sent: what is left to do goes
-            // out with the response to the worker's next heartbeat.
-            let address = self
-                .fleet
-                .get(&id)
-                .filter(|machine| !machine.command_in_flight)
-                .and_then(|machine| machine.address.clone());
-            if let Some(address) = address {
-                let commands = self.commands_for(now, &id, None, out);
-                self.send_commands(id, address, &commands, out);
-            }
+            self.push_commands_to(now, id, None, out);
+        }
+    }
+
+    /// Sends a worker its commands, as in [`Self::commands_for`], unless a call to
+    /// it is in flight: what is left to do goes out with the response to the
+    /// worker's next heartbeat.
+    pub(super) fn push_commands_to(
+        &mut self,
+        now: Now,
+        id: MachineId,
+        heartbeat: Option<&WorkerHeartbeat>,
+        out: &mut SchedulerEffects,
+    ) {
+        let address = self
+            .fleet
+            .get(&id)
+            .filter(|machine| !machine.command_in_flight)
+            .and_then(|machine| machine.address.clone());
+        if let Some(address) = address {
+            let commands = self.commands_for(now, &id, heartbeat, out);
+            self.send_commands(id, address, &commands, out);
         }
     }
 
     /// Sends these commands to a worker's address.
-    pub(super) fn send_commands(
+    fn send_commands(
         &mut self,
         id: MachineId,
         address: String,
--- a/src/scheduler/workers/heartbeats.rs
+++ b/src/scheduler/workers/heartbeats.rs
@@ -75,15 +75,7 @@
             return;
         }
         let id = MachineId::new(&heartbeat.machine);
-        let address = self
-            .fleet
-            .get(&id)
-            .filter(|machine| !machine.command_in_flight)
-            .and_then(|machine| machine.address.clone());
-        if let Some(address) = address {
-            let commands = self.commands_for(now, &id, Some(heartbeat), out);
-            self.send_commands(id, address, &commands, out);
-        }
+        self.push_commands_to(now, id, Some(heartbeat), out);
     }
 
     /// Updates the machine and its tasks from a worker's status, however it
