--- a/src/scheduler/workers/machines.rs
+++ b/src/scheduler/workers/machines.rs
@@ -56,7 +56,7 @@
             self.add_machine(now, name, offer.clone(), 0.0)
                 .provisioned_this_term = true;
         }
-        self.provisioning.refused.remove(&offer);
+        self.provisioning.capacity_available(&offer);
     }
 
     /// Adds a machine, or describes one that is known by its name only. `age_s`:
@@ -90,9 +90,7 @@
         });
         if !machine.is_described() {
             // It was known from a stored assignment only.
-            machine.offer = offer;
-            machine.capacity = capacity;
-            machine.image_cache_gb = image_cache_gb;
+            machine.describe(offer, capacity, image_cache_gb);
         }
         machine.provisioned_ms = machine.provisioned_ms.min(provisioned_ms);
         machine
@@ -156,7 +154,7 @@
         };
         // The cloud has capacity for this offer again, even if it refused it
         // lately.
-        self.provisioning.refused.remove(&machine.offer);
+        self.provisioning.capacity_available(&machine.offer);
         log::info!(
             "machine released machine={id} tasks={}",
             machine.tasks.len()
