--- a/src/scheduler/workers/commands.rs
+++ b/src/scheduler/workers/commands.rs
@@ -3,7 +3,7 @@
 
 use crate::ids::{FencingToken, MachineId, TaskRef};
 use crate::messages::Now;
-use crate::scheduler::{StepDownReason, Assignment, Scheduler, SchedulerEffects, StopRequest};
+use crate::scheduler::{Assignment, Scheduler, SchedulerEffects, StepDownReason, StopRequest};
 use crate::wire::workers::{Command, TaskPhase, TaskStatus, WorkerHeartbeat};
 
 /// A start or stop that shows no effect is sent again after this share of the
--- a/src/scheduler/workers/reconciliation.rs
+++ b/src/scheduler/workers/reconciliation.rs
@@ -3,7 +3,7 @@
 
 use crate::ids::{AgentEpoch, Attempt, FencingToken, MachineId, TaskRef};
 use crate::messages::Now;
-use crate::scheduler::{StepDownReason, Scheduler, SchedulerEffects};
+use crate::scheduler::{Scheduler, SchedulerEffects, StepDownReason};
 use crate::wire::workers::{ExitReason, TaskPhase, TaskStatus, WorkerHeartbeat};
 use std::collections::HashMap;
 use std::fmt;
