--- a/loadtest/src/harness/startup.rs
+++ b/loadtest/src/harness/startup.rs
@@ -136,7 +136,7 @@
                 .map_err(process_error("settings"))?;
             load_test.start_controller(number)?;
         }
-        load_test.wait_ready(clients)?;
+        wait_until_ready(clients)?;
         Ok(load_test)
     }
 
@@ -184,21 +184,22 @@
         controller.process = Some(spawn(command, &name)?);
         Ok(())
     }
+}
 
-    fn wait_ready(&self, clients: &[SocketAddrV4]) -> Result<(), RunError> {
-        let until_us = now_us() + READY_TIMEOUT_US;
-        for address in clients {
-            while control::request(*address, "GET", READY_PATH, b"").is_err() {
-                if now_us() > until_us {
-                    let source = io::ErrorKind::TimedOut.into();
-                    return Err(RunError::Process {
-                        process: "controllers don't get ready".into(),
-                        source,
-                    });
-                }
-                std::thread::sleep(READY_POLL_INTERVAL);
+/// Waits until all controllers are ready.
+fn wait_until_ready(clients: &[SocketAddrV4]) -> Result<(), RunError> {
+    let deadline_us = now_us() + READY_TIMEOUT_US;
+    for address in clients {
+        while control::request(*address, "GET", READY_PATH, b"").is_err() {
+            if now_us() > deadline_us {
+                let source = io::ErrorKind::TimedOut.into();
+                return Err(RunError::Process {
+                    process: "controllers don't get ready".into(),
+                    source,
+                });
             }
+            std::thread::sleep(READY_POLL_INTERVAL);
         }
-        Ok(())
     }
+    Ok(())
 }
--- a/loadtest/src/workers/mod.rs
+++ b/loadtest/src/workers/mod.rs
@@ -172,11 +172,11 @@
             let delay_us = self
                 .rng
                 .u64(..(self.scenario.workers.report_s * 1e6) as u64);
-            self.begin_epoch(index, now + delay_us);
+            self.activate(index, now + delay_us);
         }
     }
 
-    fn begin_epoch(&mut self, index: usize, at_us: u64) {
+    fn activate(&mut self, index: usize, at_us: u64) {
         self.workers[index].lease_renewed_us = at_us;
         self.schedule_heartbeat(index, at_us);
         self.set_timer(at_us + self.lease_us(), index, Timer::Lease);
@@ -280,7 +280,7 @@
             Timer::Lease => self.check_lease(index, now)?,
             Timer::Boot => {
                 self.workers[index].up = true;
-                self.begin_epoch(index, now);
+                self.activate(index, now);
             }
             Timer::ImageFetched { image } => self.image_fetched(index, &image)?,
             Timer::TaskDone {
--- a/loadtest/tests/loopback.rs
+++ b/loadtest/tests/loopback.rs
@@ -154,17 +154,22 @@
     rows.iter().map(row).collect()
 }
 
-#[test]
-fn a_replica_that_loses_a_machine_is_whole_again_on_loopback() {
-    let unique = format!("lilacfork-loopback-{}", std::process::id());
-    let dir = std::env::temp_dir().join(unique);
-    std::fs::create_dir_all(&dir).expect("a directory");
+/// A controller with the services and workers that it uses.
+struct Site {
+    kv_store: SimulatorProcess,
+    cloud: SimulatorProcess,
+    workers: SimulatorProcess,
+    /// Where the controller accepts users.
+    client: SocketAddrV4,
+}
+
+fn start_site(dir: &Path) -> Site {
     let addresses = free_addresses(2);
     let (clients, peers) = addresses.split_at(1);
-    let kv_store = start_simulator(&dir, "state", ProcessRole::KvStore, clients);
+    let kv_store = start_simulator(dir, "state", ProcessRole::KvStore, clients);
     let last = MACHINES + 1;
     let workers = start_simulator(
-        &dir,
+        dir,
         "workers",
         ProcessRole::Workers { first: 0, last },
         clients,
@@ -178,16 +183,30 @@
     let role = ProcessRole::Cloud {
         workers: vec![known],
     };
-    let cloud = start_simulator(&dir, "cloud", role, clients);
-    let kv_store_address = kv_store.ready.listeners[0];
+    let cloud = start_simulator(dir, "cloud", role, clients);
     let listens = Addresses {
         clients,
         peers,
-        state: kv_store_address,
+        state: kv_store.ready.listeners[0],
         cloud: cloud.ready.listeners[0],
     };
     run_controller(settings_text(&scenario(), 0, &listens));
-    let client = clients[0];
+    Site {
+        client: clients[0],
+        kv_store,
+        cloud,
+        workers,
+    }
+}
+
+#[test]
+fn a_replica_that_loses_a_machine_is_whole_again_on_loopback() {
+    let unique = format!("lilacfork-loopback-{}", std::process::id());
+    let dir = std::env::temp_dir().join(unique);
+    std::fs::create_dir_all(&dir).expect("a directory");
+    let site = start_site(&dir);
+    let (client, workers, cloud) = (site.client, &site.workers, &site.cloud);
+    let kv_store_address = site.kv_store.ready.listeners[0];
     until("the controller is ready", || get(client, "/ready"));
     let spec = scenario().job(JOB).expect("a job of the scenario");
     let body = serde_json::to_vec(&spec).expect("a submission");
