--- a/src/capacity_index/mod.rs
+++ b/src/capacity_index/mod.rs
@@ -8,8 +8,10 @@
 
 mod levels;
 mod search;
+mod violation;
 
 pub use search::{BestFit, SearchConstraint, TaskDemand};
+pub use violation::CapacityIndexViolation;
 
 use crate::cloud::Offer;
 use crate::ids::MachineId;
@@ -494,13 +496,13 @@
 impl CapacityIndex {
     /// Whether every machine is filed where it belongs, and nowhere else; the error
     /// names one that isn't. For tests.
-    pub fn check_invariants(&self) -> Result<(), String> {
+    pub fn check_invariants(&self) -> Result<(), CapacityIndexViolation> {
         let (mut filed, mut images, mut coming) = (0, 0, 0);
         for (number, room) in self.slots.iter().enumerate() {
             let slot = Slot(number as u32);
             let Some(room) = room else { continue };
             if self.unschedulable.contains(&slot) == room.index_key.is_some() {
-                return Err(format!("{} is neither open nor closed", room.id));
+                return Err(CapacityIndexViolation::Unclassified(room.id.clone()));
             }
             let Some(place) = room.index_key else {
                 continue;
@@ -510,7 +512,7 @@
             let group = &self.groups[room.group];
             let by_fetches = group.by_concurrent_pulls.get(&room.concurrent_pulls());
             if place != expected || !by_fetches.is_some_and(|l| l.contains(place, slot)) {
-                return Err(format!("{} isn't where its free room is", room.id));
+                return Err(CapacityIndexViolation::Misplaced(room.id.clone()));
             }
             filed += 1;
             images += room.state.images.len();
@@ -525,11 +527,9 @@
             sum(&mut groups.iter().flat_map(|g| g.with_image.values())),
             sum(&mut groups.iter().flat_map(|g| g.with_pulling_image.values())),
         ];
-        if found != [filed, images, coming] {
-            return Err(format!(
-                "filed {found:?}, expected {:?}",
-                [filed, images, coming]
-            ));
+        let expected = [filed, images, coming];
+        if found != expected {
+            return Err(CapacityIndexViolation::EntryCounts { found, expected });
         }
         Ok(())
     }
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -198,7 +198,7 @@
 
     /// Counts what the leader keeps up from scratch and compares; the error names
     /// what is wrong. For tests.
-    pub fn check_invariants(&mut self) -> Result<(), String> {
+    pub fn check_invariants(&mut self) -> Result<(), crate::scheduler::InvariantViolation> {
         self.scheduler.check_invariants()
     }
 
--- a/src/records/mod.rs
+++ b/src/records/mod.rs
@@ -21,6 +21,11 @@
 pub mod lease_proxies;
 pub mod placements;
 
+/// Identifies the write that put a final record or a placement record.
+pub fn write_id_of(record: &serde_json::Value) -> Option<u64> {
+    record.get("w").and_then(|id| id.as_u64())
+}
+
 /// Whether a field has its default value and can be left out of a record.
 fn is_default<T: Default + PartialEq>(value: &T) -> bool {
     *value == T::default()
--- a/src/records/placements.rs
+++ b/src/records/placements.rs
@@ -115,10 +115,10 @@
 pub struct PlacementRecord {
     /// The next attempt; attempts are never reused within a range.
     #[serde(rename = "n")]
-    pub next: Attempt,
+    pub next_attempt: Attempt,
     /// Identifies the write, so that its author can tell whether it was carried out.
     #[serde(rename = "w")]
-    pub write: u64,
+    pub write_id: u64,
     /// How many tasks each of the equal ranges has that the job was divided into
     /// first. Versions before 0.2 work it out from their settings and leave it out.
     #[serde(rename = "z", default, skip_serializing_if = "super::is_default")]
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -4,6 +4,7 @@
 //! - [`tick`]: the loop, with what is due in which order.
 //! - [`effects`]: what the scheduler asks its node to do.
 //! - [`statistics`]: counters of its work.
+//! - [`invariants`]: what tests find wrong with its state.
 //! - [`state`]: the jobs, how they are loaded, watched and stored.
 //! - [`dependencies`]: jobs that depend on others.
 //! - [`rounds`]: scheduling rounds: the queue, the search, the placement of tasks.
@@ -15,6 +16,7 @@
 mod dependencies;
 mod displacement;
 mod effects;
+mod invariants;
 mod provisioning;
 mod replica_groups;
 mod rounds;
@@ -24,6 +26,7 @@
 mod workers;
 
 pub use effects::{SchedulerEffects, SchedulerKvCall, StepDownReason, WorkerCommandCall};
+pub use invariants::InvariantViolation;
 pub use state::job::{Job, StoredPlacement};
 pub use state::placement_ranges::PlacementRanges;
 pub use statistics::{ActivityCounters, RoundStats};
--- a/src/scheduler/replica_groups/mod.rs
+++ b/src/scheduler/replica_groups/mod.rs
@@ -11,7 +11,7 @@
 use crate::ids::{Attempt, JobId, MachineId, TaskRef};
 use crate::messages::Now;
 use crate::scheduler::displacement::migration::settled_ms;
-use crate::scheduler::{Assignment, Job, Scheduler};
+use crate::scheduler::{Assignment, InvariantViolation, Job, Scheduler};
 use crate::settings::Settings;
 use crate::tuning::Tuning;
 use crate::wire::workers::TaskPhase;
@@ -277,10 +277,10 @@
 
     /// Compares what groups say with where their parts are; the error names what is
     /// wrong. For tests.
-    pub(in crate::scheduler) fn check_groups(&self) -> Result<(), String> {
+    pub(in crate::scheduler) fn check_groups(&self) -> Result<(), InvariantViolation> {
         for (id, groups) in self.groups.iter() {
             let Some(job) = self.jobs.get(id) else {
-                return Err(format!("{id} has groups and is over"));
+                return Err(InvariantViolation::GroupsOfFinishedJob(id.clone()));
             };
             for group in groups.iter().filter(|group| group.serves()) {
                 let tasks = groups.shape().tasks_of(group.replica());
@@ -295,7 +295,7 @@
                 // Its parts may have changed since it was looked at, in which case it
                 // is to be looked at before anybody is told.
                 if (generation.is_none() || !whole) && !self.groups.is_touched(&group) {
-                    return Err(format!("{group} serves incomplete"));
+                    return Err(InvariantViolation::IncompleteGroup(group));
                 }
             }
         }
--- a/src/scheduler/rounds/capacity_sync.rs
+++ b/src/scheduler/rounds/capacity_sync.rs
@@ -4,7 +4,7 @@
 use crate::fleet::Machine;
 use crate::ids::MachineId;
 use crate::placement::Resources;
-use crate::scheduler::Scheduler;
+use crate::scheduler::{InvariantViolation, Scheduler};
 use std::collections::BTreeSet;
 
 impl Scheduler {
@@ -55,29 +55,29 @@
 
     /// Counts everything that is kept up from scratch and compares; the error
     /// names what is wrong. For tests.
-    pub fn check_invariants(&mut self) -> Result<(), String> {
+    pub fn check_invariants(&mut self) -> Result<(), InvariantViolation> {
         self.jobs.refresh();
         self.jobs.check_invariants()?;
         self.refresh_rooms();
         let (open, closed) = self.capacity.contents();
-        let known: BTreeSet<MachineId> = self.fleet.iter().map(|m| m.id.clone()).collect();
+        let machines: BTreeSet<MachineId> = self.fleet.iter().map(|m| m.id.clone()).collect();
         let indexed: BTreeSet<MachineId> = open.keys().chain(&closed).cloned().collect();
-        if indexed != known {
-            return Err(format!("machines {known:?}, in the index {indexed:?}"));
+        if indexed != machines {
+            return Err(InvariantViolation::IndexedMachines { machines, indexed });
         }
         for machine in self.fleet.iter() {
             self.check_machine(machine)?;
             let state = self.room_state(machine);
             if open.get(&machine.id).is_some_and(|filed| **filed != state) {
-                return Err(format!("{} is filed as it was before", machine.id));
+                return Err(InvariantViolation::StaleCapacity(machine.id.clone()));
             }
         }
         self.check_groups()?;
-        self.capacity.check_invariants()
+        Ok(self.capacity.check_invariants()?)
     }
 
     /// Jobs and machines say the same of who is where.
-    fn check_machine(&self, machine: &Machine) -> Result<(), String> {
+    fn check_machine(&self, machine: &Machine) -> Result<(), InvariantViolation> {
         let mut used = Resources::default();
         for task in &machine.tasks {
             let assign = self
@@ -87,19 +87,20 @@
             match assign {
                 Some((job, assign)) if assign.machine == machine.id => used.add(&job.task_request),
                 _ => {
-                    return Err(format!(
-                        "{task} is on {} by the machine's word alone",
-                        machine.id
-                    ))
+                    return Err(InvariantViolation::UnassignedTask {
+                        task: task.clone(),
+                        machine: machine.id.clone(),
+                    })
                 }
             }
         }
         let off = (used.gpus - machine.used.gpus).abs() + (used.cpus - machine.used.cpus).abs();
         if off > 1e-6 {
-            return Err(format!(
-                "{} uses {:?}, counted anew {used:?}",
-                machine.id, machine.used
-            ));
+            return Err(InvariantViolation::MachineUsage {
+                machine: machine.id.clone(),
+                used: machine.used,
+                recounted: used,
+            });
         }
         Ok(())
     }
--- a/src/scheduler/state/assignment.rs
+++ b/src/scheduler/state/assignment.rs
@@ -25,29 +25,29 @@
     /// The machine's zone.
     pub zone: Rc<str>,
     /// The key-value store holds it: only then is the task started.
-    pub recorded: bool,
+    pub(in crate::scheduler) recorded: bool,
     /// When the machine was first told to start the task.
-    pub first_sent_ms: Option<u64>,
+    pub(in crate::scheduler) first_sent_ms: Option<u64>,
     /// When the machine was last sent a command for the task.
-    pub sent_ms: Option<u64>,
+    pub(in crate::scheduler) sent_ms: Option<u64>,
     /// The task's phase as last reported; `None`: the machine hasn't reported it.
-    pub phase: Option<TaskPhase>,
+    pub(in crate::scheduler) phase: Option<TaskPhase>,
     /// Since when the task was seen running, under this leader.
-    pub running_since_ms: Option<u64>,
+    pub(in crate::scheduler) running_since_ms: Option<u64>,
     /// An earlier leader started the task: it may have run for longer.
-    pub inherited: bool,
+    pub(in crate::scheduler) inherited: bool,
     /// The task started later than the objective of its class allows.
-    pub late: bool,
+    pub(in crate::scheduler) late: bool,
     /// How the task is to be stopped, if it is.
-    pub stop: Option<StopRequest>,
+    pub(in crate::scheduler) stop: Option<StopRequest>,
     /// The task's absence under at least this token proves that it isn't on the
     /// machine and never will be.
-    pub absent_proof: Option<FencingToken>,
+    pub(in crate::scheduler) absent_proof: Option<FencingToken>,
 }
 
 impl Assignment {
     /// A task that was just bound to a machine, of which nothing is known yet.
-    pub fn new(
+    pub(in crate::scheduler) fn new(
         attempt: Attempt,
         machine: MachineId,
         agent_epoch: AgentEpoch,
--- a/src/scheduler/state/commit.rs
+++ b/src/scheduler/state/commit.rs
@@ -6,6 +6,7 @@
 use crate::kv_client::{self, CallPriority, KvResponse, WriteBudget};
 use crate::messages::Now;
 use crate::records::jobs::job_of_key;
+use crate::records::write_id_of;
 use crate::scheduler::state::transaction::{FinishedJob, PendingTransaction, FINAL_CHANGES};
 use crate::scheduler::{
     Scheduler, SchedulerEffects, SchedulerKvCall, StepDownReason, CALL_TIMEOUT_MS,
@@ -281,8 +282,7 @@
             return;
         };
         if let Some(item) = response.read::<KeyValue>(200) {
-            let write = item.value.get("w").and_then(|write| write.as_u64());
-            if write == Some(transaction.write) {
+            if write_id_of(&item.value) == Some(transaction.write_id) {
                 self.on_committed(now, item.mod_revision);
             } else {
                 self.on_conflict(now, effects);
--- a/src/scheduler/state/job.rs
+++ b/src/scheduler/state/job.rs
@@ -28,51 +28,51 @@
 #[derive(Debug)]
 pub struct Job {
     /// The job as its user described it, but with the priority that it is served by.
-    pub spec: Rc<JobSpec>,
+    pub(in crate::scheduler) spec: Rc<JobSpec>,
     /// The resources of one task.
-    pub task_request: Resources,
+    pub(in crate::scheduler) task_request: Resources,
     /// When it was submitted, time of day.
-    pub submitted: u64,
+    pub(in crate::scheduler) submitted: u64,
     /// When it was cancelled, time of day.
-    pub cancelled: Option<u64>,
+    pub(in crate::scheduler) cancelled: Option<u64>,
     /// The revision of its record.
-    pub revision: u64,
+    pub(in crate::scheduler) revision: u64,
     /// How its tasks form replicas that span machines; `None`: they don't.
-    pub shape: Option<Shape>,
+    pub(in crate::scheduler) shape: Option<Shape>,
     /// Since when its objectives count, time of day: its submission, or the end of
     /// the last job that it depends on.
-    pub ready: u64,
+    pub(in crate::scheduler) ready: u64,
     /// A job that it depends on isn't known to be done.
-    pub dependencies_open: bool,
+    pub(in crate::scheduler) dependencies_open: bool,
     /// The priority that its user gave it; `spec` holds the one that it is served by,
     /// which may be that of a job that depends on it.
-    pub own_priority: Priority,
+    pub(in crate::scheduler) own_priority: Priority,
     /// How urgent the jobs that depend on it make it.
-    pub inherited: Option<StageUrgency<Priority>>,
+    pub(in crate::scheduler) inherited: Option<StageUrgency<Priority>>,
     /// The ranges of its tasks, with one placement record each.
-    pub placements: PlacementRanges,
+    pub(in crate::scheduler) placements: PlacementRanges,
     /// One of its placement records can't be read: what it may have on machines isn't
     /// known, so none of its tasks is placed.
     pub unreadable: bool,
     /// The key-value store rejected its record: it isn't written again before this
     /// time.
-    pub held_back_until_ms: u64,
+    pub(in crate::scheduler) held_back_until_ms: u64,
     /// The tasks that may be on a machine.
     pub assignments: BTreeMap<u32, Assignment>,
     /// The tasks that are done.
     pub done: BTreeSet<u32>,
     /// The tasks that wait to be placed.
-    pub pending: BTreeSet<u32>,
+    pub(in crate::scheduler) pending: BTreeSet<u32>,
     /// Ended attempts whose end isn't stored yet: their workers must not forget them.
-    pub unstored_ends: BTreeSet<(u32, Attempt)>,
+    pub(in crate::scheduler) unstored_ends: BTreeSet<(u32, Attempt)>,
     /// The final record is being written.
-    pub finishing: bool,
+    pub(in crate::scheduler) finishing: bool,
     /// Whether its tasks fail wherever they run.
-    pub failures: CircuitBreaker,
+    pub(in crate::scheduler) failures: CircuitBreaker,
     /// How long its tasks usually run.
     run_times: RunTimes,
     /// Its record was changed by somebody else; it is read before the next write.
-    pub stale: bool,
+    pub(in crate::scheduler) stale: bool,
     /// How the table of jobs lists it.
     pub(super) listed: JobListing,
     /// It may have changed since it was listed.
@@ -133,7 +133,7 @@
     }
 
     /// Whether its tasks run until it is cancelled.
-    pub fn is_service(&self) -> bool {
+    pub(in crate::scheduler) fn is_service(&self) -> bool {
         self.spec.kind == JobKind::Service
     }
 
@@ -164,7 +164,7 @@
     }
 
     /// How many of its tasks are seen running.
-    pub fn running(&self) -> u32 {
+    pub(in crate::scheduler) fn running(&self) -> u32 {
         self.assignments
             .values()
             .filter(|a| matches!(a.phase, Some(TaskPhase::Running | TaskPhase::Checkpointing)))
@@ -172,7 +172,7 @@
     }
 
     /// The name of one of its tasks.
-    pub fn task(&self, index: u32) -> TaskRef {
+    pub(in crate::scheduler) fn task(&self, index: u32) -> TaskRef {
         TaskRef {
             job: self.spec.id.clone(),
             index,
@@ -180,22 +180,22 @@
     }
 
     /// The record that holds the task has to be written.
-    pub fn touch(&mut self, task: u32, now_ms: u64, urgent: bool) {
+    pub(in crate::scheduler) fn touch(&mut self, task: u32, now_ms: u64, urgent: bool) {
         if let Some(range) = self.placements.range_of_task_mut(task) {
             range.touch(now_ms, urgent);
         }
     }
 
     /// The next attempt of the range that holds this task.
-    pub fn next_attempt(&mut self, task: u32) -> Option<Attempt> {
+    pub(in crate::scheduler) fn next_attempt(&mut self, task: u32) -> Option<Attempt> {
         let range = self.placements.range_of_task_mut(task)?;
-        range.next = Attempt(range.next.0 + 1);
-        Some(range.next)
+        range.next_attempt = Attempt(range.next_attempt.0 + 1);
+        Some(range.next_attempt)
     }
 
     /// Records how long a task ran, and tells whether that was far longer than the
     /// job's other tasks took: users' estimates are too often wrong to compare with.
-    pub fn ran(&mut self, took_ms: u64) -> bool {
+    pub(in crate::scheduler) fn ran(&mut self, took_ms: u64) -> bool {
         let RunTimes { count, total_ms } = self.run_times;
         let is_slow =
             count >= MIN_COMPLETED_RUNS && took_ms > total_ms / u64::from(count) * SLOW_RUN_FACTOR;
@@ -209,7 +209,7 @@
     }
 
     /// How many of its tasks may be in each zone, for spread and samePlace.
-    pub fn zone_use(&self) -> ZoneCounts {
+    pub(in crate::scheduler) fn zone_use(&self) -> ZoneCounts {
         let mut zones = ZoneCounts::default();
         for assignment in self.assignments.values() {
             zones.add(&assignment.zone);
@@ -218,7 +218,12 @@
     }
 
     /// What is to be stored now of the tasks of a range.
-    pub fn placement_record(&self, number: usize, write: u64, zones: &[String]) -> PlacementRecord {
+    pub(super) fn placement_record(
+        &self,
+        number: usize,
+        write_id: u64,
+        zones: &[String],
+    ) -> PlacementRecord {
         let zone_number = |assignment: &Assignment| {
             let position = zones.iter().position(|zone| **zone == *assignment.zone);
             position.unwrap_or(0) as u32
@@ -230,8 +235,8 @@
             .flat_map(|s| self.assignments.range(s.clone()));
         let range = self.placements.get(number);
         PlacementRecord {
-            next: range.map_or(Attempt(0), |range| range.next),
-            write,
+            next_attempt: range.map_or(Attempt(0), |range| range.next_attempt),
+            write_id,
             tasks_per_range: self.placements.tasks_per_range(),
             done: format_task_ranges(done.copied()),
             assigned: assigned
@@ -292,7 +297,7 @@
         };
         let range = self.placements.get_mut(number)?;
         range.revision = revision;
-        range.next = record.next;
+        range.next_attempt = record.next_attempt;
         let done = parse_task_ranges(&record.done, self.spec.tasks)?;
         self.failures.restore(record.failures);
         for task in done {
--- a/src/scheduler/state/job_table.rs
+++ b/src/scheduler/state/job_table.rs
@@ -8,10 +8,14 @@
 use crate::placement::Resources;
 use crate::scheduler::state::job::Job;
 use crate::scheduler::state::quotas::TeamAccounts;
+use crate::scheduler::InvariantViolation;
 use crate::wire::users::JobSpec;
 use std::collections::{btree_map, BTreeMap, BTreeSet, HashMap};
 use std::rc::Rc;
 
+/// How far a team's usage may differ from the sum over its jobs by rounding.
+const MAX_USAGE_DIFFERENCE: f64 = 1e-6;
+
 /// How the lists of [`JobTable`] hold a job.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(in crate::scheduler) struct JobListing {
@@ -264,37 +268,53 @@
             .filter_map(|id| self.jobs.get(id))
     }
 
-    /// Counts everything anew and compares; the error names what is wrong.
-    pub(in crate::scheduler) fn check_invariants(&self) -> Result<(), String> {
-        let listed = |holds: &dyn Fn(&JobListing) -> bool| -> BTreeSet<JobId> {
-            let all = self
-                .jobs
+    /// Recounts the lists and the teams' usage, and compares. For tests.
+    pub(in crate::scheduler) fn check_invariants(&self) -> Result<(), InvariantViolation> {
+        self.check_lists()?;
+        self.check_usage()
+    }
+
+    fn check_lists(&self) -> Result<(), InvariantViolation> {
+        let recount = |is_listed: fn(&JobListing) -> bool| -> BTreeSet<JobId> {
+            self.jobs
                 .iter()
-                .filter(|(_, job)| holds(&JobListing::of(job)));
-            all.map(|(id, _)| id.clone()).collect()
+                .filter(|(_, job)| is_listed(&JobListing::of(job)))
+                .map(|(id, _)| id.clone())
+                .collect()
         };
-        for (name, list, anew) in [
-            ("waiting", &self.waiting, listed(&|l| l.waiting)),
-            ("unwritten", &self.unwritten, listed(&|l| l.unwritten)),
-            ("stale", &self.stale, listed(&|l| l.stale)),
-            ("stopping", &self.stopping, listed(&|l| l.stopping)),
+        for (list, listed, recounted) in [
+            ("waiting", &self.waiting, recount(|l| l.waiting)),
+            ("unwritten", &self.unwritten, recount(|l| l.unwritten)),
+            ("stale", &self.stale, recount(|l| l.stale)),
+            ("stopping", &self.stopping, recount(|l| l.stopping)),
         ] {
-            if *list != anew {
-                return Err(format!(
-                    "jobs that are {name}: {list:?}, counted anew {anew:?}"
-                ));
+            if *listed != recounted {
+                return Err(InvariantViolation::JobList {
+                    list,
+                    listed: listed.clone(),
+                    recounted,
+                });
             }
         }
-        let mut used: HashMap<Rc<str>, Resources> = HashMap::new();
+        Ok(())
+    }
+
+    fn check_usage(&self) -> Result<(), InvariantViolation> {
+        let mut by_team: HashMap<Rc<str>, Resources> = HashMap::new();
         for job in self.jobs.values() {
-            let sum = used.entry(job.spec.team.clone()).or_default();
+            let sum = by_team.entry(job.spec.team.clone()).or_default();
             sum.add(&job.task_request.scaled(job.assignments.len() as f64));
         }
-        for (team, kept) in self.teams.all_used() {
-            let anew = used.get(team).copied().unwrap_or_default();
-            let off = (kept.gpus - anew.gpus).abs() + (kept.cpus - anew.cpus).abs();
-            if off > 1e-6 {
-                return Err(format!("use of {team}: {kept:?}, counted anew {anew:?}"));
+        for (team, used) in self.teams.all_used() {
+            let recounted = by_team.get(team).copied().unwrap_or_default();
+            let difference =
+                (used.gpus - recounted.gpus).abs() + (used.cpus - recounted.cpus).abs();
+            if difference > MAX_USAGE_DIFFERENCE {
+                return Err(InvariantViolation::TeamUsage {
+                    team: team.clone(),
+                    used: *used,
+                    recounted,
+                });
             }
         }
         Ok(())
--- a/src/scheduler/state/placement_ranges.rs
+++ b/src/scheduler/state/placement_ranges.rs
@@ -19,13 +19,13 @@
     /// The tasks of its name, some of which finer ranges may hold.
     tasks: Range<u32>,
     /// The revision of the stored record; 0: none is stored.
-    pub revision: u64,
+    pub(in crate::scheduler) revision: u64,
     /// The next attempt of its tasks.
-    pub next: Attempt,
+    pub(in crate::scheduler) next_attempt: Attempt,
     /// Since when there is something to write; `None`: nothing is.
-    pub dirty_ms: Option<u64>,
+    pub(in crate::scheduler) dirty_ms: Option<u64>,
     /// It has to be written soon, not lazily.
-    pub urgent: bool,
+    pub(in crate::scheduler) urgent: bool,
 }
 
 impl PlacementRange {
@@ -34,20 +34,20 @@
             name,
             tasks,
             revision: 0,
-            next: Attempt::default(),
+            next_attempt: Attempt::default(),
             dirty_ms: None,
             urgent: false,
         }
     }
 
     /// Whether it should be written now.
-    pub fn is_due(&self, now: Now, lazy_delay_ms: u64) -> bool {
+    pub(super) fn is_due(&self, now: Now, lazy_delay_ms: u64) -> bool {
         self.dirty_ms
             .is_some_and(|since| self.urgent || now.ms >= since + lazy_delay_ms)
     }
 
     /// Its record has to be written.
-    pub fn touch(&mut self, now_ms: u64, urgent: bool) {
+    pub(super) fn touch(&mut self, now_ms: u64, urgent: bool) {
         self.dirty_ms.get_or_insert(now_ms);
         self.urgent |= urgent;
     }
@@ -86,7 +86,7 @@
     }
 
     /// Tasks in each of the equal ranges that the job was divided into first.
-    pub fn tasks_per_range(&self) -> u32 {
+    pub(super) fn tasks_per_range(&self) -> u32 {
         self.tasks_per_range
     }
 
@@ -111,7 +111,7 @@
     }
 
     /// The range of this number, to be changed.
-    pub fn get_mut(&mut self, number: usize) -> Option<&mut PlacementRange> {
+    pub(super) fn get_mut(&mut self, number: usize) -> Option<&mut PlacementRange> {
         self.ranges.get_mut(number)
     }
 
@@ -122,7 +122,7 @@
     }
 
     /// The range that holds a task, to be changed.
-    pub fn range_of_task_mut(&mut self, task: u32) -> Option<&mut PlacementRange> {
+    pub(super) fn range_of_task_mut(&mut self, task: u32) -> Option<&mut PlacementRange> {
         let number = self.range_of_task(task)?;
         self.ranges.get_mut(number)
     }
@@ -141,7 +141,7 @@
     }
 
     /// The most bytes of a range's record, with all its tasks assigned.
-    pub fn max_record_bytes(&self, number: usize) -> usize {
+    pub(super) fn max_record_bytes(&self, number: usize) -> usize {
         max_record_bytes(task_count(&self.tasks_of(number)))
     }
 
@@ -153,7 +153,7 @@
 
     /// From now on these tasks are held by a finer range of their own. Returns its
     /// number; `None`: the job has no such tasks.
-    pub fn split_off(&mut self, tasks: Range<u32>) -> Option<usize> {
+    pub(super) fn split_off(&mut self, tasks: Range<u32>) -> Option<usize> {
         if tasks.is_empty() || tasks.end > self.tasks {
             return None;
         }
@@ -186,7 +186,7 @@
         let Some(coarse) = self.ranges.get_mut(number) else {
             return false;
         };
-        let (next, dirty_ms, urgent) = (coarse.next, coarse.dirty_ms.take(), coarse.urgent);
+        let (next, dirty_ms, urgent) = (coarse.next_attempt, coarse.dirty_ms.take(), coarse.urgent);
         coarse.urgent = false;
         for segment in segments {
             for first in segment.clone().step_by(length as usize) {
@@ -195,7 +195,7 @@
                 let Some(fine) = number.and_then(|number| self.ranges.get_mut(number)) else {
                     continue;
                 };
-                fine.next = next;
+                fine.next_attempt = next;
                 fine.dirty_ms = dirty_ms;
                 fine.urgent = urgent;
             }
@@ -204,11 +204,11 @@
     }
 
     /// A new attempt that is the same for the tasks of all ranges.
-    pub fn common_attempt(&mut self) -> Attempt {
-        let latest = self.ranges.iter().map(|range| range.next).max();
+    pub(in crate::scheduler) fn common_attempt(&mut self) -> Attempt {
+        let latest = self.ranges.iter().map(|range| range.next_attempt).max();
         let next = Attempt(latest.unwrap_or_default().0 + 1);
         for range in &mut self.ranges {
-            range.next = next;
+            range.next_attempt = next;
         }
         next
     }
--- a/src/scheduler/state/transaction.rs
+++ b/src/scheduler/state/transaction.rs
@@ -46,7 +46,7 @@
 #[derive(Debug)]
 pub(in crate::scheduler) struct PendingTransaction {
     /// Identifies the write in the records that it puts.
-    pub(super) write: u64,
+    pub(super) write_id: u64,
     pub(super) txn: Txn,
     pub(super) placement_writes: Vec<PlacementWrite>,
     pub(super) finished_jobs: Vec<FinishedJob>,
@@ -68,9 +68,9 @@
 }
 
 impl PendingTransaction {
-    fn new(write: u64, leader_key_revision: Revision) -> PendingTransaction {
+    fn new(write_id: u64, leader_key_revision: Revision) -> PendingTransaction {
         PendingTransaction {
-            write,
+            write_id,
             txn: Txn::default().compare(LEADER_KEY, leader_key_revision.0),
             placement_writes: Vec::new(),
             finished_jobs: Vec::new(),
@@ -114,7 +114,7 @@
         let record = FinalRecord {
             state,
             tasks: job.spec.tasks,
-            write: self.write,
+            write: self.write_id,
             ended: now.wall,
         };
         let value = serde_json::to_value(record).unwrap_or_default();
@@ -186,11 +186,11 @@
 fn current_record(
     job: &Job,
     number: usize,
-    write: u64,
+    write_id: u64,
     groups: &ReplicaGroups,
     zones: &[String],
 ) -> PlacementRecord {
-    let mut record = job.placement_record(number, write, zones);
+    let mut record = job.placement_record(number, write_id, zones);
     if let Some(groups) = groups.get(&job.spec.id) {
         let segments = job.placements.tasks_of(number);
         record.groups = segments
@@ -244,9 +244,9 @@
     ) -> Option<PendingTransaction> {
         let lazy_delay_ms = self.lazy_write_delay_ms();
         self.commits.transactions_built += 1;
-        let write = (self.term.0 << 32) | self.commits.transactions_built;
+        let write_id = (self.term.0 << 32) | self.commits.transactions_built;
         let leader_key_revision = Revision(self.leader_key_revision);
-        let mut transaction = PendingTransaction::new(write, leader_key_revision);
+        let mut transaction = PendingTransaction::new(write_id, leader_key_revision);
         let is_due = |job: &Job, number: usize| {
             let range = job.placements.get(number);
             range.is_some_and(|range| range.is_due(now, lazy_delay_ms))
@@ -271,7 +271,7 @@
                 }
                 if is_due(job, number) {
                     let zones = &self.settings.site.zones;
-                    let record = current_record(job, number, write, &self.groups, zones);
+                    let record = current_record(job, number, write_id, &self.groups, zones);
                     transaction.add_placement_record(job, number, record, first_of_job);
                     first_of_job = false;
                 }
--- a/tests/integration/capacity_index.rs
+++ b/tests/integration/capacity_index.rs
@@ -308,7 +308,9 @@
         let (mut rooms, mut plain) = index(&machines);
         for job in &jobs {
             place_alike(&mut rooms, &mut plain, job)?;
-            rooms.check_invariants().map_err(TestCaseError::fail)?;
+            rooms
+                .check_invariants()
+                .map_err(|violation| TestCaseError::fail(violation.to_string()))?;
         }
         Ok(())
     });
@@ -424,7 +426,9 @@
                     rooms.set_time(now_ms, FRESH_MS);
                 }
             }
-            rooms.check_invariants().map_err(TestCaseError::fail)?;
+            rooms
+                .check_invariants()
+                .map_err(|violation| TestCaseError::fail(violation.to_string()))?;
         }
         rooms.begin_round();
         let zones: u32 = rooms.machines_by_zone().values().sum();
