--- a/src/records/placements.rs
+++ b/src/records/placements.rs
@@ -185,12 +185,16 @@
         match current {
             Some((first, last)) if task == last + 1 => current = Some((first, task)),
             previous => {
-                previous.into_iter().for_each(&mut append);
+                if let Some(range) = previous {
+                    append(range);
+                }
                 current = Some((task, task));
             }
         }
     }
-    current.into_iter().for_each(&mut append);
+    if let Some(range) = current {
+        append(range);
+    }
     text
 }
 
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -1,17 +1,17 @@
 //! The leader's scheduler: it joins stored jobs, the fleet's heartbeats, the policy
 //! and the cloud. A plain struct without I/O: messages and time in, messages out.
 //!
-//! - [`tick`]: the loop, with what is due in which order.
-//! - [`effects`]: what the scheduler asks its node to do.
-//! - [`statistics`]: counters of its work.
-//! - [`invariants`]: what tests find wrong with its state.
-//! - [`state`]: the jobs, how they are loaded, watched and stored.
-//! - [`dependencies`]: jobs that depend on others.
-//! - [`rounds`]: scheduling rounds: the queue, the search, the placement of tasks.
-//! - [`displacement`]: preemption, migration and compaction.
-//! - [`replica_groups`]: replicas that span machines.
-//! - [`provisioning`]: scale out and scale in, with online estimates.
-//! - [`workers`]: heartbeats, commands, failure detection.
+//! - `tick`: the loop, with what is due in which order.
+//! - `effects`: what the scheduler asks its node to do.
+//! - `statistics`: counters of its work.
+//! - `invariants`: what tests find wrong with its state.
+//! - `state`: the jobs, how they are loaded, watched and stored.
+//! - `dependencies`: jobs that depend on others.
+//! - `rounds`: scheduling rounds: the queue, the search, the placement of tasks.
+//! - `displacement`: preemption, migration and compaction.
+//! - `replica_groups`: replicas that span machines.
+//! - `provisioning`: scale out and scale in, with online estimates.
+//! - `workers`: heartbeats, commands, failure detection.
 
 mod dependencies;
 mod displacement;
--- a/src/scheduler/state/mod.rs
+++ b/src/scheduler/state/mod.rs
@@ -3,6 +3,7 @@
 pub(super) mod assignment;
 pub(super) mod cleanup;
 pub(super) mod commit;
+mod commit_outcome;
 pub(super) mod job;
 pub(super) mod job_table;
 pub(super) mod job_watch;
