--- a/src/capacity_index/invariants.rs
+++ b/src/capacity_index/invariants.rs
@@ -1,7 +1,7 @@
 //! The check that the index is consistent, for tests.
 
 use super::levels::{FreeLevels, IndexKey};
-use super::{CapacityIndex, CapacityState, Slot};
+use super::{CapacityIndex, CapacityIndexViolation, CapacityState, Slot};
 use crate::ids::MachineId;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -41,13 +41,13 @@
 
     /// Whether every machine has its entries where they belong, and nowhere else; the
     /// error names one that doesn't. For tests.
-    pub fn check_invariants(&self) -> Result<(), String> {
+    pub fn check_invariants(&self) -> Result<(), CapacityIndexViolation> {
         let (mut machines, mut images, mut pulling_images) = (0, 0, 0);
         for (number, machine) in self.slots.iter().enumerate() {
             let slot = Slot(number as u32);
             let Some(machine) = machine else { continue };
             if self.unschedulable.contains(&slot) == machine.index_key.is_some() {
-                return Err(format!("{} is neither open nor closed", machine.id));
+                return Err(CapacityIndexViolation::Unclassified(machine.id.clone()));
             }
             let Some(key) = machine.index_key else {
                 continue;
@@ -56,7 +56,7 @@
             let group = &self.groups[machine.group];
             let levels = group.by_concurrent_pulls.get(&machine.concurrent_pulls());
             if key != expected || !levels.is_some_and(|levels| levels.contains(key, slot)) {
-                return Err(format!("{} isn't where its free room is", machine.id));
+                return Err(CapacityIndexViolation::Misplaced(machine.id.clone()));
             }
             machines += 1;
             images += machine.state.images.len();
@@ -73,7 +73,7 @@
         ];
         let expected = [machines, images, pulling_images];
         if found != expected {
-            return Err(format!("filed {found:?}, expected {expected:?}"));
+            return Err(CapacityIndexViolation::EntryCounts { found, expected });
         }
         Ok(())
     }
--- a/src/capacity_index/mod.rs
+++ b/src/capacity_index/mod.rs
@@ -14,11 +14,13 @@
 mod levels;
 mod listing;
 mod reservations;
+mod violation;
 
 pub use best_fit::{BestFit, SearchConstraint, TaskDemand};
 pub use first_fit::FullestMachine;
 pub use invariants::IndexContents;
 pub use listing::OccupiedCursor;
+pub use violation::CapacityIndexViolation;
 
 use crate::cloud::Offer;
 use crate::ids::MachineId;
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -25,7 +25,7 @@
 use crate::gateway::{Gateway, RequestNumber};
 use crate::kv_client::KvClient;
 use crate::messages::Now;
-use crate::scheduler::Scheduler;
+use crate::scheduler::{InvariantViolation, Scheduler};
 use crate::settings::Settings;
 use crate::tuning::Tuning;
 use crate::usage::Purpose;
@@ -179,7 +179,7 @@
 
     /// Recomputes what the leader maintains incrementally and compares; the error
     /// names the difference. For tests.
-    pub fn check_invariants(&mut self) -> Result<(), String> {
+    pub fn check_invariants(&mut self) -> Result<(), InvariantViolation> {
         self.scheduler.check_invariants()
     }
 
--- a/src/records/placements.rs
+++ b/src/records/placements.rs
@@ -115,10 +115,10 @@
 pub struct PlacementRecord {
     /// The next attempt; attempts are never reused within a range.
     #[serde(rename = "n")]
-    pub next: Attempt,
+    pub next_attempt: Attempt,
     /// Identifies the write, so that its author can tell whether it was carried out.
     #[serde(rename = "w")]
-    pub write: u64,
+    pub write_id: u64,
     /// How many tasks each of the equal ranges has that the job was divided into
     /// first. Versions before 0.2 work it out from their settings and leave it out.
     #[serde(rename = "z", default, skip_serializing_if = "super::is_default")]
@@ -185,12 +185,16 @@
         match current {
             Some((first, last)) if task == last + 1 => current = Some((first, task)),
             previous => {
-                previous.into_iter().for_each(&mut append);
+                if let Some(range) = previous {
+                    append(range);
+                }
                 current = Some((task, task));
             }
         }
     }
-    current.into_iter().for_each(&mut append);
+    if let Some(range) = current {
+        append(range);
+    }
     text
 }
 
--- a/src/scheduler/rounds/capacity_sync.rs
+++ b/src/scheduler/rounds/capacity_sync.rs
@@ -5,7 +5,7 @@
 use crate::fleet::Machine;
 use crate::ids::MachineId;
 use crate::placement::Resources;
-use crate::scheduler::Scheduler;
+use crate::scheduler::{InvariantViolation, Scheduler};
 use std::collections::BTreeSet;
 
 impl Scheduler {
@@ -56,31 +56,31 @@
 
     /// Recomputes everything that is maintained incrementally and compares; the error
     /// names the first difference. For tests.
-    pub fn check_invariants(&mut self) -> Result<(), String> {
+    pub fn check_invariants(&mut self) -> Result<(), InvariantViolation> {
         self.jobs.refresh();
         self.jobs.check_invariants()?;
         self.refresh_capacity();
-        let indexed = self.capacity.contents();
-        let known: BTreeSet<MachineId> = self.fleet.iter().map(|m| m.id.clone()).collect();
-        let indexed_ids: BTreeSet<MachineId> = indexed.ids().cloned().collect();
-        if indexed_ids != known {
-            return Err(format!("machines {known:?}, in the index {indexed_ids:?}"));
+        let contents = self.capacity.contents();
+        let machines: BTreeSet<MachineId> = self.fleet.iter().map(|m| m.id.clone()).collect();
+        let indexed: BTreeSet<MachineId> = contents.ids().cloned().collect();
+        if indexed != machines {
+            return Err(InvariantViolation::IndexedMachines { machines, indexed });
         }
         for machine in self.fleet.iter() {
             self.check_machine(machine)?;
             let state = self.capacity_state(machine);
-            let indexed_state = indexed.schedulable.get(&machine.id);
+            let indexed_state = contents.schedulable.get(&machine.id);
             if indexed_state.is_some_and(|indexed| **indexed != state) {
-                return Err(format!("{} is filed as it was before", machine.id));
+                return Err(InvariantViolation::StaleCapacity(machine.id.clone()));
             }
         }
         self.check_groups()?;
-        self.capacity.check_invariants()
+        Ok(self.capacity.check_invariants()?)
     }
 
     /// Checks that the jobs and the machine agree on which tasks it runs and on the
     /// resources that they use.
-    fn check_machine(&self, machine: &Machine) -> Result<(), String> {
+    fn check_machine(&self, machine: &Machine) -> Result<(), InvariantViolation> {
         let mut used = Resources::default();
         for task in &machine.tasks {
             let assign = self
@@ -90,19 +90,20 @@
             match assign {
                 Some((job, assign)) if assign.machine == machine.id => used.add(&job.task_request),
                 _ => {
-                    return Err(format!(
-                        "{task} is on {} by the machine's word alone",
-                        machine.id
-                    ))
+                    return Err(InvariantViolation::UnassignedTask {
+                        task: task.clone(),
+                        machine: machine.id.clone(),
+                    })
                 }
             }
         }
         let off = (used.gpus - machine.used.gpus).abs() + (used.cpus - machine.used.cpus).abs();
         if off > 1e-6 {
-            return Err(format!(
-                "{} uses {:?}, counted anew {used:?}",
-                machine.id, machine.used
-            ));
+            return Err(InvariantViolation::MachineUsage {
+                machine: machine.id.clone(),
+                used: machine.used,
+                recounted: used,
+            });
         }
         Ok(())
     }
