--- a/replica-groups/src/classes.rs
+++ b/replica-groups/src/classes.rs
@@ -1,11 +1,11 @@
-//! Which jobs span machines, as the operators say. It is asked once, when a job
-//! is accepted; from then on the job's own record says so.
+//! Which jobs span machines, as configured by operators. This is asked once, when a
+//! job is accepted; from then on the job's own record says so.
 
-use crate::shape::Shape;
+use crate::shape::{Shape, MIN_PARTS};
 use std::collections::BTreeMap;
-use std::fmt;
+use thiserror::Error;
 
-/// The operators' choice.
+/// The classes whose replicas span machines.
 #[derive(Clone, PartialEq, Eq, Debug, Default)]
 pub struct ReplicaClasses {
     /// Parts per replica, by class.
@@ -14,25 +14,29 @@
     gangs: bool,
 }
 
+/// Why a class's number of parts can't be accepted.
+#[derive(Clone, Copy, PartialEq, Eq, Debug, Error)]
+pub enum ReplicaClassError {
+    /// The value isn't a whole number.
+    #[error("not a whole number of parts")]
+    NotANumber,
+    /// A replica with so few parts doesn't span machines.
+    #[error("a replica that spans machines has at least {MIN_PARTS} parts")]
+    TooFewParts,
+}
+
 /// Why a job can't be grouped as its class asks for.
-#[derive(Clone, Copy, PartialEq, Eq, Debug)]
+#[derive(Clone, Copy, PartialEq, Eq, Debug, Error)]
 pub enum ShapeError {
     /// Its tasks don't divide into whole replicas.
+    #[error("the tasks don't divide into whole replicas")]
     Uneven,
-    /// Its replica is larger than a record that has to hold it whole.
+    /// A record has to hold a replica whole, and its replica has more parts than that.
+    #[error("the replica has more parts than a record holds")]
     TooLarge,
 }
 
-impl fmt::Display for ShapeError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(match self {
-            ShapeError::Uneven => "the tasks don't divide into whole replicas",
-            ShapeError::TooLarge => "the replica has more parts than a record holds",
-        })
-    }
-}
-
-/// What of a job decides on its grouping.
+/// The attributes of a job that decide on its grouping.
 #[derive(Clone, Copy, Debug)]
 pub struct GroupingRequest<'a> {
     /// Its class.
@@ -46,25 +50,28 @@
 }
 
 impl ReplicaClasses {
-    /// Takes an operator's line; the error is the reason why it can't be taken.
-    pub fn set(&mut self, class: &str, value: &str) -> Result<(), String> {
-        let parts: u32 = value
-            .trim()
-            .parse()
-            .map_err(|_| "not a whole number of parts".to_string())?;
-        if parts < 2 {
-            return Err("a replica that spans machines has at least 2 parts".to_string());
+    /// Sets the parts per replica of a class, from the text of an operator's setting.
+    pub fn insert(&mut self, class: &str, value: &str) -> Result<(), ReplicaClassError> {
+        let parts = value.trim().parse::<u32>();
+        let parts = parts.map_err(|_| ReplicaClassError::NotANumber)?;
+        if parts < MIN_PARTS {
+            return Err(ReplicaClassError::TooFewParts);
         }
         self.parts.insert(class.to_string(), parts);
         Ok(())
     }
 
-    /// Whether each gang is to be a group by itself.
+    /// [`insert`](Self::insert) with the error as text, for the reader of the settings.
+    pub fn set(&mut self, class: &str, value: &str) -> Result<(), String> {
+        self.insert(class, value).map_err(|error| error.to_string())
+    }
+
+    /// Sets whether each gang is a group by itself.
     pub fn set_gangs(&mut self, gangs: bool) {
         self.gangs = gangs;
     }
 
-    /// The classes whose replicas span machines, with their parts.
+    /// The classes whose replicas span machines, with their parts per replica.
     pub fn iter(&self) -> impl Iterator<Item = (&str, u32)> {
         self.parts
             .iter()
@@ -72,19 +79,21 @@
     }
 
     /// How a new job is grouped; `Ok(None)`: it isn't. A record holds at most
-    /// `most` parts.
-    pub fn shape(&self, asked: GroupingRequest, most: u32) -> Result<Option<Shape>, ShapeError> {
-        let parts = match self.parts.get(asked.class) {
-            Some(parts) if asked.service => *parts,
-            _ if asked.gang && self.gangs && asked.tasks > 1 => asked.tasks,
+    /// `max_parts` parts.
+    pub fn shape(
+        &self,
+        request: GroupingRequest,
+        max_parts: u32,
+    ) -> Result<Option<Shape>, ShapeError> {
+        let parts = match self.parts.get(request.class) {
+            Some(parts) if request.service => *parts,
+            _ if request.gang && self.gangs && request.tasks > 1 => request.tasks,
             _ => return Ok(None),
         };
-        if parts > most {
+        if parts > max_parts {
             return Err(ShapeError::TooLarge);
         }
-        match Shape::new(parts, asked.tasks) {
-            Some(shape) => Ok(Some(shape)),
-            None => Err(ShapeError::Uneven),
-        }
+        let shape = Shape::new(parts, request.tasks).ok_or(ShapeError::Uneven)?;
+        Ok(Some(shape))
     }
 }
--- a/replica-groups/src/lib.rs
+++ b/replica-groups/src/lib.rs
@@ -1,10 +1,11 @@
-//! Replicas that span machines: replica groups, each started, moved and repaired
-//! as one unit.
+//! Replica groups: replicas that span several machines, each of which is started,
+//! migrated and repaired as one unit.
 //!
-//! The package owns the life of a group and nothing else: what its parts are
-//! seen to do goes in with the time, and what the group wants comes out. Room,
-//! quota, writes and commands are the scheduler's. Nothing here has I/O or a
-//! clock, so a trace replays exactly. `docs/REPLICA_GROUPS.md` weighs the design.
+//! This package owns the life cycle of groups and nothing else: the observed state
+//! of a group's parts and the time go in, and the actions that the group asks for
+//! come out. Capacity, quotas, writes and commands are up to the scheduler. Nothing
+//! here does I/O or reads a clock, so a trace replays exactly. The design is
+//! discussed in `docs/REPLICA_GROUPS.md`.
 
 #![deny(missing_docs)]
 #![warn(clippy::too_many_lines, clippy::cognitive_complexity)]
@@ -12,6 +13,7 @@
 
 pub mod classes;
 pub mod group;
+pub mod job_groups;
 pub mod metrics;
 pub mod migration;
 pub mod observation;
--- a/replica-groups/src/metrics.rs
+++ b/replica-groups/src/metrics.rs
@@ -1,30 +1,30 @@
-//! Groups by state, and how long repairs took.
+//! Metrics of groups: how many are in each state, and how long repairs took.
 
 use crate::group::GroupState;
 use hdrhistogram::Histogram;
 use std::fmt;
 
-/// Significant digits of the times that are kept.
-const DIGITS: u8 = 2;
+/// Significant digits of the recorded repair times.
+const REPAIR_TIME_DIGITS: u8 = 2;
 
 /// How many groups are in each state.
 #[derive(Clone, Copy, PartialEq, Eq, Default, Debug)]
 pub struct StateCounts {
     counts: [usize; GroupState::ALL.len()],
-    /// Of all these, those that are on the move.
-    pub moving: usize,
-    /// Of all these, those whose circuit breaker is open.
-    pub failing: usize,
+    /// How many groups of any state are migrating.
+    pub migrating: usize,
+    /// How many groups of any state have an open circuit breaker.
+    pub breaker_open: usize,
 }
 
 impl StateCounts {
-    /// Counts a group.
+    /// Counts a group in this state.
     pub fn add(&mut self, state: GroupState) {
         self.counts[state as usize] += 1;
     }
 
-    /// How many are in this state.
-    pub fn of(&self, state: GroupState) -> usize {
+    /// How many groups are in this state.
+    pub fn count(&self, state: GroupState) -> usize {
         self.counts[state as usize]
     }
 }
@@ -32,46 +32,46 @@
 impl fmt::Display for StateCounts {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for state in GroupState::ALL {
-            write!(f, "{}={} ", state.name(), self.of(state))?;
+            write!(f, "{}={} ", state.name(), self.count(state))?;
         }
-        write!(f, "moving={} failing={}", self.moving, self.failing)
+        write!(f, "moving={} failing={}", self.migrating, self.breaker_open)
     }
 }
 
-/// What has happened since the leader was elected.
+/// What has happened to groups since the leader was elected.
 pub struct GroupMetrics {
-    /// From the loss of a part to serving again, in milliseconds. `None`: no
-    /// memory for it.
+    /// Times from the loss of a part to serving again, in milliseconds. `None`: the
+    /// histogram couldn't be allocated.
     repair_ms: Option<Histogram<u64>>,
-    /// Silences of a part that ended without a repair.
-    pub interrupted: u64,
-    /// Moves that arrived.
-    pub moved: u64,
-    /// Moves that were given up.
-    pub abandoned: u64,
+    /// Times that a silent part reported again before a repair began.
+    pub interruptions: u64,
+    /// Migrations that were completed.
+    pub migrations: u64,
+    /// Migrations that were abandoned.
+    pub abandoned_migrations: u64,
 }
 
 impl Default for GroupMetrics {
     fn default() -> Self {
         GroupMetrics {
-            repair_ms: Histogram::new(DIGITS).ok(),
-            interrupted: 0,
-            moved: 0,
-            abandoned: 0,
+            repair_ms: Histogram::new(REPAIR_TIME_DIGITS).ok(),
+            interruptions: 0,
+            migrations: 0,
+            abandoned_migrations: 0,
         }
     }
 }
 
 impl GroupMetrics {
-    /// A group serves again, so long after it lost a part.
-    pub fn repaired(&mut self, took_ms: u64) {
+    /// A group serves again, this long after it lost a part.
+    pub fn record_repair(&mut self, took_ms: u64) {
         if let Some(histogram) = &mut self.repair_ms {
-            // One that grows by itself takes any time.
+            // A histogram that resizes itself accepts every value.
             let _ = histogram.record(took_ms);
         }
     }
 
-    /// How many groups were repaired.
+    /// How many repairs were completed.
     pub fn repairs(&self) -> u64 {
         self.repair_ms.as_ref().map_or(0, Histogram::len)
     }
@@ -83,9 +83,9 @@
             f,
             "repaired={} interrupted={} moved={} abandoned_moves={}",
             self.repairs(),
-            self.interrupted,
-            self.moved,
-            self.abandoned
+            self.interruptions,
+            self.migrations,
+            self.abandoned_migrations
         )?;
         match &self.repair_ms {
             Some(times) if !times.is_empty() => write!(
--- a/replica-groups/src/migration.rs
+++ b/replica-groups/src/migration.rs
@@ -1,50 +1,50 @@
-//! A group's move: room is found and held, the intent is stored, the group is
-//! stopped, and its next generation starts where it was meant to.
+//! A group's migration: capacity is found and reserved, the intent is stored, the
+//! group is stopped, and its next generation starts on the reserved machines.
 
 use crate::record::MigrationIntent;
 
-/// How far a move has got.
+/// How far a migration has got.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum MigrationStage {
-    /// Decided; not known to be stored yet.
+    /// Planned; its intent isn't known to be stored yet.
     Planned,
-    /// Stored. Nothing was stopped yet, as far as is known.
+    /// Its intent is stored. As far as is known, nothing has been stopped yet.
     Stored,
-    /// The parts are being stopped, or are gone already.
+    /// The parts are being stopped, or have stopped.
     Stopping,
 }
 
-/// A move under way.
+/// A migration under way.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct Migration {
     /// What is stored of it.
     pub intent: MigrationIntent,
     /// How far it has got.
     pub stage: MigrationStage,
-    /// An earlier leader decided it.
+    /// An earlier leader planned it.
     pub inherited: bool,
-    /// Until when its room is held.
-    pub until_ms: u64,
+    /// When the reservation of its capacity ends.
+    pub reserved_until_ms: u64,
 }
 
-/// Why a move was given up.
+/// Why a migration was abandoned.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum AbandonReason {
-    /// The room that it was to have isn't there any more.
-    NoRoom,
-    /// A part was lost before the move began.
+    /// The capacity on its targets isn't available any more.
+    NoCapacity,
+    /// A part was lost before the first step.
     PartLost,
-    /// It took longer than its room is held.
-    TooLate,
+    /// Its reservation expired before it was complete.
+    TimedOut,
 }
 
 impl AbandonReason {
-    /// For the log.
-    pub fn why(self) -> &'static str {
+    /// The reason in logs.
+    pub fn reason(self) -> &'static str {
         match self {
-            AbandonReason::NoRoom => "its room isn't there any more",
-            AbandonReason::PartLost => "a part was lost before it began",
-            AbandonReason::TooLate => "it took longer than its room is held",
+            AbandonReason::NoCapacity => "target capacity gone",
+            AbandonReason::PartLost => "part lost before the first step",
+            AbandonReason::TimedOut => "reservation expired",
         }
     }
 }
--- a/replica-groups/src/observation.rs
+++ b/replica-groups/src/observation.rs
@@ -1,53 +1,53 @@
-//! What the scheduler says of a group's parts.
+//! The observed state of a group's parts: the input of its evaluation.
 
 use lilacfork_common::ids::{Attempt, MachineId};
 
-/// What a part was last reported to do, in its machine's current session and
-/// under the current term.
+/// What a part does according to the last heartbeat of its machine, in the current
+/// agent epoch and under the current term.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum ObservedPart {
+pub enum PartActivity {
     /// Not reported.
-    Not,
-    /// On the machine, but not running: it fetches its image.
+    NotReported,
+    /// On the machine, but not running: its image is being pulled.
     Starting,
     /// Running.
     Running,
 }
 
-/// How a part's machine is.
+/// The health of a part's machine.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum MachineHealth {
-    /// It reports.
-    Heard,
-    /// It has been silent for longer than a few reports.
+    /// It sends heartbeats and stays.
+    Reporting,
+    /// It has been silent for several heartbeat intervals.
     Silent,
-    /// It is going to be taken away.
+    /// It is going to be taken away: it is draining or was reclaimed.
     Leaving,
-    /// It is given up: its tasks are gone as soon as that is proven.
+    /// It was declared failed: its tasks are gone as soon as its release is proven.
     Lost,
 }
 
-/// A part that may be on a machine.
+/// The binding of a part to a machine.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct Binding {
     /// The attempt that all parts of one generation share.
     pub generation: Attempt,
     /// Its machine.
     pub machine: MachineId,
-    /// What was seen of it.
-    pub seen: ObservedPart,
-    /// How its machine is.
+    /// What it was last reported to do.
+    pub activity: PartActivity,
+    /// The health of its machine.
     pub health: MachineHealth,
     /// It is being stopped.
     pub stopping: bool,
 }
 
-/// What a part is.
+/// Where a part stands.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum PartState {
-    /// It has completed; only parts of gangs do.
-    Done,
-    /// It is on no machine, by proof.
+    /// It has completed; only the parts of gangs do.
+    Completed,
+    /// It is proven to be on no machine.
     Waiting,
     /// It may be on a machine.
     Bound(Binding),
@@ -56,35 +56,41 @@
 /// A part of a group.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct Part {
-    /// Its task's number in the job.
+    /// Its task's index in the job.
     pub task: u32,
-    /// What it is.
+    /// Where it stands.
     pub state: PartState,
 }
 
-/// What follows from all parts together.
+/// The state of all parts together.
 #[derive(Clone, PartialEq, Eq, Debug, Default)]
 pub(crate) struct Summary {
-    /// Parts that aren't done.
-    pub live: usize,
+    /// Parts that haven't completed.
+    pub(crate) live: usize,
     /// Parts that may be on machines.
-    pub bound: usize,
-    /// The generation of them all; `None`: none is bound, or they differ.
-    pub generation: Option<Attempt>,
-    pub mixed: bool,
-    pub running: usize,
-    pub stopping: usize,
-    pub silent: usize,
-    pub leaving: usize,
-    pub lost: usize,
+    pub(crate) bound: usize,
+    /// The generation of all bound parts; `None`: none is bound, or their
+    /// generations differ.
+    pub(crate) generation: Option<Attempt>,
+    /// Parts of several generations are bound.
+    mixed_generations: bool,
+    running: usize,
+    /// Bound parts that are being stopped.
+    pub(crate) stopping: usize,
+    /// Bound parts whose machines are silent.
+    silent: usize,
+    /// Bound parts whose machines are leaving.
+    pub(crate) leaving: usize,
+    /// Bound parts whose machines were declared failed.
+    pub(crate) lost: usize,
 }
 
 impl Summary {
-    pub fn of(parts: &[Part]) -> Summary {
+    pub(crate) fn of(parts: &[Part]) -> Summary {
         let mut summary = Summary::default();
         for part in parts {
             match &part.state {
-                PartState::Done => {}
+                PartState::Completed => {}
                 PartState::Waiting => summary.live += 1,
                 PartState::Bound(binding) => {
                     summary.live += 1;
@@ -92,7 +98,7 @@
                 }
             }
         }
-        if summary.mixed {
+        if summary.mixed_generations {
             summary.generation = None;
         }
         summary
@@ -102,27 +108,27 @@
         self.bound += 1;
         match self.generation {
             None => self.generation = Some(binding.generation),
-            Some(other) => self.mixed |= other != binding.generation,
+            Some(other) => self.mixed_generations |= other != binding.generation,
         }
-        self.running += usize::from(binding.seen == ObservedPart::Running);
+        self.running += usize::from(binding.activity == PartActivity::Running);
         self.stopping += usize::from(binding.stopping);
         match binding.health {
-            MachineHealth::Heard => {}
+            MachineHealth::Reporting => {}
             MachineHealth::Silent => self.silent += 1,
             MachineHealth::Leaving => self.leaving += 1,
             MachineHealth::Lost => self.lost += 1,
         }
     }
 
-    /// Parts are on machines that can't form a whole replica any more.
-    pub fn broken(&self) -> bool {
-        let incomplete = self.bound < self.live || self.mixed;
+    /// The parts that are bound can't form a whole replica any more.
+    pub(crate) fn is_broken(&self) -> bool {
+        let incomplete = self.bound < self.live || self.mixed_generations;
         self.bound > 0 && (incomplete || self.lost > 0 || self.stopping > 0)
     }
 
-    /// Every part is running on a machine that reports.
-    pub fn complete(&self) -> bool {
-        let whole = self.bound > 0 && !self.broken();
+    /// Every part runs on a machine that sends heartbeats.
+    pub(crate) fn is_complete(&self) -> bool {
+        let whole = self.bound > 0 && !self.is_broken();
         whole && self.running == self.bound && self.silent == 0
     }
 }
--- a/replica-groups/tests/classes.rs
+++ b/replica-groups/tests/classes.rs
@@ -1,7 +1,7 @@
-//! Which jobs are grouped, and how.
+//! Which jobs are grouped, and into what shape.
 
 use lilacfork_replica_groups::classes::{GroupingRequest, ReplicaClasses, ShapeError};
-use lilacfork_replica_groups::shape::{Replica, Shape};
+use lilacfork_replica_groups::shape::{ReplicaIndex, Shape};
 
 fn service(class: &str, tasks: u32) -> GroupingRequest<'_> {
     GroupingRequest {
@@ -19,8 +19,8 @@
     assert_eq!(Shape::new(8, 4), None);
     let shape = Shape::new(4, 12).expect("three replicas");
     assert_eq!(shape.replicas(), 3);
-    assert_eq!(shape.replica_of(7), Replica(1));
-    assert_eq!(shape.tasks_of(Replica(2)), 8..12);
+    assert_eq!(shape.replica_of(7), ReplicaIndex(1));
+    assert_eq!(shape.tasks_of(ReplicaIndex(2)), 8..12);
     assert_eq!(shape.whole_replicas(409), Some(408));
     assert_eq!(shape.whole_replicas(3), None, "not one fits");
 }
--- a/replica-groups/tests/metrics.rs
+++ b/replica-groups/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! What operators read.
+//! The text of metrics in logs.
 
 use lilacfork_replica_groups::group::GroupState;
 use lilacfork_replica_groups::metrics::{GroupMetrics, StateCounts};
@@ -13,7 +13,7 @@
     ] {
         counts.add(state);
     }
-    counts.moving = 1;
+    counts.migrating = 1;
     assert_eq!(
         counts.to_string(),
         "pending=0 starting=0 serving=2 degraded=1 stopping=0 finished=0 moving=1 failing=0"
@@ -23,9 +23,9 @@
         figures.to_string(),
         "repaired=0 interrupted=0 moved=0 abandoned_moves=0"
     );
-    // Times of any length are kept: one was once cut off at 2 ms.
+    // Times of any length are recorded: a bounded histogram once cut them off at 2 ms.
     for took_ms in [4000, 5000, 90_000] {
-        figures.repaired(took_ms);
+        figures.record_repair(took_ms);
     }
     let text = figures.to_string();
     let most = text
--- /dev/null
+++ b/src/scheduler/replica_groups/evaluation.rs
@@ -0,0 +1,103 @@
+//! The evaluation of replica groups, and the actions that follow from it.
+
+use crate::ids::TaskRef;
+use crate::messages::Now;
+use crate::scheduler::Scheduler;
+use lilacfork_replica_groups::group::{GroupAction, GroupEvent, GroupState, StopCause};
+use lilacfork_replica_groups::registry::GroupId;
+
+/// How soon a group's record has to be written.
+#[derive(Clone, Copy, PartialEq, Eq, Debug)]
+pub(super) enum WriteUrgency {
+    /// With the next write of the record.
+    Lazy,
+    /// With the next transaction.
+    Immediate,
+}
+
+impl Scheduler {
+    /// Evaluates the groups about which something may have changed. The actions may
+    /// change other groups, or the same ones again.
+    pub(in crate::scheduler) fn observe_groups(&mut self, now: Now) {
+        loop {
+            let touched = self.groups.take_touched();
+            if touched.is_empty() {
+                return;
+            }
+            for id in touched {
+                self.observe_group(now, &id);
+            }
+        }
+    }
+
+    fn observe_group(&mut self, now: Now, id: &GroupId) {
+        let parts = self.parts_of(now, id);
+        let targets = self.migration_targets(now, id);
+        let before = self.groups.group(id).map(|group| group.state());
+        let actions = self.groups.observe(now.ms, id, &parts, targets);
+        let after = self.groups.group(id).map(|group| group.state());
+        if let (Some(before), Some(after)) = (before, after) {
+            if before != after {
+                self.state_changed(id, before, after);
+            }
+        }
+        for action in actions {
+            self.perform(now, id, action);
+        }
+    }
+
+    fn state_changed(&mut self, id: &GroupId, before: GroupState, after: GroupState) {
+        let (state, previous) = (after.name(), before.name());
+        log::info!("replica group state changed group={id} state={state} previous={previous}");
+        // A group that waits for capacity should get it soon.
+        self.pacing.requested |= after == GroupState::Pending;
+    }
+
+    fn perform(&mut self, now: Now, id: &GroupId, action: GroupAction) {
+        match action {
+            GroupAction::Stop { parts, cause } => self.stop_parts(now, id, &parts, cause),
+            GroupAction::PlanMigration => self.plan_migration(now, id),
+            GroupAction::Persist => self.schedule_group_write(now, id, WriteUrgency::Lazy),
+            GroupAction::RecordSuccess => self.succeeded(&id.job),
+            GroupAction::Emit(event) => log_event(id, event),
+        }
+    }
+
+    fn stop_parts(&mut self, now: Now, id: &GroupId, parts: &[u32], cause: StopCause) {
+        let (count, reason) = (parts.len(), cause.reason());
+        log::info!("replica group stops group={id} parts={count} reason=\"{reason}\"");
+        for index in parts {
+            let task = TaskRef {
+                job: id.job.clone(),
+                index: *index,
+            };
+            self.stop_task(now, &task, true);
+        }
+    }
+
+    /// Schedules a write of the placement record that holds the group.
+    pub(super) fn schedule_group_write(&mut self, now: Now, id: &GroupId, urgency: WriteUrgency) {
+        if let Some(job) = self.jobs.get_mut(&id.job) {
+            let first = job.shape.map(|shape| shape.tasks_of(id.replica).start);
+            let is_urgent = urgency == WriteUrgency::Immediate;
+            job.touch(first.unwrap_or_default(), now.ms, is_urgent);
+        }
+        self.commits.has_changes = true;
+    }
+}
+
+/// Logs an event in a group's life.
+pub(super) fn log_event(id: &GroupId, event: GroupEvent) {
+    match event {
+        GroupEvent::Repaired { took_ms } => {
+            log::info!("replica group repaired group={id} took_ms={took_ms}");
+        }
+        GroupEvent::Interrupted => log::info!("replica group interruption ended group={id}"),
+        GroupEvent::MigrationResumed => log::info!("replica group migration resumed group={id}"),
+        GroupEvent::MigrationAbandoned(reason) => {
+            let reason = reason.reason();
+            log::info!("replica group migration abandoned group={id} reason=\"{reason}\"");
+        }
+        GroupEvent::Migrated => log::info!("replica group migrated group={id}"),
+    }
+}
--- a/src/scheduler/replica_groups/migration.rs
+++ b/src/scheduler/replica_groups/migration.rs
@@ -1,9 +1,10 @@
-//! Moves of replicas that span machines: room first, then the intent.
+//! Migration of replica groups: capacity is reserved first, then the intent is stored.
 
 use crate::capacity_index::Slot;
 use crate::ids::JobId;
 use crate::messages::Now;
 use crate::placement::Resources;
+use crate::scheduler::replica_groups::evaluation::WriteUrgency;
 use crate::scheduler::replica_groups::search::{GroupSearch, PartMachine, SearchScope};
 use crate::scheduler::rounds::task_placement::PlacementRequest;
 use crate::scheduler::Scheduler;
@@ -11,129 +12,164 @@
 use lilacfork_replica_groups::record::{MigrationIntent, PartTarget};
 use lilacfork_replica_groups::registry::GroupId;
 
+/// A part that is bound to a machine.
+struct BoundPart {
+    task: u32,
+    binding: Binding,
+}
+
 impl Scheduler {
-    /// Finds room for a group of which a machine is taken away. Its other parts
-    /// stay where they are, if there is room for the rest in their zone.
-    pub(in crate::scheduler) fn plan_move(&mut self, now: Now, id: &GroupId) {
+    /// Plans the migration of a group one of whose machines is leaving. The parts on
+    /// other machines stay where they are, if their zone has capacity for the rest.
+    pub(super) fn plan_migration(&mut self, now: Now, id: &GroupId) {
         self.refresh(now);
-        match self.move_intent(now, id) {
+        match self.migration_intent(now, id) {
             Some(intent) => {
-                log::info!("replica {id} is to move, generation={}", intent.generation);
-                self.give_up_kept(&intent, &id.job);
-                self.groups.begin_move(now.ms, id, intent);
-                self.hold_for(now, id);
-                self.store_group(now, id, true);
+                let generation = intent.generation;
+                log::info!("replica group migration planned group={id} generation={generation}");
+                self.release_forecast_reservations(&intent, &id.job);
+                self.groups.begin_migration(now.ms, id, intent);
+                self.reserve_for_group(now, id);
+                self.schedule_group_write(now, id, WriteUrgency::Immediate);
             }
             None => {
-                log::info!("replica {id} finds no room to move to");
+                log::info!("replica group migration infeasible group={id} reason=\"no capacity\"");
                 if let Some(group) = self.groups.group_mut(id) {
-                    group.cannot_move();
+                    group.migration_infeasible();
                 }
             }
         }
         self.groups.touch_group(id);
     }
 
-    /// What is expected gives way to what moves now.
-    fn give_up_kept(&mut self, intent: &MigrationIntent, job: &JobId) {
-        let Some(need) = self.jobs.get(job).map(|job| job.task_request) else {
+    /// Releases reservations for forecast demand on the targets, where the parts need
+    /// the capacity: a migration goes before demand that is only forecast.
+    fn release_forecast_reservations(&mut self, intent: &MigrationIntent, job: &JobId) {
+        let Some(task_request) = self.jobs.get(job).map(|job| job.task_request) else {
             return;
         };
         for target in &intent.targets {
-            let slot = self.capacity.slot(&target.machine);
-            let room = slot.and_then(|slot| Some((slot, self.capacity.get(slot)?)));
-            if let Some((slot, room)) = room {
-                if !room.free().covers(&need) && room.forecast_reserved() != Resources::default() {
-                    self.capacity.release_forecast(slot);
-                }
+            let Some(slot) = self.capacity.slot(&target.machine) else {
+                continue;
+            };
+            let is_in_the_way = self.capacity.get(slot).is_some_and(|machine| {
+                !machine.free().covers(&task_request)
+                    && machine.forecast_reserved() != Resources::default()
+            });
+            if is_in_the_way {
+                self.capacity.release_forecast(slot);
             }
         }
     }
 
-    fn move_intent(&self, now: Now, id: &GroupId) -> Option<MigrationIntent> {
+    /// Targets for all parts of a group. `None`: there is no capacity for them.
+    fn migration_intent(&self, now: Now, id: &GroupId) -> Option<MigrationIntent> {
         let job = self.jobs.get(&id.job)?;
-        let bound: Vec<(u32, Binding)> = self
-            .parts_of(now, id)
-            .into_iter()
-            .filter_map(|part| match part.state {
-                PartState::Bound(binding) => Some((part.task, binding)),
-                _ => None,
-            })
-            .collect();
-        let generation = bound.first()?.1.generation;
-        let mut wanted = PlacementRequest::new(job, now.wall);
-        wanted.zones = job.zone_use();
-        for (task, _) in &bound {
-            wanted.zones.remove(&job.assignments.get(task)?.zone);
+        let bound = self.bound_parts(now, id);
+        let generation = bound.first()?.binding.generation;
+        let mut request = PlacementRequest::new(job, now.wall);
+        request.zones = job.zone_use();
+        for part in &bound {
+            request.zones.remove(&job.assignments.get(&part.task)?.zone);
         }
         let (staying, leaving): (Vec<_>, Vec<_>) = bound
             .into_iter()
-            .partition(|(_, binding)| binding.health == MachineHealth::Heard);
-        let slot_of = |(_, binding): &(u32, Binding)| self.capacity.slot(&binding.machine);
-        let all: Vec<Slot> = staying.iter().chain(&leaving).filter_map(slot_of).collect();
-        let partly = self.move_some(id, &wanted, &staying, &leaving, &all);
-        let targets = partly.or_else(|| {
-            let tasks: Vec<u32> = staying.iter().chain(&leaving).map(|(t, _)| *t).collect();
-            let search = GroupSearch {
-                id,
-                wanted: &wanted,
-                count: tasks.len(),
-                zone: None,
-                taken: &all,
-            };
-            let rooms = self.find_rooms(&search, SearchScope::Kept)?;
-            self.targets(&tasks, &rooms)
-        })?;
+            .partition(|part| part.binding.health == MachineHealth::Reporting);
+        let mut used = self.slots_of(&staying);
+        used.extend(self.slots_of(&leaving));
+        let targets = self
+            .replace_leaving_parts(id, &request, &staying, &leaving, &used)
+            .or_else(|| self.replace_all_parts(id, &request, &staying, &leaving, &used))?;
         Some(MigrationIntent {
             generation,
             targets,
         })
     }
 
-    /// The parts on sound machines start again there, the others beside them.
-    fn move_some(
+    fn bound_parts(&self, now: Now, id: &GroupId) -> Vec<BoundPart> {
+        let parts = self.parts_of(now, id).into_iter();
+        let bound = parts.filter_map(|part| match part.state {
+            PartState::Bound(binding) => Some(BoundPart {
+                task: part.task,
+                binding,
+            }),
+            PartState::Completed | PartState::Waiting => None,
+        });
+        bound.collect()
+    }
+
+    fn slots_of(&self, parts: &[BoundPart]) -> Vec<Slot> {
+        let machines = parts.iter().map(|part| &part.binding.machine);
+        machines
+            .filter_map(|machine| self.capacity.slot(machine))
+            .collect()
+    }
+
+    /// New targets for the parts on leaving machines, near the parts that stay.
+    fn replace_leaving_parts(
         &self,
         id: &GroupId,
-        wanted: &PlacementRequest,
-        staying: &[(u32, Binding)],
-        leaving: &[(u32, Binding)],
-        taken: &[Slot],
+        request: &PlacementRequest,
+        staying: &[BoundPart],
+        leaving: &[BoundPart],
+        excluded: &[Slot],
     ) -> Option<Vec<PartTarget>> {
-        let stays = |(_, binding): &(u32, Binding)| self.capacity.slot(&binding.machine);
-        let slots: Vec<Slot> = staying.iter().filter_map(stays).collect();
-        if slots.is_empty() {
+        let staying_slots = self.slots_of(staying);
+        if staying_slots.is_empty() {
             return None;
         }
-        let zone = self.common_zone(&wanted.spec, &slots);
-        let mut around = PlacementRequest::like(wanted);
-        around.zones = wanted.zones.clone();
-        for (_, binding) in staying {
-            around
-                .zones
-                .add(&self.fleet.get(&binding.machine)?.offer.zone);
+        let zone = self.common_zone(&request.spec, &staying_slots);
+        let mut leaving_request = PlacementRequest::like(request);
+        leaving_request.zones = request.zones.clone();
+        for part in staying {
+            let machine = self.fleet.get(&part.binding.machine)?;
+            leaving_request.zones.add(&machine.offer.zone);
         }
         let search = GroupSearch {
             id,
-            wanted: &around,
+            request: &leaving_request,
             count: leaving.len(),
             zone: zone.as_deref(),
-            taken,
+            excluded,
         };
-        let rooms = self.find_rooms(&search, SearchScope::Kept)?;
-        let tasks: Vec<u32> = leaving.iter().map(|(task, _)| *task).collect();
-        let mut targets = self.targets(&tasks, &rooms)?;
-        targets.extend(staying.iter().map(|(task, binding)| PartTarget {
-            task: *task,
-            machine: binding.machine.clone(),
+        let machines = self.find_machines(&search, SearchScope::WithForecast)?;
+        let mut targets = self.part_targets(leaving.iter(), &machines)?;
+        targets.extend(staying.iter().map(|part| PartTarget {
+            task: part.task,
+            machine: part.binding.machine.clone(),
         }));
         Some(targets)
     }
 
-    fn targets(&self, tasks: &[u32], rooms: &[PartMachine]) -> Option<Vec<PartTarget>> {
-        let targets = tasks.iter().zip(rooms).map(|(task, part)| {
+    /// New targets for all parts.
+    fn replace_all_parts(
+        &self,
+        id: &GroupId,
+        request: &PlacementRequest,
+        staying: &[BoundPart],
+        leaving: &[BoundPart],
+        excluded: &[Slot],
+    ) -> Option<Vec<PartTarget>> {
+        let search = GroupSearch {
+            id,
+            request,
+            count: staying.len() + leaving.len(),
+            zone: None,
+            excluded,
+        };
+        let machines = self.find_machines(&search, SearchScope::WithForecast)?;
+        self.part_targets(staying.iter().chain(leaving), &machines)
+    }
+
+    fn part_targets<'a>(
+        &self,
+        parts: impl Iterator<Item = &'a BoundPart>,
+        machines: &[PartMachine],
+    ) -> Option<Vec<PartTarget>> {
+        let targets = parts.zip(machines).map(|(part, machine)| {
             Some(PartTarget {
-                task: *task,
-                machine: self.capacity.get(part.slot)?.id.clone(),
+                task: part.task,
+                machine: self.capacity.get(machine.slot)?.id.clone(),
             })
         });
         targets.collect()
--- a/src/scheduler/replica_groups/placement.rs
+++ b/src/scheduler/replica_groups/placement.rs
@@ -1,28 +1,29 @@
-//! Room for replicas that span machines: all parts of one, on different machines,
-//! or none. In one zone, unless its job has to be spread further than that.
+//! Placement of replica groups: all parts of a group on different machines, or none of
+//! them. In one zone, unless the job has to be spread over several.
 
 use crate::capacity_index::Slot;
 use crate::ids::{Attempt, JobId, TaskRef};
 use crate::messages::Now;
 use crate::placement::{placement_allowed, Resources};
+use crate::scheduler::replica_groups::evaluation::log_event;
 use crate::scheduler::replica_groups::search::{GroupSearch, PartMachine, SearchScope};
 use crate::scheduler::rounds::round::Round;
 use crate::scheduler::rounds::task_placement::{PlacementRequest, ROUND_TASKS};
 use crate::scheduler::state::quotas::within_quota;
 use crate::scheduler::Scheduler;
-use lilacfork_replica_groups::group::GroupEvent;
 use lilacfork_replica_groups::registry::GroupId;
-use lilacfork_replica_groups::shape::Replica;
+use lilacfork_replica_groups::shape::ReplicaIndex;
 use std::collections::BTreeSet;
 
-/// Where a group goes, part by part.
-struct GroupPlacement {
-    rooms: Vec<(u32, PartMachine)>,
+/// The machine on which a part is to be placed.
+struct PartPlacement {
+    task: u32,
+    machine: PartMachine,
 }
 
 impl Scheduler {
-    /// Places the groups of a job that wait, in order; what finds no room is added
-    /// to the round's list.
+    /// Places the waiting groups of a job in order. Groups for which there is no
+    /// capacity are added to the round's unplaced work.
     pub(in crate::scheduler) fn place_groups(
         &mut self,
         now: Now,
@@ -33,230 +34,225 @@
         let Some(job) = self.jobs.get(job_id) else {
             return;
         };
-        let mut wanted = PlacementRequest::new(job, deadline);
-        wanted.zones = job.zone_use();
+        let mut request = PlacementRequest::new(job, deadline);
+        request.zones = job.zone_use();
         for replica in self.waiting_groups(now, job_id) {
             let id = GroupId::new(job_id, replica);
-            if !self.place_group(now, &id, &mut wanted, round) {
+            let Some(tasks) = self.waiting_parts(&id) else {
+                continue;
+            };
+            self.count_scanned(tasks.len());
+            if !self.quota_allows_group(&request, tasks.len(), round) {
+                let team = &request.spec.team;
+                log::debug!("replica group waits for quota group={id} team={team}");
                 return;
             }
+            self.place_group(now, &id, &tasks, &mut request, round);
         }
     }
 
-    /// Groups that wait for a place and may have one now, a round's worth.
-    fn waiting_groups(&self, now: Now, job_id: &JobId) -> Vec<Replica> {
+    /// The groups that wait for capacity and may start now, as many as one round
+    /// examines.
+    fn waiting_groups(&self, now: Now, job_id: &JobId) -> Vec<ReplicaIndex> {
         let Some(groups) = self.groups.get(job_id) else {
             return Vec::new();
         };
-        let most = (ROUND_TASKS / groups.shape().parts() as usize).max(1);
-        let waiting = groups.iter().filter(|group| group.wants_place(now.ms));
-        waiting.map(|group| group.replica()).take(most).collect()
+        let max_groups = (ROUND_TASKS / groups.shape().parts() as usize).max(1);
+        let waiting = groups.iter().filter(|group| group.awaits_placement(now.ms));
+        waiting
+            .map(|group| group.replica())
+            .take(max_groups)
+            .collect()
     }
 
-    /// Places one group, or says what it lacks. `false`: its team's limit keeps it
-    /// and what comes after it waiting.
+    /// The parts that have to be placed. `None`: some are still on machines.
+    fn waiting_parts(&self, id: &GroupId) -> Option<Vec<u32>> {
+        let job = self.jobs.get(&id.job)?;
+        let tasks = job.shape?.tasks_of(id.replica);
+        let live: Vec<u32> = tasks.filter(|task| !job.done.contains(task)).collect();
+        let all_wait = live.iter().all(|task| job.pending.contains(task));
+        (all_wait && !live.is_empty()).then_some(live)
+    }
+
+    /// Whether the team's quota allows all parts of a group.
+    fn quota_allows_group(&self, request: &PlacementRequest, parts: usize, round: &Round) -> bool {
+        let team = &request.spec.team;
+        let mut used = self.used_in(team, round);
+        used.add(&request.need.scaled(parts as f64 - 1.0));
+        within_quota(&self.settings, team, &used, &request.need)
+    }
+
+    /// Places one group, or adds it to the round's unplaced work.
     fn place_group(
         &mut self,
         now: Now,
         id: &GroupId,
-        wanted: &mut PlacementRequest,
+        tasks: &[u32],
+        request: &mut PlacementRequest,
         round: &mut Round,
-    ) -> bool {
-        let Some(tasks) = self.waiting_parts(id) else {
-            return true;
-        };
-        self.count_scanned(tasks.len());
-        let probing = self
-            .groups
-            .group(id)
-            .is_some_and(|group| group.failures().is_open());
-        let mut used = self.used_in(&wanted.spec.team, round);
-        used.add(&wanted.need.scaled(tasks.len() as f64 - 1.0));
-        if !within_quota(&self.settings, &wanted.spec.team, &used, &wanted.need) {
-            log::debug!("replica {id} waits for quota of {}", wanted.spec.team);
-            return false;
-        }
-        self.release_held(id);
-        let plan = self.plan_group(now, id, &tasks, wanted, probing);
-        if let Some(plan) = plan {
-            self.bind_group(now, id, plan, wanted);
-            return true;
+    ) {
+        let group = self.groups.group(id);
+        let is_probe = group.is_some_and(|group| group.circuit_breaker().is_open());
+        self.release_reservation(id);
+        let may_use_forecast = !is_probe && self.settings.start_slo_ms(&request.spec).is_some();
+        if let Some(placements) = self.plan_group(now, id, tasks, request, may_use_forecast) {
+            self.bind_group(now, id, &placements, request);
+            return;
         }
-        self.hold_for(now, id);
-        if !probing {
-            let left = self.group_left(now, id, &tasks, wanted);
-            round.unplaced.extend(left);
+        self.reserve_for_group(now, id);
+        if !is_probe {
+            let unplaced = self.hold_stopping_capacity(now, id, tasks, request);
+            round.unplaced.extend(unplaced);
         }
-        true
     }
 
-    /// The parts that have to be placed; `None`: some are on machines still.
-    fn waiting_parts(&self, id: &GroupId) -> Option<Vec<u32>> {
-        let job = self.jobs.get(&id.job)?;
-        let tasks = job.shape?.tasks_of(id.replica);
-        let live: Vec<u32> = tasks.filter(|task| !job.done.contains(task)).collect();
-        let all_wait = live.iter().all(|task| job.pending.contains(task));
-        (all_wait && !live.is_empty()).then_some(live)
-    }
-
-    /// Room for all parts: first on the machines that are held for them.
+    /// Machines for all parts, first of all those that are reserved for them.
+    /// `may_use_forecast`: waiting work goes before the demand that is only forecast.
     fn plan_group(
-        &mut self,
+        &self,
         now: Now,
         id: &GroupId,
         tasks: &[u32],
-        wanted: &PlacementRequest,
-        probing: bool,
-    ) -> Option<GroupPlacement> {
-        let held = self.usable_held(now, id, tasks, wanted);
-        if !held.is_empty() {
-            if let Some(plan) = self.plan_around(id, tasks, wanted, held) {
-                return Some(plan);
+        request: &PlacementRequest,
+        may_use_forecast: bool,
+    ) -> Option<Vec<PartPlacement>> {
+        let reserved = self.usable_reservations(now, id, tasks, request);
+        if !reserved.is_empty() {
+            if let Some(placements) = self.plan_remaining_parts(id, tasks, request, reserved) {
+                return Some(placements);
             }
         }
-        let urgent = !probing && self.settings.start_slo_ms(&wanted.spec).is_some();
-        let reaches: &[SearchScope] = if urgent {
-            // What waits now goes before what is only expected.
-            &[SearchScope::Free, SearchScope::Kept]
-        } else {
-            &[SearchScope::Free]
-        };
         let search = GroupSearch {
             id,
-            wanted,
+            request,
             count: tasks.len(),
             zone: None,
-            taken: &[],
+            excluded: &[],
         };
-        let rooms = reaches.iter().find_map(|r| self.find_rooms(&search, *r))?;
-        Some(GroupPlacement {
-            rooms: tasks.iter().copied().zip(rooms).collect(),
-        })
+        let mut machines = self.find_machines(&search, SearchScope::Free);
+        if machines.is_none() && may_use_forecast {
+            machines = self.find_machines(&search, SearchScope::WithForecast);
+        }
+        Some(assign_machines(tasks, machines?))
     }
 
-    /// The machines that were held for these parts and still take them.
-    fn usable_held(
+    /// The machines that are reserved for these parts and still have the capacity.
+    fn usable_reservations(
         &self,
         now: Now,
         id: &GroupId,
         tasks: &[u32],
-        wanted: &PlacementRequest,
-    ) -> Vec<(u32, PartMachine)> {
+        request: &PlacementRequest,
+    ) -> Vec<PartPlacement> {
         let Some(group) = self.groups.group(id) else {
             return Vec::new();
         };
-        let mut zones = wanted.zones.clone();
-        let mut rooms: Vec<(u32, PartMachine)> = Vec::new();
-        for target in group.held(now.ms) {
+        let mut zones = request.zones.clone();
+        let mut placements = Vec::new();
+        for target in group.reserved_targets(now.ms) {
             let Some(slot) = self.capacity.slot(&target.machine) else {
                 continue;
             };
-            let Some(room) = self.capacity.get(slot) else {
+            let Some(machine) = self.capacity.get(slot) else {
                 continue;
             };
-            let open = self
-                .fleet
-                .get(&target.machine)
-                .is_some_and(|m| m.accepts_tasks(now.ms, self.fresh_ms()));
-            let stands = placement_allowed(&wanted.spec, &zones, &room.state.offer);
-            let fits = open && stands && room.free().covers(&wanted.need);
+            let offer = &machine.state.offer;
+            let fits = self.accepts_parts(now, &target.machine)
+                && placement_allowed(&request.spec, &zones, offer)
+                && machine.free().covers(&request.need);
             if fits && tasks.contains(&target.task) {
-                zones.add(&room.state.offer.zone);
-                let room = PartMachine {
-                    slot,
-                    rank: 0.0,
-                    kept: false,
-                };
-                rooms.push((target.task, room));
+                zones.add(&offer.zone);
+                placements.push(PartPlacement {
+                    task: target.task,
+                    machine: PartMachine::unranked(slot),
+                });
             }
         }
-        rooms
+        placements
     }
 
-    /// A place for the parts that have none beside those that have.
-    fn plan_around(
+    /// Adds machines for the parts that have no reservation to those that have one.
+    fn plan_remaining_parts(
         &self,
         id: &GroupId,
         tasks: &[u32],
-        wanted: &PlacementRequest,
-        held: Vec<(u32, PartMachine)>,
-    ) -> Option<GroupPlacement> {
-        let placed: BTreeSet<u32> = held.iter().map(|(task, _)| *task).collect();
-        let rest: Vec<u32> = tasks
+        request: &PlacementRequest,
+        reserved: Vec<PartPlacement>,
+    ) -> Option<Vec<PartPlacement>> {
+        let has_reservation = |task: u32| reserved.iter().any(|part| part.task == task);
+        let remaining: Vec<u32> = tasks
             .iter()
             .copied()
-            .filter(|task| !placed.contains(task))
+            .filter(|task| !has_reservation(*task))
             .collect();
-        let taken: Vec<Slot> = held.iter().map(|(_, room)| room.slot).collect();
-        let mut around = PlacementRequest::like(wanted);
-        around.zones = wanted.zones.clone();
-        for slot in &taken {
-            around
-                .zones
-                .add(&self.capacity.get(*slot)?.state.offer.zone);
+        let excluded: Vec<Slot> = reserved.iter().map(|part| part.machine.slot).collect();
+        let mut remaining_request = PlacementRequest::like(request);
+        remaining_request.zones = request.zones.clone();
+        for slot in &excluded {
+            let zone = &self.capacity.get(*slot)?.state.offer.zone;
+            remaining_request.zones.add(zone);
         }
-        let zone = self.common_zone(&wanted.spec, &taken);
+        let zone = self.common_zone(&request.spec, &excluded);
         let search = GroupSearch {
             id,
-            wanted: &around,
-            count: rest.len(),
+            request: &remaining_request,
+            count: remaining.len(),
             zone: zone.as_deref(),
-            taken: &taken,
+            excluded: &excluded,
         };
-        let found = self.find_rooms(&search, SearchScope::Free)?;
-        let mut rooms = held;
-        rooms.extend(rest.into_iter().zip(found));
-        Some(GroupPlacement { rooms })
+        let machines = self.find_machines(&search, SearchScope::Free)?;
+        let mut placements = reserved;
+        placements.extend(assign_machines(&remaining, machines));
+        Some(placements)
     }
 
-    // ---- binding ----
-
-    /// Binds all parts, in one turn and so by one write.
+    /// Binds all parts in the same turn, and so with a single write.
     fn bind_group(
         &mut self,
         now: Now,
         id: &GroupId,
-        plan: GroupPlacement,
-        wanted: &mut PlacementRequest,
+        placements: &[PartPlacement],
+        request: &mut PlacementRequest,
     ) {
-        for (_, room) in plan.rooms.iter().filter(|(_, room)| room.kept) {
-            self.capacity.release_forecast(room.slot);
+        let machines = placements.iter().map(|part| part.machine);
+        for machine in machines.filter(|machine| machine.uses_forecast_reservation) {
+            self.capacity.release_forecast(machine.slot);
         }
-        if !self.plan_is_sound(now, &plan, &wanted.need) {
-            log::error!("replica {id} doesn't fit where it should after all");
+        if !self.is_valid_placement(now, placements, &request.need) {
+            log::error!("replica group placement invalid group={id}");
             return;
         }
         let Some(generation) = self.next_generation(id) else {
             return;
         };
-        for (index, room) in &plan.rooms {
+        for PartPlacement { task, machine } in placements {
             let task = TaskRef {
                 job: id.job.clone(),
-                index: *index,
+                index: *task,
             };
-            self.bind(now, &task, Some(generation), room.slot, wanted);
-            if let Some(room) = self.capacity.get(room.slot) {
-                wanted.zones.add(&room.state.offer.zone);
+            self.bind(now, &task, Some(generation), machine.slot, request);
+            if let Some(machine) = self.capacity.get(machine.slot) {
+                request.zones.add(&machine.state.offer.zone);
             }
         }
-        log::info!(
-            "replica {id} bound, generation={generation} parts={}",
-            plan.rooms.len()
-        );
-        if self.groups.placed(id) == Some(GroupEvent::Moved) {
-            log::info!("replica {id} has moved");
+        let parts = placements.len();
+        log::info!("replica group bound group={id} generation={generation} parts={parts}");
+        if let Some(event) = self.groups.parts_bound(id) {
+            log_event(id, event);
         }
     }
 
-    fn plan_is_sound(&self, now: Now, plan: &GroupPlacement, need: &Resources) -> bool {
-        let mut machines = BTreeSet::new();
-        plan.rooms.iter().all(|(_, part)| {
-            let machine = self.capacity.get(part.slot).map(|room| &room.id);
-            let machine = machine.and_then(|id| self.fleet.get(id));
-            machines.insert(part.slot)
-                && machine.is_some_and(|m| {
-                    m.accepts_tasks(now.ms, self.fresh_ms()) && m.free().covers(need)
-                })
+    /// Whether the machines differ, accept tasks and have the capacity.
+    fn is_valid_placement(&self, now: Now, placements: &[PartPlacement], need: &Resources) -> bool {
+        let mut used = BTreeSet::new();
+        placements.iter().all(|part| {
+            let slot = part.machine.slot;
+            let machine = self.capacity.get(slot);
+            let machine = machine.and_then(|machine| self.fleet.get(&machine.id));
+            let fits = machine.is_some_and(|machine| {
+                machine.accepts_tasks(now.ms, self.fresh_ms()) && machine.free().covers(need)
+            });
+            used.insert(slot) && fits
         })
     }
 
@@ -267,3 +263,13 @@
         job.next_attempt(first)
     }
 }
+
+fn assign_machines(tasks: &[u32], machines: Vec<PartMachine>) -> Vec<PartPlacement> {
+    let pairs = tasks.iter().zip(machines);
+    pairs
+        .map(|(task, machine)| PartPlacement {
+            task: *task,
+            machine,
+        })
+        .collect()
+}
--- a/src/scheduler/replica_groups/provisioning.rs
+++ b/src/scheduler/replica_groups/provisioning.rs
@@ -1,7 +1,6 @@
-//! Room that is made or rented for a replica that spans machines: for all that it
-//! lacks, as one round, or not at all.
+//! Capacity that is provisioned or reclaimed by preemption for a replica group: for all
+//! parts that lack it, or for none.
 
-use crate::capacity_index::Slot;
 use crate::messages::Now;
 use crate::placement::Resources;
 use crate::scheduler::displacement::preemption::PreemptionCandidate;
@@ -13,7 +12,8 @@
 use crate::slackfit::Rung;
 use std::rc::Rc;
 
-/// What a zone gives a replica that other work makes way for.
+/// Capacity for a group in one zone: free machines, and machines whose tasks are
+/// preempted.
 struct ReclaimedCapacity {
     cost_s: f64,
     free: Vec<PartMachine>,
@@ -21,163 +21,185 @@
 }
 
 impl Scheduler {
-    /// The zones that may hold all that a replica lacks.
+    /// The zones that allow all unplaced parts of a group.
     fn zones_for_group(&self, unplaced: &Unplaced, demand: &GroupDemand) -> Vec<Rc<str>> {
-        let Some(wanted) = self.wanted_by(unplaced) else {
+        let Some(request) = self.request_of(unplaced) else {
             return Vec::new();
         };
         self.group_zones(&GroupSearch {
             id: &demand.id,
-            wanted: &wanted,
+            request: &request,
             count: unplaced.count as usize,
             zone: demand.zone.as_deref(),
-            taken: &[],
+            excluded: &[],
         })
     }
 
-    fn wanted_by(&self, unplaced: &Unplaced) -> Option<PlacementRequest> {
+    fn request_of(&self, unplaced: &Unplaced) -> Option<PlacementRequest> {
         let job = self.jobs.get(&unplaced.spec.id)?;
-        let mut wanted = PlacementRequest::new(job, unplaced.deadline);
-        wanted.zones = unplaced.zones.clone();
-        Some(wanted)
+        let mut request = PlacementRequest::new(job, unplaced.deadline);
+        request.zones = unplaced.zones.clone();
+        Some(request)
     }
 
-    /// Covers what a replica lacks by machines that are coming to one zone and, for
-    /// the rest, by one rung. `false`: no single zone may hold it.
+    /// Covers the unplaced parts of a group with machines that are being provisioned in
+    /// one zone and, for the rest, with one rung. `false`: no single zone allows all
+    /// parts.
     pub(in crate::scheduler) fn cover_group(
         &mut self,
         now: Now,
         unplaced: &Unplaced,
         demand: &GroupDemand,
-        rentals: &mut ProvisionPlan,
+        plan: &mut ProvisionPlan,
     ) -> bool {
         let spec = &unplaced.spec;
-        let need = spec.task_request();
+        let task_request = spec.task_request();
         let zones = self.zones_for_group(unplaced, demand);
         if zones.is_empty() {
             return false;
         }
-        self.count_scanned(rentals.coming.len() * zones.len());
-        let covered = zones
+        self.count_scanned(plan.coming.len() * zones.len());
+        let covering_zone = zones
             .iter()
-            .find(|zone| rentals.coming.fitting(spec, &need, zone) >= unplaced.count);
-        if let Some(zone) = covered {
-            rentals.coming.take_apart(spec, &need, zone, unplaced.count);
+            .find(|zone| plan.coming.fitting(spec, &task_request, zone) >= unplaced.count);
+        if let Some(zone) = covering_zone {
+            plan.coming
+                .take_apart(spec, &task_request, zone, unplaced.count);
             return true;
         }
         let rungs: Vec<Rung> = self
-            .rungs(now, spec, &rentals.catalog)
+            .rungs(now, spec, &plan.catalog)
             .into_iter()
             .filter(|rung| zones.contains(&rung.offer.zone))
             .collect();
-        let rung = self.choose_rung(now, unplaced, &unplaced.zones, &rungs, &rentals.crowd);
+        let rung = self.choose_rung(now, unplaced, &unplaced.zones, &rungs, &plan.crowd);
         if let Some(rung) = rung {
-            rent_group(&rung, unplaced, &need, rentals);
+            provision_for_group(&rung, unplaced, &task_request, plan);
         }
         true
     }
 
-    /// Stops less important work where that gives a replica all that it lacks in one
-    /// zone; anything less is of no use to it.
+    /// Preempts less important tasks in the zone where that costs least and gives a
+    /// group capacity for all its unplaced parts. Less than that would be of no use.
     pub(in crate::scheduler) fn preempt_for_group(
         &mut self,
         now: Now,
-        waiting: &mut Unplaced,
+        unplaced: &mut Unplaced,
         demand: &GroupDemand,
     ) {
-        let Some(wanted) = self.wanted_by(waiting) else {
+        let Some(request) = self.request_of(unplaced) else {
             return;
         };
-        let held = self.held_and_sound(now, &demand.id);
-        let taken: Vec<Slot> = held.iter().map(|(_, room)| room.slot).collect();
-        let mut candidates = self.preemption_candidates(now, waiting);
-        let mut best: Option<ReclaimedCapacity> = None;
-        for zone in self.zones_for_group(waiting, demand) {
+        let reserved = self.open_reservations(now, &demand.id);
+        let candidates = self.preemption_candidates(now, unplaced);
+        let search = GroupSearch {
+            id: &demand.id,
+            request: &request,
+            count: unplaced.count as usize,
+            zone: demand.zone.as_deref(),
+            excluded: &reserved,
+        };
+        let Some(reclaimed) = self.cheapest_reclaim(&search, candidates) else {
+            return;
+        };
+        for machine in reclaimed.free {
+            self.capacity.hold(machine.slot, &request.need);
+        }
+        for candidate in reclaimed.candidates {
+            self.carry_out_preemption(now, candidate.slot, candidate.offer, &unplaced.spec);
+        }
+        self.refresh(now);
+        unplaced.count = 0;
+    }
+
+    /// Of all zones that allow all parts, the capacity whose preemptions cost least.
+    fn cheapest_reclaim(
+        &self,
+        search: &GroupSearch,
+        mut candidates: Vec<PreemptionCandidate>,
+    ) -> Option<ReclaimedCapacity> {
+        let mut cheapest: Option<ReclaimedCapacity> = None;
+        for zone in self.group_zones(search) {
             let search = GroupSearch {
-                id: &demand.id,
-                wanted: &wanted,
-                count: waiting.count as usize,
                 zone: Some(&zone),
-                taken: &taken,
+                ..*search
             };
-            let Some(made) = self.make_room_in(&search, &zone, &mut candidates) else {
+            let Some(reclaimed) = self.reclaim_in_zone(&search, &zone, &mut candidates) else {
                 continue;
             };
-            match &mut best {
-                Some(least) if least.cost_s <= made.cost_s => candidates.extend(made.candidates),
-                _ => {
-                    let before = best.replace(made);
-                    candidates.extend(before.into_iter().flat_map(|made| made.candidates));
-                }
+            let is_cheapest = cheapest
+                .as_ref()
+                .is_none_or(|lowest| lowest.cost_s > reclaimed.cost_s);
+            if is_cheapest {
+                cheapest = Some(reclaimed);
             }
         }
-        let Some(made) = best else {
-            return;
-        };
-        for room in made.free {
-            self.capacity.hold(room.slot, &wanted.need);
-        }
-        for candidate in made.candidates {
-            self.carry_out_preemption(now, candidate.slot, candidate.offer, &waiting.spec);
-        }
-        self.refresh(now);
-        waiting.count = 0;
+        cheapest
     }
 
-    /// Free rooms of a zone, and the cheapest machines that can make some. They are
-    /// taken from the candidates.
-    fn make_room_in(
+    /// Free machines of a zone, and the machines on which preemption costs least. The
+    /// latter are taken from the candidates.
+    fn reclaim_in_zone(
         &self,
         search: &GroupSearch,
         zone: &Rc<str>,
         candidates: &mut Vec<PreemptionCandidate>,
     ) -> Option<ReclaimedCapacity> {
-        let mut taken = search.taken.to_vec();
+        let mut excluded = search.excluded.to_vec();
         let mut free: Vec<PartMachine> = Vec::new();
         while free.len() < search.count {
-            let zones = &search.wanted.zones;
-            let Some(room) = self.part_room(search, Some(zone), &taken, zones, SearchScope::Free)
+            let zones = &search.request.zones;
+            let Some(machine) =
+                self.find_machine(search, Some(zone), &excluded, zones, SearchScope::Free)
             else {
                 break;
             };
-            taken.push(room.slot);
-            free.push(room);
+            excluded.push(machine.slot);
+            free.push(machine);
         }
         let missing = search.count - free.len();
-        let is_there = |candidate: &PreemptionCandidate| {
-            let room = self.capacity.get(candidate.slot);
-            !taken.contains(&candidate.slot) && room.is_some_and(|r| r.state.offer.zone == *zone)
+        let is_usable = |candidate: &PreemptionCandidate| {
+            let machine = self.capacity.get(candidate.slot);
+            let is_in_zone = machine.is_some_and(|machine| machine.state.offer.zone == *zone);
+            is_in_zone && !excluded.contains(&candidate.slot)
         };
-        let cost =
-            |candidate: &PreemptionCandidate| candidate.offer.as_ref().map_or(0.0, |o| o.cost_s);
-        let (mut here, elsewhere): (Vec<_>, Vec<_>) =
-            std::mem::take(candidates).into_iter().partition(is_there);
-        *candidates = elsewhere;
-        if here.len() < missing {
-            candidates.extend(here);
+        let (mut usable, others): (Vec<_>, Vec<_>) =
+            std::mem::take(candidates).into_iter().partition(is_usable);
+        *candidates = others;
+        if usable.len() < missing {
             return None;
         }
-        here.sort_by(|a, b| cost(a).total_cmp(&cost(b)));
-        candidates.extend(here.split_off(missing));
+        usable.sort_by(|a, b| preemption_cost_s(a).total_cmp(&preemption_cost_s(b)));
+        usable.truncate(missing);
         Some(ReclaimedCapacity {
-            cost_s: here.iter().map(cost).sum(),
+            cost_s: usable.iter().map(preemption_cost_s).sum(),
             free,
-            candidates: here,
+            candidates: usable,
         })
     }
 }
 
-/// Orders what isn't coming to the rung's zone yet.
-fn rent_group(rung: &Rung, unplaced: &Unplaced, need: &Resources, rentals: &mut ProvisionPlan) {
+fn preemption_cost_s(candidate: &PreemptionCandidate) -> f64 {
+    candidate.offer.as_ref().map_or(0.0, |offer| offer.cost_s)
+}
+
+/// Adds machines to the plan for the unplaced parts that no machine of the rung's zone
+/// is being provisioned for yet.
+fn provision_for_group(
+    rung: &Rung,
+    unplaced: &Unplaced,
+    task_request: &Resources,
+    plan: &mut ProvisionPlan,
+) {
     let zone = rung.offer.zone.clone();
-    let there = rentals
+    let covered = plan
         .coming
-        .take_apart(&unplaced.spec, need, &zone, unplaced.count);
-    let rented = unplaced.count - there;
-    let machine_type = rentals.catalog.find(&rung.offer.machine_type);
-    let mut free = machine_type.map_or(Resources::default(), |t| t.capacity());
-    free.subtract(need);
-    rentals.coming.add(&rung.offer, free, rented);
-    *rentals.crowd.entry(zone).or_insert(0) += rented;
-    *rentals.wanted.entry(rung.offer.clone()).or_insert(0) += rented;
+        .take_apart(&unplaced.spec, task_request, &zone, unplaced.count);
+    let count = unplaced.count - covered;
+    let machine_type = plan.catalog.find(&rung.offer.machine_type);
+    let mut free = machine_type.map_or(Resources::default(), |found| found.capacity());
+    free.subtract(task_request);
+    plan.coming.add(&rung.offer, free, count);
+    *plan.crowd.entry(zone).or_insert(0) += count;
+    *plan.wanted.entry(rung.offer.clone()).or_insert(0) += count;
 }
--- a/src/scheduler/replica_groups/search.rs
+++ b/src/scheduler/replica_groups/search.rs
@@ -1,4 +1,4 @@
-//! The search for machines that hold all parts of a replica that spans machines.
+//! The search for machines for the parts of a replica group.
 
 use crate::capacity_index::{MachineCapacity, SearchConstraint, Slot, TaskDemand};
 use crate::ids::MachineId;
@@ -9,174 +9,195 @@
 use lilacfork_replica_groups::registry::GroupId;
 use std::rc::Rc;
 
-/// Which room a part may have.
+/// Which capacity a part may be given.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub(in crate::scheduler) enum SearchScope {
-    /// What is free.
+pub(super) enum SearchScope {
+    /// Free capacity.
     Free,
-    /// That, and what is set aside for expected work.
-    Kept,
-    /// What is free, and what is about to be.
-    Freeing,
+    /// Free capacity, and capacity that is reserved for forecast demand.
+    WithForecast,
+    /// Free capacity, and capacity of tasks that are being stopped.
+    WithStopping,
 }
 
 /// A machine for a part.
 #[derive(Clone, Copy, Debug)]
-pub(in crate::scheduler) struct PartMachine {
-    pub(in crate::scheduler) slot: Slot,
-    pub(in crate::scheduler) rank: f64,
-    /// What is kept there for expected work has to be given up.
-    pub(in crate::scheduler) kept: bool,
+pub(super) struct PartMachine {
+    pub(super) slot: Slot,
+    /// Lower is better.
+    rank: f64,
+    /// The machine's reservation for forecast demand has to be released first.
+    pub(super) uses_forecast_reservation: bool,
 }
 
-/// What the parts of one group ask for.
-pub(in crate::scheduler) struct GroupSearch<'a> {
-    pub(in crate::scheduler) id: &'a GroupId,
-    pub(in crate::scheduler) wanted: &'a PlacementRequest,
-    /// How many machines.
-    pub(in crate::scheduler) count: usize,
-    /// Only in this zone.
-    pub(in crate::scheduler) zone: Option<&'a str>,
-    /// Machines of its other parts.
-    pub(in crate::scheduler) taken: &'a [Slot],
+impl PartMachine {
+    /// A machine that is taken without regard to its rank.
+    pub(super) fn unranked(slot: Slot) -> PartMachine {
+        PartMachine {
+            slot,
+            rank: 0.0,
+            uses_forecast_reservation: false,
+        }
+    }
+}
+
+/// A search for machines for parts of one group.
+pub(super) struct GroupSearch<'a> {
+    pub(super) id: &'a GroupId,
+    pub(super) request: &'a PlacementRequest,
+    /// How many machines are needed.
+    pub(super) count: usize,
+    /// Search in this zone only.
+    pub(super) zone: Option<&'a str>,
+    /// Machines that aren't considered, such as those of the group's other parts.
+    pub(super) excluded: &'a [Slot],
 }
 
 impl Scheduler {
-    /// So many different machines in one zone; those that rank best together.
-    pub(in crate::scheduler) fn find_rooms(
+    /// Different machines for all parts of the search: in the zone whose machines rank
+    /// best together, or in several zones if the job has to be spread.
+    pub(super) fn find_machines(
         &self,
         search: &GroupSearch,
-        reach: SearchScope,
+        scope: SearchScope,
     ) -> Option<Vec<PartMachine>> {
-        let spec = &search.wanted.spec;
+        let zones = self.group_zones(search);
         let mut best: Option<(f64, Vec<PartMachine>)> = None;
-        for zone in self.group_zones(search) {
-            let Some(rooms) = self.rooms_in(search, Some(&zone), reach) else {
+        for zone in &zones {
+            let Some(machines) = self.find_machines_in(search, Some(zone), scope) else {
                 continue;
             };
-            let rank: f64 = rooms.iter().map(|room| room.rank).sum();
-            if best.as_ref().is_none_or(|(least, _)| rank < *least) {
-                best = Some((rank, rooms));
+            let rank: f64 = machines.iter().map(|machine| machine.rank).sum();
+            if best.as_ref().is_none_or(|(lowest, _)| rank < *lowest) {
+                best = Some((rank, machines));
             }
         }
-        if let Some((_, rooms)) = best {
-            return Some(rooms);
+        if let Some((_, machines)) = best {
+            return Some(machines);
         }
-        // No single zone may hold it: then it is spread.
-        let one_zone_allowed = !self.group_zones(search).is_empty();
-        if spec.spread && !one_zone_allowed {
-            return self.rooms_in(search, None, reach);
+        let must_be_spread = search.request.spec.spread && zones.is_empty();
+        if must_be_spread {
+            return self.find_machines_in(search, None, scope);
         }
         None
     }
 
-    /// The zone in which the rest of a replica belongs that has these machines;
-    /// `None`: any will do, since it is spread.
-    pub(in crate::scheduler) fn common_zone(
-        &self,
-        spec: &JobSpec,
-        slots: &[Slot],
-    ) -> Option<Rc<str>> {
+    /// The zone of these machines, in which the other parts of their group belong.
+    /// `None`: any zone will do, since the group is spread.
+    pub(super) fn common_zone(&self, spec: &JobSpec, slots: &[Slot]) -> Option<Rc<str>> {
         let zone = &self.capacity.get(*slots.first()?)?.state.offer.zone;
-        let there = |slot: &Slot| {
-            let room = self.capacity.get(*slot);
-            room.is_some_and(|room| room.state.offer.zone == *zone)
+        let is_in_zone = |slot: &Slot| {
+            let machine = self.capacity.get(*slot);
+            machine.is_some_and(|machine| machine.state.offer.zone == *zone)
         };
-        (!spec.spread && slots.iter().all(there)).then(|| zone.clone())
+        (!spec.spread && slots.iter().all(is_in_zone)).then(|| zone.clone())
     }
 
-    /// The zones that may hold all of it.
-    pub(in crate::scheduler) fn group_zones(&self, search: &GroupSearch) -> Vec<Rc<str>> {
-        let spec = &search.wanted.spec;
-        let all = self.settings.site.zones.iter();
-        let named = all.filter(|zone| search.zone.is_none_or(|only| only == zone.as_str()));
-        let zones = named.map(|zone| Rc::from(zone.as_str()));
-        let holds_all = |zone: &Rc<str>| {
-            let mut zones = search.wanted.zones.clone();
+    /// The zones in which the job's constraints allow all parts of the search.
+    pub(super) fn group_zones(&self, search: &GroupSearch) -> Vec<Rc<str>> {
+        let spec = &search.request.spec;
+        let zones = self.settings.site.zones.iter();
+        let selected = zones.filter(|zone| search.zone.is_none_or(|only| only == zone.as_str()));
+        let allows_all_parts = |zone: &Rc<str>| {
+            let mut zones = search.request.zones.clone();
             (0..search.count).all(|_| {
                 let allowed = zones.allows(spec, zone);
                 zones.add(zone);
                 allowed
             })
         };
-        zones.filter(holds_all).collect()
+        selected
+            .map(|zone| Rc::from(zone.as_str()))
+            .filter(allows_all_parts)
+            .collect()
     }
 
-    fn rooms_in(
+    /// Different machines for all parts of the search in this zone, or in any.
+    fn find_machines_in(
         &self,
         search: &GroupSearch,
         zone: Option<&Rc<str>>,
-        reach: SearchScope,
+        scope: SearchScope,
     ) -> Option<Vec<PartMachine>> {
-        let mut taken = search.taken.to_vec();
-        let mut zones = search.wanted.zones.clone();
-        let mut rooms = Vec::new();
+        let mut excluded = search.excluded.to_vec();
+        let mut zones = search.request.zones.clone();
+        let mut machines = Vec::new();
         for _ in 0..search.count {
-            let room = self.part_room(search, zone.map(|z| &**z), &taken, &zones, reach)?;
-            taken.push(room.slot);
-            zones.add(&self.capacity.get(room.slot)?.state.offer.zone);
-            rooms.push(room);
+            let zone = zone.map(|zone| &**zone);
+            let machine = self.find_machine(search, zone, &excluded, &zones, scope)?;
+            excluded.push(machine.slot);
+            zones.add(&self.capacity.get(machine.slot)?.state.offer.zone);
+            machines.push(machine);
         }
-        Some(rooms)
+        Some(machines)
     }
 
     /// The best machine for one more part.
-    pub(in crate::scheduler) fn part_room(
+    pub(super) fn find_machine(
         &self,
         search: &GroupSearch,
         zone: Option<&str>,
-        taken: &[Slot],
+        excluded: &[Slot],
         zones: &ZoneCounts,
-        reach: SearchScope,
+        scope: SearchScope,
     ) -> Option<PartMachine> {
-        let PlacementRequest { spec, need, .. } = search.wanted;
+        let PlacementRequest { spec, need, .. } = search.request;
         let group = self.groups.group(search.id)?;
-        let failed_on = |machine: &MachineId| group.failures().failed_on(machine);
+        let failed_on = |machine: &MachineId| group.circuit_breaker().failed_on(machine);
         let demand = TaskDemand {
             spec,
             need,
             zones,
-            siblings: &search.wanted.siblings,
+            siblings: &search.request.siblings,
             failed_on: &failed_on,
-            constraint: SearchConstraint {
-                zone,
-                excluded: taken,
-            },
+            constraint: SearchConstraint { zone, excluded },
         };
         if let Some(best) = self.capacity.best(&demand) {
             return Some(PartMachine {
                 slot: best.slot,
                 rank: best.rank,
-                kept: false,
+                uses_forecast_reservation: false,
             });
         }
-        let in_zone =
-            |room: &MachineCapacity| zone.is_none_or(|only| *room.state.offer.zone == *only);
-        let stands = |slot: Slot, room: &MachineCapacity| {
-            !taken.contains(&slot)
-                && in_zone(room)
-                && placement_allowed(spec, zones, &room.state.offer)
+        self.find_occupied_machine(&demand, scope)
+    }
+
+    /// A machine whose capacity becomes free in the way that the scope allows.
+    fn find_occupied_machine(
+        &self,
+        demand: &TaskDemand,
+        scope: SearchScope,
+    ) -> Option<PartMachine> {
+        let SearchConstraint { zone, excluded } = demand.constraint;
+        let is_allowed = |slot: Slot, machine: &MachineCapacity| {
+            let offer = &machine.state.offer;
+            !excluded.contains(&slot)
+                && zone.is_none_or(|only| *offer.zone == *only)
+                && placement_allowed(demand.spec, demand.zones, offer)
         };
-        let with_kept = |room: &MachineCapacity| {
-            let mut all = room.free();
-            all.add(&room.forecast_reserved());
-            all
+        let free_with_forecast = |machine: &MachineCapacity| {
+            let mut capacity = machine.free();
+            capacity.add(&machine.forecast_reserved());
+            capacity
         };
-        let found = match reach {
+        let found = match scope {
             SearchScope::Free => None,
-            SearchScope::Kept => self
-                .capacity
-                .with_forecast_reservation()
-                .find(|(slot, room)| stands(*slot, room) && with_kept(room).covers(need)),
-            SearchScope::Freeing => self
-                .capacity
-                .stopping_tasks()
-                .find(|(slot, room)| stands(*slot, room) && room.free_after_stops().covers(need)),
+            SearchScope::WithForecast => {
+                let mut reserving = self.capacity.with_forecast_reservation();
+                reserving.find(|(slot, machine)| {
+                    is_allowed(*slot, machine) && free_with_forecast(machine).covers(demand.need)
+                })
+            }
+            SearchScope::WithStopping => {
+                let mut stopping = self.capacity.stopping_tasks();
+                stopping.find(|(slot, machine)| {
+                    is_allowed(*slot, machine) && machine.free_after_stops().covers(demand.need)
+                })
+            }
         };
         found.map(|(slot, _)| PartMachine {
-            slot,
-            rank: 0.0,
-            kept: reach == SearchScope::Kept,
+            uses_forecast_reservation: scope == SearchScope::WithForecast,
+            ..PartMachine::unranked(slot)
         })
     }
 }
