--- a/tests/integration/simulation/replica_groups.rs
+++ b/tests/integration/simulation/replica_groups.rs
@@ -1,5 +1,5 @@
-//! Replicas that span machines, watched from outside: which are whole, what users
-//! are told of them, and how long an incomplete one has parts on machines.
+//! Replica groups as observed from outside: which replicas are whole, what users are
+//! shown of them, and how long an incomplete replica has parts on machines.
 
 use super::{service, Simulation};
 use ini::Ini;
@@ -7,79 +7,88 @@
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 
-/// What the leader hears is so old at most, and what it says comes so late, in the
-/// traces' settings: three reports until silence is noticed, one more, and the
-/// controllers' messages.
+/// The longest time for which users may be shown an outdated state, with the settings of
+/// the simulations: three heartbeats until a machine counts as silent, one more, and the
+/// messages between controllers.
 pub const LAG_MS: u64 = 6000;
 
-/// One replica, as it really is.
+/// The actual state of one replica.
 #[derive(Clone, Debug, Default)]
-struct Truth {
-    whole_ms: Option<u64>,
-    /// Since when some of its parts run and others are nowhere.
+struct ReplicaHistory {
+    /// When all its parts last ran.
+    last_whole_ms: Option<u64>,
+    /// Since when some of its parts run and others are on no machine.
     incomplete_since_ms: Option<u64>,
 }
 
-/// Watches the replicas of a job.
+/// Observes the replicas of a job.
 #[derive(Clone, Debug)]
 pub struct Watched {
     parts: u32,
-    replicas: Vec<Truth>,
+    replicas: Vec<ReplicaHistory>,
     /// The longest time for which an incomplete replica had parts on machines.
     pub longest_incomplete_ms: u64,
 }
 
 impl Watched {
+    /// Observes a job with this number of tasks, and of parts per replica.
     pub fn new(parts: u32, tasks: u32) -> Watched {
         Watched {
             parts,
-            replicas: vec![Truth::default(); (tasks / parts) as usize],
+            replicas: vec![ReplicaHistory::default(); (tasks / parts) as usize],
             longest_incomplete_ms: 0,
         }
     }
 
-    /// `present`: how each of the job's tasks is on the one machine that may have it.
+    /// Takes in the current state. `present`: the state of each of the job's tasks on the
+    /// one machine that may have it.
     pub fn look(&mut self, now: u64, present: &BTreeMap<u32, &'static str>) {
-        for (n, truth) in self.replicas.iter_mut().enumerate() {
-            let first = n as u32 * self.parts;
+        for (index, history) in self.replicas.iter_mut().enumerate() {
+            let first = index as u32 * self.parts;
             let states: Vec<Option<&&str>> = (first..first + self.parts)
                 .map(|task| present.get(&task))
                 .collect();
-            let running = states.iter().filter(|s| **s == Some(&"running")).count();
-            let there = states.iter().flatten().count();
+            let running = states
+                .iter()
+                .filter(|state| **state == Some(&"running"))
+                .count();
+            let on_machines = states.iter().flatten().count();
             if running == self.parts as usize {
-                truth.whole_ms = Some(now);
+                history.last_whole_ms = Some(now);
             }
-            if running > 0 && there < self.parts as usize {
-                let since_ms = *truth.incomplete_since_ms.get_or_insert(now);
+            if running > 0 && on_machines < self.parts as usize {
+                let since_ms = *history.incomplete_since_ms.get_or_insert(now);
                 self.longest_incomplete_ms = self.longest_incomplete_ms.max(now - since_ms);
             } else {
-                truth.incomplete_since_ms = None;
+                history.incomplete_since_ms = None;
             }
         }
     }
 
-    /// Whether users may be told that so many tasks run.
+    /// Whether users may be shown this number of running tasks.
     pub fn may_run(&self, now: u64, running: u64) -> bool {
-        let lately = |t: &&Truth| t.whole_ms.is_some_and(|at| now <= at + LAG_MS);
-        let whole = self.replicas.iter().filter(lately).count() as u64;
+        let recently_whole = |history: &&ReplicaHistory| {
+            let last_ms = history.last_whole_ms;
+            last_ms.is_some_and(|last_ms| now <= last_ms + LAG_MS)
+        };
+        let whole = self.replicas.iter().filter(recently_whole).count() as u64;
         let parts = u64::from(self.parts);
         running.is_multiple_of(parts) && running <= whole * parts
     }
 }
 
-/// Settings of operators, as they would write them.
+/// Operators' settings from the text of an INI file.
 pub fn options(text: &str) -> Tuning {
     let ini = Ini::load_from_str(text).expect("an INI file");
     Tuning::from_ini(&ini, "test.ini").expect("sound settings")
 }
 
-/// Replicas of the traces' services have two parts.
+/// Settings under which replicas of the simulations' services have two parts.
 pub fn pairs() -> Tuning {
     options("[replica_parts]\nchat = 2\n[replicas]\ngangs = 1\n")
 }
 
-/// Controllers, and machines in zone `a`, one replica's part to a machine.
+/// Controllers, and machines in zone `a`, each of which has capacity for one part.
 pub fn machines(nodes: usize, names: &[&str]) -> Simulation {
     let mut w = Simulation::with_options(nodes, pairs());
     w.capacity = 0;
@@ -91,7 +100,7 @@
     w
 }
 
-/// A service whose parts take a whole machine each.
+/// A service whose tasks take a whole machine each.
 pub fn wide(id: &str, tasks: u32) -> Value {
     let mut spec = service(id, tasks);
     spec["gpus"] = json!(8.0);
@@ -110,14 +119,14 @@
     assert_eq!(shown(w, &id), tasks, "all replicas serve");
 }
 
-/// How many tasks users are told to be running, on any node.
+/// How many running tasks users are shown, by the leader or else by any node.
 pub fn shown(w: &mut Simulation, id: &str) -> u64 {
-    let up = |w: &Simulation, n: &usize| w.nodes[*n].is_some();
-    let node = w.leader().or((0..w.nodes.len()).find(|n| up(w, n)));
+    let is_up = |index: &usize| w.nodes[*index].is_some();
+    let node = w.leader().or((0..w.nodes.len()).find(is_up));
     w.running_told(node.expect("a node is up"), id)
 }
 
-/// Machines that have a task of the job, by task.
+/// The machines that have the job's tasks, by task.
 pub fn places(w: &Simulation, id: &str) -> BTreeMap<String, String> {
     let prefix = format!("{id}/");
     let mut places = BTreeMap::new();
@@ -131,7 +140,7 @@
     places
 }
 
-/// The attempts of a job's tasks that are on machines, by task.
+/// The attempts of the job's tasks that are on machines, by task.
 pub fn attempts(w: &Simulation, id: &str) -> BTreeMap<String, u64> {
     let prefix = format!("{id}/");
     let tasks = w.workers.values().flat_map(|worker| &worker.tasks);
@@ -141,7 +150,7 @@
         .collect()
 }
 
-/// The first write of this job's placements, or `None`.
+/// The job's first placement record, if it is stored.
 pub fn placement<'a>(w: &'a Simulation, id: &str) -> Option<&'a Value> {
     w.state.items.get(&format!("p/{id}/0")).map(|item| &item.0)
 }
