--- a/src/gateway/lookups.rs
+++ b/src/gateway/lookups.rs
@@ -190,8 +190,8 @@
         unfinished_reply(status, id, self.memory.progress_to_show(now, id))
     }
 
-    /// The reply that a job is cancelled, and the effect that makes it known to all
-    /// controllers before the user is told.
+    /// The reply that a job is cancelled, with the effect that records in the same turn what
+    /// the user is told.
     pub(super) fn confirm_cancelled(
         &mut self,
         id: &JobId,
