--- a/src/limits.rs
+++ b/src/limits.rs
@@ -163,7 +163,7 @@
 
     /// The store responded 400 to a request of this size. Returns whether the announced
     /// limits explain that, so that smaller requests will be accepted.
-    pub fn refused(&mut self, size: RequestSize) -> bool {
+    pub fn on_rejection(&mut self, size: RequestSize) -> bool {
         let Some(announced) = self.announced else {
             return false;
         };
--- a/src/node/limits.rs
+++ b/src/node/limits.rs
@@ -84,7 +84,7 @@
 
     /// The store responded 400 to a transaction of the leader's.
     pub(super) fn on_transaction_rejected(&mut self, now: Now, size: RequestSize) {
-        if self.limits.effective.refused(size) {
+        if self.limits.effective.on_rejection(size) {
             self.apply_limits(now);
         } else {
             self.scheduler.refused_without_cause(now);
@@ -93,7 +93,7 @@
 
     /// The store responded 400 to a user's write.
     pub(super) fn on_submission_rejected(&mut self, now: Now, size: RequestSize) {
-        if self.limits.effective.refused(size) {
+        if self.limits.effective.on_rejection(size) {
             self.apply_limits(now);
         } else {
             log::error!(
