--- a/tests/integration/boot_times.rs
+++ b/tests/integration/boot_times.rs
@@ -1,22 +1,22 @@
-//! Kept traces: machines that come up at once, late or never.
+//! Machines that boot at once, late or never.
 
 use crate::simulation::{array, service, Simulation, Worker};
 use serde_json::json;
 
-/// An array whose tasks run for as long as the trace lasts, eight to a machine.
+/// An array whose tasks run until the end of the test, eight to a machine.
 fn long_array(w: &mut Simulation, id: &str, tasks: u32) {
     w.run_ms = 600_000;
     assert_eq!(w.submit(0, &array(id, tasks)), 201);
 }
 
-/// Machines that were returned before they came up.
+/// Machines that were released before they were up.
 fn given_up(w: &Simulation) -> usize {
     let early = |worker: &&Worker| worker.gone && !worker.up;
     w.workers.values().filter(early).count()
 }
 
-/// After some boots of a second, ordinary ones once took too long: machines
-/// were given up after 8 s and rented again, without end, and none came up
+/// After some boots of a second, ordinary ones once counted as too long: machines were
+/// declared failed after 8 s and provisioned again, without end, and none came up
 /// (inc-683a, from 497 s on: twelve in a row).
 #[test]
 fn quick_boots_make_no_ordinary_one_late() {
@@ -42,8 +42,8 @@
     );
 }
 
-/// When all boots take several times as long as the catalog says, that is
-/// learned from those that were given up, too; or none would ever come up.
+/// When all boots take several times as long as the catalog says, the estimate learns
+/// that from failed boots, too; otherwise no machine would ever come up.
 #[test]
 fn boots_that_all_take_long_are_waited_for_in_the_end() {
     let mut w = Simulation::new(1);
@@ -64,8 +64,8 @@
     );
 }
 
-/// What was learned of boots was lost with the leader: the next one gave
-/// machines up, and rented others, until it had learned it again.
+/// The estimates of boot times were once lost with the leader: the next one declared
+/// booting machines failed, and provisioned others, until it had learned them again.
 #[test]
 fn a_new_leader_knows_how_long_boots_take() {
     let mut w = Simulation::new(3);
@@ -91,9 +91,9 @@
     assert_eq!(given_up(&w), late, "none was given up");
 }
 
-/// A record that is old or makes no sense costs nothing.
+/// A record of estimates that is old or malformed has no effect.
 #[test]
-fn a_learned_record_without_sense_is_ignored() {
+fn a_malformed_record_of_estimates_is_ignored() {
     for record in [
         json!("nonsense"),
         json!({"t": "yesterday", "b": 7}),
--- a/tests/integration/cancellations.rs
+++ b/tests/integration/cancellations.rs
@@ -1,14 +1,14 @@
-//! Kept traces: what was cancelled ends in time, whoever knows of it. The
-//! observer checks each task against the moment of the first confirmation.
+//! Cancelled jobs end in time, whichever nodes know of the cancellation. The observer
+//! compares each task with the moment of the first confirmation.
 
-use crate::simulation::fixtures::{cut_off, heal, node_at, up};
+use crate::simulation::fixtures::{heal, isolate_node, node_at, running_cluster};
 use crate::simulation::{service, Fate, Simulation, CANCEL_MS};
 use lilacfork::messages::Destination;
 use serde_json::json;
 
-/// Two services of eight on two machines.
+/// Two services of eight tasks on two machines.
 fn two_services() -> Simulation {
-    let mut w = up(3);
+    let mut w = running_cluster(3);
     assert_eq!(w.submit(0, &service("run-1", 8)), 201);
     assert_eq!(w.submit(0, &service("run-2", 8)), 201);
     w.run_for(3000);
@@ -16,13 +16,13 @@
     w
 }
 
-/// The state service refuses this node; `deaf`: nor does a peer's word reach
-/// it.
+/// The key-value store rejects this node's calls; `deaf`: nor do messages of its peers
+/// reach it.
 fn refuse(w: &mut Simulation, lone: usize, deaf: bool) {
-    cut_off(w, lone, Fate::Refuse, deaf);
+    isolate_node(w, lone, Fate::Refuse, deaf);
 }
 
-/// What befalls the confirming node and the leader besides.
+/// What happens to the confirming node and the leader besides.
 #[derive(Clone, Copy, PartialEq, Debug)]
 enum Also {
     Nothing,
@@ -34,9 +34,9 @@
     AnswerLost,
 }
 
-/// The gap, which broke most schedulers that the users have seen: a leader
-/// that the state service refuses alone took a later outage that all shared
-/// for a reason to believe that it had missed nothing.
+/// A leader whose calls alone the key-value store rejects, and then an outage of the
+/// store for all. The leader once took the outage for a reason to believe that it had
+/// missed no cancellation; most schedulers that the users have seen fail here.
 fn gap(also: Also, refused_ms: u64) -> Simulation {
     let mut w = two_services();
     w.state.watches_stalled = true;
@@ -122,8 +122,8 @@
     settle(gap(Also::AnswerLost, 1000));
 }
 
-/// Cut off from everybody but the workers, nobody can tell the leader: what
-/// runs on its word alone ends in time.
+/// A leader that only workers reach can't learn of cancellations: tasks whose leases it
+/// alone renews end in time.
 #[test]
 fn a_leader_that_nobody_can_tell_lets_leases_end() {
     for cloud_away in [false, true] {
@@ -145,8 +145,8 @@
     }
 }
 
-/// A machine that hangs through all of it and goes on within its lease hears
-/// of the cancellation with the first answer, or ends by itself.
+/// A machine that hangs meanwhile and resumes within its lease learns of the cancellation
+/// with the first reply, or its lease expires.
 #[test]
 fn the_gap_with_a_machine_that_hangs_and_goes_on() {
     for hang_ms in [4000, 9000, 14_000, 35_000] {
@@ -167,8 +167,8 @@
     }
 }
 
-/// A leader elected just before an outage that reads the records for all of it
-/// once answered reports and stopped nothing.
+/// A leader elected just before an outage, which can't read the records until its end,
+/// once answered heartbeats and stopped nothing.
 #[test]
 fn a_leader_still_loading_in_an_outage_stops_what_it_knows_is_cancelled() {
     let mut w = two_services();
@@ -193,11 +193,11 @@
     settle(w);
 }
 
-/// A start that had no effect yet is repeated; a leader that nobody can tell
-/// of cancellations once repeated it long after the job was cancelled.
+/// A start without effect is repeated; a leader that couldn't learn of cancellations once
+/// repeated it long after the job was cancelled.
 #[test]
 fn a_leader_that_nobody_can_tell_repeats_no_start() {
-    let mut w = up(3);
+    let mut w = running_cluster(3);
     let leader = w.leader().unwrap();
     for m in w.workers.values_mut() {
         m.silent = true;
@@ -287,7 +287,7 @@
     }
 
     #[test]
-    fn a_fresh_process_knows_nothing_until_it_has_read() {
+    fn a_new_process_has_no_watermark_until_it_has_read() {
         let mut n = node("n-0", 1);
         assert!(!n.may_renew(at(10)));
         pull(&mut n, 0, &node("n-1", 2), 20);
@@ -310,7 +310,7 @@
     }
 
     #[test]
-    fn a_restarted_peer_stops_it_until_the_next_read() {
+    fn a_restarted_peer_stops_the_watermark_until_the_next_read() {
         let (mut n, mut p1, p2) = three();
         pull(&mut n, 0, &p1, 1500);
         pull(&mut n, 1, &p2, 1500);
@@ -330,7 +330,7 @@
     }
 
     #[test]
-    fn a_gap_in_the_numbers_stops_it_until_the_next_read() {
+    fn a_gap_in_the_sequence_numbers_stops_the_watermark_until_the_next_read() {
         let (mut n, mut p1, p2) = three();
         // More than it keeps.
         for k in 0..5000 {
@@ -363,7 +363,7 @@
     }
 
     #[test]
-    fn an_unasked_word_informs_but_dates_nothing() {
+    fn an_unsolicited_message_informs_but_moves_no_watermark() {
         let (mut n, mut p1, p2) = three();
         p1.acknowledged(0, n.cursor(0).unwrap());
         assert!(p1.unacknowledged(0).is_none());
@@ -377,7 +377,7 @@
     }
 
     #[test]
-    fn a_late_answer_of_an_earlier_process_vouches_for_its_own_time_only() {
+    fn a_late_response_of_an_earlier_process_counts_for_its_own_time_only() {
         let (mut n, mut p1, p2) = three();
         let cursor = n.cursor(0).unwrap();
         let late = p1.confirmations(&cursor);
@@ -392,7 +392,7 @@
     }
 
     #[test]
-    fn senseless_words_are_dropped() {
+    fn malformed_messages_are_dropped() {
         let (mut n, p1, p2) = three();
         let sound = p1.confirmations(&n.cursor(0).unwrap());
         let job = vec!["run-7".to_string()];
--- a/tests/integration/capacity_index.rs
+++ b/tests/integration/capacity_index.rs
@@ -1,5 +1,5 @@
-//! The index of rooms against a plain reference that looks at every room, on
-//! random small fleets; and what a question costs, counted.
+//! The capacity index against a plain reference that looks at every machine, on random
+//! small fleets; and the cost of a search, counted.
 
 use lilacfork::capacity_index::{CapacityIndex, CapacityState, SearchConstraint, TaskDemand};
 use lilacfork::cloud::Offer;
@@ -90,7 +90,7 @@
     }
 }
 
-/// The plain reference: every room is looked at, as rounds once did.
+/// The plain reference: looks at every machine's free capacity, as rounds once did.
 struct Plain {
     rooms: BTreeMap<MachineId, (Drawn, Resources)>,
 }
@@ -253,8 +253,8 @@
     (rooms, plain)
 }
 
-/// Places the tasks of a job one by one, by index and by reference: each goes to
-/// the same room, or to one of equal rank.
+/// Places the tasks of a job one by one, by index and by reference: both choose the same
+/// machine, or one of equal rank.
 fn place_alike(
     rooms: &mut CapacityIndex,
     plain: &mut Plain,
@@ -301,7 +301,7 @@
 }
 
 #[test]
-fn the_index_chooses_as_a_look_at_every_room_does() {
+fn the_index_chooses_as_a_scan_of_all_machines_does() {
     let fleet = proptest::collection::vec(drawn_machine(), 1..16);
     let jobs = proptest::collection::vec(drawn_job(), 1..4);
     let verdict = runner(600).run(&(fleet, jobs), |(machines, jobs)| {
@@ -316,7 +316,7 @@
 }
 
 #[test]
-fn all_rooms_that_hold_a_gang_s_task_are_found() {
+fn all_machines_with_capacity_for_a_gangs_task_are_found() {
     let fleet = proptest::collection::vec(drawn_machine(), 1..16);
     let verdict = runner(300).run(&(fleet, drawn_job()), |(machines, job)| {
         let (rooms, plain) = index(&machines);
@@ -340,7 +340,7 @@
 }
 
 #[test]
-fn expected_work_goes_where_its_image_is_and_then_to_the_fullest() {
+fn forecast_demand_goes_where_its_image_is_and_then_to_the_fullest() {
     let fleet = proptest::collection::vec(drawn_machine(), 1..16);
     let verdict = runner(300).run(&(fleet, drawn_job()), |(machines, job)| {
         let (rooms, plain) = index(&machines);
@@ -374,9 +374,9 @@
     verdict.unwrap();
 }
 
-/// Whatever changes, every machine is filed where it belongs.
+/// After any changes every machine is indexed where it belongs.
 #[test]
-fn changes_in_any_order_leave_every_machine_in_its_place() {
+fn changes_in_any_order_leave_every_machine_indexed_correctly() {
     #[derive(Clone, Debug)]
     enum Change {
         Seen(usize, Drawn),
@@ -436,8 +436,8 @@
     verdict.unwrap();
 }
 
-/// A fleet as in the plan: two types, three zones, a few free amounts, images on
-/// half of the machines.
+/// A fleet of two types, three zones, a few different amounts of free capacity, and
+/// images on half of the machines.
 fn large_fleet(machines: usize) -> CapacityIndex {
     let mut rooms = CapacityIndex::default();
     rooms.set_time(NOW_MS, FRESH_MS);
@@ -458,7 +458,7 @@
     rooms
 }
 
-/// The entries that one question for a room looks at.
+/// The entries that one search for capacity examines.
 fn entries_of_a_question(machines: usize, image: usize) -> u64 {
     let rooms = large_fleet(machines);
     let job = DrawnJob {
@@ -488,7 +488,7 @@
 }
 
 #[test]
-fn a_question_costs_the_same_in_a_fleet_sixteen_times_as_large() {
+fn a_search_costs_the_same_in_a_fleet_sixteen_times_as_large() {
     // An image that half of the machines have, and one that nobody has.
     for image in [0, 2] {
         let (small, large) = (
--- a/tests/integration/dependencies.rs
+++ b/tests/integration/dependencies.rs
@@ -1,12 +1,12 @@
-//! Kept traces: jobs that need others, and the troubles that they meet. The observer
-//! checks `too_early` and `orphaned` beside the other rules on each.
+//! Jobs with dependencies, and the faults that they meet. The observer checks `too_early`
+//! and `orphaned` beside the other rules.
 
-use crate::simulation::fixtures::{cut_off, heal, up};
+use crate::simulation::fixtures::{heal, isolate_node, running_cluster};
 use crate::simulation::{array, Fate, Simulation, CANCEL_MS};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 
-/// A short job that needs these.
+/// A short job that depends on these.
 fn needing(id: &str, needs: &[&str]) -> Value {
     let mut spec = array(id, 2);
     spec["cpus"] = json!(1.0);
@@ -58,12 +58,13 @@
 ];
 const DIAMOND_IDS: [&str; 5] = ["run-1", "run-2", "run-3", "run-4", "run-5"];
 
-/// A pipeline costs the state service as many changes as the same jobs without needs.
+/// A pipeline takes as many changes of the key-value store as the same jobs without
+/// dependencies.
 #[test]
 fn a_pipeline_runs_in_order_and_costs_no_more_changes_than_single_jobs() {
     let mut changes = Vec::new();
     for needs_kept in [true, false] {
-        let mut w = up(3);
+        let mut w = running_cluster(3);
         let before = w.state.changes;
         for (id, needs) in DIAMOND {
             let needs = if needs_kept { needs } else { &[] };
@@ -83,7 +84,7 @@
 
 #[test]
 fn what_a_submission_may_name() {
-    let mut w = up(3);
+    let mut w = running_cluster(3);
     assert_eq!(w.submit(0, &needing("run-1", &[])), 201);
     let cases = [
         (json!(["run-1"]), 201),
@@ -138,10 +139,11 @@
     settle(&mut w, &["run-late"], "done");
 }
 
-/// A service may be named: it ends by being cancelled only, and takes the job along.
+/// A job may depend on a service, which ends only by its cancellation; that cancels the
+/// job, too.
 #[test]
 fn a_job_that_needs_a_service_is_cancelled_with_it() {
-    let mut w = up(3);
+    let mut w = running_cluster(3);
     assert_eq!(w.submit(0, &crate::simulation::service("run-s", 2)), 201);
     assert_eq!(w.submit(1, &needing("run-1", &["run-s"])), 201);
     w.run_for(10_000);
@@ -150,10 +152,10 @@
     settle(&mut w, &["run-1"], "cancelled");
 }
 
-/// Deeper and wider than any transaction.
+/// A cascade deeper and wider than any transaction.
 #[test]
 fn a_cancellation_reaches_all_that_need_the_job() {
-    let mut w = up(3);
+    let mut w = running_cluster(3);
     let mut long = needing("run-0", &[]);
     long["pieces"] = json!(1);
     w.run_ms = 600_000;
@@ -185,12 +187,12 @@
     assert_eq!(left.count(), 0, "all of them are over");
 }
 
-/// The leader ends at any moment of a cascade, or of a stage's end.
+/// The leader is killed at any moment of a cascade, or of a stage's end.
 #[test]
 fn a_leader_that_ends_at_any_step_loses_nothing() {
     for cancels in [true, false] {
         for delay in (0..600).step_by(20) {
-            let mut w = up(3);
+            let mut w = running_cluster(3);
             w.run_ms = if cancels { 600_000 } else { 2500 };
             submit_all(&mut w, &DIAMOND);
             let leader = w.leader().unwrap();
@@ -212,17 +214,17 @@
     }
 }
 
-/// The state service refuses the leader alone as the job is cancelled, and then goes
-/// away from everybody for longer than `cancel_s`.
+/// The key-value store rejects the leader's calls alone as the job is cancelled, and is
+/// then unavailable to all for longer than `cancel_s`.
 #[test]
 fn after_an_outage_nobody_calls_a_dependent_pending() {
     for gap in [0, 20, 100, 300, 1000, 2500] {
-        let mut w = up(3);
+        let mut w = running_cluster(3);
         w.run_ms = 600_000;
         submit_all(&mut w, &DIAMOND);
         w.run_for(2000);
         let leader = w.leader().unwrap();
-        cut_off(&mut w, leader, Fate::Refuse, false);
+        isolate_node(&mut w, leader, Fate::Refuse, false);
         let user = w.ask(
             (leader + 1) % 3,
             "POST",
@@ -252,13 +254,13 @@
     }
 }
 
-/// A dependent comes at the very moment at which the job that it needs ends or is
-/// cancelled: one of the two orders, and every job ends.
+/// A dependent is submitted at the moment at which its dependency ends or is cancelled:
+/// either comes first, and every job ends.
 #[test]
-fn a_dependent_that_comes_as_its_need_ends_follows_it() {
+fn a_dependent_submitted_as_its_dependency_ends_follows_it() {
     for cancels in [true, false] {
         for offset in (0..400).step_by(10) {
-            let mut w = up(3);
+            let mut w = running_cluster(3);
             w.run_ms = 1000;
             assert_eq!(w.submit(0, &needing("run-1", &[])), 201);
             w.run_for(if cancels { 300 } else { 1000 });
@@ -275,10 +277,10 @@
     }
 }
 
-/// A leader ended between the records of a job's end and of its dependent's: whoever
-/// leads next ends the dependent, or starts it, without being asked.
+/// A leader was killed between the records of a job's end and of its dependent's: the
+/// next leader ends the dependent, or starts it, without being asked.
 #[test]
-fn a_dependent_that_an_earlier_leader_left_is_gone_on_with() {
+fn a_dependent_that_an_earlier_leader_left_is_continued() {
     for (over, state) in [("c", "cancelled"), ("d", "done")] {
         let mut w = Simulation::new(3);
         w.add_machine("vm-a", "a", false, true);
@@ -361,7 +363,7 @@
                     _ => Fate::Pass,
                 });
             }
-            3 => cut_off(w, node, Fate::Refuse, self.rng.bool()),
+            3 => isolate_node(w, node, Fate::Refuse, self.rng.bool()),
             4 if !w.state.away => w.state.away = true,
             _ => {
                 heal(w);
@@ -378,12 +380,12 @@
     }
 }
 
-/// Random graphs, submissions, cancellations, ends, leaders, outages, lost answers
+/// Random graphs, submissions, cancellations, ends, failovers, outages, lost responses
 /// and late writes: no rule is broken, and every job ends.
 #[test]
 fn random_days_of_pipelines_break_no_rule_and_every_job_ends() {
     for seed in 0..16 {
-        let mut w = up(3);
+        let mut w = running_cluster(3);
         let mut day = RandomDay {
             rng: fastrand::Rng::with_seed(seed),
             ..RandomDay::default()
--- a/tests/integration/failure_attribution.rs
+++ b/tests/integration/failure_attribution.rs
@@ -1,6 +1,6 @@
-//! Tasks that fail: by a job's mistake, by a faulty machine, or both at once.
+//! Tasks that fail: by their job's fault, by their machine's, or both at once.
 
-use crate::simulation::fixtures::{gone, up};
+use crate::simulation::fixtures::{released, running_cluster, task_starts};
 use crate::simulation::{array, service, Simulation};
 use lilacfork::faults::{CircuitBreaker, MachineFaults};
 use lilacfork::ids::{JobId, MachineId};
@@ -64,9 +64,9 @@
     assert_eq!(CircuitBreaker::default().to_record(), 0);
 }
 
-/// Six machines, and a job of forty tasks with a mistake.
+/// Six machines, and a job of forty tasks that fail everywhere.
 fn with_a_mistake(nodes: usize) -> (Simulation, Vec<String>) {
-    let mut w = up(nodes);
+    let mut w = running_cluster(nodes);
     let names: Vec<String> = (1..5).map(|n| format!("vm-c{n}")).collect();
     for name in &names {
         w.add_machine(name, "a", false, true);
@@ -76,38 +76,37 @@
     (w, names)
 }
 
-fn starts(w: &Simulation, job: &str) -> usize {
-    let prefix = format!(" {job}/");
-    w.trace.iter().filter(|t| t.contains(&prefix)).count()
-}
-
-/// All its tasks once started again after every pause, on up to 35 machines,
-/// and machines were rented for them (inc-c0eb, inc-683a).
+/// All its tasks once started again after every backoff, on up to 35 machines, and
+/// machines were provisioned for them (inc-c0eb, inc-683a).
 #[test]
 fn a_job_with_a_mistake_is_probed_by_one_task_at_a_time() {
     let (mut w, names) = with_a_mistake(1);
     let machines = w.workers.len();
     assert_eq!(w.submit(0, &array("run-1", 40)), 201);
     w.run_for(4000);
-    let first = starts(&w, "run-1");
+    let first = task_starts(&w, "run-1");
     w.run_for(45_000);
-    let probes = starts(&w, "run-1") - first;
+    let probes = task_starts(&w, "run-1") - first;
     assert!(
         (3..=7).contains(&probes),
         "{first} at first, {probes} since"
     );
     assert_eq!(w.workers.len(), machines, "nothing is rented for it");
-    assert!(gone(&w, &names).is_empty());
+    assert!(released(&w, &names).is_empty());
     assert_eq!(w.cancel(0, "run-1").0, 200);
 }
 
-/// A machine that is empty but for such a job's tasks was returned at once.
+/// A machine without tasks but those of such a job was once released at once.
 #[test]
 fn a_job_with_a_mistake_costs_no_empty_machine() {
     let (mut w, names) = with_a_mistake(1);
     assert_eq!(w.submit(0, &array("run-1", 2)), 201);
     w.run_for(10_000);
-    assert!(gone(&w, &names).is_empty(), "{:?}", gone(&w, &names));
+    assert!(
+        released(&w, &names).is_empty(),
+        "{:?}",
+        released(&w, &names)
+    );
     assert!(!w.workers["vm-a"].gone && !w.workers["vm-b"].gone);
     // And it is of use at once.
     assert_eq!(w.submit(0, &service("run-2", 12)), 201);
@@ -115,7 +114,7 @@
     assert_eq!(w.on_machines("run-2"), 12);
 }
 
-/// Both at once, also when the leader changes in between.
+/// A faulty machine and a failing job at once, also with a failover in between.
 #[test]
 fn a_faulty_machine_is_found_among_jobs_with_a_mistake() {
     for leader_ends in [false, true] {
@@ -132,20 +131,24 @@
         w.run_for(30_000);
         let alive = w.leader().unwrap();
         assert_eq!(w.poll(alive, "run-2").1, "done");
-        assert_eq!(gone(&w, &names), ["vm-c2"], "leader ends: {leader_ends}");
+        assert_eq!(
+            released(&w, &names),
+            ["vm-c2"],
+            "leader ends: {leader_ends}"
+        );
     }
 }
 
-/// A new leader once knew nothing of it and started all tasks again.
+/// A new leader once knew nothing of the failures and started all tasks again.
 #[test]
 fn a_new_leader_knows_which_jobs_fail_everywhere() {
     let (mut w, _) = with_a_mistake(3);
     assert_eq!(w.submit(0, &array("run-1", 40)), 201);
     w.run_for(10_000);
-    let first = starts(&w, "run-1");
+    let first = task_starts(&w, "run-1");
     w.kill(w.leader().unwrap());
     w.run_for(20_000);
     assert!(w.leader().is_some());
-    let since = starts(&w, "run-1") - first;
+    let since = task_starts(&w, "run-1") - first;
     assert!((1..=6).contains(&since), "{first} at first, {since} since");
 }
--- a/tests/integration/fault_interactions/kv_store_faults.rs
+++ b/tests/integration/fault_interactions/kv_store_faults.rs
@@ -1,6 +1,6 @@
 //! Faults of the key-value store that meet cancellations, queries and writes.
 
-use crate::simulation::fixtures::{cut_off, heal, up};
+use crate::simulation::fixtures::{heal, isolate_node, running_cluster};
 use crate::simulation::{array, service, Fate, CANCEL_MS};
 use lilacfork::messages::Destination;
 use serde_json::Value;
@@ -9,7 +9,7 @@
 /// is unavailable for longer than `cancel_s`, while users cancel and query jobs.
 #[test]
 fn a_slow_state_service_then_none_while_users_cancel_and_ask() {
-    let mut w = up(3);
+    let mut w = running_cluster(3);
     for n in 0..4 {
         assert_eq!(w.submit(0, &service(&format!("run-{n}"), 4)), 201);
     }
@@ -49,7 +49,7 @@
 #[test]
 fn transactions_carried_out_late_change_nothing_that_is_newer() {
     for seed in 0..8 {
-        let mut w = up(3);
+        let mut w = running_cluster(3);
         let mut rng = fastrand::Rng::with_seed(seed);
         w.hook = Box::new(move |_, _, call| {
             if call.path == "/txn" && rng.u32(0..10) < 4 {
@@ -91,13 +91,13 @@
 /// workers and users still reach it, and jobs are cancelled at the new leader.
 #[test]
 fn a_leader_cut_from_all_but_workers_and_users_while_jobs_are_cancelled() {
-    let mut w = up(3);
+    let mut w = running_cluster(3);
     for n in 0..4 {
         assert_eq!(w.submit(0, &service(&format!("run-{n}"), 4)), 201);
     }
     w.run_for(2000);
     let old = w.leader().unwrap();
-    cut_off(&mut w, old, Fate::LoseRequest, true);
+    isolate_node(&mut w, old, Fate::LoseRequest, true);
     let other = (old + 1) % 3;
     for n in 0..3 {
         assert_eq!(w.cancel(other, &format!("run-{n}")).1, "cancelled");
@@ -118,7 +118,7 @@
 #[test]
 fn what_was_written_unheard_is_read_and_told_by_others() {
     for writer in 0..3 {
-        let mut w = up(3);
+        let mut w = running_cluster(3);
         let at_once = |writer: usize| -> crate::simulation::Hook {
             Box::new(move |_, node, call| match call.target {
                 Destination::KvStore if call.path == "/txn" && node == writer => Fate::LoseAnswer,
--- a/tests/integration/fault_interactions/leader_changes.rs
+++ b/tests/integration/fault_interactions/leader_changes.rs
@@ -1,7 +1,7 @@
 //! Changes of leader that meet cancellations, limits, slow writes or unreachable machines.
 
 use super::change_leader;
-use crate::simulation::fixtures::{full_zone, heal, up};
+use crate::simulation::fixtures::{full_zone, heal, running_cluster};
 use crate::simulation::{array, service, Fate, Simulation, LEASE_MS};
 use lilacfork::messages::Destination;
 use serde_json::json;
@@ -12,7 +12,7 @@
 #[test]
 fn all_controllers_away_for_longer_than_a_lease() {
     for state_goes_too in [false, true] {
-        let mut w = up(3);
+        let mut w = running_cluster(3);
         assert_eq!(w.submit(0, &service("run-1", 6)), 201);
         assert_eq!(w.submit(1, &service("run-2", 6)), 201);
         assert_eq!(w.submit(2, &array("run-3", 4)), 201);
@@ -44,7 +44,7 @@
 #[test]
 fn tasks_that_end_far_apart_across_a_change_of_leader_count_once() {
     for tasks in [2, 3] {
-        let mut w = up(3);
+        let mut w = running_cluster(3);
         for name in ["vm-a", "vm-b"] {
             w.workers.get_mut(name).unwrap().slowness = if name == "vm-a" { 1 } else { 5 };
         }
@@ -71,7 +71,7 @@
 #[test]
 fn a_team_at_its_limit_loses_machines_and_its_leader_and_cancels() {
     for trouble in 0..3 {
-        let mut w = up(3);
+        let mut w = running_cluster(3);
         let mut spec = service("run-1", 8);
         spec["equipe"] = json!("blue");
         assert_eq!(w.submit(0, &spec), 201);
@@ -108,7 +108,7 @@
 /// them jobs are accepted, placed, stored and done.
 #[test]
 fn ten_changes_of_leader_in_two_minutes_leave_time_to_serve() {
-    let mut w = up(3);
+    let mut w = running_cluster(3);
     assert_eq!(w.submit(0, &service("run-0", 8)), 201);
     w.run_for(2000);
     let mut done = 0;
@@ -144,7 +144,7 @@
 /// second.
 #[test]
 fn controllers_hand_over_and_back_all_end_and_one_returns() {
-    let mut w = up(3);
+    let mut w = running_cluster(3);
     assert_eq!(w.submit(0, &service("run-1", 8)), 201);
     assert_eq!(w.submit(0, &service("run-2", 8)), 201);
     w.run_for(2000);
@@ -172,7 +172,7 @@
 #[test]
 fn jobs_cancelled_while_the_work_changes_hands() {
     for offset in (0..5000).step_by(250) {
-        let mut w = up(3);
+        let mut w = running_cluster(3);
         assert_eq!(w.submit(0, &service("run-1", 8)), 201);
         assert_eq!(w.submit(0, &array("run-2", 12)), 201);
         w.run_for(600);
--- a/tests/integration/fault_interactions/overload.rs
+++ b/tests/integration/fault_interactions/overload.rs
@@ -1,6 +1,6 @@
 //! More work than writes or capacity allow.
 
-use crate::simulation::fixtures::up;
+use crate::simulation::fixtures::running_cluster;
 use crate::simulation::{array, service, Fate};
 use lilacfork::messages::Destination;
 use serde_json::{json, Value};
@@ -11,7 +11,7 @@
 /// key-value store at its write limit.
 #[test]
 fn a_flood_of_one_task_jobs_is_stored_served_and_cancelled() {
-    let mut w = up(3);
+    let mut w = running_cluster(3);
     w.run_ms = 2000;
     let writes = Rc::new(RefCell::new(Vec::new()));
     let seen = writes.clone();
@@ -62,7 +62,7 @@
 /// More work than capacity, of all ranks, over slow links.
 #[test]
 fn more_work_than_room_urgent_and_not_over_slow_links() {
-    let mut w = up(3);
+    let mut w = running_cluster(3);
     w.capacity = 4;
     w.hook = Box::new(|at, _, call| match call.target {
         Destination::Worker(_) => Fate::SlowAnswer((at * 13) % 1500),
--- a/tests/integration/fault_interactions/stale_heartbeats.rs
+++ b/tests/integration/fault_interactions/stale_heartbeats.rs
@@ -1,6 +1,6 @@
 //! Heartbeats that arrive after newer ones, or in the term of another leader.
 
-use crate::simulation::fixtures::{full_zone, set_silent, up};
+use crate::simulation::fixtures::{full_zone, running_cluster, set_silent};
 use crate::simulation::{array, service};
 use serde_json::{json, Value};
 
@@ -46,7 +46,7 @@
 #[test]
 fn reports_kept_for_the_next_leader_prove_nothing_to_it() {
     for delay in [0, 3, 10, 40, 200, 1000, 4000] {
-        let mut w = up(3);
+        let mut w = running_cluster(3);
         w.run_ms = 6000;
         assert_eq!(w.submit(0, &service("run-1", 5)), 201);
         // Kept from before anything was there, and as it was stored.
--- a/tests/integration/fault_interactions/unreachable_machines.rs
+++ b/tests/integration/fault_interactions/unreachable_machines.rs
@@ -1,6 +1,8 @@
 //! Machines that controllers reach late, in one direction only or not at all.
 
-use crate::simulation::fixtures::{cut_between_zones, full_zone, gone, heal, set_silent, up};
+use crate::simulation::fixtures::{
+    full_zone, heal, partition_zones, released, running_cluster, set_silent,
+};
 use crate::simulation::{array, service, Fate, LEASE_MS};
 use lilacfork::messages::Destination;
 use serde_json::json;
@@ -10,7 +12,7 @@
 /// lease had expired.
 #[test]
 fn a_mute_machine_is_given_up_though_direct_commands_reach_it() {
-    let mut w = up(3);
+    let mut w = running_cluster(3);
     w.capacity = 2;
     let name = "vm-a";
     for (id, zone, tasks) in [("run-1", "a", 4), ("run-2", "b", 8)] {
@@ -45,7 +47,7 @@
 /// stops them.
 #[test]
 fn a_mute_machine_stops_what_is_cancelled_at_once() {
-    let mut w = up(3);
+    let mut w = running_cluster(3);
     assert_eq!(w.submit(0, &service("run-1", 16)), 201);
     w.run_for(3000);
     w.workers.get_mut("vm-a").unwrap().mute = true;
@@ -60,7 +62,7 @@
 #[test]
 fn a_zone_cut_off_for_longer_than_a_lease() {
     let (mut w, names) = full_zone(3);
-    cut_between_zones(&mut w);
+    partition_zones(&mut w);
     w.run_for(2000);
     let near = w.leader().unwrap();
     assert_eq!(w.submit(near, &service("run-2", 4)), 201);
@@ -72,7 +74,7 @@
     heal(&mut w);
     w.run_for(8000);
     assert_eq!(w.on_machines("run-2"), 4);
-    assert!(gone(&w, &names).is_empty());
+    assert!(released(&w, &names).is_empty());
 }
 
 /// A command is delayed for seconds; its machine hangs and resumes after the job was
@@ -81,7 +83,7 @@
 fn a_command_held_up_for_seconds_starts_nothing_that_is_over() {
     for held_ms in [2000, 5000, 8000, 12_000] {
         for cancel in [true, false] {
-            let mut w = up(3);
+            let mut w = running_cluster(3);
             w.hook = Box::new(move |_, _, call| match call.target {
                 Destination::Worker(_) => Fate::Late(held_ms),
                 _ => Fate::Pass,
@@ -109,7 +111,7 @@
 /// zone.
 #[test]
 fn jobs_bound_to_a_zone_that_loses_its_machines_are_served_there() {
-    let mut w = up(3);
+    let mut w = running_cluster(3);
     w.run_ms = 20_000;
     let mut names = Vec::new();
     for n in 0..3 {
--- a/tests/integration/fault_interactions/user_requests.rs
+++ b/tests/integration/fault_interactions/user_requests.rs
@@ -1,6 +1,6 @@
 //! Requests of users that meet changes of the jobs that they ask for, and malformed ones.
 
-use crate::simulation::fixtures::{heal, up};
+use crate::simulation::fixtures::{heal, running_cluster};
 use crate::simulation::{array, service, Fate};
 use lilacfork::messages::Destination;
 use serde_json::{json, Value};
@@ -14,7 +14,7 @@
 fn everything_at_once_meets_the_end_of_the_last_task() {
     let mut ends = BTreeSet::new();
     for offset in (0..120).step_by(6) {
-        let mut w = up(3);
+        let mut w = running_cluster(3);
         let spec = array("run-1", 2);
         assert_eq!(w.submit(0, &spec), 201);
         // The task ends some 3 s after its start, and is stored within a report.
@@ -42,7 +42,7 @@
 /// job was accepted, ended or confirmed as cancelled.
 #[test]
 fn close_looks_get_nothing_older_than_what_was_told() {
-    let mut w = up(3);
+    let mut w = running_cluster(3);
     w.hook = Box::new(|at, node, call| match &call.target {
         // Each node's calls take their own time.
         Destination::KvStore => Fate::SlowAnswer((at * 7 + node as u64 * 13) % 40),
@@ -89,7 +89,7 @@
 /// jobs that fit no machine or lack a field.
 #[test]
 fn odd_requests_get_their_status_and_take_nothing() {
-    let mut w = up(3);
+    let mut w = running_cluster(3);
     let spec = array("run-1", 2);
     assert_eq!(w.submit(0, &spec), 201);
     assert_eq!(w.submit(1, &spec), 200);
@@ -138,7 +138,7 @@
 /// them was answered for 75 s).
 #[test]
 fn questions_many_times_as_often_cost_no_more_calls_and_starve_nobody() {
-    let mut w = up(3);
+    let mut w = running_cluster(3);
     w.capacity = 40;
     w.run_ms = 600_000;
     for n in 0..200 {
@@ -185,7 +185,7 @@
             ("GET", "/v2/runs/run-1", 4000),
             ("POST", "/v2/runs", 4000),
         ] {
-            let mut w = up(3);
+            let mut w = running_cluster(3);
             w.responses_first_on_resume = true;
             let leader = w.leader().unwrap();
             let follower = (leader + 1) % 3;
--- a/tests/integration/http.rs
+++ b/tests/integration/http.rs
@@ -1,4 +1,4 @@
-//! The parser on split, oversized and broken input.
+//! The HTTP parser on split, oversized and malformed input.
 
 use lilacfork::http::{parse_request, parse_response, HttpError, MAX_HEAD, MAX_REQUEST_BODY};
 
@@ -27,53 +27,55 @@
     }
 }
 
+/// Requests that break the protocol or exceed a limit, and what the parser reports.
+const INVALID: &[(&[u8], HttpError)] = &[
+    (b"\r\n\r\n", HttpError::Malformed),
+    (b"GET\r\n\r\n", HttpError::Malformed),
+    (b"GET / HTTP/2\r\n\r\n", HttpError::Malformed),
+    (b"GET nowhere HTTP/1.1\r\n\r\n", HttpError::Malformed),
+    (b"GET / HTTP/1.1\r\nno colon\r\n\r\n", HttpError::Malformed),
+    (
+        b"GET / HTTP/1.1\r\nContent-Length: -1\r\n\r\n",
+        HttpError::Malformed,
+    ),
+    (
+        b"GET / HTTP/1.1\r\nContent-Length: +1\r\n\r\n",
+        HttpError::Malformed,
+    ),
+    (
+        b"GET / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n",
+        HttpError::Malformed,
+    ),
+    (
+        b"GET / HTTP/1.1\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n",
+        HttpError::Malformed,
+    ),
+    (
+        b"GET / HTTP/1.1\r\nContent-Length: 99999999999999999999\r\n\r\n",
+        HttpError::BodyTooLarge,
+    ),
+    (
+        b"GET / HTTP/1.1\r\nTransfer-Encoding: gzip\r\n\r\n",
+        HttpError::Coding,
+    ),
+    (
+        b"GET / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
+        HttpError::Malformed,
+    ),
+    (
+        b"GET / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nfffffffffff\r\n",
+        HttpError::BodyTooLarge,
+    ),
+    (
+        b"GET / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nabc",
+        HttpError::Malformed,
+    ),
+    (b"GET /\xff HTTP/1.1\r\n\r\n", HttpError::Malformed),
+];
+
 #[test]
 fn what_is_broken_or_too_large_is_named() {
-    let cases: &[(&[u8], HttpError)] = &[
-        (b"\r\n\r\n", HttpError::Malformed),
-        (b"GET\r\n\r\n", HttpError::Malformed),
-        (b"GET / HTTP/2\r\n\r\n", HttpError::Malformed),
-        (b"GET nowhere HTTP/1.1\r\n\r\n", HttpError::Malformed),
-        (b"GET / HTTP/1.1\r\nno colon\r\n\r\n", HttpError::Malformed),
-        (
-            b"GET / HTTP/1.1\r\nContent-Length: -1\r\n\r\n",
-            HttpError::Malformed,
-        ),
-        (
-            b"GET / HTTP/1.1\r\nContent-Length: +1\r\n\r\n",
-            HttpError::Malformed,
-        ),
-        (
-            b"GET / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n",
-            HttpError::Malformed,
-        ),
-        (
-            b"GET / HTTP/1.1\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n",
-            HttpError::Malformed,
-        ),
-        (
-            b"GET / HTTP/1.1\r\nContent-Length: 99999999999999999999\r\n\r\n",
-            HttpError::BodyTooLarge,
-        ),
-        (
-            b"GET / HTTP/1.1\r\nTransfer-Encoding: gzip\r\n\r\n",
-            HttpError::Coding,
-        ),
-        (
-            b"GET / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
-            HttpError::Malformed,
-        ),
-        (
-            b"GET / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nfffffffffff\r\n",
-            HttpError::BodyTooLarge,
-        ),
-        (
-            b"GET / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nabc",
-            HttpError::Malformed,
-        ),
-        (b"GET /\xff HTTP/1.1\r\n\r\n", HttpError::Malformed),
-    ];
-    for (text, error) in cases {
+    for (text, error) in INVALID {
         let got = parse_request(text, MAX_REQUEST_BODY).expect_err(&String::from_utf8_lossy(text));
         assert_eq!(got, *error, "{}", String::from_utf8_lossy(text));
     }
--- a/tests/integration/large_fleets.rs
+++ b/tests/integration/large_fleets.rs
@@ -1,13 +1,13 @@
-//! Traces of large fleets, and what they ask of the state service and of rounds.
+//! Large fleets: their calls to the key-value store and the cost of their rounds.
 
-use crate::simulation::fixtures::{gone, patient, set_silent};
+use crate::simulation::fixtures::{released, service_without_objective, set_silent};
 use crate::simulation::{array, Fate, Simulation};
 use lilacfork::messages::Destination;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// What the state service was asked, by the second.
+/// Calls to the key-value store, by the second.
 #[derive(Default)]
 struct Asked {
     calls: BTreeMap<u64, usize>,
@@ -47,7 +47,7 @@
     for n in 0..machines / 10 {
         let job = array(&format!("run-a{n}"), 60);
         w.ask(n % 7, "POST", "/v2/runs", job);
-        let service = patient(&format!("run-s{n}"));
+        let service = service_without_objective(&format!("run-s{n}"));
         w.ask((n + 3) % 7, "POST", "/v2/runs", service);
         // Followers have a few changes a second each.
         w.run_for(100);
@@ -57,8 +57,8 @@
     (w, asked)
 }
 
-/// A rush of hundreds of tasks flows within the state service's rates, nothing
-/// starts twice, and what quiet seconds cost doesn't follow the fleet's size.
+/// A burst of hundreds of tasks is served within the key-value store's rates, nothing
+/// starts twice, and the cost of seconds without changes doesn't grow with the fleet.
 #[test]
 fn a_large_fleet_asks_for_no_more_than_a_small_one_when_nothing_changes() {
     let mut quiet = Vec::new();
@@ -78,8 +78,8 @@
     );
 }
 
-/// A new leader of a large fleet is of use within a few report intervals, and
-/// no lease ends for the change.
+/// A new leader of a large fleet serves within a few heartbeat intervals, and no lease
+/// expires because of the failover.
 #[test]
 fn a_new_leader_takes_a_large_fleet_over_without_ending_a_task() {
     let (mut w, asked) = large(200);
@@ -94,7 +94,7 @@
     w.cancel(node, "run-s0");
     w.run_for(3000);
     assert_eq!(w.on_machines("run-s0"), 0, "cancellations reach all zones");
-    assert_eq!(w.submit(node, &patient("run-new")), 201);
+    assert_eq!(w.submit(node, &service_without_objective("run-new")), 201);
     w.run_for(2000);
     assert_eq!(w.on_machines("run-new"), 20, "its room is given anew");
     assert_eq!(w.trace.len(), 1620, "and nothing else starts");
@@ -118,13 +118,13 @@
     w.nodes.iter().map(of).collect()
 }
 
-/// Half as many machines again as the largest deployment: everybody ends at
-/// once and comes back within half a second, some twice; the leader stands
-/// still; a fifth of the fleet falls silent. Rules are kept (the stand-ins
-/// watch them), calls stay within the rates, records within their size, and
-/// rounds within what follows the fleet's size.
+/// Half as many machines again as the largest deployment: all controllers are killed at
+/// once and restart within half a second, some twice; the leader's process is paused; a
+/// fifth of the fleet becomes unresponsive. The observer's rules hold, calls stay within
+/// the rates, records within their size, and rounds within a bound that follows the
+/// fleet's size.
 #[test]
-fn a_thousand_machines_through_restarts_a_frozen_leader_and_the_loss_of_a_fifth() {
+fn a_thousand_machines_through_restarts_a_paused_leader_and_the_loss_of_a_fifth() {
     let (mut w, asked) = large(1000);
     let started = w.trace.len();
     let before = examined(&w);
@@ -168,7 +168,7 @@
     set_silent(&mut w, &fifth, true);
     let before = examined(&w);
     w.run_for(20_000);
-    assert_eq!(gone(&w, &fifth).len(), 200, "they are given up");
+    assert_eq!(released(&w, &fifth).len(), 200, "they are given up");
     let there = w.workers.values().filter(|m| !m.gone).count();
     assert_eq!(there, 800, "and no others");
     let loss = examined_since(&w, &before);
--- a/tests/integration/leadership.rs
+++ b/tests/integration/leadership.rs
@@ -1,15 +1,15 @@
-//! Kept traces: who leads, and what a change of leader must not lose.
+//! Leader election, and what a failover must not lose.
 
-use crate::simulation::fixtures::{cut_off, full_zone, gone, heal, up};
+use crate::simulation::fixtures::{full_zone, heal, isolate_node, released, running_cluster};
 use crate::simulation::{array, service, Fate, Simulation};
 use lilacfork::messages::Destination;
 use serde_json::json;
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// A claim carried out late, when its author had given it up and made another
-/// lease, once passed for the newer one: the leader renewed a lease that held
-/// nothing, and the key ended under it.
+/// A claim carried out late, after its author had given it up and made another lease,
+/// once counted as the newer one's: the leader renewed a lease that held nothing, and the
+/// key expired.
 #[test]
 fn a_claim_carried_out_late_is_no_proof_of_a_lease_made_since() {
     let mut w = Simulation::new(1);
@@ -43,11 +43,11 @@
     assert_eq!(w.poll(0, "run-1").1, "done");
 }
 
-/// One worker's token from nowhere once cost the leader its term, again and
-/// again, and with it everybody's rounds.
+/// One worker's invalid fencing token once deposed the leader, again and again, and ended
+/// everybody's rounds.
 #[test]
-fn a_token_from_nowhere_costs_no_leader_its_term() {
-    let mut w = up(3);
+fn an_invalid_fencing_token_deposes_no_leader() {
+    let mut w = running_cluster(3);
     assert_eq!(w.submit(0, &service("run-1", 8)), 201);
     w.run_for(3000);
     let term = w.state.items["leader/term"].0["term"].clone();
@@ -70,13 +70,13 @@
     assert_eq!(w.on_machines("run-1"), 8);
 }
 
-/// But one from a later leadership makes a leader ask whether it still leads.
+/// A fencing token of a later term makes a leader check whether it still leads.
 #[test]
 fn a_leader_that_a_worker_outranks_asks_before_it_goes_on() {
     let (mut w, _) = full_zone(3);
     let old = w.leader().unwrap();
     // It hears neither peers nor, by its renewals, the state service.
-    cut_off(&mut w, old, Fate::Refuse, true);
+    isolate_node(&mut w, old, Fate::Refuse, true);
     w.run_for(8000);
     let new = (0..3).find(|n| *n != old && w.nodes[*n].as_ref().unwrap().is_leader());
     assert!(new.is_some());
@@ -98,11 +98,11 @@
     assert_eq!(w.on_machines("run-1"), 56);
 }
 
-/// Answers that make no sense, from anybody, are no proof of anything.
+/// Malformed responses, from anybody, prove nothing.
 #[test]
-fn answers_without_sense_are_taken_for_none() {
+fn malformed_responses_prove_nothing() {
     for seed in 0..6 {
-        let mut w = up(3);
+        let mut w = running_cluster(3);
         let mut rng = fastrand::Rng::with_seed(seed);
         w.hook = Box::new(move |_, _, call| match call.target {
             Destination::KvWatch => Fate::Pass,
@@ -135,12 +135,11 @@
     }
 }
 
-/// A leader that no worker reached had stepped aside, and another led; for as
-/// long as a follower hadn't read that, it sent workers back to the old one,
-/// where they lost their leases (inc-4c23).
+/// A leader that no worker reached had handed over leadership; until a follower had read
+/// that, it redirected workers to the old leader, where their leases expired (inc-4c23).
 #[test]
 fn workers_are_not_sent_back_to_a_leader_that_stepped_aside() {
-    let mut w = up(3);
+    let mut w = running_cluster(3);
     assert_eq!(w.submit(0, &service("run-1", 16)), 201);
     w.run_for(3000);
     let old = w.leader().unwrap();
@@ -181,12 +180,12 @@
     assert_eq!(w.on_machines("run-1"), 16);
 }
 
-/// Two silent controllers in a row, in the order in which workers try them,
-/// cost a worker more than its lease (inc-36de, inc-98e3: 600 to 720 tasks
-/// ended). A leader whose successor is silent leaves the lead to another, once.
+/// Two silent controllers in a row, in the order in which workers try them, once took
+/// longer than a worker's lease (inc-36de, inc-98e3: 600 to 720 tasks ended). A leader
+/// whose successor is silent hands over leadership, once.
 #[test]
 fn a_leader_whose_successor_is_silent_hands_over_before_it_falls_silent_too() {
-    let mut w = up(3);
+    let mut w = running_cluster(3);
     let first = w.leader().unwrap();
     assert_eq!(w.submit(0, &service("run-1", 16)), 201);
     w.run_for(40_000);
@@ -206,13 +205,13 @@
     assert_eq!(w.trace.len(), started, "no lease ended: {:?}", w.trace);
 }
 
-/// A leader woke up, took the silence that it had kept for its workers', and
-/// stepped aside on old reports, though another led by then. When that one
-/// handed the lead over to it, each let the other claim first: nobody led for
-/// six seconds (reparetout-mtl-ops operations, seed 41).
+/// A leader resumed after a process pause, took its own silence for that of its workers,
+/// and handed over leadership because of old heartbeats, though another node led by then.
+/// When that one handed leadership over to it, each let the other claim first: there was
+/// no leader for six seconds (reparetout-mtl-ops operations, seed 41).
 #[test]
 fn a_leader_that_wakes_up_may_be_handed_the_lead_at_once() {
-    let mut w = up(3);
+    let mut w = running_cluster(3);
     assert_eq!(w.submit(0, &service("run-1", 16)), 201);
     w.run_for(3000);
     let first = w.leader().unwrap();
@@ -241,8 +240,8 @@
     assert_eq!(w.on_machines("run-1"), 16);
 }
 
-/// A follower that its zone's workers can't reach, while the leader hears it: the
-/// leader keeps a worker that comes back from there.
+/// A follower that the workers of its zone can't reach, while the leader can: the leader
+/// doesn't redirect a worker that returns from there.
 #[test]
 fn a_worker_that_cannot_reach_the_follower_of_its_zone_is_kept_by_the_leader() {
     let (mut w, names) = full_zone(3);
@@ -250,7 +249,7 @@
     w.partitions = vec![(1, "b".into())];
     w.run_for(40_000);
     assert_eq!(w.trace.len(), 56, "no task ends: {:?}", w.trace);
-    assert!(gone(&w, &names).is_empty(), "none is given up");
+    assert!(released(&w, &names).is_empty(), "none is given up");
     let late = w
         .redirects
         .iter()
--- a/tests/integration/main.rs
+++ b/tests/integration/main.rs
@@ -1,5 +1,5 @@
-//! All integration tests in one program: what they share, above all the simulation of
-//! controllers in virtual time, is built once.
+//! All integration tests in one program, so that the simulation of controllers in virtual
+//! time is built once.
 
 mod simulation;
 
--- a/tests/integration/migration.rs
+++ b/tests/integration/migration.rs
@@ -1,14 +1,14 @@
-//! Traces of tasks on the move: gathered, giving way, spreading images.
+//! Tasks that move: compaction, preemption, displacement for images.
 
-use crate::simulation::fixtures::up;
+use crate::simulation::fixtures::running_cluster;
 use crate::simulation::{array, service, Simulation};
 use serde_json::json;
 
-/// Replicas once stayed scattered over half-empty machines until they were
-/// cancelled, and the machines were paid for.
+/// Replicas once stayed scattered over half-empty machines until they were cancelled, and
+/// the machines were paid for.
 #[test]
-fn scattered_replicas_are_gathered_and_the_empty_machine_is_returned() {
-    let mut w = up(1);
+fn scattered_replicas_are_compacted_and_the_empty_machine_is_released() {
+    let mut w = running_cluster(1);
     for n in 0..4 {
         assert_eq!(w.submit(0, &service(&format!("run-{n}"), 4)), 201);
     }
@@ -26,11 +26,11 @@
     assert_eq!(kept, 1, "{:?}", w.trace);
 }
 
-/// A service once waited for a rental while arrays held all machines that it
-/// could have used at once.
+/// A service once waited for provisioning while arrays ran on all machines that it could
+/// have used at once.
 #[test]
-fn a_service_takes_room_from_an_array_and_the_array_is_done_all_the_same() {
-    let mut w = up(1);
+fn a_service_preempts_an_array_which_is_done_all_the_same() {
+    let mut w = running_cluster(1);
     w.cloud_away = true;
     w.run_ms = 20_000;
     assert_eq!(w.submit(0, &array("run-1", 16)), 201);
@@ -50,11 +50,12 @@
     assert_eq!(w.on_machines("run-4"), 0);
 }
 
-/// An array's task once started anew 400 times: in the room that its own stop
-/// had made, too small yet for the service that waited for a second one.
+/// A preempted task of an array was once started again 400 times: in the capacity that
+/// its own preemption had freed, too small yet for the service that waited for a second
+/// one.
 #[test]
-fn what_gave_way_does_not_start_in_the_gap_that_it_left() {
-    let mut w = up(1);
+fn a_preempted_task_does_not_start_in_the_capacity_that_it_freed() {
+    let mut w = running_cluster(1);
     w.cloud_away = true;
     w.run_ms = 40_000;
     let mut batch = array("run-1", 16);
@@ -76,12 +77,12 @@
     );
 }
 
-/// Saving once took the time that the waiting service had: it was late, and
-/// the array's tasks were gone all the same.
+/// Saving checkpoints once took the time that the waiting service had: it was late, and
+/// the array's tasks were preempted all the same.
 #[test]
 fn tasks_go_back_to_their_checkpoint_where_saving_would_take_too_long() {
     for (save_s, late) in [(6.0, false), (2.0, false), (2.0, true)] {
-        let mut w = up(1);
+        let mut w = running_cluster(1);
         w.cloud_away = true;
         w.run_ms = 600_000;
         let mut batch = array("run-1", 16);
@@ -104,11 +105,11 @@
     }
 }
 
-/// Room for arrivals was once kept on machines without their image, where a
-/// class that may wait for a moment only was late each time.
+/// Capacity for forecast demand was once reserved on machines without the image, where a
+/// class with a short objective was late each time.
 #[test]
-fn a_settled_replica_moves_to_leave_warm_room_behind() {
-    let mut w = up(1);
+fn a_settled_replica_migrates_to_leave_warm_capacity() {
+    let mut w = running_cluster(1);
     for n in 0..8 {
         let mut spec = service(&format!("run-{n}"), 1);
         // Half of the five seconds that the class may wait.
@@ -128,8 +129,9 @@
     );
 }
 
-/// Replicas of a large image once went to free room where a fetch took longer
-/// than their class may wait, while small-image replicas stood where it was.
+/// Replicas of a large image were once placed on free capacity where the fetch took
+/// longer than their class may wait, while replicas of a small image ran where the large
+/// image was.
 #[test]
 fn less_important_replicas_make_place_where_a_large_image_is() {
     for leader_ends in [false, true] {
@@ -138,7 +140,7 @@
 }
 
 fn make_place(leader_ends: bool) {
-    let mut w = up(3);
+    let mut w = running_cluster(3);
     let mut node = w.leader().unwrap();
     w.cloud_away = true;
     let mut spec = service("run-1", 4);
@@ -189,11 +191,11 @@
     assert_eq!(w.trace.len(), 16 + 2 + 2 + 2, "{:?}", w.trace);
 }
 
-/// Two replicas of a spread job once moved together to the zone in which only
-/// one more of them may be; the other waited for a machine to boot.
+/// Two replicas of a spread job once migrated together to the zone in which only one more
+/// of them may run; the other waited for a machine to boot.
 #[test]
-fn spread_replicas_that_move_together_keep_to_their_zones() {
-    let mut w = up(1);
+fn spread_replicas_that_migrate_together_stay_spread() {
+    let mut w = running_cluster(1);
     let mut spread = service("run-1", 3);
     spread["spread"] = json!(true);
     assert_eq!(w.submit(0, &spread), 201);
--- a/tests/integration/network_partitions.rs
+++ b/tests/integration/network_partitions.rs
@@ -1,8 +1,8 @@
-//! Traces of cuts and outages: zones, controllers and the state service apart.
+//! Partitions and outages: zones, controllers and the key-value store apart.
 
 use crate::simulation::fixtures::{
-    crosses, cut_between_zones, cut_zone_from_everything, cut_zones, full_zone, gone, heal,
-    set_silent, up,
+    crosses_partition, cut_zone_from_everything, full_zone, heal, partition_zones, released,
+    running_cluster, set_silent, zone_partitions,
 };
 use crate::simulation::{array, service, Fate, Simulation};
 use lilacfork::messages::Destination;
@@ -10,7 +10,7 @@
 
 #[test]
 fn work_lives_through_an_outage_of_the_state_service() {
-    let mut w = up(3);
+    let mut w = running_cluster(3);
     assert_eq!(w.submit(0, &service("run-1", 4)), 201);
     w.run_for(2000);
     w.state.away = true;
@@ -28,7 +28,7 @@
 
 #[test]
 fn an_outage_in_which_the_leader_dies() {
-    let mut w = up(3);
+    let mut w = running_cluster(3);
     let leader = w.leader().unwrap();
     assert_eq!(w.submit(0, &service("run-1", 4)), 201);
     w.run_for(2000);
@@ -45,7 +45,7 @@
 
 #[test]
 fn a_node_that_alone_is_cut_off_is_not_ready() {
-    let mut w = up(3);
+    let mut w = running_cluster(3);
     let ready = |w: &mut Simulation, n| {
         let user = w.ask(n, "GET", "/ready", json!(null));
         w.run_for(20);
@@ -69,11 +69,11 @@
     );
 }
 
-/// A cut between zones once ended every task on the far side: the followers
-/// there sent the workers to a leader that they couldn't reach.
+/// A partition between zones once ended every task on the far side: the followers there
+/// redirected the workers to a leader that they couldn't reach.
 #[test]
 fn a_cut_between_zones_ends_no_task_and_a_job_cancelled_meanwhile_still_goes() {
-    let mut w = up(3);
+    let mut w = running_cluster(3);
     let leader = w.leader().unwrap();
     let far = if leader == 1 { "a" } else { "b" };
     assert_eq!(w.submit(0, &service("run-1", 8)), 201);
@@ -81,7 +81,7 @@
     w.run_for(3000);
     assert_eq!(w.on_machines("run-"), 16);
     let started = w.trace.len();
-    cut_between_zones(&mut w);
+    partition_zones(&mut w);
     w.run_for(15_000);
     assert_eq!(w.on_machines("run-"), 16, "far side is {far}");
     assert_eq!(w.cancel(leader, "run-2").1, "cancelled");
@@ -97,14 +97,14 @@
     );
 }
 
-/// A cut and then an outage of the state service once left the follower beyond
-/// the cut alone; it sent its workers away, to nodes that they couldn't reach.
+/// A partition and then an outage of the key-value store once left the follower beyond
+/// the partition alone; it redirected its workers to nodes that they couldn't reach.
 #[test]
 fn a_cut_that_meets_an_outage_ends_no_task() {
-    let mut w = up(3);
+    let mut w = running_cluster(3);
     assert_eq!(w.submit(0, &service("run-1", 16)), 201);
     w.run_for(3000);
-    cut_between_zones(&mut w);
+    partition_zones(&mut w);
     w.run_for(6000);
     w.state.away = true;
     w.run_for(12_000);
@@ -116,9 +116,9 @@
     assert_eq!(w.trace.len(), 16, "{:?}", w.trace);
 }
 
-/// A zone that is cut off from everything once lost all its tasks, whichever
-/// side the leader was on: its only controller, alone all at once, took the
-/// fault for its own, and the other side gave the whole zone up.
+/// A zone that is partitioned from everything once lost all its tasks, whichever side the
+/// leader was on: its only controller, suddenly alone, took the fault for its own, and
+/// the other side declared the whole zone failed.
 #[test]
 fn a_zone_cut_off_from_everything_with_one_controller_ends_no_task() {
     for leader_ends in [false, true] {
@@ -136,15 +136,15 @@
         w.run_for(10_000);
         assert_eq!(w.on_machines("run-1"), 56);
         assert_eq!(w.trace.len(), 56, "{:?}", w.trace);
-        assert!(gone(&w, &names).is_empty(), "none is given up");
+        assert!(released(&w, &names).is_empty(), "none is given up");
     }
 }
 
-/// A controller that comes back beyond a cut once renewed leases for seconds
-/// before it asked which jobs had been cancelled while it was away.
+/// A controller that restarts beyond a partition once renewed leases for seconds before
+/// it asked which jobs had been cancelled while it was down.
 #[test]
 fn a_controller_that_returns_beyond_a_cut_knows_what_was_cancelled() {
-    let mut w = up(3);
+    let mut w = running_cluster(3);
     while w.leader() == Some(1) {
         w.kill(1);
         w.run_for(5000);
@@ -154,7 +154,7 @@
     assert_eq!(w.submit(0, &service("run-1", 8)), 201);
     assert_eq!(w.submit(0, &service("run-2", 8)), 201);
     w.run_for(3000);
-    cut_between_zones(&mut w);
+    partition_zones(&mut w);
     w.run_for(3000);
     w.kill(1);
     w.run_for(1000);
@@ -171,8 +171,8 @@
     );
 }
 
-/// Machines that fail together are no reason to step aside: every new leader
-/// would begin to wait for them anew, and none would ever give them up.
+/// Machines that fail together are no reason to hand over leadership: every new leader
+/// would begin to wait for them anew, and none would ever declare them failed.
 #[test]
 fn a_leader_whose_own_machines_all_fail_leads_on_and_gives_them_up() {
     let (mut w, names) = full_zone(3);
@@ -185,14 +185,19 @@
     set_silent(&mut w, &own, true);
     w.run_for(30_000);
     assert_eq!(w.leader(), Some(leader));
-    assert_eq!(gone(&w, &own).len(), own.len(), "{:?}", gone(&w, &own));
+    assert_eq!(
+        released(&w, &own).len(),
+        own.len(),
+        "{:?}",
+        released(&w, &own)
+    );
 }
 
-/// A leader that wakes after its lease has ended must not pass for one: its
-/// clocks ran on, its sockets are full of old reports, and nobody was heard by
-/// it for so long that it would give every machine up.
+/// A leader that resumes after its lease has expired must not act as one: its clocks ran
+/// on, its sockets are full of old heartbeats, and it has received nothing for so long
+/// that it would declare every machine failed.
 #[test]
-fn a_leader_that_stood_still_answers_no_report_and_returns_no_machine() {
+fn a_paused_leader_answers_no_heartbeat_and_releases_no_machine() {
     let (mut w, names) = full_zone(3);
     let old = w.leader().unwrap();
     let woken = w.now + 14_000;
@@ -208,13 +213,13 @@
     );
     assert_eq!(w.on_machines("run-1"), 56);
     assert_eq!(w.trace.len(), 56, "{:?}", w.trace);
-    assert!(gone(&w, &names).is_empty(), "none is given up");
+    assert!(released(&w, &names).is_empty(), "none is given up");
 }
 
-/// Followers once stored at most so many of the machines that they look after
-/// as one record holds, and the leader gave the others up.
+/// Followers once stored only as many of the machines whose leases they proxy as one
+/// record holds, and the leader declared the others failed.
 #[test]
-fn all_machines_that_a_follower_looks_after_are_stored() {
+fn all_machines_whose_leases_a_follower_proxies_are_stored() {
     let mut w = Simulation::new(3);
     w.capacity = 0;
     let zone_b = 1400;
@@ -222,7 +227,7 @@
         w.add_machine(&format!("vm-{n:04}"), "b", false, true);
     }
     w.run_until(5000);
-    cut_between_zones(&mut w);
+    partition_zones(&mut w);
     w.run_for(9000);
     let held = w.state.items.iter().filter(|(k, _)| k.starts_with("h/"));
     let counts: Vec<usize> = held
@@ -234,12 +239,12 @@
     );
 }
 
-/// A leader that alone was parted from the workers once led on: others sent
-/// the workers back to it, their leases ended, and in the end it gave up every
-/// machine.
+/// A leader that alone was partitioned from the workers once led on: others redirected
+/// the workers to it, their leases expired, and in the end it declared every machine
+/// failed.
 #[test]
-fn a_leader_that_no_worker_reaches_steps_aside() {
-    let mut w = up(3);
+fn a_leader_that_no_worker_reaches_hands_over_leadership() {
+    let mut w = running_cluster(3);
     assert_eq!(w.submit(0, &service("run-1", 16)), 201);
     w.run_for(3000);
     let deaf = w.leader().unwrap();
@@ -263,20 +268,20 @@
     assert!(w.workers.values().all(|m| !m.gone), "none is given up");
 }
 
-/// With the cloud away as well, nothing but the follower could end these tasks;
-/// it went on renewing their leases for longer than a cancellation has.
+/// With the cloud unavailable as well, only the follower could end these tasks; it once
+/// renewed their leases for longer than `cancel_s`.
 #[test]
 fn a_job_cancelled_beyond_a_cut_ends_in_time_while_the_cloud_is_away() {
     for state_goes_too in [false, true] {
-        let mut w = up(3);
+        let mut w = running_cluster(3);
         assert_eq!(w.submit(0, &service("run-1", 8)), 201);
         assert_eq!(w.submit(0, &service("run-2", 8)), 201);
         w.run_for(3000);
         assert_eq!(w.on_machines("run-"), 16);
         let leader = w.leader().unwrap();
-        w.partitions = cut_zones();
+        w.partitions = zone_partitions();
         w.hook = Box::new(move |_, node, call| match &call.target {
-            Destination::Peer(addr) if crosses(node, addr) => Fate::LoseRequest,
+            Destination::Peer(addr) if crosses_partition(node, addr) => Fate::LoseRequest,
             // The far follower alone loses the state service too.
             Destination::KvStore | Destination::KvWatch if state_goes_too && node == 1 => {
                 Fate::LoseRequest
@@ -293,11 +298,11 @@
     }
 }
 
-/// The state service goes away in the moment after a cancellation, before the
-/// leader's watch can tell of it.
+/// The key-value store becomes unavailable in the moment after a cancellation, before the
+/// leader's watch reports it.
 #[test]
 fn a_cancellation_reaches_the_leader_past_an_outage() {
-    let mut w = up(3);
+    let mut w = running_cluster(3);
     let leader = w.leader().unwrap();
     assert_eq!(w.submit(0, &service("run-1", 4)), 201);
     w.run_for(3000);
@@ -318,11 +323,11 @@
     assert!(!w.state.items.contains_key("j/run-1"), "cleared away");
 }
 
-/// Reports that are passed on together once made messages that the leader
-/// refused as too large.
+/// Heartbeats that were forwarded together once made messages that the leader rejected as
+/// too large.
 #[test]
-fn reports_are_passed_on_in_messages_that_are_taken() {
-    let mut w = up(3);
+fn forwarded_heartbeats_fit_in_messages_that_are_accepted() {
+    let mut w = running_cluster(3);
     assert_ne!(w.leader(), Some(1), "the leader stands in the other zone");
     let sizes = std::rc::Rc::new(std::cell::RefCell::new(Vec::new()));
     let seen = sizes.clone();
@@ -354,8 +359,8 @@
     );
 }
 
-/// After a cut a zone's workers come back one by one. The last of them were
-/// once given up in the moment in which most had come back.
+/// After a partition a zone's workers return one by one. The last of them were once
+/// declared failed at the moment at which most had returned.
 #[test]
 fn workers_that_are_last_to_come_back_from_a_cut_are_kept() {
     let (mut w, names) = full_zone(1);
@@ -365,15 +370,19 @@
     w.run_for(4000);
     set_silent(&mut w, &names[4..], false);
     w.run_for(5000);
-    assert!(gone(&w, &names).is_empty(), "{:?}", gone(&w, &names));
+    assert!(
+        released(&w, &names).is_empty(),
+        "{:?}",
+        released(&w, &names)
+    );
     // One that is silent alone is given up as ever.
     set_silent(&mut w, &names[5..], true);
     w.run_for(12_000);
-    assert_eq!(gone(&w, &names), [&names[5]]);
+    assert_eq!(released(&w, &names), [&names[5]]);
 }
 
-/// A zone beyond a cut was once given up at the end of an outage, during which
-/// no follower could have stored that it renews leases there.
+/// A zone beyond a partition was once declared failed at the end of an outage, during
+/// which no follower could have stored that it renews leases there.
 #[test]
 fn a_silence_that_an_outage_hides_does_not_count() {
     let (mut w, names) = full_zone(1);
@@ -383,14 +392,18 @@
     w.run_for(25_000);
     w.state_returns();
     w.run_for(12_000);
-    assert!(gone(&w, &names).is_empty(), "{:?}", gone(&w, &names));
+    assert!(
+        released(&w, &names).is_empty(),
+        "{:?}",
+        released(&w, &names)
+    );
     w.run_for(20_000);
-    assert_eq!(gone(&w, &names).len(), 6, "in the end it does");
+    assert_eq!(released(&w, &names).len(), 6, "in the end it does");
 }
 
-/// The same, whenever between two heartbeats the cut begins: what is heard of a
-/// leader and what reaches it end at different moments, and reports that came in
-/// between were once answered by nobody.
+/// The same, whenever between two heartbeats the partition begins: messages from a leader
+/// and messages to it stop at different moments, and heartbeats that arrived in between
+/// once got no reply.
 #[test]
 fn a_zone_cut_off_at_any_moment_between_heartbeats_ends_no_task() {
     for offset_ms in (0..1000).step_by(100) {
@@ -401,6 +414,6 @@
         heal(&mut w);
         w.run_for(10_000);
         assert_eq!(w.trace.len(), 56, "cut after {offset_ms} ms: {:?}", w.trace);
-        assert!(gone(&w, &names).is_empty(), "none is given up");
+        assert!(released(&w, &names).is_empty(), "none is given up");
     }
 }
--- a/tests/integration/observer.rs
+++ b/tests/integration/observer.rs
@@ -1,5 +1,5 @@
-//! The traces' observer, proved by a broken history for each rule: what it
-//! can't see, no trace checks.
+//! The observer of the simulation, tested with a history that breaks it for each rule: no
+//! simulation checks what it misses.
 
 use crate::simulation::array;
 use crate::simulation::observer::{Observer, RunningTask, UserRequest, Verb, Verdict};
@@ -154,7 +154,7 @@
     breaks("went_back", o.answered(30, &show, 200, "cancelled"));
 }
 
-/// `run-2` needs `run-1`, `run-3` needs `run-2`.
+/// `run-2` depends on `run-1`, `run-3` on `run-2`.
 fn chain() -> Observer {
     let mut o = accepted(array("run-1", 2));
     for (id, need) in [("run-2", "run-1"), ("run-3", "run-2")] {
--- a/tests/integration/policy.rs
+++ b/tests/integration/policy.rs
@@ -1,4 +1,4 @@
-//! The pure parts, as tables.
+//! Tables for pure functions: machine choice, placement, records, rates and settings.
 
 use crate::simulation::SETTINGS;
 use lilacfork::cloud::Offer;
@@ -282,7 +282,7 @@
     }
 }
 
-/// Changes that go out in ten seconds, of more than are let out.
+/// Changes that are sent in ten seconds, of more than the rates allow.
 fn changes_sent(store: &mut KvClient<u32>, from_ms: u64) -> usize {
     let mut sent = 0;
     for n in 0..1000 {
@@ -306,8 +306,8 @@
     sent
 }
 
-/// The leader was held to its share while followers left theirs unused, and a
-/// flood of one-task jobs was stored for minutes after it was over.
+/// The leader once kept to its own share while followers left theirs unused, and it took
+/// minutes to store a burst of one-task jobs after its end.
 #[test]
 fn the_leader_takes_the_changes_that_others_leave() {
     let at = |ms| Now { ms, wall: 0 };
--- a/tests/integration/processor_costs.rs
+++ b/tests/integration/processor_costs.rs
@@ -1,16 +1,16 @@
-//! What an event costs, counted and never timed: messages, allocations, entries
-//! examined. Each bound leaves room for change and is broken once the cost
-//! grows with the fleet.
+//! The cost of an event, counted and never timed: messages, allocations, entries
+//! examined. Each bound leaves room for change and is exceeded once the cost grows with
+//! the fleet.
 
 use crate::simulation::{array, fixtures, Fate, Simulation};
 use lilacfork::messages::Destination;
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// Two controllers in zone `a`, one of them the leader, and machines in zone `b`
-/// that report to the third controller, which passes their reports on.
+/// Two controllers in zone `a`, one of them the leader, and machines in zone `b` that
+/// send heartbeats to the third controller, which forwards them.
 fn machines_beside_a_follower(machines: usize) -> Simulation {
-    let mut w = fixtures::up(3);
+    let mut w = fixtures::running_cluster(3);
     assert_ne!(w.leader(), Some(1), "the follower of zone b doesn't lead");
     w.capacity = 0;
     w.run_ms = 2500;
@@ -36,10 +36,10 @@
     calls
 }
 
-/// Reports with nothing new were once passed on every 50 ms: a fifth of what the
+/// Heartbeats with nothing new were once forwarded every 50 ms: a fifth of what the
 /// leader of 154 machines handled, and half of what that follower sent.
 #[test]
-fn reports_with_nothing_new_are_passed_on_together() {
+fn heartbeats_with_nothing_new_are_forwarded_together() {
     let mut counts = Vec::new();
     for machines in [30, 90] {
         let mut w = machines_beside_a_follower(machines);
@@ -55,10 +55,10 @@
     );
 }
 
-/// What is new doesn't wait for the rest: room that becomes free in the follower's
-/// zone is given to the next task within a fraction of the report interval.
+/// Changes don't wait for the rest: capacity that becomes free in the follower's zone is
+/// given to the next task within a fraction of the heartbeat interval.
 #[test]
-fn reports_with_news_are_passed_on_at_once() {
+fn heartbeats_with_changes_are_forwarded_at_once() {
     let mut w = machines_beside_a_follower(1);
     let mut spec = array("run-1", 24);
     spec["secteur"] = serde_json::json!("b");
--- a/tests/integration/provisioning.rs
+++ b/tests/integration/provisioning.rs
@@ -1,11 +1,11 @@
-//! Traces of renting and returning machines.
+//! Provisioning and release of machines.
 
-use crate::simulation::fixtures::{patient, up};
+use crate::simulation::fixtures::{running_cluster, service_without_objective};
 use crate::simulation::{array, service, Fate, Simulation};
 use lilacfork::messages::Destination;
 
 #[test]
-fn a_rental_whose_answer_is_lost_is_made_once() {
+fn an_order_whose_response_is_lost_is_placed_once() {
     let mut w = Simulation::new(1);
     let mut lost = 0;
     w.hook = Box::new(move |_, _, call| {
@@ -25,10 +25,9 @@
     assert!(w.workers.len() <= 2, "{:?}", w.workers.keys());
 }
 
-/// A rental carried out long after its caller gave up: nobody expects the
-/// machine.
+/// Machines provisioned long after the call timed out: nobody expects them.
 #[test]
-fn a_machine_that_turns_up_unasked_is_used_and_then_returned() {
+fn an_unexpected_machine_is_used_and_then_released() {
     let mut w = Simulation::new(3);
     w.run_until(3000);
     w.cloud_away = true;
@@ -43,11 +42,11 @@
     assert!(w.workers["vm-late"].gone);
 }
 
-/// A new leader once took empty machines, which it knew by the cloud's list
-/// alone, for ones that had never come up, and returned them at once.
+/// A new leader once took empty machines, which it knew by the cloud's list alone, for
+/// ones that had never come up, and released them at once.
 #[test]
 fn a_new_leader_waits_for_the_reports_of_machines_that_it_finds_in_the_list() {
-    let mut w = up(3);
+    let mut w = running_cluster(3);
     w.run_until(40_000);
     w.kill(w.leader().unwrap());
     // Their next reports come a little after the list.
@@ -66,11 +65,11 @@
     assert_eq!(w.on_machines("run-1"), 2, "they are of use at once");
 }
 
-/// A new leader once began with no idea of what to expect, and gave back the
-/// room that its predecessor had kept.
+/// A new leader once began with no forecast of demand, and released the capacity that its
+/// predecessor had reserved.
 #[test]
 fn a_new_leader_expects_what_stored_jobs_show() {
-    let mut w = up(3);
+    let mut w = running_cluster(3);
     w.capacity = 0;
     for n in 0..16 {
         assert_eq!(w.submit(0, &service(&format!("run-{n}"), 1)), 201);
@@ -86,11 +85,11 @@
     assert!(w.workers.len() > machines, "room is made for more");
 }
 
-/// After a wave of work dozens of machines once stood empty for as long as the
-/// one or two that the next arrival would need.
+/// After a burst of work dozens of machines once stayed empty for as long as the one or
+/// two that the next arrival would need.
 #[test]
 fn of_many_empty_machines_most_leave_soon() {
-    let mut w = up(1);
+    let mut w = running_cluster(1);
     w.capacity = 0;
     w.run_ms = 75_000;
     for n in 0..14 {
@@ -107,13 +106,13 @@
     assert_eq!(there(&w), 0, "and leave in the end");
 }
 
-/// The first leader ever once listened for three report intervals for what
-/// nobody could have rented, and all work of the beginning waited with it.
+/// The very first leader once waited three heartbeat intervals for machines that nobody
+/// could have provisioned, and all first jobs waited with it.
 #[test]
-fn the_first_leader_rents_at_once_unless_machines_are_there() {
+fn the_first_leader_provisions_at_once_unless_machines_exist() {
     let mut w = Simulation::new(1);
     w.run_until(1000);
-    assert_eq!(w.submit(0, &patient("run-1")), 201);
+    assert_eq!(w.submit(0, &service_without_objective("run-1")), 201);
     w.run_for(500);
     assert_eq!(w.workers.len(), 3, "twenty replicas, eight to a machine");
     // What is there already is heard first.
@@ -122,19 +121,19 @@
         w.add_machine(&format!("vm-e{n}"), "a", false, true);
     }
     w.run_until(100);
-    assert_eq!(w.submit(0, &patient("run-1")), 201);
+    assert_eq!(w.submit(0, &service_without_objective("run-1")), 201);
     w.run_until(5000);
     assert_eq!((w.workers.len(), w.on_machines("run-1")), (3, 20));
 }
 
-/// Jobs once waited for machines that took several times the usual time to
-/// boot: they counted as room to come until twice that time.
+/// Jobs once waited for machines that took several times the usual time to boot: they
+/// counted as coming capacity until twice that time.
 #[test]
-fn a_machine_that_boots_for_unusually_long_is_not_counted_on() {
+fn a_machine_that_boots_for_unusually_long_is_no_coming_capacity() {
     let mut w = Simulation::new(1);
     w.boot_ms = 40_000;
     w.run_until(5000);
-    assert_eq!(w.submit(0, &patient("run-1")), 201);
+    assert_eq!(w.submit(0, &service_without_objective("run-1")), 201);
     w.run_for(6500);
     let first = w.workers.len();
     assert!(first >= 3, "twenty replicas, eight to a machine: {first}");
--- a/tests/integration/randomized_faults.rs
+++ b/tests/integration/randomized_faults.rs
@@ -1,6 +1,6 @@
-//! Storms: many of the troubles that the operators have met, drawn by chance
-//! from fixed seeds, several at a time. The observer checks the rules at every
-//! step; once all is over, everything accepted has to be served.
+//! Many of the faults that operators have met, several at a time, drawn at random from
+//! fixed seeds. The observer checks the rules throughout; once all faults are over, every
+//! accepted job has to be served.
 
 use crate::simulation::fixtures::node_at;
 use crate::simulation::{array, service, Fate, Simulation};
@@ -10,85 +10,89 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// How likely each fate is, in percent, changed as the storm goes.
+/// How likely each fault is, in percent; it changes over time.
 #[derive(Clone, Copy, Default)]
-struct Weather {
-    late_txn: u32,
-    lost_txn_answer: u32,
-    slow_state: u32,
-    /// The node that the state service refuses.
-    refused: Option<usize>,
-    /// The node that hears no peer.
-    parted: Option<usize>,
-    lost_peer: u32,
-    late_command: u32,
-    /// Answers of anybody that make no sense.
-    garbled: u32,
+struct FaultRates {
+    late_txns: u32,
+    lost_txn_responses: u32,
+    slow_store_calls: u32,
+    /// The node whose calls the key-value store rejects.
+    rejected_node: Option<usize>,
+    /// The node that is partitioned from its peers.
+    partitioned_node: Option<usize>,
+    lost_peer_calls: u32,
+    late_commands: u32,
+    /// Malformed responses, from anybody.
+    garbled_responses: u32,
 }
 
-struct Storm {
+struct RandomFaults {
     w: Simulation,
     rng: fastrand::Rng,
-    weather: Rc<Cell<Weather>>,
+    rates: Rc<Cell<FaultRates>>,
     jobs: BTreeMap<String, Value>,
-    /// Whose cancellation a user was told of.
+    /// Jobs whose cancellation was confirmed to a user.
     cancelled: Vec<String>,
     asked: Vec<(u64, String, &'static str)>,
-    old_reports: Vec<Value>,
+    old_heartbeats: Vec<Value>,
     next_job: u32,
 }
 
-impl Storm {
-    fn new(seed: u64) -> Storm {
+impl RandomFaults {
+    fn new(seed: u64) -> RandomFaults {
         let mut w = Simulation::new(3);
         w.capacity = 12;
         w.boot_ms = 1500;
         for (n, zone) in ["a", "b", "a", "b"].into_iter().enumerate() {
             w.add_machine(&format!("vm-{n}"), zone, false, true);
         }
-        let weather = Rc::new(Cell::new(Weather::default()));
-        let sky = weather.clone();
+        let rates = Rc::new(Cell::new(FaultRates::default()));
+        let hook_rates = rates.clone();
         let mut rng = fastrand::Rng::with_seed(seed ^ 0x5eed);
         w.hook = Box::new(move |_, node, call| {
-            let now = sky.get();
+            let rates = hook_rates.get();
             let mut chance = |percent: u32| percent > 0 && rng.u32(0..100) < percent;
-            if call.target != Destination::KvWatch && chance(now.garbled) {
+            if call.target != Destination::KvWatch && chance(rates.garbled_responses) {
                 return Fate::Garble([200, 404, 409, 500][rng.usize(0..4)]);
             }
             match &call.target {
-                Destination::KvStore | Destination::KvWatch if now.refused == Some(node) => {
+                Destination::KvStore | Destination::KvWatch
+                    if rates.rejected_node == Some(node) =>
+                {
                     Fate::Refuse
                 }
-                Destination::KvStore if call.path == "/txn" && chance(now.late_txn) => {
+                Destination::KvStore if call.path == "/txn" && chance(rates.late_txns) => {
                     Fate::Late(2000 + rng.u64(0..10_000))
                 }
-                Destination::KvStore if call.path == "/txn" && chance(now.lost_txn_answer) => {
+                Destination::KvStore if call.path == "/txn" && chance(rates.lost_txn_responses) => {
                     Fate::LoseAnswer
                 }
-                Destination::KvStore if chance(now.slow_state) => Fate::SlowAnswer(rng.u64(0..800)),
+                Destination::KvStore if chance(rates.slow_store_calls) => {
+                    Fate::SlowAnswer(rng.u64(0..800))
+                }
                 Destination::Peer(addr) => {
                     let to = node_at(addr);
-                    let parted = now.parted.is_some_and(|n| n == node || n == to);
-                    if parted || chance(now.lost_peer) {
+                    let partitioned = rates.partitioned_node.is_some_and(|n| n == node || n == to);
+                    if partitioned || chance(rates.lost_peer_calls) {
                         Fate::LoseRequest
                     } else {
                         Fate::Pass
                     }
                 }
-                Destination::Worker(_) if chance(now.late_command) => {
+                Destination::Worker(_) if chance(rates.late_commands) => {
                     Fate::Late(rng.u64(500..6000))
                 }
                 _ => Fate::Pass,
             }
         });
-        Storm {
+        RandomFaults {
             w,
             rng: fastrand::Rng::with_seed(seed),
-            weather,
+            rates,
             jobs: BTreeMap::new(),
             cancelled: Vec::new(),
             asked: Vec::new(),
-            old_reports: Vec::new(),
+            old_heartbeats: Vec::new(),
             next_job: 0,
         }
     }
@@ -162,9 +166,9 @@
         (!up.is_empty()).then(|| up[self.rng.usize(0..up.len())].clone())
     }
 
-    /// One thing that goes wrong, or ends.
-    fn trouble(&mut self) {
-        let mut sky = self.weather.get();
+    /// Begins a fault, or ends one.
+    fn inject_fault(&mut self) {
+        let mut rates = self.rates.get();
         let node = self.node();
         match self.rng.u32(0..23) {
             0 if self.w.nodes[node].is_some() => self.w.kill(node),
@@ -174,14 +178,14 @@
                 }
             }
             2..=5 if self.w.nodes[node].is_none() => self.w.start(node),
-            6 => sky.late_txn = self.rng.u32(0..40),
-            7 => sky.lost_txn_answer = self.rng.u32(0..40),
-            8 => sky.slow_state = self.rng.u32(0..60),
-            9 => sky.refused = self.w.leader(),
-            10 => sky.parted = self.w.leader(),
-            11 => (sky.refused, sky.parted) = (None, None),
-            12 => sky.lost_peer = self.rng.u32(0..50),
-            13 => sky.late_command = self.rng.u32(0..50),
+            6 => rates.late_txns = self.rng.u32(0..40),
+            7 => rates.lost_txn_responses = self.rng.u32(0..40),
+            8 => rates.slow_store_calls = self.rng.u32(0..60),
+            9 => rates.rejected_node = self.w.leader(),
+            10 => rates.partitioned_node = self.w.leader(),
+            11 => (rates.rejected_node, rates.partitioned_node) = (None, None),
+            12 => rates.lost_peer_calls = self.rng.u32(0..50),
+            13 => rates.late_commands = self.rng.u32(0..50),
             14 => self.w.state.away = true,
             15 | 16 if self.w.state.away => self.w.state_returns(),
             17 => {
@@ -202,24 +206,24 @@
                 self.w.paused_until.insert(node, until);
             }
             20 => self.w.cloud_away = !self.w.cloud_away,
-            22 => sky.garbled = self.rng.u32(0..12),
+            22 => rates.garbled_responses = self.rng.u32(0..12),
             21 => self.w.state.watches_stalled = !self.w.state.watches_stalled,
             _ => {}
         }
-        self.weather.set(sky);
+        self.rates.set(rates);
     }
 
-    /// Reports are copied, and a copy arrives again later, at any node.
-    fn copy_reports(&mut self) {
+    /// Copies a heartbeat, and lets an earlier copy arrive at all nodes.
+    fn replay_heartbeats(&mut self) {
         if let Some(name) = self.some_machine() {
             let mut copy = self.w.worker_report(&name);
-            // As it would have been a report ago.
+            // As if it were one heartbeat older.
             copy["numero"] = json!(copy["numero"].as_u64().unwrap_or(1) - 1);
-            self.old_reports.push(copy);
+            self.old_heartbeats.push(copy);
         }
-        if !self.old_reports.is_empty() && self.rng.bool() {
-            let n = self.rng.usize(0..self.old_reports.len());
-            let copy = self.old_reports.swap_remove(n);
+        if !self.old_heartbeats.is_empty() && self.rng.bool() {
+            let n = self.rng.usize(0..self.old_heartbeats.len());
+            let copy = self.old_heartbeats.swap_remove(n);
             for node in 0..3 {
                 if self.w.nodes[node].is_some() {
                     self.w.deliver_report(node, &copy);
@@ -228,7 +232,7 @@
         }
     }
 
-    fn blow(&mut self, until_ms: u64) {
+    fn run_with_faults(&mut self, until_ms: u64) {
         while self.w.now < until_ms {
             match self.rng.u32(0..20) {
                 0..=3 => self.submit(),
@@ -240,8 +244,8 @@
                     }
                 }
                 6..=8 => self.look(),
-                9..=11 => self.copy_reports(),
-                12..=14 => self.trouble(),
+                9..=11 => self.replay_heartbeats(),
+                12..=14 => self.inject_fault(),
                 _ => {}
             }
             let pause = self.rng.u64(1..700);
@@ -250,7 +254,7 @@
     }
 
     fn calm(&mut self) {
-        self.weather.set(Weather::default());
+        self.rates.set(FaultRates::default());
         self.w.paused_until.clear();
         self.w.cloud_away = false;
         self.w.state.watches_stalled = false;
@@ -336,16 +340,17 @@
     }
 }
 
-fn storm(seed: u64) {
-    let mut s = Storm::new(seed);
-    s.w.run_until(4000);
-    s.blow(120_000);
-    s.settle();
+/// Two minutes of random faults, and then time for everything to be served.
+fn run_seed(seed: u64) {
+    let mut run = RandomFaults::new(seed);
+    run.w.run_until(4000);
+    run.run_with_faults(120_000);
+    run.settle();
 }
 
-/// `SEEDS=FROM..TO` plays others, for whoever hunts.
+/// `SEEDS=FROM..TO` in the environment runs other seeds.
 #[test]
-fn storms_break_no_rule_and_leave_nothing_waiting() {
+fn random_faults_break_no_rule_and_leave_no_job_waiting() {
     let seeds = std::env::var("SEEDS").ok();
     let seeds = seeds
         .as_deref()
@@ -353,6 +358,6 @@
         .and_then(|(from, to)| Some(from.parse().ok()?..to.parse().ok()?));
     for seed in seeds.unwrap_or(0..24) {
         println!("seed {seed}");
-        storm(seed);
+        run_seed(seed);
     }
 }
--- a/tests/integration/reactor.rs
+++ b/tests/integration/reactor.rs
@@ -1,5 +1,5 @@
-//! The reactor's bounds, with real sockets on loopback: ports are the
-//! system's choice, and what is asserted doesn't depend on time.
+//! The reactor's bounds, with real sockets on loopback: the system chooses the ports, and
+//! no assertion depends on time.
 
 use lilacfork::messages::{
     Call, CallId, CallResult, ConnectionId, Destination, Effect, Listener, Now, Reply, Request,
@@ -14,7 +14,7 @@
 const WORKERS: u64 = 64;
 const ROUNDS: u64 = 3;
 
-/// Calls every worker, and again when all have answered.
+/// Calls every worker, and again when all have responded.
 struct Caller {
     port: u16,
     answered: u64,
@@ -83,8 +83,8 @@
     }
 }
 
-/// One connection for each of many workers would once have taken all that a
-/// controller may open, and left none for the state service.
+/// One connection for each of many workers would once have taken all that a controller
+/// may open, and left none for the key-value store.
 #[test]
 fn calls_to_many_workers_share_a_bounded_number_of_connections() {
     let listener = TcpListener::bind("0.0.0.0:0").expect("loopback");
@@ -124,7 +124,7 @@
     assert!((least..=answered).contains(&opened), "opened: {opened}");
 }
 
-/// Answers whatever comes.
+/// Replies to every request.
 struct Obliging;
 
 impl Handler for Obliging {
@@ -147,7 +147,7 @@
     }
 }
 
-/// Reads an answer's head.
+/// Reads the head of a response.
 fn status_of(stream: &mut TcpStream) -> String {
     let mut head = [0; 12];
     match stream.read_exact(&mut head) {
@@ -156,9 +156,9 @@
     }
 }
 
-/// All sockets busy with the largest requests allowed would once have taken more
-/// than a controller of 27 MB has. Those that don't fit are refused at once, and
-/// small ones are served all the while.
+/// All sockets busy with the largest allowed requests would once have taken more memory
+/// than a controller of 27 MB has. Those that don't fit are rejected at once, and small
+/// ones are served meanwhile.
 #[test]
 fn large_unfinished_requests_are_refused_when_memory_is_short() {
     // Two megabytes: 250 kB of requests, at an even part of 5.2 kB each.
--- a/tests/integration/resource_limits.rs
+++ b/tests/integration/resource_limits.rs
@@ -1,4 +1,4 @@
-//! Sizes at which something fixed once stood in the way.
+//! Fleet sizes that a fixed bound once did not allow.
 
 use crate::simulation::{service, Simulation};
 use lilacfork::gateway::{Gateway, GatewayEffects};
@@ -12,11 +12,11 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// At 4,000 machines there may be as many jobs as tasks; a leader's first heartbeat
-/// held a count of each, and from some 18,000 jobs on no peer took it: none heard
-/// that there was a leader, at that and at every later try.
+/// At 4,000 machines there may be as many jobs as tasks; a leader's first heartbeat held
+/// a count of each, and from some 18,000 jobs on no peer accepted it: none learned that
+/// there was a leader, at that and at every later try.
 #[test]
-fn a_leader_of_many_jobs_is_heard_by_its_peers() {
+fn heartbeats_of_a_leader_of_many_jobs_are_accepted_by_its_peers() {
     let mut w = Simulation::new(3);
     w.capacity = 0;
     // So many machines that the books aren't counted anew at every event.
@@ -51,8 +51,8 @@
     assert_eq!(w.poll((leader + 1) % 3, job), (200, "running".into()));
 }
 
-/// 20,000 jobs were remembered, however much memory there was: of more, running
-/// ones were shown as pending.
+/// 20,000 jobs were remembered, however much memory there was: of more, running ones were
+/// shown as pending.
 #[test]
 fn what_is_remembered_of_jobs_follows_the_memory() {
     let mut settings = crate::simulation::settings("n-0", 3);
--- a/tests/integration/round_slices.rs
+++ b/tests/integration/round_slices.rs
@@ -1,13 +1,14 @@
-//! Kept traces: rounds that take many slices, and what happens between two.
+//! Rounds that take many slices, and what happens between two of them.
 
+use crate::simulation::fixtures::task_starts;
 use crate::simulation::{array, service, Simulation};
 use lilacfork::node::Node;
 use serde_json::{json, Value};
 
-/// With so little of a core a slice examines thirty entries, a few jobs.
+/// With so small a share of a core a slice examines thirty entries, a few jobs.
 const FEW_CORES: f64 = 0.0003;
-/// Entries of a slice with the usual share of a core: a three hundredth of the
-/// leader's lease of 3 s, at 0.1 us each.
+/// Entries of a slice with the usual share of a core: a three hundredth of the leader's
+/// lease of 3 s, at 0.1 us each.
 const SLICE_ENTRIES: u64 = 10_000;
 
 fn leader(w: &Simulation) -> &Node {
@@ -15,7 +16,7 @@
     w.nodes[leader].as_ref().expect("the leader is up")
 }
 
-/// Jobs of two tasks that all wait when machines come.
+/// Jobs of two tasks that all wait when machines come up.
 fn many_jobs_wait(jobs: u32, machines: usize) -> Simulation {
     let mut w = Simulation::with_cores(3, FEW_CORES);
     w.capacity = 0;
@@ -36,7 +37,7 @@
     w
 }
 
-/// Goes on until a round is under way in which so many jobs wait for their turn.
+/// Runs until a round is under way in which so many jobs are queued.
 fn run_into_a_round(w: &mut Simulation, queued: usize) {
     for _ in 0..20_000 {
         if leader(w).queued_in_round() >= queued {
@@ -47,11 +48,6 @@
     panic!("no round with {queued} in its queue");
 }
 
-fn starts(w: &Simulation, job: &str) -> usize {
-    let prefix = format!(" {job}/");
-    w.trace.iter().filter(|line| line.contains(&prefix)).count()
-}
-
 fn all_done(w: &mut Simulation, jobs: u32) {
     for n in 0..jobs {
         let id = format!("run-{n:03}");
@@ -87,20 +83,20 @@
     }
     assert_eq!(w.answer(user), (200, "cancelled".into()));
     assert!(leader(&w).queued_in_round() > 0, "the round goes on");
-    assert_eq!(starts(&w, "run-249"), 0);
+    assert_eq!(task_starts(&w, "run-249"), 0);
     w.run_for(60_000);
-    assert_eq!(starts(&w, "run-249"), 0);
+    assert_eq!(task_starts(&w, "run-249"), 0);
     all_done(&mut w, 249);
 }
 
-/// What is urgent and comes in the middle of a long round doesn't wait for its end.
+/// Urgent jobs that arrive during a long round don't wait for its end.
 #[test]
 fn urgent_work_that_arrives_between_slices_goes_before_the_rest() {
     let mut w = many_jobs_wait(250, 40);
     run_into_a_round(&mut w, 240);
     let node = w.leader().unwrap();
     w.ask(node, "POST", "/v2/runs", service("run-urgent", 1));
-    while starts(&w, "run-urgent") == 0 {
+    while task_starts(&w, "run-urgent") == 0 {
         w.run_for(1);
         assert!(
             leader(&w).queued_in_round() > 0,
@@ -114,8 +110,8 @@
     );
 }
 
-/// What was placed and not stored is forgotten with its leader; nothing runs twice
-/// and nothing is lost.
+/// Placements that weren't stored are forgotten with their leader; nothing runs twice and
+/// nothing is lost.
 #[test]
 fn a_leader_that_ends_in_the_middle_of_a_round_loses_nothing() {
     let mut w = many_jobs_wait(120, 20);
@@ -129,7 +125,7 @@
     all_done(&mut w, 120);
 }
 
-/// A fleet of so many idle machines that report.
+/// A fleet of so many idle machines that send heartbeats.
 fn idle_fleet(machines: usize) -> Simulation {
     let mut w = Simulation::new(3);
     w.capacity = 0;
@@ -158,7 +154,7 @@
     let node = w.leader().unwrap();
     assert_eq!(w.submit(node, &spec), 201);
     w.run_for(15_000);
-    assert_eq!(starts(&w, "run-1"), 10_000);
+    assert_eq!(task_starts(&w, "run-1"), 10_000);
     let silent = |line: &&String| {
         let machine = line.split(' ').nth(1).and_then(|m| m.strip_prefix("vm-"));
         machine
@@ -170,7 +166,7 @@
     assert!(longest < 2 * SLICE_ENTRIES, "{longest} entries in a slice");
 }
 
-/// A new leader reads where 64,800 tasks are on 8,100 machines, page by page, and
+/// A new leader reads the placements of 64,800 tasks on 8,100 machines page by page, and
 /// no slice of a round of its own is long.
 #[test]
 fn the_placements_of_8100_machines_are_read_without_a_long_slice() {
@@ -180,7 +176,7 @@
     spec["gabarit"] = json!("help");
     assert_eq!(small.submit(0, &spec), 201);
     small.run_for(3000);
-    assert_eq!(starts(&small, "run-0000"), 24);
+    assert_eq!(task_starts(&small, "run-0000"), 24);
     let stored = |prefix: &str| {
         let mut items = small.state.items.iter();
         let (key, item) = items
--- a/tests/integration/simulation/fixtures.rs
+++ b/tests/integration/simulation/fixtures.rs
@@ -1,10 +1,11 @@
-//! Where many traces begin, and troubles that many have.
+//! Initial states and faults that many tests share.
 
 use super::{array, service, Fate, Simulation};
 use lilacfork::messages::Destination;
 use serde_json::{json, Value};
 
-pub fn up(nodes: usize) -> Simulation {
+/// Controllers that have a leader, and a machine in each zone.
+pub fn running_cluster(nodes: usize) -> Simulation {
     let mut w = Simulation::new(nodes);
     w.add_machine("vm-a", "a", false, true);
     w.add_machine("vm-b", "b", false, true);
@@ -13,48 +14,49 @@
     w
 }
 
-/// The second node's zone apart from the others'.
-pub fn cut_zones() -> Vec<(usize, String)> {
+/// Partitions between the second node's zone and that of the others.
+pub fn zone_partitions() -> Vec<(usize, String)> {
     (0..3)
         .flat_map(|n| ["a", "b"].map(|z| (n, z.to_string())))
         .filter(|(n, z)| (*n == 1) != (z == "b"))
         .collect()
 }
 
-/// Whether a call from this node to that peer crosses the cut.
-pub fn crosses(node: usize, peer: &str) -> bool {
+/// Whether a call from this node to that peer crosses the zones' partition.
+pub fn crosses_partition(node: usize, peer: &str) -> bool {
     (node == 1) != (peer == "10.0.0.2:8081")
 }
 
-/// Neither workers nor controllers hear those of the other zone.
-pub fn cut_between_zones(w: &mut Simulation) {
-    w.partitions = cut_zones();
+/// Neither workers nor controllers reach those of the other zone.
+pub fn partition_zones(w: &mut Simulation) {
+    w.partitions = zone_partitions();
     w.hook = Box::new(|_, node, call| match &call.target {
-        Destination::Peer(addr) if crosses(node, addr) => Fate::LoseRequest,
+        Destination::Peer(addr) if crosses_partition(node, addr) => Fate::LoseRequest,
         _ => Fate::Pass,
     });
 }
 
-/// The second node's zone is apart from the other one, and the node from the state
-/// service too.
+/// The second node's zone is partitioned from the other one, and the node from the
+/// key-value store too.
 pub fn cut_zone_from_everything(w: &mut Simulation) {
-    w.partitions = cut_zones();
+    w.partitions = zone_partitions();
     w.hook = Box::new(|_, node, call| match &call.target {
-        Destination::Peer(addr) if crosses(node, addr) => Fate::LoseRequest,
+        Destination::Peer(addr) if crosses_partition(node, addr) => Fate::LoseRequest,
         Destination::KvStore | Destination::KvWatch if node == 1 => Fate::LoseRequest,
         _ => Fate::Pass,
     });
 }
 
-/// Whatever was cut or lost is heard again.
+/// Ends all partitions and injected faults.
 pub fn heal(w: &mut Simulation) {
     w.partitions.clear();
     w.hook = Box::new(|_, _, _| Fate::Pass);
 }
 
-/// A zone of six full machines beside the two.
+/// A zone of six machines beside those of [`running_cluster`], all full of tasks that run
+/// until the end of the test; returns their names.
 pub fn full_zone(nodes: usize) -> (Simulation, Vec<String>) {
-    let mut w = up(nodes);
+    let mut w = running_cluster(nodes);
     w.run_ms = 600_000;
     w.capacity = 0;
     let names: Vec<String> = (1..7).map(|n| format!("vm-z{n}")).collect();
@@ -69,24 +71,26 @@
     (w, names)
 }
 
+/// Lets machines become silent, or respond again.
 pub fn set_silent(w: &mut Simulation, names: &[String], silent: bool) {
     for name in names {
         w.workers.get_mut(name).unwrap().silent = silent;
     }
 }
 
-pub fn gone<'a>(w: &Simulation, names: &'a [String]) -> Vec<&'a String> {
+/// Those of the machines that were released.
+pub fn released<'a>(w: &Simulation, names: &'a [String]) -> Vec<&'a String> {
     names.iter().filter(|n| w.workers[*n].gone).collect()
 }
 
-/// The node that a peer's address names.
+/// The node at a peer's address.
 pub fn node_at(addr: &str) -> usize {
     usize::from(addr.as_bytes()[7] - b'1')
 }
 
-/// This node alone loses the state service, in this way, and, if `deaf`, the
-/// other controllers.
-pub fn cut_off(w: &mut Simulation, lone: usize, from_state: Fate, deaf: bool) {
+/// This node's calls alone to the key-value store meet this fault, and, if `deaf`, it and
+/// the other controllers don't reach each other.
+pub fn isolate_node(w: &mut Simulation, lone: usize, from_state: Fate, deaf: bool) {
     w.hook = Box::new(move |_, node, call| match &call.target {
         Destination::KvStore | Destination::KvWatch if node == lone => from_state,
         Destination::Peer(addr) if deaf && (node == lone || node_at(addr) == lone) => {
@@ -96,9 +100,19 @@
     });
 }
 
-/// A service of a class without an aim, so that no room is kept for others.
-pub fn patient(id: &str) -> Value {
+/// A service of a class without a service-level objective, for which no capacity is
+/// reserved.
+pub fn service_without_objective(id: &str) -> Value {
     let mut spec = service(id, 20);
     spec["gabarit"] = json!("help");
     spec
 }
+
+/// How often tasks of a job were started on any machine.
+pub fn task_starts(w: &Simulation, job: &str) -> usize {
+    let prefix = format!(" {job}/");
+    w.trace
+        .iter()
+        .filter(|start| start.contains(&prefix))
+        .count()
+}
--- a/tests/integration/traces.rs
+++ b/tests/integration/traces.rs
@@ -1,14 +1,13 @@
-//! Kept traces: whole controllers against stand-ins, with messages lost, late
-//! and repeated. The stand-in workers check `ran_twice` and `ran_cancelled`.
+//! Whole controllers against the stand-ins, with messages lost, late and repeated.
 
-use crate::simulation::fixtures::up;
+use crate::simulation::fixtures::running_cluster;
 use crate::simulation::{array, service, Fate};
 use lilacfork::messages::Destination;
 use serde_json::json;
 
 #[test]
 fn a_job_runs_and_is_done_within_three_seconds_of_its_end() {
-    let mut w = up(3);
+    let mut w = running_cluster(3);
     assert_eq!(w.submit(1, &array("run-1", 4)), 201);
     assert_eq!(w.submit(2, &array("run-1", 4)), 200, "a retry is known");
     w.run_for(w.run_ms + 3000);
@@ -21,7 +20,7 @@
 
 #[test]
 fn what_cannot_run_is_refused_and_what_is_known_is_not() {
-    let mut w = up(1);
+    let mut w = running_cluster(1);
     let mut spec = array("run-1", 1);
     spec["gpus"] = json!(9.0);
     assert_eq!(w.submit(0, &spec), 422);
@@ -51,7 +50,7 @@
 
 #[test]
 fn the_leader_dies_between_record_and_start() {
-    let mut w = up(3);
+    let mut w = running_cluster(3);
     let leader = w.leader().unwrap();
     // Nothing reaches workers by the direct path, and the leader dies as soon
     // as the assignment is stored.
@@ -81,7 +80,7 @@
 
 #[test]
 fn a_deposed_leader_may_answer_workers_but_starts_nothing() {
-    let mut w = up(3);
+    let mut w = running_cluster(3);
     let old = w.leader().unwrap();
     assert_eq!(w.submit(0, &service("run-1", 2)), 201);
     w.run_for(2000);
@@ -103,7 +102,7 @@
 
 #[test]
 fn a_late_copy_of_a_start_is_refused_after_its_task_was_forgotten() {
-    let mut w = up(1);
+    let mut w = running_cluster(1);
     // Every start is also delivered again half a minute later.
     let mut first = true;
     w.hook = Box::new(move |_, _, call| match call.target {
@@ -128,7 +127,7 @@
 
 #[test]
 fn an_old_copy_of_a_report_proves_nothing() {
-    let mut w = up(1);
+    let mut w = running_cluster(1);
     let empty = json!({"banc": "vm-a", "address": "w/vm-a", "gamme": "g8", "secteur": "a",
         "occasion": false, "quart": 1, "numero": 1, "jeton": 0, "preavisS": null, "pieces": []});
     assert_eq!(w.submit(0, &service("run-1", 8)), 201);
@@ -150,7 +149,7 @@
 
 #[test]
 fn a_lost_answer_to_a_transaction_is_cleared_up() {
-    let mut w = up(1);
+    let mut w = running_cluster(1);
     let mut left = 3;
     w.hook = Box::new(move |_, _, call| {
         if call.target == Destination::KvStore && call.path == "/txn" && left > 0 {
@@ -174,7 +173,7 @@
 fn cancel_against_done_has_one_winner() {
     let mut seen = [0, 0];
     for delay in (0..60).step_by(4) {
-        let mut w = up(1);
+        let mut w = running_cluster(1);
         assert_eq!(w.submit(0, &array("run-1", 1)), 201);
         w.run_for(w.run_ms - 300 + delay * 25);
         let (status, told) = w.cancel(0, "run-1");
@@ -190,7 +189,7 @@
 
 #[test]
 fn all_controllers_are_restarted() {
-    let mut w = up(3);
+    let mut w = running_cluster(3);
     assert_eq!(w.submit(0, &service("run-1", 4)), 201);
     assert_eq!(w.submit(0, &array("run-2", 2)), 201);
     w.run_for(10_000);
@@ -215,7 +214,7 @@
 
 #[test]
 fn a_silent_machine_keeps_its_tasks_and_its_share_of_the_quota() {
-    let mut w = up(1);
+    let mut w = running_cluster(1);
     let mut spec = service("run-1", 16);
     spec["equipe"] = json!("blue");
     assert_eq!(w.submit(0, &spec), 201);
@@ -239,7 +238,7 @@
 
 #[test]
 fn a_cancelled_job_leaves_even_a_machine_that_does_not_answer() {
-    let mut w = up(1);
+    let mut w = running_cluster(1);
     assert_eq!(w.submit(0, &service("run-1", 2)), 201);
     w.run_for(2000);
     for worker in w.workers.values_mut() {
@@ -255,7 +254,7 @@
 
 #[test]
 fn a_machine_that_fails_everything_is_left_and_returned() {
-    let mut w = up(1);
+    let mut w = running_cluster(1);
     w.workers.get_mut("vm-a").unwrap().sick = true;
     assert_eq!(w.submit(0, &array("run-1", 6)), 201);
     w.run_for(25_000);
@@ -265,7 +264,7 @@
 
 #[test]
 fn a_job_that_fails_everywhere_slows_down_and_condemns_no_machine() {
-    let mut w = up(1);
+    let mut w = running_cluster(1);
     for worker in w.workers.values_mut() {
         worker.sick = true;
     }
@@ -283,7 +282,7 @@
 /// Minutes of scheduling with a job of the largest size take seconds at most.
 #[test]
 fn the_largest_job_is_taken_and_worked_off_piece_by_piece() {
-    let mut w = up(1);
+    let mut w = running_cluster(1);
     w.capacity = 4;
     let mut spec = array("run-1", 100_000);
     spec["gpus"] = json!(0.0);
@@ -305,7 +304,7 @@
 
 #[test]
 fn a_large_job_is_stored_in_records_of_bounded_size() {
-    let mut w = up(1);
+    let mut w = running_cluster(1);
     w.capacity = 3;
     let mut spec = array("run-1", 2000);
     spec["gpus"] = json!(0.0);
@@ -328,7 +327,7 @@
 
 #[test]
 fn a_gang_waits_until_all_of_it_finds_room() {
-    let mut w = up(1);
+    let mut w = running_cluster(1);
     w.cloud_away = true;
     w.run_ms = 1_000_000;
     assert_eq!(w.submit(0, &array("run-1", 10)), 201);
@@ -352,11 +351,11 @@
     );
 }
 
-/// A slow answer to a read once brought a job back that was already over: its
-/// end was written again, failed, and the leader gave up its term over it.
+/// A slow response to a read once restored a job that had already ended: its end was
+/// written again, failed, and the leader gave up its term.
 #[test]
 fn a_slow_read_brings_no_job_back() {
-    let mut w = up(3);
+    let mut w = running_cluster(3);
     let leader = w.leader().unwrap();
     assert_eq!(w.submit(0, &service("run-1", 2)), 201);
     w.run_for(3000);
@@ -382,7 +381,7 @@
 
 #[test]
 fn a_machine_that_runs_far_too_slowly_is_left_and_returned() {
-    let mut w = up(1);
+    let mut w = running_cluster(1);
     w.workers.get_mut("vm-b").unwrap().slowness = 5;
     assert_eq!(w.submit(0, &array("run-1", 40)), 201);
     w.run_for(60_000);
--- a/tests/integration/version_compatibility.rs
+++ b/tests/integration/version_compatibility.rs
@@ -1,4 +1,4 @@
-//! Two versions on one set of data, and limits of the state service that fall while
+//! Two versions on one set of records, and limits of the key-value store that fall while
 //! the service runs.
 
 use crate::simulation::kv_store::SizeLimits;
@@ -27,7 +27,7 @@
     }
 }
 
-/// A small task, many of which stand on one machine.
+/// A small task, many of which fit on one machine.
 fn many(id: &str, tasks: u32) -> Value {
     let mut spec = array(id, tasks);
     spec["cpus"] = json!(0.5);
@@ -36,7 +36,7 @@
     spec
 }
 
-/// Three controllers and machines with room for 400 small tasks.
+/// Three controllers and machines with capacity for 400 small tasks.
 fn wide(next: Option<NextStateLimits>) -> Simulation {
     let mut w = match next {
         Some(next) => Simulation::announcing(3, next),
@@ -49,12 +49,19 @@
     w
 }
 
-/// Where a job's tasks are, by its records: those that are done, and the others with
-/// attempt and machine.
-type Facts = BTreeMap<String, (Vec<u32>, Vec<(u32, u64, String)>)>;
+/// The tasks of a job, by its records.
+#[derive(Debug, Default, PartialEq)]
+struct StoredTasks {
+    done: Vec<u32>,
+    /// Task, attempt and machine.
+    assigned: Vec<(u32, u64, String)>,
+}
+
+/// What the records contain, by job.
+type Facts = BTreeMap<String, StoredTasks>;
 
-/// How version 0.1 reads the records: ranges of a length that it works out from its
-/// settings, and nothing that it doesn't know.
+/// How version 0.1 reads the records: in ranges whose length it computes from its
+/// settings, without fields that it doesn't know.
 fn read_by_the_old_version(w: &Simulation) -> Facts {
     let tasks_per_record = tasks_per_record(32.0) as u64;
     let mut facts = Facts::new();
@@ -65,7 +72,7 @@
         let tasks = w.state.items[&format!("j/{job}")].0["spec"]["pieces"].as_u64();
         let number: u64 = number.parse().expect("a number");
         assert!(number < tasks.unwrap().div_ceil(tasks_per_record), "{key}");
-        let (done, assigned) = facts.entry(job.into()).or_default();
+        let StoredTasks { done, assigned } = facts.entry(job.into()).or_default();
         let ranges = record["d"].as_str().unwrap_or("");
         done.extend(read_ranges(ranges, tasks.unwrap() as u32).expect("ranges"));
         for row in record["a"].as_array().into_iter().flatten() {
@@ -103,15 +110,18 @@
             .iter()
             .filter(|task| job.assignments.contains_key(task));
         assert_eq!(both.count(), 0, "{key}: done, and on a machine");
-        let known = (job.done.iter().copied().collect(), rows.collect());
-        if known != Default::default() {
-            facts.insert(key[2..].into(), known);
+        let stored_tasks = StoredTasks {
+            done: job.done.iter().copied().collect(),
+            assigned: rows.collect(),
+        };
+        if stored_tasks != StoredTasks::default() {
+            facts.insert(key[2..].into(), stored_tasks);
         }
     }
     facts
 }
 
-/// Makes of the records what version 0.1 leaves behind when it has written them all.
+/// Turns the records into those that version 0.1 leaves once it has written them all.
 fn rewrite_by_the_old_version(w: &mut Simulation) {
     for (key, (record, ..)) in &mut w.state.items {
         let Some(fields) = record.as_object_mut() else {
@@ -139,7 +149,10 @@
     for step in 0..12 {
         let facts = read_by_this_version(&w);
         assert_eq!(read_by_the_old_version(&w), facts);
-        seen += facts.values().map(|(_, rows)| rows.len()).sum::<usize>();
+        seen += facts
+            .values()
+            .map(|tasks| tasks.assigned.len())
+            .sum::<usize>();
         if step % 3 == 2 {
             (0..3).for_each(|n| w.kill(n));
             rewrite_by_the_old_version(&mut w);
@@ -154,7 +167,7 @@
     assert_eq!(w.on_machines("run-3"), 4);
 }
 
-/// A leader once took a refused record for the end of its term, and so did the next.
+/// A leader once took a rejected record for the end of its term, and so did the next.
 #[test]
 fn limits_that_fall_while_tasks_run_cost_no_task_and_no_leader() {
     let mut half_cut = 0;
@@ -198,8 +211,8 @@
     assert!(half_cut > 2, "{half_cut} leaders ended within a cut");
 }
 
-/// The answer to a transaction is lost just before the limits fall: the repeat is
-/// refused, and says nothing of whether the first copy was carried out.
+/// The response to a transaction is lost just before the limits fall: its retry is
+/// rejected, which doesn't tell whether the first copy was carried out.
 #[test]
 fn a_repeat_that_is_refused_does_not_undo_its_first_copy() {
     for (offset, carried_out) in (0..300).step_by(25).flat_map(|n| [(n, true), (n, false)]) {
@@ -224,7 +237,8 @@
     }
 }
 
-/// The same for ends of jobs: taken for undone, they cost the leader its term.
+/// The same for ends of jobs: when they counted as not carried out, they cost the leader
+/// its term.
 #[test]
 fn ends_whose_repeat_is_refused_cost_no_term() {
     let mut w = wide(Some(announced()));
@@ -256,7 +270,7 @@
     assert_eq!(w.state.items["leader/term"].0["term"], term);
 }
 
-/// Whether a job's placements stand in a coarse record and in finer ones.
+/// Whether a job's placements are in a coarse record and in finer ones.
 fn is_half_cut(w: &Simulation, id: &str) -> bool {
     let prefix = format!("p/{id}/");
     let names = w.state.items.keys().filter_map(|k| k.strip_prefix(&prefix));
@@ -264,8 +278,8 @@
     !fine.is_empty() && !coarse.is_empty()
 }
 
-/// Later leaders know it from the one before, and processes that know nothing from
-/// the record that it left.
+/// Later leaders learn the limits from the one before, and new processes from the record
+/// that it left.
 #[test]
 fn limits_that_fell_are_known_to_every_later_leader() {
     let mut w = wide(Some(announced()));
@@ -316,7 +330,8 @@
     assert_eq!(starts.count(), 200 + lost);
 }
 
-/// Nobody announced it: what is refused is held back, and everything else goes on.
+/// Limits that nobody announced: what is rejected is held back, and everything else
+/// continues.
 #[test]
 fn what_is_refused_without_a_cause_is_held_back_alone() {
     let mut w = wide(None);
@@ -338,7 +353,7 @@
     assert!(w.state.items.contains_key("f/run-large"));
 }
 
-/// A record of a form that only a later version knows: what it says isn't guessed.
+/// A record of a form that only a later version knows: its meaning isn't guessed.
 #[test]
 fn a_job_with_a_record_that_cannot_be_read_waits() {
     // One that named a task too many was written over, and that task counted as one
@@ -370,7 +385,7 @@
     }
 }
 
-/// Records that only a later version knows to be fields survive a cancellation.
+/// Fields that only a later version knows survive a cancellation.
 #[test]
 fn a_cancellation_keeps_what_it_does_not_know() {
     let mut w = wide(None);
@@ -467,7 +482,7 @@
     }
 }
 
-/// Every full deployment's file names the version that runs in production, for good.
+/// Every full deployment's file names the version that runs in production, permanently.
 #[test]
 fn the_version_in_production_is_a_whole_commit_id() {
     let file = concat!(env!("CARGO_MANIFEST_DIR"), "/deploy/service.toml");
@@ -481,7 +496,7 @@
     assert!(deploy["build"].is_str() && deploy["run"].is_str());
 }
 
-/// A catalogue that was refused was written again with every turn.
+/// A catalog record that was rejected was once written again in every turn.
 #[test]
 fn a_catalogue_that_is_refused_is_not_written_without_a_pause() {
     let mut w = Simulation::new(3);
--- a/tests/integration/write_batching.rs
+++ b/tests/integration/write_batching.rs
@@ -1,22 +1,21 @@
-//! Kept traces: what the leader writes when there is more to write than the
-//! state service takes.
+//! What the leader writes when there is more to write than the key-value store allows.
 
-use crate::simulation::fixtures::up;
+use crate::simulation::fixtures::running_cluster;
 use crate::simulation::{array, service, Simulation};
 
-/// When each job's first task was started.
+/// When the first task of a job was started.
 fn started_at(w: &Simulation, job: &str) -> Option<u64> {
     let prefix = format!(" {job}/");
     let line = w.trace.iter().find(|line| line.contains(&prefix))?;
     line.split(' ').next()?.parse().ok()
 }
 
-/// In a flood of one-task jobs every transaction held as many changes as it
-/// may, and waited until all could be afforded; urgent work stood behind one of
-/// those and in the next (inc-76e8: 1.1 to 1.6 s where one second is the aim).
+/// In a burst of one-task jobs every transaction once held as many changes as it may, and
+/// waited until the rates allowed all of them; urgent work waited behind one of those and
+/// in the next (inc-76e8: 1.1 to 1.6 s where one second is the objective).
 #[test]
 fn urgent_work_does_not_wait_behind_a_flood_of_writes() {
-    let mut w = up(3);
+    let mut w = running_cluster(3);
     for n in 0..6 {
         w.add_machine(&format!("vm-c{n}"), "a", false, true);
     }
@@ -41,7 +40,7 @@
     }
     let slow: Vec<_> = waits
         .iter()
-        .filter(|w| w.is_none_or(|ms| ms > 300))
+        .filter(|wait| wait.is_none_or(|ms| ms > 300))
         .collect();
     assert!(slow.is_empty(), "{waits:?}");
     w.run_for(60_000);
