--- a/src/wire/peers.rs
+++ b/src/wire/peers.rs
@@ -1,5 +1,5 @@
-//! The other controllers, in protocol buffers: hints, and the cancellations that each
-//! has confirmed to users, of which its log is complete.
+//! The other controllers, in protocol buffers: hints, and each controller's log of the
+//! cancellations that it has confirmed to users, which is authoritative.
 
 use prost::Message;
 
--- a/src/wire/users.rs
+++ b/src/wire/users.rs
@@ -104,7 +104,7 @@
         rename = "attend",
         default,
         skip_serializing_if = "Vec::is_empty",
-        deserialize_with = "null_is_none"
+        deserialize_with = "null_as_empty"
     )]
     pub dependencies: Vec<JobId>,
 }
@@ -146,7 +146,7 @@
 }
 
 /// Reads a list that may be null.
-fn null_is_none<'de, D: Deserializer<'de>>(source: D) -> Result<Vec<JobId>, D::Error> {
+fn null_as_empty<'de, D: Deserializer<'de>>(source: D) -> Result<Vec<JobId>, D::Error> {
     Ok(Option::<Vec<JobId>>::deserialize(source)?.unwrap_or_default())
 }
 
@@ -220,7 +220,7 @@
 }
 
 /// The job id from a submission that may otherwise be invalid.
-pub fn peek_job_id(body: &[u8]) -> Option<JobId> {
+pub(crate) fn peek_job_id(body: &[u8]) -> Option<JobId> {
     #[derive(Deserialize)]
     struct IdOnly {
         id: JobId,
