--- a/dependencies/src/status.rs
+++ b/dependencies/src/status.rs
@@ -16,7 +16,7 @@
     /// It is unfinished by its record; these are its dependencies.
     Unfinished(&'a [JobId]),
     /// It has no record as an unfinished job, and how it ended hasn't been read.
-    Unread,
+    Unknown,
 }
 
 /// Whether a job may start, by its dependencies.
@@ -29,7 +29,7 @@
     /// One of them is cancelled, directly or through others.
     Cancelled,
     /// It can't be told before it is read how these ended.
-    Unread(Vec<JobId>),
+    Unknown(Vec<JobId>),
 }
 
 /// Works out the status of a job from its dependencies. Looks at each job at most
@@ -53,11 +53,11 @@
                 is_waiting = true;
                 to_visit.extend(further);
             }
-            DependencyState::Unread => unread.push(job.clone()),
+            DependencyState::Unknown => unread.push(job.clone()),
         }
     }
     match (unread.is_empty(), is_waiting) {
-        (false, _) => DependencyStatus::Unread(unread),
+        (false, _) => DependencyStatus::Unknown(unread),
         (true, true) => DependencyStatus::Waiting,
         (true, false) => DependencyStatus::Ready,
     }
--- a/dependencies/tests/dependencies.rs
+++ b/dependencies/tests/dependencies.rs
@@ -99,7 +99,7 @@
                     (JobState::Done, _) => DependencyState::Done,
                     (JobState::Cancelled, _) => DependencyState::Cancelled,
                     (JobState::Unfinished, further) => DependencyState::Unfinished(further),
-                    (JobState::Unread, _) => DependencyState::Unread,
+                    (JobState::Unread, _) => DependencyState::Unknown,
                 }
             });
             prop_assert!(lookups.borrow().values().all(|times| *times == 1));
@@ -109,7 +109,7 @@
             let unread = || all.iter().filter(is_unread).cloned();
             match status {
                 DependencyStatus::Cancelled => prop_assert!(any(JobState::Cancelled)),
-                DependencyStatus::Unread(named) => {
+                DependencyStatus::Unknown(named) => {
                     prop_assert!(!any(JobState::Cancelled));
                     let named: BTreeSet<JobId> = named.into_iter().collect();
                     prop_assert_eq!(named, unread().collect::<BTreeSet<_>>());
--- a/loadtest/src/net.rs
+++ b/loadtest/src/net.rs
@@ -385,7 +385,8 @@
         listener: usize,
         key: usize,
     ) -> Result<Option<Incoming>, http::HttpError> {
-        let Some(parsed) = http::parse_request(&connection.input, http::MAX_REQUEST_BODY)? else {
+        let Some(parsed) = http::parse_request(&connection.input, http::MAX_REQUEST_BODY_BYTES)?
+        else {
             return Ok(None);
         };
         connection.input.drain(..parsed.size);
--- a/loadtest/src/scenario/jobs.rs
+++ b/loadtest/src/scenario/jobs.rs
@@ -46,7 +46,7 @@
             memory_gb: class.memory_gb,
             image: Rc::from(format!("{}-{}", class.name, rng.u32(..class.images.max(1))).as_str()),
             image_gb: class.image_gb,
-            types: None,
+            machine_types: None,
             zone: None,
             same_zone: false,
             spread: class.spread,
--- a/loadtest/src/scenario/machines.rs
+++ b/loadtest/src/scenario/machines.rs
@@ -81,7 +81,7 @@
             zones: zones.clone(),
         });
         Catalog {
-            types: types.collect(),
+            machine_types: types.collect(),
         }
     }
 }
--- a/src/cancellations/actor.rs
+++ b/src/cancellations/actor.rs
@@ -92,7 +92,7 @@
     }
 
     /// When the last complete read was requested.
-    pub fn read_ms(&self) -> Option<u64> {
+    pub fn last_read_ms(&self) -> Option<u64> {
         self.records.read_ms()
     }
 
@@ -110,7 +110,7 @@
     }
 
     /// Whether the job is known to be cancelled.
-    pub fn contains(&self, id: &JobId) -> bool {
+    pub fn is_cancelled(&self, id: &JobId) -> bool {
         self.known.contains(id)
     }
 
@@ -122,7 +122,7 @@
 
     /// Stop commands for the tasks of cancelled jobs that a worker still has. They do no
     /// harm, whichever controller sends them.
-    pub fn stops(&self, heartbeat: &WorkerHeartbeat) -> Vec<Command> {
+    pub fn stop_commands(&self, heartbeat: &WorkerHeartbeat) -> Vec<Command> {
         if self.known.is_empty() {
             return Vec::new();
         }
@@ -131,7 +131,7 @@
             .iter()
             .filter(|status| status.phase != TaskPhase::Ended)
             .filter_map(|status| Some((status.task.as_ref()?, status.attempt)))
-            .filter(|(task, _)| self.contains(&task.job))
+            .filter(|(task, _)| self.is_cancelled(&task.job))
             .map(|(task, attempt)| Command::Stop {
                 task: task.to_string(),
                 attempt,
@@ -155,7 +155,7 @@
 
     /// A response of the key-value store. Returns jobs that were not known to be
     /// cancelled.
-    pub fn answered(
+    pub fn on_kv_response(
         &mut self,
         now: Now,
         call: CancellationsKvCall,
@@ -211,19 +211,19 @@
     }
 
     /// The response to such a request.
-    pub fn confirmations(&self, cursor: &ConfirmationCursor) -> ConfirmedCancellations {
+    pub fn confirmations_after(&self, cursor: &ConfirmationCursor) -> ConfirmedCancellations {
         self.log.after(cursor)
     }
 
     /// A peer has said how far it knows this controller's log.
-    pub fn acknowledged(&mut self, index: usize, cursor: ConfirmationCursor) {
+    pub fn on_acknowledgement(&mut self, index: usize, cursor: ConfirmationCursor) {
         self.peer_logs.set_acknowledged(index, cursor);
     }
 
     /// The confirmations that peer number `index` hasn't acknowledged yet.
     pub fn unacknowledged(&self, index: usize) -> Option<ConfirmedCancellations> {
         let acknowledged = self.peer_logs.acknowledged(index)?;
-        let message = self.confirmations(acknowledged);
+        let message = self.confirmations_after(acknowledged);
         (!message.jobs.is_empty()).then_some(message)
     }
 
--- a/src/cancellations/confirmation_log.rs
+++ b/src/cancellations/confirmation_log.rs
@@ -53,7 +53,7 @@
         // A peer that followed an earlier process, or none, begins with what comes
         // next: what came before is stored, and it reads that.
         let have = if cursor.incarnation == self.incarnation {
-            cursor.have
+            cursor.up_to
         } else {
             total
         };
--- a/src/cancellations/peer_logs.rs
+++ b/src/cancellations/peer_logs.rs
@@ -109,7 +109,7 @@
     pub(super) fn cursor(&self, index: usize) -> Option<ConfirmationCursor> {
         self.peers.get(index).map(|peer| ConfirmationCursor {
             incarnation: peer.incarnation,
-            have: peer.have,
+            up_to: peer.have,
         })
     }
 
--- a/src/cancellations/record_reader.rs
+++ b/src/cancellations/record_reader.rs
@@ -192,7 +192,7 @@
             }
             read.unfinished.insert(id, dependencies_in(&item.value));
         }
-        if let (true, Some(last_key)) = (page.more, last_key) {
+        if let (true, Some(last_key)) = (page.has_more, last_key) {
             self.in_progress = Some(read);
             calls.push(list_call(now, Some(&last_key)));
             return None;
--- a/src/capacity_index/best_fit.rs
+++ b/src/capacity_index/best_fit.rs
@@ -20,7 +20,7 @@
     /// The job.
     pub spec: &'a JobSpec,
     /// The resources that the task takes.
-    pub need: &'a Resources,
+    pub resources: &'a Resources,
     /// The zones of the job's tasks.
     pub zones: &'a ZoneCounts,
     /// For a service: the number of its replicas on each machine.
@@ -62,7 +62,7 @@
 
     /// The rank of a machine; `None`: the task doesn't fit.
     fn rank(&self, machine: &MachineCapacity) -> Option<f64> {
-        let free_share = share_left(machine.free(), self.need, &machine.state.total)?;
+        let free_share = share_left(machine.free(), self.resources, &machine.state.total)?;
         let fit = FitScore {
             image_cached: machine.has_image(&self.spec.image),
             image_pulling: machine.state.pulling_images.contains(&self.spec.image),
@@ -155,7 +155,7 @@
         let mut search = Search {
             demand,
             total: group.total,
-            need_share: demand.need.dominant_share(&group.total),
+            need_share: demand.resources.dominant_share(&group.total),
             base_rank: cached.rank() + crowding,
             best,
         };
@@ -186,7 +186,7 @@
     }
 
     fn search_levels(&self, levels: &FreeLevels, search: &mut Search) {
-        let (need, total) = (search.demand.need, search.total);
+        let (need, total) = (search.demand.resources, search.total);
         for (level, by_free) in levels.for_task(need, &total) {
             self.examined.add(1);
             if !search.improves(search.base_rank + level.min_gpus_left(need, &total)) {
--- a/src/capacity_index/listing.rs
+++ b/src/capacity_index/listing.rs
@@ -20,7 +20,7 @@
 
 impl CapacityIndex {
     /// The machines on which something is expected or to which something migrates.
-    pub fn reserved(&self) -> impl Iterator<Item = &MachineId> {
+    pub fn reserved_machines(&self) -> impl Iterator<Item = &MachineId> {
         self.held
             .iter()
             .filter_map(|slot| self.get(*slot))
@@ -110,7 +110,7 @@
     }
 
     /// All machines that fit a task like this now.
-    pub fn holding<'a>(
+    pub fn fitting<'a>(
         &'a self,
         spec: &'a JobSpec,
         need: &'a Resources,
--- a/src/cloud/client.rs
+++ b/src/cloud/client.rs
@@ -198,7 +198,7 @@
     }
 
     /// Handles the result of a call.
-    pub fn answered(
+    pub fn on_result(
         &mut self,
         now: Now,
         call: CloudCall,
@@ -277,7 +277,7 @@
 
 fn post(path: &str, body: Vec<u8>) -> Call {
     Call {
-        target: Destination::Cloud,
+        destination: Destination::Cloud,
         method: "POST",
         path: path.to_string(),
         body,
@@ -287,7 +287,7 @@
 
 fn get(path: String) -> Call {
     Call {
-        target: Destination::Cloud,
+        destination: Destination::Cloud,
         method: "GET",
         path,
         body: Vec::new(),
--- a/src/cloud/machine_listing.rs
+++ b/src/cloud/machine_listing.rs
@@ -33,7 +33,7 @@
     pub(super) fn add_page(&mut self, page: MachineList) -> Option<Vec<ListedMachine>> {
         self.after = page.machines.last().map(|machine| machine.id.clone());
         self.machines.extend(page.machines);
-        if page.more && self.after.is_some() {
+        if page.has_more && self.after.is_some() {
             return None;
         }
         self.after = None;
--- a/src/fleet/machine.rs
+++ b/src/fleet/machine.rs
@@ -57,7 +57,7 @@
     /// Assigned tasks that may be on it.
     pub tasks: BTreeSet<TaskRef>,
     /// What its assigned tasks take.
-    pub used: Resources,
+    pub allocated: Resources,
     /// It runs a task that isn't assigned to it.
     pub has_unassigned_tasks: bool,
     /// The images that it has.
@@ -103,7 +103,7 @@
             unresponsive_since_ms: None,
             reclaim_at_ms: None,
             tasks: BTreeSet::new(),
-            used: Resources::default(),
+            allocated: Resources::default(),
             has_unassigned_tasks: false,
             image_cache: ImageCache::new(image_cache_gb),
             pulling_images: BTreeMap::new(),
@@ -130,7 +130,7 @@
     /// What assigned tasks leave free.
     pub fn free(&self) -> Resources {
         let mut free = self.capacity;
-        free.subtract(&self.used);
+        free.subtract(&self.allocated);
         free
     }
 
@@ -153,7 +153,7 @@
     /// A task that takes `request` is assigned to it.
     pub fn assign(&mut self, task: TaskRef, request: &Resources) {
         if self.tasks.insert(task) {
-            self.used.add(request);
+            self.allocated.add(request);
         }
         self.idle_since_ms = None;
     }
@@ -161,11 +161,11 @@
     /// It is proven that a task is not on it.
     pub fn unassign(&mut self, task: &TaskRef, request: &Resources, now_ms: u64) {
         if self.tasks.remove(task) {
-            self.used.subtract(request);
+            self.allocated.subtract(request);
         }
         if self.tasks.is_empty() {
             // Sums of decimals must not leave rounding errors behind.
-            self.used = Resources::default();
+            self.allocated = Resources::default();
             self.idle_since_ms.get_or_insert(now_ms);
         }
     }
--- a/src/gateway/admission.rs
+++ b/src/gateway/admission.rs
@@ -96,8 +96,8 @@
         let record = FinalRecord {
             state: FinalState::Cancelled,
             tasks: self.spec.tasks,
-            write: 0,
-            ended: now.wall,
+            write_id: 0,
+            ended_at: now.wall,
         };
         let value = serde_json::to_value(record).unwrap_or_default();
         self.compare_absent().put(final_key(&self.spec.id), value)
@@ -185,7 +185,7 @@
         }
         let catalog = self.catalog.as_ref().ok_or(Rejection::CatalogUnknown)?;
         let fits = catalog
-            .types
+            .machine_types
             .iter()
             .any(|machine_type| fits_machine_type(spec, machine_type));
         if !fits {
--- a/src/gateway/dependencies.rs
+++ b/src/gateway/dependencies.rs
@@ -34,7 +34,7 @@
                 RecordStatus::Unfinished => {
                     DependencyState::Unfinished(records.dependencies(dependency))
                 }
-                RecordStatus::None => DependencyState::Unread,
+                RecordStatus::None => DependencyState::Unknown,
             },
         }
     }
@@ -42,7 +42,7 @@
     fn is_unread(&self, dependency: &JobId, records: &Cancellations) -> bool {
         matches!(
             self.dependency_state(dependency, records),
-            DependencyState::Unread
+            DependencyState::Unknown
         )
     }
 
@@ -68,7 +68,7 @@
         let lookup = match self.dependency_status(dependencies, records) {
             DependencyStatus::Ready | DependencyStatus::Waiting => JobLookup::Unfinished,
             DependencyStatus::Cancelled => JobLookup::Cancelled,
-            DependencyStatus::Unread(unread) => {
+            DependencyStatus::Unknown(unread) => {
                 self.read_dependencies(now, request, unread, effects);
                 return;
             }
@@ -101,7 +101,7 @@
             return;
         }
         match self.dependency_status(dependencies, records) {
-            DependencyStatus::Unread(unread) => {
+            DependencyStatus::Unknown(unread) => {
                 self.read_dependencies(now, request, unread, effects);
             }
             status => {
@@ -181,7 +181,12 @@
     }
 
     /// Continues the requests whose dependencies have all been read.
-    pub fn judge_read(&mut self, now: Now, records: &Cancellations, effects: &mut GatewayEffects) {
+    pub fn resume_after_dependency_reads(
+        &mut self,
+        now: Now,
+        records: &Cancellations,
+        effects: &mut GatewayEffects,
+    ) {
         for number in std::mem::take(&mut self.dependencies_read) {
             if let Some(request) = self.requests.remove(&number) {
                 self.evaluate(now, request, records, effects);
--- a/src/gateway/effects.rs
+++ b/src/gateway/effects.rs
@@ -10,7 +10,7 @@
 #[derive(Default)]
 pub struct GatewayEffects {
     /// A request waits for the next poll of the records.
-    pub poll: bool,
+    pub poll_wanted: bool,
     /// Responses to users.
     pub replies: Vec<(ConnectionId, Reply)>,
     /// Calls of the key-value store.
@@ -18,7 +18,7 @@
     /// Jobs whose records were just written, to be announced to the leader.
     pub announced: Vec<JobId>,
     /// Jobs of which a user is told here for the first time that they are cancelled.
-    pub cancelled: Vec<JobId>,
+    pub confirmed_cancellations: Vec<JobId>,
     /// The key-value store rejected a write of this size as malformed.
-    pub refused: Option<RequestSize>,
+    pub rejected_write: Option<RequestSize>,
 }
--- a/src/gateway/lookups.rs
+++ b/src/gateway/lookups.rs
@@ -14,14 +14,14 @@
 
 impl Gateway {
     /// Requests up to this number may be answered by a poll that is sent from now on.
-    pub fn asked_up_to(&self) -> RequestNumber {
+    pub fn last_request_number(&self) -> RequestNumber {
         self.last_number
     }
 
     /// Has the request wait for a poll that is sent from now on.
     pub(super) fn await_poll(&mut self, mut request: PendingRequest, effects: &mut GatewayEffects) {
         request.step = RequestStep::Poll;
-        effects.poll = true;
+        effects.poll_wanted = true;
         self.awaiting_poll.push_back(request.number);
         self.requests.insert(request.number, request);
     }
@@ -41,7 +41,7 @@
 
     /// A poll of all records, sent when the requests up to `last_number` had arrived, has
     /// completed; `None`: it failed.
-    pub fn polled(
+    pub fn on_poll_completed(
         &mut self,
         now: Now,
         last_number: RequestNumber,
@@ -60,7 +60,7 @@
                 None => self.give_up(&request, effects),
             }
         }
-        effects.poll |= !self.awaiting_poll.is_empty();
+        effects.poll_wanted |= !self.awaiting_poll.is_empty();
     }
 
     /// Continues a request by the records, which were read since it arrived.
@@ -157,7 +157,7 @@
         let is_cancellation = matches!(request.kind, RequestKind::Cancel);
         if !is_cancellation && job.has_open_dependencies() {
             // Its own record doesn't say whether one of its dependencies is cancelled.
-            if self.polls_tell_all {
+            if self.polls_complete {
                 self.await_poll(request, effects);
             } else {
                 self.give_up(&request, effects);
@@ -199,7 +199,7 @@
         effects: &mut GatewayEffects,
     ) -> Reply {
         self.memory.set_over(id, FinalState::Cancelled, 0);
-        effects.cancelled.push(id.clone());
+        effects.confirmed_cancellations.push(id.clone());
         final_reply(status, id, FinalState::Cancelled, 0)
     }
 }
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -49,7 +49,7 @@
     /// The requests whose dependencies have all been read.
     dependencies_read: Vec<RequestNumber>,
     /// Whether a poll shows the state of every job.
-    polls_tell_all: bool,
+    polls_complete: bool,
     last_number: RequestNumber,
 }
 
@@ -71,7 +71,7 @@
             awaiting_poll: VecDeque::new(),
             dependency_reads: HashMap::new(),
             dependencies_read: Vec::new(),
-            polls_tell_all: false,
+            polls_complete: false,
             last_number: 0,
         }
     }
@@ -97,8 +97,8 @@
     }
 
     /// Whether a poll of the records shows the state of every job from now on.
-    pub fn set_polls_tell_all(&mut self, tell_all: bool) {
-        self.polls_tell_all = tell_all;
+    pub fn set_polls_complete(&mut self, tell_all: bool) {
+        self.polls_complete = tell_all;
     }
 
     // ---- new requests ----
@@ -188,7 +188,7 @@
             }
             // A cancellation changes the record, so it needs all of it.
             RequestKind::Cancel => RequestStep::ReadLive,
-            _ if self.polls_tell_all => RequestStep::Poll,
+            _ if self.polls_complete => RequestStep::Poll,
             _ => RequestStep::ReadLive,
         }
     }
@@ -196,7 +196,7 @@
     // ---- responses and time ----
 
     /// The response to a call.
-    pub fn answered(
+    pub fn on_kv_response(
         &mut self,
         now: Now,
         number: RequestNumber,
--- a/src/gateway/writes.rs
+++ b/src/gateway/writes.rs
@@ -78,7 +78,7 @@
                 self.read(now, request, RequestStep::ReadLive, effects);
             }
             KvResponse::Status(400, _) => {
-                effects.refused = Some(request.write_size);
+                effects.rejected_write = Some(request.write_size);
                 self.give_up(&request, effects);
             }
             _ => self.give_up(&request, effects),
--- a/src/http.rs
+++ b/src/http.rs
@@ -6,12 +6,12 @@
 use thiserror::Error;
 
 /// The largest request or status line with all headers, in bytes.
-pub const MAX_HEAD: usize = 16 * 1024;
+pub const MAX_HEAD_BYTES: usize = 16 * 1024;
 /// The protocol's limit on request bodies, in bytes.
-pub const MAX_REQUEST_BODY: usize = 64 * 1024;
+pub const MAX_REQUEST_BODY_BYTES: usize = 64 * 1024;
 /// The limit on bodies between controllers, which forward several heartbeats in one
 /// message.
-pub const MAX_PEER_BODY: usize = 4 * MAX_REQUEST_BODY;
+pub const MAX_PEER_BODY_BYTES: usize = 4 * MAX_REQUEST_BODY_BYTES;
 /// Responses to watches have no limit in the protocol; this one protects memory.
 pub const MAX_RESPONSE_BODY: usize = 6 * 1024 * 1024;
 
@@ -75,13 +75,14 @@
     reason: HttpError,
 ) -> Result<Option<usize>, HttpError> {
     match find(&buffer[..buffer.len().min(limit)], needle) {
-        None if buffer.len() >= MAX_HEAD => Err(reason),
+        None if buffer.len() >= MAX_HEAD_BYTES => Err(reason),
         position => Ok(position),
     }
 }
 
 fn parse_head(buffer: &[u8]) -> Result<Option<Head>, HttpError> {
-    let Some(end) = find_or_reject(buffer, HEAD_END, MAX_HEAD, HttpError::HeadTooLarge)? else {
+    let Some(end) = find_or_reject(buffer, HEAD_END, MAX_HEAD_BYTES, HttpError::HeadTooLarge)?
+    else {
         return Ok(None);
     };
     let text = std::str::from_utf8(&buffer[..end]).map_err(|_| HttpError::Malformed)?;
@@ -148,7 +149,8 @@
     let mut position = 0;
     loop {
         let rest = &buffer[position..];
-        let Some(line) = find_or_reject(rest, LINE_END, MAX_HEAD, HttpError::Malformed)? else {
+        let Some(line) = find_or_reject(rest, LINE_END, MAX_HEAD_BYTES, HttpError::Malformed)?
+        else {
             return Ok(None);
         };
         let chunk_size = parse_chunk_size(&rest[..line])?;
--- a/src/kv_client.rs
+++ b/src/kv_client.rs
@@ -347,7 +347,7 @@
                 KvResponse::Status(status, body)
             }
             Err(error) => {
-                if call.call.target != Destination::KvWatch {
+                if call.call.destination != Destination::KvWatch {
                     self.last_failure_ms = Some(now.ms);
                 }
                 match error {
@@ -421,7 +421,7 @@
 
 fn read_request(target: Destination, path: String, timeout_ms: u64) -> Call {
     Call {
-        target,
+        destination: target,
         method: "GET",
         path,
         body: Vec::new(),
@@ -431,7 +431,7 @@
 
 fn write_request(method: &'static str, path: String, body: Vec<u8>, timeout_ms: u64) -> Call {
     Call {
-        target: Destination::KvStore,
+        destination: Destination::KvStore,
         method,
         path,
         body,
--- a/src/messages.rs
+++ b/src/messages.rs
@@ -39,7 +39,7 @@
 #[derive(Clone, Debug)]
 pub struct Call {
     /// The receiver.
-    pub target: Destination,
+    pub destination: Destination,
     /// The HTTP method.
     pub method: &'static str,
     /// The path, with its query.
--- a/src/node/effects.rs
+++ b/src/node/effects.rs
@@ -28,21 +28,25 @@
             self.kv.submit(call.map_tag(KvCallOwner::Gateway));
         }
         self.peers.announce(gateway_effects.announced);
-        if let Some(size) = gateway_effects.refused {
+        if let Some(size) = gateway_effects.rejected_write {
             self.on_submission_rejected(now, size);
         }
-        if gateway_effects.poll {
+        if gateway_effects.poll_wanted {
             self.cancellations.request_poll();
         }
         // Before the reply to the user is sent, so before anybody can ask about it.
-        for id in &gateway_effects.cancelled {
+        for id in &gateway_effects.confirmed_cancellations {
             self.cancellations.confirm(now, id);
         }
-        if !gateway_effects.cancelled.is_empty() {
+        if !gateway_effects.confirmed_cancellations.is_empty() {
             self.peers.announce_cancellations();
         }
         let mut scheduler_effects = SchedulerEffects::default();
-        self.learn_cancelled(now, &gateway_effects.cancelled, &mut scheduler_effects);
+        self.learn_cancelled(
+            now,
+            &gateway_effects.confirmed_cancellations,
+            &mut scheduler_effects,
+        );
         self.apply_scheduler_effects(now, scheduler_effects, effects);
     }
 
@@ -54,9 +58,10 @@
         jobs: &[JobId],
         scheduler_effects: &mut SchedulerEffects,
     ) {
-        self.scheduler.informed(self.cancellations.watermark_ms());
+        self.scheduler
+            .set_cancellations_watermark(self.cancellations.watermark_ms());
         for id in jobs {
-            self.scheduler.cancelled(now, id, scheduler_effects);
+            self.scheduler.on_job_cancelled(now, id, scheduler_effects);
         }
     }
 
@@ -68,20 +73,20 @@
     ) {
         send_replies(scheduler.replies, effects);
         let term = self.scheduler.term();
-        for call in scheduler.state {
+        for call in scheduler.kv_calls {
             self.kv
                 .submit(call.map_tag(|tag| KvCallOwner::Scheduler(term, tag)));
         }
-        for (tag, call) in scheduler.workers {
+        for (tag, call) in scheduler.worker_calls {
             self.send(OutgoingCall::Worker(term, tag), call, effects);
         }
-        if let Some(size) = scheduler.refused {
+        if let Some(size) = scheduler.rejected_request {
             self.on_transaction_rejected(now, size);
         }
-        if let Some(why) = scheduler.resign {
+        if let Some(why) = scheduler.step_down {
             log::error!("leader steps down reason=\"{why}\"");
             self.step_down(now, effects);
-        } else if scheduler.superseded {
+        } else if scheduler.later_term_seen {
             // The store decides who leads; one worker's report is a hint.
             log::info!("leadership unconfirmed reason=\"a worker reports a later term\"");
             self.election.require_renewal(now);
@@ -105,10 +110,10 @@
 
     pub(super) fn submit_cancellation_calls(&mut self, calls: Vec<KvCall<CancellationsKvCall>>) {
         let polls_cover_all = self.cancellations.is_caught_up();
-        self.gateway.set_polls_tell_all(polls_cover_all);
+        self.gateway.set_polls_complete(polls_cover_all);
         for call in calls {
             if call.tag == CancellationsKvCall::Poll {
-                self.last_polled_request = self.gateway.asked_up_to();
+                self.last_polled_request = self.gateway.last_request_number();
             }
             self.kv.submit(call.map_tag(KvCallOwner::Cancellations));
         }
@@ -132,13 +137,13 @@
                 self.cloud.set_leading(now, true);
                 let mut scheduler_effects = SchedulerEffects::default();
                 self.scheduler
-                    .elected(now, term, leader_key_revision, &mut scheduler_effects);
+                    .on_elected(now, term, leader_key_revision, &mut scheduler_effects);
                 self.apply_scheduler_effects(now, scheduler_effects, effects);
             }
             LeadershipChange::Deposed => {
                 self.handover.on_deposed();
                 self.cloud.set_leading(now, false);
-                self.scheduler.deposed();
+                self.scheduler.on_deposed();
             }
         }
         // The peers should learn where to redirect workers.
--- a/src/node/event_handler.rs
+++ b/src/node/event_handler.rs
@@ -28,7 +28,13 @@
         self.route(now, conn, listener, &request, effects);
     }
 
-    fn outcome(&mut self, now: Now, id: CallId, result: CallResult, effects: &mut Vec<Effect>) {
+    fn call_completed(
+        &mut self,
+        now: Now,
+        id: CallId,
+        result: CallResult,
+        effects: &mut Vec<Effect>,
+    ) {
         self.purpose = Purpose::Other;
         self.detect_process_pause(now, effects);
         match self.outgoing_calls.finish(id) {
@@ -70,7 +76,7 @@
     fn log_usage(&mut self) {
         log::info!("kv calls {}", self.kv.take_stats());
         if self.scheduler.active() {
-            log::info!("rounds {}", self.scheduler.take_round_figures());
+            log::info!("rounds {}", self.scheduler.take_round_stats());
             if let Some(stats) = self.scheduler.replica_figures() {
                 log::info!("replica groups {stats}");
             }
@@ -88,9 +94,9 @@
 
     fn on_cloud_result(&mut self, now: Now, call: CloudCall, result: CallResult) {
         self.purpose = Purpose::Cloud;
-        match self.cloud.answered(now, call, result) {
+        match self.cloud.on_result(now, call, result) {
             Some(CloudEvent::Catalog(catalog)) => self.on_cloud_catalog(catalog),
-            Some(event) => self.scheduler.cloud_event(now, event, &mut self.cloud),
+            Some(event) => self.scheduler.on_cloud_event(now, event, &mut self.cloud),
             None => {}
         }
     }
@@ -105,7 +111,7 @@
         self.purpose = Purpose::Command;
         let mut scheduler_effects = SchedulerEffects::default();
         self.scheduler
-            .worker_answered(now, call, result, &mut scheduler_effects);
+            .on_command_response(now, call, result, &mut scheduler_effects);
         self.apply_scheduler_effects(now, scheduler_effects, effects);
     }
 
@@ -125,7 +131,7 @@
         if self.election.is_leader() {
             log::info!("leadership unconfirmed reason=\"the process was paused\"");
             self.election.require_renewal(now);
-            self.scheduler.excuse_silence(now);
+            self.scheduler.on_process_paused(now);
         }
     }
 }
--- a/src/node/heartbeat_forwarding.rs
+++ b/src/node/heartbeat_forwarding.rs
@@ -2,7 +2,7 @@
 //! leader. A message costs both controllers far more than the heartbeats in it, so
 //! unchanged heartbeats wait for others to share a message.
 
-use crate::http::MAX_PEER_BODY;
+use crate::http::MAX_PEER_BODY_BYTES;
 use crate::wire::workers::WorkerHeartbeat;
 use std::collections::HashMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -18,7 +18,7 @@
 const CONTENT_HEARTBEATS: f64 = 3.0;
 /// The bytes of heartbeats in a message. Half of what a peer accepts: one more
 /// heartbeat of any size still fits.
-const MAX_MESSAGE_BYTES: usize = MAX_PEER_BODY / 2;
+const MAX_MESSAGE_BYTES: usize = MAX_PEER_BODY_BYTES / 2;
 
 /// A queued heartbeat: the latest one of its machine.
 #[derive(Debug)]
--- a/src/node/job_progress.rs
+++ b/src/node/job_progress.rs
@@ -1,7 +1,7 @@
 //! Jobs' progress in heartbeats to the peers: only changes are sent, and no more
 //! than a heartbeat may carry.
 
-use crate::http::MAX_PEER_BODY;
+use crate::http::MAX_PEER_BODY_BYTES;
 use crate::ids::JobId;
 use crate::messages::TaskProgress;
 use crate::wire::peers::JobProgress;
@@ -10,7 +10,7 @@
 /// The bytes of a heartbeat that jobs' progress may take. A new leader has the
 /// progress of all jobs to send: in one message that was once more than a peer
 /// accepts, and the peer heard nothing of its leader.
-const MAX_PROGRESS_BYTES: usize = MAX_PEER_BODY / 4;
+const MAX_PROGRESS_BYTES: usize = MAX_PEER_BODY_BYTES / 4;
 /// An upper bound of what an entry takes beside its job's name.
 const ENTRY_BYTES: usize = 24;
 
--- a/src/node/kv_responses.rs
+++ b/src/node/kv_responses.rs
@@ -96,9 +96,9 @@
     ) {
         let mut gateway_effects = GatewayEffects::default();
         self.gateway
-            .answered(now, request, response, &mut gateway_effects);
+            .on_kv_response(now, request, response, &mut gateway_effects);
         self.gateway
-            .judge_read(now, &self.cancellations, &mut gateway_effects);
+            .resume_after_dependency_reads(now, &self.cancellations, &mut gateway_effects);
         self.apply_gateway_effects(now, gateway_effects, effects);
     }
 
@@ -111,7 +111,7 @@
     ) {
         let mut scheduler_effects = SchedulerEffects::default();
         self.scheduler
-            .state_answered(now, call, response, &mut scheduler_effects);
+            .on_kv_response(now, call, response, &mut scheduler_effects);
         self.apply_scheduler_effects(now, scheduler_effects, effects);
     }
 
@@ -122,12 +122,14 @@
         response: &KvResponse,
         effects: &mut Vec<Effect>,
     ) {
-        let last_read_ms = self.cancellations.read_ms();
+        let last_read_ms = self.cancellations.last_read_ms();
         let mut calls = Vec::new();
-        let cancelled = self.cancellations.answered(now, call, response, &mut calls);
+        let cancelled = self
+            .cancellations
+            .on_kv_response(now, call, response, &mut calls);
         self.submit_cancellation_calls(calls);
         if call == CancellationsKvCall::Poll {
-            let succeeded = self.cancellations.read_ms() > last_read_ms;
+            let succeeded = self.cancellations.last_read_ms() > last_read_ms;
             self.answer_polled_requests(now, succeeded, effects);
         }
         let mut scheduler_effects = SchedulerEffects::default();
@@ -139,8 +141,12 @@
     fn answer_polled_requests(&mut self, now: Now, succeeded: bool, effects: &mut Vec<Effect>) {
         let records = succeeded.then_some(&self.cancellations);
         let mut gateway_effects = GatewayEffects::default();
-        self.gateway
-            .polled(now, self.last_polled_request, records, &mut gateway_effects);
+        self.gateway.on_poll_completed(
+            now,
+            self.last_polled_request,
+            records,
+            &mut gateway_effects,
+        );
         self.apply_gateway_effects(now, gateway_effects, effects);
     }
 }
--- a/src/node/lease_proxy.rs
+++ b/src/node/lease_proxy.rs
@@ -8,7 +8,7 @@
 use crate::ids::{AgentEpoch, FencingToken, Term};
 use crate::kv_client::{CallPriority, KvCall};
 use crate::messages::{Now, Reply};
-use crate::records::lease_proxies::{divide, lease_proxy_key, LeaseProxyRecord};
+use crate::records::lease_proxies::{lease_proxy_key, split_into_records, LeaseProxyRecord};
 use crate::wire::kv::Txn;
 use crate::wire::workers::{Command, HeartbeatResponse, WorkerHeartbeat};
 use std::collections::HashMap;
@@ -71,7 +71,7 @@
             .map(|(machine, lease)| (machine.clone(), lease.epoch))
             .collect();
         machines.sort();
-        let records = divide(machines, max_value_bytes);
+        let records = split_into_records(machines, max_value_bytes);
         let previously_stored = std::mem::replace(&mut self.records_stored, records.len());
         let obsolete = records.len()..previously_stored;
         let puts = records.into_iter().enumerate().map(|(number, machines)| {
--- a/src/node/limits.rs
+++ b/src/node/limits.rs
@@ -87,7 +87,7 @@
         if self.limits.effective.on_rejection(size) {
             self.apply_limits(now);
         } else {
-            self.scheduler.refused_without_cause(now);
+            self.scheduler.split_rejected_transaction(now);
         }
     }
 
--- a/src/node/peer_heartbeats.rs
+++ b/src/node/peer_heartbeats.rs
@@ -28,7 +28,7 @@
         };
         let sender = self.peers.index_of(&heartbeat.node);
         self.record_peer_status(now, sender, &heartbeat);
-        if heartbeat.limits_lowered {
+        if heartbeat.announced_limits_apply {
             self.learn_limits(now, LimitEvidence::Peer);
         }
         self.observe_reported_leader(now, &heartbeat, effects);
@@ -36,7 +36,7 @@
         let mut scheduler_effects = SchedulerEffects::default();
         for job in heartbeat.announced.iter().filter(|id| valid_job_id(id)) {
             self.scheduler
-                .announced(now, &JobId::new(job), &mut scheduler_effects);
+                .on_job_announced(now, &JobId::new(job), &mut scheduler_effects);
         }
         let response = self.exchange_confirmations(now, sender, &heartbeat, &mut scheduler_effects);
         let reached_elsewhere =
@@ -68,7 +68,7 @@
         effects: &mut Vec<Effect>,
     ) {
         let is_peer = |name: &str| self.peers.find(name).is_some();
-        if !heartbeat.state_reachable || !is_peer(&heartbeat.node) || !is_peer(&heartbeat.leader) {
+        if !heartbeat.kv_reachable || !is_peer(&heartbeat.node) || !is_peer(&heartbeat.leader) {
             return;
         }
         let term = Term(heartbeat.term);
@@ -109,9 +109,9 @@
     ) -> PeerHeartbeatResponse {
         let mut response = PeerHeartbeatResponse::default();
         if let Some(cursor) = heartbeat.cursor {
-            response.confirmations = Some(self.cancellations.confirmations(&cursor));
+            response.confirmations = Some(self.cancellations.confirmations_after(&cursor));
             if let Some(index) = sender {
-                self.cancellations.acknowledged(index, cursor);
+                self.cancellations.on_acknowledgement(index, cursor);
             }
         }
         if let (Some(index), Some(confirmations)) = (sender, &heartbeat.confirmations) {
@@ -232,7 +232,7 @@
             node: self.settings.node_name.clone(),
             leader,
             term: self.election.known_term().0,
-            state_reachable: self.kv.reachable(),
+            kv_reachable: self.kv.reachable(),
             unreachable: self.handover.reports_unreached() || self.unreached_by_workers(now),
             job_progress: self.changed_progress(now),
             announced: self.peers.take_announcements(),
@@ -240,7 +240,7 @@
             cursor: None,
             confirmations: None,
             worker_heartbeats: Vec::new(),
-            limits_lowered: self.limits.announced_apply(),
+            announced_limits_apply: self.limits.announced_apply(),
             version: VERSION.to_string(),
         }
     }
@@ -257,7 +257,7 @@
         }
         let progress = self
             .scheduler
-            .counts()
+            .job_progress()
             .inspect(|(id, progress)| self.gateway.record_progress(id, term, *progress));
         self.peers.changed_progress(progress)
     }
@@ -274,7 +274,7 @@
             return;
         };
         let call = Call {
-            target: Destination::Peer(peer.address.clone()),
+            destination: Destination::Peer(peer.address.clone()),
             method: "POST",
             path: PEER_PATH.to_string(),
             body: peers::encode(heartbeat),
--- a/src/node/peers.rs
+++ b/src/node/peers.rs
@@ -112,7 +112,7 @@
         names_us_leader: bool,
     ) {
         self.heard_ms = Some(now.ms);
-        if heartbeat.state_reachable {
+        if heartbeat.kv_reachable {
             self.store_reached_ms = Some(now.ms);
         }
         // A message that forwards worker heartbeats reports nothing else.
--- a/src/node/worker_heartbeats.rs
+++ b/src/node/worker_heartbeats.rs
@@ -29,7 +29,7 @@
             }
         };
         self.handover.on_worker_heartbeat();
-        let stops = self.cancellations.stops(&heartbeat);
+        let stops = self.cancellations.stop_commands(&heartbeat);
         if self.scheduler.leading() {
             self.process_as_leader(now, conn, &heartbeat, stops, effects);
         } else {
@@ -142,7 +142,7 @@
         };
         let message = PeerHeartbeat {
             node: self.settings.node_name.clone(),
-            state_reachable: self.kv.reachable(),
+            kv_reachable: self.kv.reachable(),
             worker_heartbeats,
             ..PeerHeartbeat::default()
         };
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -66,7 +66,7 @@
 }
 
 fn machine_type_allowed(spec: &JobSpec, machine_type: &Rc<str>) -> bool {
-    spec.types
+    spec.machine_types
         .as_ref()
         .is_none_or(|types| types.contains(machine_type))
 }
@@ -111,7 +111,7 @@
 /// Every rental that could hold a task of the job.
 pub fn feasible_offers(spec: &JobSpec, catalog: &Catalog) -> Vec<FeasibleOffer> {
     let mut offers = Vec::new();
-    let fitting = catalog.types.iter();
+    let fitting = catalog.machine_types.iter();
     for machine_type in fitting.filter(|t| fits_machine_type(spec, t)) {
         let zones = machine_type.zones.iter();
         for zone in zones.filter(|zone| spec.zone.as_ref().is_none_or(|only| only == *zone)) {
--- a/src/reactor/calls.rs
+++ b/src/reactor/calls.rs
@@ -47,7 +47,7 @@
     }
 
     fn start_call(&mut self, pending: PendingCall) {
-        let destination = &pending.call.target;
+        let destination = &pending.call.destination;
         let key = match self.pools.take_idle(destination) {
             Some(key) => key,
             None if self.pools.is_full(destination) => {
@@ -113,7 +113,7 @@
 
     fn address_of(&self, destination: &Destination) -> Option<SocketAddrV4> {
         match destination {
-            Destination::KvStore | Destination::KvWatch => Some(self.endpoints.state),
+            Destination::KvStore | Destination::KvWatch => Some(self.endpoints.kv_store),
             Destination::Cloud => Some(self.endpoints.cloud),
             Destination::Worker(address) | Destination::Peer(address) => address.parse().ok(),
         }
--- a/src/reactor/mod.rs
+++ b/src/reactor/mod.rs
@@ -45,7 +45,13 @@
         effects: &mut Vec<Effect>,
     );
     /// A call of this process has been answered, or has failed.
-    fn outcome(&mut self, now: Now, call: CallId, outcome: CallResult, effects: &mut Vec<Effect>);
+    fn call_completed(
+        &mut self,
+        now: Now,
+        call: CallId,
+        outcome: CallResult,
+        effects: &mut Vec<Effect>,
+    );
     /// Called every turn; returns when it wants to be called at the latest.
     fn tick(&mut self, now: Now, effects: &mut Vec<Effect>) -> u64;
     /// What the last of the calls above was mostly for.
@@ -63,7 +69,7 @@
     /// Where requests of other controllers are accepted.
     pub peer: SocketAddrV4,
     /// The key-value store.
-    pub state: SocketAddrV4,
+    pub kv_store: SocketAddrV4,
     /// The cloud.
     pub cloud: SocketAddrV4,
 }
@@ -82,7 +88,8 @@
     }
 
     fn outcome(&mut self, call: CallId, outcome: CallResult) {
-        self.handler.outcome(self.now, call, outcome, self.effects);
+        self.handler
+            .call_completed(self.now, call, outcome, self.effects);
     }
 }
 
@@ -243,7 +250,7 @@
                 return;
             }
             for (call, error) in std::mem::take(&mut self.failed_calls) {
-                handler.outcome(now, call, Err(error), effects);
+                handler.call_completed(now, call, Err(error), effects);
             }
         }
     }
--- a/src/reactor/pools.rs
+++ b/src/reactor/pools.rs
@@ -119,7 +119,7 @@
 
     /// Queues a call until a connection to its destination is idle.
     pub(super) fn enqueue(&mut self, pending: PendingCall) {
-        let destination = pending.call.target.clone();
+        let destination = pending.call.destination.clone();
         let deadline = CallDeadline {
             at_ms: pending.deadline_ms,
             call: pending.id,
@@ -131,7 +131,8 @@
 
     /// Queues a call until any connection to a worker may be opened.
     pub(super) fn enqueue_starved(&mut self, pending: PendingCall) {
-        self.starved_workers.push_back(pending.call.target.clone());
+        self.starved_workers
+            .push_back(pending.call.destination.clone());
         self.enqueue(pending);
     }
 
--- a/src/reactor/requests.rs
+++ b/src/reactor/requests.rs
@@ -46,8 +46,8 @@
 
 fn max_request_body(listener: Listener) -> usize {
     match listener {
-        Listener::Client => http::MAX_REQUEST_BODY,
-        Listener::Peer => http::MAX_PEER_BODY,
+        Listener::Client => http::MAX_REQUEST_BODY_BYTES,
+        Listener::Peer => http::MAX_PEER_BODY_BYTES,
     }
 }
 
--- a/src/records/estimates.rs
+++ b/src/records/estimates.rs
@@ -26,7 +26,7 @@
 
 impl EstimateValue {
     /// Whether the value may be right.
-    pub fn plausible(&self) -> bool {
+    pub fn is_plausible(&self) -> bool {
         let factor = self.value / self.start;
         self.start > 0.0
             && self.start.is_finite()
--- a/src/records/jobs.rs
+++ b/src/records/jobs.rs
@@ -69,11 +69,11 @@
     pub tasks: u32,
     /// Identifies the write, so that its author can tell whether it was carried out.
     #[serde(rename = "w", default)]
-    pub write: u64,
+    pub write_id: u64,
     /// Time of day of its end, milliseconds; 0: unknown, as versions before 0.2
     /// leave it out.
     #[serde(rename = "t", default, skip_serializing_if = "super::is_default")]
-    pub ended: u64,
+    pub ended_at: u64,
 }
 
 /// The job that an unfinished job's key names.
--- a/src/records/lease_proxies.rs
+++ b/src/records/lease_proxies.rs
@@ -30,7 +30,7 @@
 
 /// Divides machines into as many records as the size limit of a value requires: with
 /// a truncated list the leader would declare machines failed whose leases are renewed.
-pub fn divide(
+pub fn split_into_records(
     machines: Vec<(String, AgentEpoch)>,
     value_bytes: usize,
 ) -> Vec<Vec<(String, AgentEpoch)>> {
--- a/src/scheduler/dependencies/mod.rs
+++ b/src/scheduler/dependencies/mod.rs
@@ -125,7 +125,7 @@
                 let dependents = self.dependencies.graph.dependents_of(id);
                 for dependent in dependents.cloned().collect::<Vec<JobId>>() {
                     if let Some(job) = self.jobs.get_mut(&dependent) {
-                        job.ready = job.ready.max(ended);
+                        job.ready_at = job.ready_at.max(ended);
                     }
                 }
                 for ready in self.dependencies.graph.mark_done(id) {
@@ -172,7 +172,7 @@
         let is_stage = |job: &Job| has_dependents || !job.spec.dependencies.is_empty();
         let job = self.jobs.get(id).filter(|job| is_stage(job));
         if let Some(job) = job.filter(|_| state == FinalState::Done) {
-            let took_ms = now.wall.saturating_sub(job.ready);
+            let took_ms = now.wall.saturating_sub(job.ready_at);
             self.estimates
                 .stage_took(&job.spec, took_ms as f64 / 1000.0);
         }
@@ -198,7 +198,7 @@
         for id in due {
             let call = kv_client::get(&final_key(&id), CALL_TIMEOUT_MS);
             let tag = SchedulerKvCall::ReadDependency(id);
-            self.ask(now, CallPriority::Placement, call, 0, tag, effects);
+            self.call_kv(now, CallPriority::Placement, call, 0, tag, effects);
         }
     }
 
@@ -216,7 +216,7 @@
         let item = response.read::<KeyValue>(200);
         let record = item.and_then(|item| serde_json::from_value::<FinalRecord>(item.value).ok());
         match record {
-            Some(record) => self.on_dependency_finished(now, id, record.state, record.ended),
+            Some(record) => self.on_dependency_finished(now, id, record.state, record.ended_at),
             // Its job record has come meanwhile, or comes with the watch's next changes.
             None if self.jobs.contains(id) => {
                 self.dependencies.unresolved.remove(id);
--- a/src/scheduler/dependencies/propagation.rs
+++ b/src/scheduler/dependencies/propagation.rs
@@ -19,13 +19,13 @@
             priority: job.own_priority,
             deadlines: multiples.iter().filter_map(deadline).collect(),
         };
-        let urgency = match job.inherited.clone() {
+        let urgency = match job.inherited_urgency.clone() {
             Some(inherited) => own.merge(inherited),
             None => own,
         };
         // Its end has to be reported and stored before the next job may start.
-        let takes_ms =
-            (self.estimates.stage_s(&job.spec) * 1000.0) as u64 + self.heartbeat_interval_ms();
+        let takes_ms = (self.estimates.expected_stage_s(&job.spec) * 1000.0) as u64
+            + self.heartbeat_interval_ms();
         Some(urgency.for_predecessor(takes_ms))
     }
 
@@ -41,7 +41,7 @@
                 .reduce(StageUrgency::merge);
             self.pacing.examined += 1;
             let job = self.jobs.get(&id);
-            if job.is_some_and(|job| job.inherited != inherited) {
+            if job.is_some_and(|job| job.inherited_urgency != inherited) {
                 self.set_inherited_urgency(&id, inherited);
                 changed.extend(self.dependencies.graph.open_dependencies_of(&id).cloned());
             }
@@ -52,8 +52,8 @@
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        job.inherited = inherited;
-        if job.inherited.is_none() {
+        job.inherited_urgency = inherited;
+        if job.inherited_urgency.is_none() {
             let own_priority = job.own_priority;
             self.set_effective_priority(id, own_priority);
         }
@@ -63,14 +63,14 @@
     /// small job of low priority would otherwise displace what others wait for. Once
     /// a machine that is provisioned for it might come too late, it is served by the
     /// priority of its dependents.
-    pub(in crate::scheduler) fn raise_if_pressed(&mut self, now: Now, id: &JobId) {
+    pub(in crate::scheduler) fn raise_priority_if_late(&mut self, now: Now, id: &JobId) {
         let Some(job) = self.jobs.get(id) else {
             return;
         };
-        let Some(urgency) = &job.inherited else {
+        let Some(urgency) = &job.inherited_urgency else {
             return;
         };
-        let takes_s = self.estimates.stage_s(&job.spec) + self.slowest_boot_s();
+        let takes_s = self.estimates.expected_stage_s(&job.spec) + self.slowest_boot_s();
         let expected_end = now.wall + (takes_s * 1000.0) as u64;
         let first_deadline = urgency.deadlines.first();
         let is_pressed = first_deadline.is_some_and(|deadline| *deadline < expected_end);
--- a/src/scheduler/displacement/compaction.rs
+++ b/src/scheduler/displacement/compaction.rs
@@ -112,7 +112,7 @@
         if let Some(machine) = self.fleet.get_mut(&id) {
             machine.phase = MachinePhase::Draining;
         }
-        self.drain(now, &id);
+        self.drain_machine(now, &id);
         self.refresh(now);
         true
     }
--- a/src/scheduler/displacement/image_displacement.rs
+++ b/src/scheduler/displacement/image_displacement.rs
@@ -131,7 +131,7 @@
                 .targets
                 .insert(displaced.task, displaced.target_machine);
         }
-        self.capacity.hold(from, &request.need);
+        self.capacity.hold(from, &request.resources);
         self.refresh(now);
         Some(from)
     }
@@ -178,7 +178,7 @@
         let mut free = capacity.free_after_stops();
         let mut displacement = Displacement::new(from);
         for task in &machine.tasks {
-            if free.covers(&request.need) {
+            if free.covers(&request.resources) {
                 break;
             }
             let Some(job) = self.displaceable(now, task, priority) else {
@@ -204,7 +204,7 @@
                 target_machine: self.capacity.get(slot)?.id.clone(),
             });
         }
-        free.covers(&request.need).then_some(displacement)
+        free.covers(&request.resources).then_some(displacement)
     }
 
     /// The job of a task, if that is a replica that may be displaced for work of this
--- a/src/scheduler/displacement/migration.rs
+++ b/src/scheduler/displacement/migration.rs
@@ -65,7 +65,7 @@
             // The zones of its tasks don't restrict each other.
             return ZoneCounts::default();
         }
-        let mut zones = job.zone_use();
+        let mut zones = job.zone_counts();
         let mut migrate = |task: &TaskRef, target: &MachineId| {
             if task.job != job.spec.id {
                 return;
@@ -103,8 +103,10 @@
         let settled_ms = self.settled_ms();
         let settled = now.ms > running_since_ms + settled_ms;
         // A new leader only knows the age of the job.
-        let old = assignment.inherited && now.wall > job.submitted + settled_ms;
-        job.shape.is_none() && assignment.stop.is_none() && (old || assignment.late || settled)
+        let old = assignment.started_by_earlier_leader && now.wall > job.submitted + settled_ms;
+        job.shape.is_none()
+            && assignment.stop.is_none()
+            && (old || assignment.missed_start_slo || settled)
     }
 
     /// Whether this is a short outage for a replica.
--- a/src/scheduler/displacement/preemption.rs
+++ b/src/scheduler/displacement/preemption.rs
@@ -37,7 +37,7 @@
 pub(in crate::scheduler) struct PreemptionCandidate {
     pub(in crate::scheduler) slot: Slot,
     /// `None`: it doesn't fit one more task even with preemption.
-    pub(in crate::scheduler) offer: Option<PreemptionPlan>,
+    pub(in crate::scheduler) plan: Option<PreemptionPlan>,
 }
 
 /// The candidate that was chosen for a task.
@@ -68,11 +68,11 @@
             };
             let candidate = &mut candidates[chosen.index];
             let slot = candidate.slot;
-            let plan = candidate.offer.take();
+            let plan = candidate.plan.take();
             self.carry_out_preemption(now, slot, plan, &unplaced.spec);
             self.refresh(now);
             // Only the chosen candidate has changed for the job's next task.
-            candidates[chosen.index].offer = self.preemption_plan(now, slot, unplaced);
+            candidates[chosen.index].plan = self.preemption_plan(now, slot, unplaced);
             unplaced.zones.add(&chosen.zone);
             unplaced.count -= 1;
         }
@@ -122,9 +122,9 @@
             .into_iter()
             .map(|slot| PreemptionCandidate {
                 slot,
-                offer: self.preemption_plan(now, slot, unplaced),
+                plan: self.preemption_plan(now, slot, unplaced),
             })
-            .filter(|candidate| candidate.offer.is_some())
+            .filter(|candidate| candidate.plan.is_some())
             .collect();
         self.pacing.examined += candidates.len() as u64;
         candidates
@@ -138,7 +138,7 @@
     ) -> Option<ChosenCandidate> {
         let mut cheapest: Option<ChosenCandidate> = None;
         for (index, candidate) in candidates.iter().enumerate() {
-            let (Some(plan), Some(machine)) = (&candidate.offer, self.capacity.get(candidate.slot))
+            let (Some(plan), Some(machine)) = (&candidate.plan, self.capacity.get(candidate.slot))
             else {
                 continue;
             };
--- a/src/scheduler/effects.rs
+++ b/src/scheduler/effects.rs
@@ -29,9 +29,9 @@
     /// How this job, which others depend on, has ended.
     ReadDependency(JobId),
     /// The online estimates of the previous leader.
-    ReadLearned,
+    ReadEstimates,
     /// The write of the online estimates.
-    StoreLearned,
+    StoreEstimates,
 }
 
 impl SchedulerKvCall {
@@ -41,14 +41,14 @@
             SchedulerKvCall::ListJobs
             | SchedulerKvCall::ListPlacements
             | SchedulerKvCall::ListProxied
-            | SchedulerKvCall::ReadLearned => Purpose::Loading,
+            | SchedulerKvCall::ReadEstimates => Purpose::Loading,
             SchedulerKvCall::Watch
             | SchedulerKvCall::ReadJob(_)
             | SchedulerKvCall::ReadDependency(_) => Purpose::Watch,
             SchedulerKvCall::Commit
             | SchedulerKvCall::CheckCommit
             | SchedulerKvCall::Cleanup(_)
-            | SchedulerKvCall::StoreLearned => Purpose::Transaction,
+            | SchedulerKvCall::StoreEstimates => Purpose::Transaction,
         }
     }
 }
@@ -66,15 +66,15 @@
     /// Responses to workers.
     pub replies: Vec<(ConnectionId, Reply)>,
     /// Calls of the key-value store.
-    pub state: Vec<KvCall<SchedulerKvCall>>,
+    pub kv_calls: Vec<KvCall<SchedulerKvCall>>,
     /// Direct calls to workers.
-    pub workers: Vec<(WorkerCommandCall, Call)>,
+    pub worker_calls: Vec<(WorkerCommandCall, Call)>,
     /// Why the leader has to step down, if it has to.
-    pub resign: Option<StepDownReason>,
+    pub step_down: Option<StepDownReason>,
     /// A heartbeat showed a term above this leader's.
-    pub superseded: bool,
+    pub later_term_seen: bool,
     /// The key-value store rejected a transaction of this size as malformed.
-    pub refused: Option<RequestSize>,
+    pub rejected_request: Option<RequestSize>,
 }
 
 /// Why a leader steps down: something can't be explained, and the next leader starts
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -59,7 +59,7 @@
 use state::loading::Loading;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::rc::Rc;
-use tick::EXAMINE_MS;
+use tick::EXAMINED_ENTRY_MS;
 use workers::failure_detection::FailureDetection;
 use workers::lease_proxies::LeaseProxyPoll;
 
@@ -71,7 +71,7 @@
 const RETRY_MS: u64 = 200;
 /// The least time between two rounds, so that a burst of submissions is served in
 /// batches.
-const ROUND_GAP_MS: u64 = 20;
+const MIN_ROUND_GAP_MS: u64 = 20;
 
 /// How far a controller is with its leadership.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
@@ -184,7 +184,7 @@
     }
 
     /// Every cancellation that was confirmed before this time is known.
-    pub fn informed(&mut self, watermark_ms: Option<u64>) {
+    pub fn set_cancellations_watermark(&mut self, watermark_ms: Option<u64>) {
         self.cancellations_known_ms = self.cancellations_known_ms.max(watermark_ms.unwrap_or(0));
     }
 
@@ -212,26 +212,26 @@
     }
 
     /// The controller was elected: everything is rebuilt from what is stored.
-    pub fn elected(
+    pub fn on_elected(
         &mut self,
         now: Now,
         term: Term,
         key_revision: Revision,
         effects: &mut SchedulerEffects,
     ) {
-        self.deposed();
+        self.on_deposed();
         self.stage = LeaderStage::Loading;
         self.term = term;
         self.leader_key_revision = key_revision.0;
         self.elected_ms = now.ms;
-        self.estimates.start(now.wall);
+        self.estimates.restart_arrivals(now.wall);
         log::info!("leader elected term={term}");
         self.list_records(now, effects);
-        self.read_learned(now, effects);
+        self.read_estimates(now, effects);
     }
 
     /// The controller leads no longer: everything is forgotten.
-    pub fn deposed(&mut self) {
+    pub fn on_deposed(&mut self) {
         if self.stage != LeaderStage::Idle {
             log::info!("leader deposed term={}", self.term);
         }
@@ -257,7 +257,7 @@
     }
 
     /// Sends a call to the key-value store.
-    fn ask(
+    fn call_kv(
         &self,
         now: Now,
         priority: CallPriority,
@@ -266,7 +266,7 @@
         tag: SchedulerKvCall,
         effects: &mut SchedulerEffects,
     ) {
-        effects.state.push(KvCall {
+        effects.kv_calls.push(KvCall {
             priority,
             expires_ms: now.ms + call.timeout_ms,
             call,
@@ -276,7 +276,7 @@
     }
 
     /// Sends a transaction to the key-value store.
-    fn ask_transaction(
+    fn call_kv_txn(
         &self,
         now: Now,
         priority: CallPriority,
@@ -285,11 +285,11 @@
         effects: &mut SchedulerEffects,
     ) {
         let (call, writes) = kv_client::txn(txn, CALL_TIMEOUT_MS);
-        self.ask(now, priority, call, writes, tag, effects);
+        self.call_kv(now, priority, call, writes, tag, effects);
     }
 
     /// The response to a call of the key-value store.
-    pub fn state_answered(
+    pub fn on_kv_response(
         &mut self,
         now: Now,
         call: SchedulerKvCall,
@@ -304,8 +304,8 @@
         }
         match (self.stage, call) {
             (LeaderStage::Idle, _) => {}
-            (_, SchedulerKvCall::ReadLearned) => self.on_learned(now, &response),
-            (_, SchedulerKvCall::StoreLearned) => self.on_learned_stored(),
+            (_, SchedulerKvCall::ReadEstimates) => self.on_estimates_read(now, &response),
+            (_, SchedulerKvCall::StoreEstimates) => self.on_estimates_written(),
             (
                 LeaderStage::Loading,
                 call @ (SchedulerKvCall::ListJobs | SchedulerKvCall::ListPlacements),
@@ -323,7 +323,7 @@
             (_, SchedulerKvCall::ReadDependency(id)) => {
                 self.on_dependency_response(now, &id, &response)
             }
-            (_, SchedulerKvCall::ListProxied) => self.on_proxied(now, &response),
+            (_, SchedulerKvCall::ListProxied) => self.on_lease_proxies(now, &response),
             (_, SchedulerKvCall::Cleanup(keys)) => {
                 self.on_cleanup_response(now, keys, &response, effects)
             }
--- a/src/scheduler/provisioning/arrivals.rs
+++ b/src/scheduler/provisioning/arrivals.rs
@@ -33,7 +33,7 @@
     /// Jobs per second.
     pub(in crate::scheduler) jobs_per_s: f64,
     /// Mean of the squared number of tasks.
-    pub(in crate::scheduler) tasks_squared: f64,
+    pub(in crate::scheduler) mean_squared_tasks: f64,
 }
 
 /// The arrivals of all classes.
@@ -112,7 +112,7 @@
         Some(ArrivalRate {
             spec: self.latest.clone()?,
             jobs_per_s: jobs / observed_s,
-            tasks_squared: squares / jobs,
+            mean_squared_tasks: squares / jobs,
         })
     }
 }
--- a/src/scheduler/provisioning/boot_times.rs
+++ b/src/scheduler/provisioning/boot_times.rs
@@ -18,7 +18,10 @@
     /// How long a boot is expected to take.
     pub(in crate::scheduler) fn expected_boot_ms(&self, offer: &Offer) -> u64 {
         let nominal_s = self.nominal_boot_s(&offer.machine_type);
-        (self.estimates.boot_s(&offer.machine_type, nominal_s) * 1000.0) as u64
+        (self
+            .estimates
+            .expected_boot_s(&offer.machine_type, nominal_s)
+            * 1000.0) as u64
     }
 
     /// How long a boot may take without being unusual. However quick the latest
--- a/src/scheduler/provisioning/estimate_store.rs
+++ b/src/scheduler/provisioning/estimate_store.rs
@@ -39,22 +39,22 @@
 
 impl Scheduler {
     /// Reads the estimates of the previous leader.
-    pub(in crate::scheduler) fn read_learned(&mut self, now: Now, out: &mut SchedulerEffects) {
+    pub(in crate::scheduler) fn read_estimates(&mut self, now: Now, out: &mut SchedulerEffects) {
         self.estimate_store
             .restart(now, self.heartbeat_interval_ms());
         let call = kv_client::get(ESTIMATES_KEY, CALL_TIMEOUT_MS);
-        self.ask(
+        self.call_kv(
             now,
             CallPriority::Background,
             call,
             0,
-            SchedulerKvCall::ReadLearned,
+            SchedulerKvCall::ReadEstimates,
             out,
         );
     }
 
     /// Restores the estimates of the previous leader.
-    pub(in crate::scheduler) fn on_learned(&mut self, now: Now, response: &KvResponse) {
+    pub(in crate::scheduler) fn on_estimates_read(&mut self, now: Now, response: &KvResponse) {
         let Some(item) = response.read::<KeyValue>(200) else {
             return;
         };
@@ -75,7 +75,7 @@
 
     /// Stores the estimates when there are new samples and no other transaction
     /// is in flight.
-    pub(in crate::scheduler) fn store_learned(&mut self, now: Now, out: &mut SchedulerEffects) {
+    pub(in crate::scheduler) fn write_estimates(&mut self, now: Now, out: &mut SchedulerEffects) {
         let samples = self.estimates.samples();
         let pause_ms = self.heartbeat_interval_ms() * WRITE_HEARTBEATS;
         let store = &mut self.estimate_store;
@@ -92,13 +92,13 @@
         let txn = Txn::default()
             .compare(LEADER_KEY, self.leader_key_revision)
             .put(ESTIMATES_KEY, value);
-        let tag = SchedulerKvCall::StoreLearned;
-        self.ask_transaction(now, CallPriority::Background, &txn, tag, out);
+        let tag = SchedulerKvCall::StoreEstimates;
+        self.call_kv_txn(now, CallPriority::Background, &txn, tag, out);
     }
 
     /// The write has ended. Whether it succeeded doesn't matter: the next one
     /// holds the same and more.
-    pub(in crate::scheduler) fn on_learned_stored(&mut self) {
+    pub(in crate::scheduler) fn on_estimates_written(&mut self) {
         self.estimate_store.write_in_flight = false;
     }
 }
--- a/src/scheduler/provisioning/offer_choice.rs
+++ b/src/scheduler/provisioning/offer_choice.rs
@@ -4,7 +4,7 @@
 use crate::placement::{feasible_offers, ZoneCounts};
 use crate::scheduler::rounds::round::Unplaced;
 use crate::scheduler::Scheduler;
-use crate::slackfit::{self, Rung};
+use crate::slackfit::{self, ProvisioningOption};
 use crate::wire::cloud::Catalog;
 use crate::wire::users::{JobKind, JobSpec};
 use std::collections::BTreeMap;
@@ -14,71 +14,71 @@
 const MAX_TASKS_PER_MACHINE: u32 = 10_000;
 
 impl Scheduler {
-    /// The rung for one more of the unplaced tasks, among those in zones where it
+    /// The option for one more of the unplaced tasks, among those in zones where it
     /// may be placed.
-    pub(in crate::scheduler) fn choose_rung(
+    pub(in crate::scheduler) fn choose_option(
         &self,
         now: Now,
         unplaced: &Unplaced,
         zones: &ZoneCounts,
-        rungs: &[Rung],
+        options: &[ProvisioningOption],
         crowd: &BTreeMap<Rc<str>, u32>,
-    ) -> Option<Rung> {
+    ) -> Option<ProvisioningOption> {
         let spec = &unplaced.spec;
         let slack_ms = unplaced.deadline as i64 - now.wall as i64;
         // Among equals, the zone with the fewest machines, new ones included.
-        let with_crowd = |rung: &Rung| Rung {
-            crowd: crowd.get(&rung.offer.zone).copied().unwrap_or(0),
-            ..rung.clone()
+        let with_crowd = |option: &ProvisioningOption| ProvisioningOption {
+            machines_in_zone: crowd.get(&option.offer.zone).copied().unwrap_or(0),
+            ..option.clone()
         };
-        let allowed: Vec<Rung> = rungs
+        let allowed: Vec<ProvisioningOption> = options
             .iter()
-            .filter(|rung| zones.allows(spec, &rung.offer.zone))
+            .filter(|option| zones.allows(spec, &option.offer.zone))
             .map(with_crowd)
             .collect();
-        let rung = if spec.kind == JobKind::Service {
+        let option = if spec.kind == JobKind::Service {
             slackfit::cheapest(&allowed).cloned()
         } else {
             let buckets = slackfit::buckets(&allowed, self.tuning.buckets as usize);
             slackfit::choose(&buckets, slack_ms).cloned()
         }?;
         log::debug!(
-            "rung chosen job={} slack_ms={slack_ms} latency_ms={} cost={:.2} type={} zone={} \
+            "provisioning option chosen job={} slack_ms={slack_ms} latency_ms={} cost={:.2} type={} zone={} \
              spot={}",
             spec.id,
-            rung.latency_ms,
-            rung.cost,
-            rung.offer.machine_type,
-            rung.offer.zone,
-            rung.offer.spot
+            option.latency_ms,
+            option.cost,
+            option.offer.machine_type,
+            option.offer.zone,
+            option.offer.spot
         );
-        Some(rung)
+        Some(option)
     }
 
     /// The offers that could hold a task of the job and weren't refused lately.
-    pub(in crate::scheduler) fn rungs(
+    pub(in crate::scheduler) fn feasible_options(
         &self,
         now: Now,
         spec: &JobSpec,
         catalog: &Catalog,
-    ) -> Vec<Rung> {
+    ) -> Vec<ProvisioningOption> {
         let request = spec.task_request();
-        let run_s = spec.estimated_run_s * self.estimates.bias(&spec.class);
+        let run_s = spec.estimated_run_s * self.estimates.run_bias(&spec.class);
         feasible_offers(spec, catalog)
             .into_iter()
             .filter(|feasible| self.provisioning.may_order(&feasible.offer, now.ms))
             .map(|feasible| {
                 let boot_s = self
                     .estimates
-                    .boot_s(&feasible.offer.machine_type, feasible.nominal_boot_s);
+                    .expected_boot_s(&feasible.offer.machine_type, feasible.nominal_boot_s);
                 let tasks = feasible
                     .capacity
                     .count_of(&request)
                     .clamp(1, MAX_TASKS_PER_MACHINE);
-                Rung {
+                ProvisioningOption {
                     latency_ms: ((boot_s + run_s) * 1000.0) as u64,
                     cost: feasible.hourly_price / f64::from(tasks),
-                    crowd: 0,
+                    machines_in_zone: 0,
                     offer: feasible.offer,
                 }
             })
--- a/src/scheduler/provisioning/online_estimates.rs
+++ b/src/scheduler/provisioning/online_estimates.rs
@@ -56,7 +56,7 @@
 
     /// A new leadership counts arrivals from here on, and those before that
     /// stored jobs tell of.
-    pub(in crate::scheduler) fn start(&mut self, wall: u64) {
+    pub(in crate::scheduler) fn restart_arrivals(&mut self, wall: u64) {
         self.arrivals.restart(wall);
     }
 
@@ -107,7 +107,7 @@
     }
 
     /// How long a boot is expected to take.
-    pub(in crate::scheduler) fn boot_s(&self, machine_type: &str, nominal_s: f64) -> f64 {
+    pub(in crate::scheduler) fn expected_boot_s(&self, machine_type: &str, nominal_s: f64) -> f64 {
         self.boots
             .get(machine_type)
             .map_or(nominal_s, |boots| boots.took_s.value())
@@ -131,7 +131,7 @@
     }
 
     /// The ratio of run times to users' estimates in a class.
-    pub(in crate::scheduler) fn bias(&self, class: &str) -> f64 {
+    pub(in crate::scheduler) fn run_bias(&self, class: &str) -> f64 {
         self.run_bias.get(class).map_or(1.0, MovingAverage::value)
     }
 
@@ -147,7 +147,7 @@
     }
 
     /// How long a job of a pipeline is expected to take from when it may start.
-    pub(in crate::scheduler) fn stage_s(&self, spec: &JobSpec) -> f64 {
+    pub(in crate::scheduler) fn expected_stage_s(&self, spec: &JobSpec) -> f64 {
         let ratio = self
             .stage_ratios
             .get(&spec.class)
@@ -156,7 +156,7 @@
     }
 
     /// A job arrived at this time of day.
-    pub(in crate::scheduler) fn arrived(&mut self, wall: u64, spec: &Rc<JobSpec>) {
+    pub(in crate::scheduler) fn job_arrived(&mut self, wall: u64, spec: &Rc<JobSpec>) {
         self.arrivals.record(wall, spec);
     }
 
@@ -185,7 +185,7 @@
 
     /// Restores the plausible estimates of an earlier leader.
     pub(super) fn restore(&mut self, record: &EstimateRecord) {
-        for stored in record.boots.iter().filter(|value| value.plausible()) {
+        for stored in record.boots.iter().filter(|value| value.is_plausible()) {
             let boots = BootEstimate {
                 took_s: MovingAverage::from_record(stored, self.learning_rate),
                 latest_up_provisioned_ms: 0,
@@ -193,7 +193,7 @@
             self.boots.insert(Rc::from(stored.name.as_str()), boots);
         }
         let rate = self.run_learning_rate();
-        for stored in record.estimates.iter().filter(|value| value.plausible()) {
+        for stored in record.estimates.iter().filter(|value| value.is_plausible()) {
             let bias = MovingAverage::from_record(stored, rate);
             self.run_bias.insert(Rc::from(stored.name.as_str()), bias);
         }
--- a/src/scheduler/provisioning/scale_out.rs
+++ b/src/scheduler/provisioning/scale_out.rs
@@ -8,7 +8,7 @@
 use crate::scheduler::rounds::pending_capacity::PendingCapacity;
 use crate::scheduler::rounds::round::Unplaced;
 use crate::scheduler::Scheduler;
-use crate::slackfit::Rung;
+use crate::slackfit::ProvisioningOption;
 use crate::wire::cloud::{Catalog, MachineType};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -22,13 +22,13 @@
     /// The machine types.
     pub(in crate::scheduler) catalog: Rc<Catalog>,
     /// Pending capacity, that of the plan included.
-    pub(in crate::scheduler) coming: PendingCapacity,
+    pub(in crate::scheduler) pending: PendingCapacity,
     /// Machines in each zone, those of the plan included.
-    pub(in crate::scheduler) crowd: BTreeMap<Rc<str>, u32>,
+    pub(in crate::scheduler) machines_by_zone: BTreeMap<Rc<str>, u32>,
     /// How many machines of each offer are to be ordered.
-    pub(in crate::scheduler) wanted: BTreeMap<Offer, u32>,
+    pub(in crate::scheduler) orders: BTreeMap<Offer, u32>,
     /// The next entry in the round's list of unplaced tasks.
-    pub(in crate::scheduler) next: usize,
+    pub(in crate::scheduler) next_unplaced: usize,
 }
 
 impl ProvisionPlan {
@@ -40,12 +40,15 @@
     }
 
     /// Plans a machine for a task, which takes `request` of it.
-    fn add_machine(&mut self, rung: Rung, request: &Resources) {
-        let mut free = self.capacity_of(&rung.offer);
+    fn add_machine(&mut self, option: ProvisioningOption, request: &Resources) {
+        let mut free = self.capacity_of(&option.offer);
         free.subtract(request);
-        *self.crowd.entry(rung.offer.zone.clone()).or_insert(0) += 1;
-        self.coming.add(&rung.offer, free, 1);
-        *self.wanted.entry(rung.offer).or_insert(0) += 1;
+        *self
+            .machines_by_zone
+            .entry(option.offer.zone.clone())
+            .or_insert(0) += 1;
+        self.pending.add(&option.offer, free, 1);
+        *self.orders.entry(option.offer).or_insert(0) += 1;
     }
 }
 
@@ -62,11 +65,11 @@
             return None;
         }
         Some(ProvisionPlan {
-            coming: self.pending_capacity(now, cloud),
-            crowd: self.capacity.machines_by_zone(),
-            wanted: BTreeMap::new(),
+            pending: self.pending_capacity(now, cloud),
+            machines_by_zone: self.capacity.machines_by_zone(),
+            orders: BTreeMap::new(),
             catalog,
-            next: 0,
+            next_unplaced: 0,
         })
     }
 
@@ -83,8 +86,12 @@
     }
 
     /// Places the orders of a plan.
-    pub(in crate::scheduler) fn order(&mut self, plan: &ProvisionPlan, cloud: &mut CloudClient) {
-        for (offer, count) in &plan.wanted {
+    pub(in crate::scheduler) fn place_orders(
+        &mut self,
+        plan: &ProvisionPlan,
+        cloud: &mut CloudClient,
+    ) {
+        for (offer, count) in &plan.orders {
             // One order for an offer at a time: its response tells how many
             // machines there are.
             if cloud.pending_count(offer) > 0 {
@@ -103,7 +110,7 @@
     }
 
     /// Covers unplaced tasks by pending capacity first and then by orders.
-    pub(in crate::scheduler) fn cover(
+    pub(in crate::scheduler) fn cover_unplaced(
         &mut self,
         now: Now,
         unplaced: &Unplaced,
@@ -120,19 +127,22 @@
         }
         let request = unplaced.spec.task_request();
         let mut zones = unplaced.zones.clone();
-        let mut rungs: Option<Vec<Rung>> = None;
+        let mut options: Option<Vec<ProvisioningOption>> = None;
         for _ in 0..unplaced.count {
-            self.count_scanned(plan.coming.len());
-            if let Some(zone) = plan.coming.take(&unplaced.spec, &request, &zones) {
+            self.count_scanned(plan.pending.len());
+            if let Some(zone) = plan.pending.take(&unplaced.spec, &request, &zones) {
                 zones.add(&zone);
                 continue;
             }
-            let rungs = rungs.get_or_insert_with(|| self.rungs(now, &unplaced.spec, &plan.catalog));
-            let Some(rung) = self.choose_rung(now, unplaced, &zones, rungs, &plan.crowd) else {
+            let options = options
+                .get_or_insert_with(|| self.feasible_options(now, &unplaced.spec, &plan.catalog));
+            let Some(option) =
+                self.choose_option(now, unplaced, &zones, options, &plan.machines_by_zone)
+            else {
                 return;
             };
-            zones.add(&rung.offer.zone);
-            plan.add_machine(rung, &request);
+            zones.add(&option.offer.zone);
+            plan.add_machine(option, &request);
         }
     }
 }
--- a/src/scheduler/replica_groups/evaluation.rs
+++ b/src/scheduler/replica_groups/evaluation.rs
@@ -58,7 +58,7 @@
             GroupAction::Stop { parts, cause } => self.stop_parts(now, id, &parts, cause),
             GroupAction::PlanMigration => self.plan_migration(now, id),
             GroupAction::Persist => self.schedule_group_write(now, id, WriteUrgency::Lazy),
-            GroupAction::RecordSuccess => self.succeeded(&id.job),
+            GroupAction::RecordSuccess => self.record_job_success(&id.job),
             GroupAction::Emit(event) => log_event(id, event),
         }
     }
--- a/src/scheduler/replica_groups/migration.rs
+++ b/src/scheduler/replica_groups/migration.rs
@@ -68,7 +68,7 @@
         let bound = self.bound_parts(now, id);
         let generation = bound.first()?.binding.generation;
         let mut request = PlacementRequest::new(job, now.wall);
-        request.zones = job.zone_use();
+        request.zones = job.zone_counts();
         for part in &bound {
             request.zones.remove(&job.assignments.get(&part.task)?.zone);
         }
@@ -119,7 +119,7 @@
             return None;
         }
         let zone = self.common_zone(&request.spec, &staying_slots);
-        let mut leaving_request = PlacementRequest::like(request);
+        let mut leaving_request = PlacementRequest::without_placements(request);
         leaving_request.zones = request.zones.clone();
         for part in staying {
             let machine = self.fleet.get(&part.binding.machine)?;
--- a/src/scheduler/replica_groups/placement.rs
+++ b/src/scheduler/replica_groups/placement.rs
@@ -8,7 +8,7 @@
 use crate::scheduler::replica_groups::evaluation::log_event;
 use crate::scheduler::replica_groups::search::{GroupSearch, PartMachine, SearchScope};
 use crate::scheduler::rounds::round::Round;
-use crate::scheduler::rounds::task_placement::{PlacementRequest, ROUND_TASKS};
+use crate::scheduler::rounds::task_placement::{PlacementRequest, MAX_TASKS_PER_ROUND};
 use crate::scheduler::state::quotas::within_quota;
 use crate::scheduler::Scheduler;
 use lilacfork_replica_groups::registry::GroupId;
@@ -35,7 +35,7 @@
             return;
         };
         let mut request = PlacementRequest::new(job, deadline);
-        request.zones = job.zone_use();
+        request.zones = job.zone_counts();
         for replica in self.waiting_groups(now, job_id) {
             let id = GroupId::new(job_id, replica);
             let Some(tasks) = self.waiting_parts(&id) else {
@@ -57,7 +57,7 @@
         let Some(groups) = self.groups.get(job_id) else {
             return Vec::new();
         };
-        let max_groups = (ROUND_TASKS / groups.shape().parts() as usize).max(1);
+        let max_groups = (MAX_TASKS_PER_ROUND / groups.shape().parts() as usize).max(1);
         let waiting = groups.iter().filter(|group| group.awaits_placement(now.ms));
         waiting
             .map(|group| group.replica())
@@ -77,9 +77,9 @@
     /// Whether the team's quota allows all parts of a group.
     fn quota_allows_group(&self, request: &PlacementRequest, parts: usize, round: &Round) -> bool {
         let team = &request.spec.team;
-        let mut used = self.used_in(team, round);
-        used.add(&request.need.scaled(parts as f64 - 1.0));
-        within_quota(&self.settings, team, &used, &request.need)
+        let mut used = self.team_usage(team, round);
+        used.add(&request.resources.scaled(parts as f64 - 1.0));
+        within_quota(&self.settings, team, &used, &request.resources)
     }
 
     /// Places one group, or adds it to the round's unplaced work.
@@ -159,7 +159,7 @@
             let offer = &machine.state.offer;
             let fits = self.accepts_parts(now, &target.machine)
                 && placement_allowed(&request.spec, &zones, offer)
-                && machine.free().covers(&request.need);
+                && machine.free().covers(&request.resources);
             if fits && tasks.contains(&target.task) {
                 zones.add(&offer.zone);
                 placements.push(PartPlacement {
@@ -186,7 +186,7 @@
             .filter(|task| !has_reservation(*task))
             .collect();
         let excluded: Vec<Slot> = reserved.iter().map(|part| part.machine.slot).collect();
-        let mut remaining_request = PlacementRequest::like(request);
+        let mut remaining_request = PlacementRequest::without_placements(request);
         remaining_request.zones = request.zones.clone();
         for slot in &excluded {
             let zone = &self.capacity.get(*slot)?.state.offer.zone;
@@ -218,7 +218,7 @@
         for machine in machines.filter(|machine| machine.uses_forecast_reservation) {
             self.capacity.release_forecast(machine.slot);
         }
-        if !self.is_valid_placement(now, placements, &request.need) {
+        if !self.is_valid_placement(now, placements, &request.resources) {
             log::error!("replica group placement invalid group={id}");
             return;
         }
--- a/src/scheduler/replica_groups/provisioning.rs
+++ b/src/scheduler/replica_groups/provisioning.rs
@@ -9,7 +9,7 @@
 use crate::scheduler::rounds::round::{GroupDemand, Unplaced};
 use crate::scheduler::rounds::task_placement::PlacementRequest;
 use crate::scheduler::Scheduler;
-use crate::slackfit::Rung;
+use crate::slackfit::ProvisioningOption;
 use std::rc::Rc;
 
 /// Capacity for a group in one zone: free machines, and machines whose tasks are
@@ -43,7 +43,7 @@
     }
 
     /// Covers the unplaced parts of a group with machines that are being provisioned in
-    /// one zone and, for the rest, with one rung. `false`: no single zone allows all
+    /// one zone and, for the rest, with one option. `false`: no single zone allows all
     /// parts.
     pub(in crate::scheduler) fn cover_group(
         &mut self,
@@ -58,23 +58,29 @@
         if zones.is_empty() {
             return false;
         }
-        self.count_scanned(plan.coming.len() * zones.len());
+        self.count_scanned(plan.pending.len() * zones.len());
         let covering_zone = zones
             .iter()
-            .find(|zone| plan.coming.fitting(spec, &task_request, zone) >= unplaced.count);
+            .find(|zone| plan.pending.count_fitting(spec, &task_request, zone) >= unplaced.count);
         if let Some(zone) = covering_zone {
-            plan.coming
-                .take_apart(spec, &task_request, zone, unplaced.count);
+            plan.pending
+                .take_on_separate_machines(spec, &task_request, zone, unplaced.count);
             return true;
         }
-        let rungs: Vec<Rung> = self
-            .rungs(now, spec, &plan.catalog)
+        let options: Vec<ProvisioningOption> = self
+            .feasible_options(now, spec, &plan.catalog)
             .into_iter()
-            .filter(|rung| zones.contains(&rung.offer.zone))
+            .filter(|option| zones.contains(&option.offer.zone))
             .collect();
-        let rung = self.choose_rung(now, unplaced, &unplaced.zones, &rungs, &plan.crowd);
-        if let Some(rung) = rung {
-            provision_for_group(&rung, unplaced, &task_request, plan);
+        let option = self.choose_option(
+            now,
+            unplaced,
+            &unplaced.zones,
+            &options,
+            &plan.machines_by_zone,
+        );
+        if let Some(option) = option {
+            provision_for_group(&option, unplaced, &task_request, plan);
         }
         true
     }
@@ -103,10 +109,10 @@
             return;
         };
         for machine in reclaimed.free {
-            self.capacity.hold(machine.slot, &request.need);
+            self.capacity.hold(machine.slot, &request.resources);
         }
         for candidate in reclaimed.candidates {
-            self.carry_out_preemption(now, candidate.slot, candidate.offer, &unplaced.spec);
+            self.carry_out_preemption(now, candidate.slot, candidate.plan, &unplaced.spec);
         }
         self.refresh(now);
         unplaced.count = 0;
@@ -180,26 +186,26 @@
 }
 
 fn preemption_cost_s(candidate: &PreemptionCandidate) -> f64 {
-    candidate.offer.as_ref().map_or(0.0, |offer| offer.cost_s)
+    candidate.plan.as_ref().map_or(0.0, |offer| offer.cost_s)
 }
 
-/// Adds machines to the plan for the unplaced parts that no machine of the rung's zone
+/// Adds machines to the plan for the unplaced parts that no machine of the option's zone
 /// is being provisioned for yet.
 fn provision_for_group(
-    rung: &Rung,
+    option: &ProvisioningOption,
     unplaced: &Unplaced,
     task_request: &Resources,
     plan: &mut ProvisionPlan,
 ) {
-    let zone = rung.offer.zone.clone();
-    let covered = plan
-        .coming
-        .take_apart(&unplaced.spec, task_request, &zone, unplaced.count);
+    let zone = option.offer.zone.clone();
+    let covered =
+        plan.pending
+            .take_on_separate_machines(&unplaced.spec, task_request, &zone, unplaced.count);
     let count = unplaced.count - covered;
-    let machine_type = plan.catalog.find(&rung.offer.machine_type);
+    let machine_type = plan.catalog.find(&option.offer.machine_type);
     let mut free = machine_type.map_or(Resources::default(), |found| found.capacity());
     free.subtract(task_request);
-    plan.coming.add(&rung.offer, free, count);
-    *plan.crowd.entry(zone).or_insert(0) += count;
-    *plan.wanted.entry(rung.offer.clone()).or_insert(0) += count;
+    plan.pending.add(&option.offer, free, count);
+    *plan.machines_by_zone.entry(zone).or_insert(0) += count;
+    *plan.orders.entry(option.offer.clone()).or_insert(0) += count;
 }
--- a/src/scheduler/replica_groups/search.rs
+++ b/src/scheduler/replica_groups/search.rs
@@ -141,12 +141,16 @@
         zones: &ZoneCounts,
         scope: SearchScope,
     ) -> Option<PartMachine> {
-        let PlacementRequest { spec, need, .. } = search.request;
+        let PlacementRequest {
+            spec,
+            resources: need,
+            ..
+        } = search.request;
         let group = self.groups.group(search.id)?;
         let failed_on = |machine: &MachineId| group.circuit_breaker().failed_on(machine);
         let demand = TaskDemand {
             spec,
-            need,
+            resources: need,
             zones,
             siblings: &search.request.siblings,
             failed_on: &failed_on,
@@ -185,13 +189,15 @@
             SearchScope::WithForecast => {
                 let mut reserving = self.capacity.with_forecast_reservation();
                 reserving.find(|(slot, machine)| {
-                    is_allowed(*slot, machine) && free_with_forecast(machine).covers(demand.need)
+                    is_allowed(*slot, machine)
+                        && free_with_forecast(machine).covers(demand.resources)
                 })
             }
             SearchScope::WithStopping => {
                 let mut stopping = self.capacity.stopping_tasks();
                 stopping.find(|(slot, machine)| {
-                    is_allowed(*slot, machine) && machine.free_after_stops().covers(demand.need)
+                    is_allowed(*slot, machine)
+                        && machine.free_after_stops().covers(demand.resources)
                 })
             }
         };
--- a/src/scheduler/rounds/capacity_sync.rs
+++ b/src/scheduler/rounds/capacity_sync.rs
@@ -97,11 +97,12 @@
                 }
             }
         }
-        let off = (used.gpus - machine.used.gpus).abs() + (used.cpus - machine.used.cpus).abs();
+        let off =
+            (used.gpus - machine.allocated.gpus).abs() + (used.cpus - machine.allocated.cpus).abs();
         if off > 1e-6 {
             return Err(InvariantViolation::MachineUsage {
                 machine: machine.id.clone(),
-                used: machine.used,
+                used: machine.allocated,
                 recounted: used,
             });
         }
--- a/src/scheduler/rounds/demand_forecast.rs
+++ b/src/scheduler/rounds/demand_forecast.rs
@@ -40,7 +40,7 @@
 impl DemandVariance {
     fn of(rate: &ArrivalRate, boot_s: f64) -> DemandVariance {
         let need = rate.spec.task_request();
-        let tasks = 2.0 * rate.jobs_per_s * boot_s * rate.tasks_squared;
+        let tasks = 2.0 * rate.jobs_per_s * boot_s * rate.mean_squared_tasks;
         DemandVariance {
             tasks,
             resources: tasks * need.gpus.max(need.cpus / CPUS_PER_GPU).powi(2),
@@ -114,11 +114,14 @@
 
     /// How long the slowest machine type is expected to boot.
     pub(in crate::scheduler) fn slowest_boot_s(&self) -> f64 {
-        let types = self.catalog.iter().flat_map(|catalog| &catalog.types);
+        let types = self
+            .catalog
+            .iter()
+            .flat_map(|catalog| &catalog.machine_types);
         types
             .map(|machine_type| {
                 self.estimates
-                    .boot_s(&machine_type.name, machine_type.boot_s)
+                    .expected_boot_s(&machine_type.name, machine_type.boot_s)
             })
             .fold(0.0, f64::max)
     }
--- a/src/scheduler/rounds/gang.rs
+++ b/src/scheduler/rounds/gang.rs
@@ -23,12 +23,16 @@
         tasks: usize,
         round: &Round,
     ) -> bool {
-        let PlacementRequest { spec, need, .. } = request;
-        let mut used = self.used_in(&spec.team, round);
+        let PlacementRequest {
+            spec,
+            resources: need,
+            ..
+        } = request;
+        let mut used = self.team_usage(&spec.team, round);
         let mut zones = request.zones.clone();
         let mut machines: Vec<FreeMachine> = self
             .capacity
-            .holding(spec, need)
+            .fitting(spec, need)
             .map(|(slot, machine)| FreeMachine {
                 slot,
                 zone: machine.state.offer.zone.clone(),
--- a/src/scheduler/rounds/machine_choice.rs
+++ b/src/scheduler/rounds/machine_choice.rs
@@ -64,13 +64,13 @@
         if !allowed || !machine.accepts_tasks(now.ms, self.fresh_ms()) {
             return None;
         }
-        if target.free().covers(&request.need) {
+        if target.free().covers(&request.resources) {
             return Some(MachineChoice::Free(slot));
         }
         // Capacity that is being freed for the task is worth waiting for while its
         // objective can still be met.
-        if now.wall < request.deadline && target.free_after_stops().covers(&request.need) {
-            self.capacity.hold(slot, &request.need);
+        if now.wall < request.deadline && target.free_after_stops().covers(&request.resources) {
+            self.capacity.hold(slot, &request.resources);
             return Some(MachineChoice::Held(slot));
         }
         None
@@ -84,7 +84,7 @@
         let failed_on = |machine: &MachineId| job.failures.failed_on(machine);
         let demand = TaskDemand {
             spec: &request.spec,
-            need: &request.need,
+            resources: &request.resources,
             zones: &request.zones,
             siblings: &request.siblings,
             failed_on: &failed_on,
@@ -126,7 +126,7 @@
         let fits = |machine: &MachineCapacity| {
             let mut available = machine.free();
             available.add(&machine.forecast_reserved());
-            available.covers(&request.need)
+            available.covers(&request.resources)
                 && placement_allowed(&request.spec, &request.zones, &machine.state.offer)
         };
         self.capacity
@@ -150,7 +150,7 @@
         for held in 0..count {
             let fits = |machine: &MachineCapacity| {
                 placement_allowed(&request.spec, &request.zones, &machine.state.offer)
-                    && machine.free_after_stops().covers(&request.need)
+                    && machine.free_after_stops().covers(&request.resources)
             };
             let fitting = self
                 .capacity
@@ -160,7 +160,7 @@
                 return count - held;
             };
             request.zones.add(&machine.state.offer.zone);
-            self.capacity.hold(slot, &request.need);
+            self.capacity.hold(slot, &request.resources);
         }
         0
     }
--- a/src/scheduler/rounds/pacing.rs
+++ b/src/scheduler/rounds/pacing.rs
@@ -1,6 +1,6 @@
 //! When rounds begin, how long the pause after one is, and what they have cost.
 
-use crate::scheduler::{ActivityCounters, RoundStats, ROUND_GAP_MS};
+use crate::scheduler::{ActivityCounters, RoundStats, MIN_ROUND_GAP_MS};
 
 /// What decides when the next round begins, and the cost of the rounds so far.
 #[derive(Debug)]
@@ -21,7 +21,7 @@
     /// The leader's periodic work since the process began.
     pub(in crate::scheduler) activity: ActivityCounters,
     /// The statistics as of the last time that they were logged.
-    pub(in crate::scheduler) logged: RoundStats,
+    pub(in crate::scheduler) logged_stats: RoundStats,
 }
 
 impl Default for RoundPacing {
@@ -29,12 +29,12 @@
         RoundPacing {
             requested: false,
             began_ms: 0,
-            gap_ms: ROUND_GAP_MS,
+            gap_ms: MIN_ROUND_GAP_MS,
             last_full_ms: 0,
             examined: 0,
             longest_slice: 0,
             activity: ActivityCounters::default(),
-            logged: RoundStats::default(),
+            logged_stats: RoundStats::default(),
         }
     }
 }
--- a/src/scheduler/rounds/pending_capacity.rs
+++ b/src/scheduler/rounds/pending_capacity.rs
@@ -85,7 +85,7 @@
     }
 
     /// The number of machines pending in a zone that each fit a task of the job.
-    pub(in crate::scheduler) fn fitting(
+    pub(in crate::scheduler) fn count_fitting(
         &self,
         spec: &JobSpec,
         need: &Resources,
@@ -100,7 +100,7 @@
 
     /// Takes capacity for one task each on up to `limit` different machines that are
     /// pending in a zone. Returns how many there were.
-    pub(in crate::scheduler) fn take_apart(
+    pub(in crate::scheduler) fn take_on_separate_machines(
         &mut self,
         spec: &JobSpec,
         need: &Resources,
--- a/src/scheduler/rounds/queue_order.rs
+++ b/src/scheduler/rounds/queue_order.rs
@@ -40,7 +40,7 @@
     fn queue_deadline(&self, now: Now, job: &Job) -> u64 {
         let own = self.own_deadline(now, job);
         let run_ms = self.estimated_run_ms(&job.spec);
-        let inherited = job.inherited.as_ref();
+        let inherited = job.inherited_urgency.as_ref();
         let mut deadlines = inherited.into_iter().flat_map(|urgency| &urgency.deadlines);
         let attainable = deadlines.find(|deadline| now.wall + run_ms <= **deadline);
         attainable.map_or(own, |deadline| own.min(*deadline))
@@ -48,7 +48,7 @@
 
     /// How long one of its tasks is expected to run.
     fn estimated_run_ms(&self, spec: &JobSpec) -> u64 {
-        (spec.estimated_run_s * self.estimates.bias(&spec.class) * 1000.0) as u64
+        (spec.estimated_run_s * self.estimates.run_bias(&spec.class) * 1000.0) as u64
     }
 
     /// The job's own deadline. One that can't be met any more would only make other
@@ -61,7 +61,7 @@
                 .settings
                 .wait_slo_ms(class)
                 .unwrap_or((spec.estimated_run_s * DEFAULT_DEADLINE_RUNS_MS) as u64);
-            return job.ready + within_ms;
+            return job.ready_at + within_ms;
         };
         let run_ms = self.estimated_run_ms(spec);
         let after = |multiple: f64| job.submitted + (deadline_s * multiple * 1000.0) as u64;
@@ -72,10 +72,10 @@
             .map(after)
             .collect();
         let finish_slos_ms = self.settings.finish_slos_ms(class);
-        deadlines.extend(finish_slos_ms.map(|slo_ms| job.ready + slo_ms));
+        deadlines.extend(finish_slos_ms.map(|slo_ms| job.ready_at + slo_ms));
         // A task that should start by some time should end one run later.
         let start_slo_ms = self.settings.wait_slo_ms(class);
-        deadlines.extend(start_slo_ms.map(|slo_ms| job.ready + slo_ms + run_ms));
+        deadlines.extend(start_slo_ms.map(|slo_ms| job.ready_at + slo_ms + run_ms));
         deadlines.sort_unstable();
         deadlines
             .into_iter()
@@ -99,7 +99,7 @@
         sequence: u64,
     ) -> Option<QueueKey> {
         self.pacing.examined += 1;
-        self.raise_if_pressed(now, id);
+        self.raise_priority_if_late(now, id);
         let job = self.jobs.get(id)?;
         if job.cancelled.is_some()
             || job.pending.is_empty()
@@ -126,7 +126,7 @@
         let deadline = self.queue_deadline(now, job);
         let team = job.spec.team.clone();
         let submission = (job.submitted, id.clone());
-        let within_guarantee = self.jobs.teams().is_within(
+        let within_guarantee = self.jobs.teams().is_guaranteed(
             &self.settings,
             &team,
             &submission,
--- a/src/scheduler/rounds/round.rs
+++ b/src/scheduler/rounds/round.rs
@@ -12,7 +12,7 @@
 use crate::scheduler::provisioning::scaling::ProvisionPlan;
 use crate::scheduler::rounds::demand_forecast::ColdReservation;
 use crate::scheduler::rounds::queue_order::{QueueKey, QueuedWork};
-use crate::scheduler::{Scheduler, EXAMINE_MS};
+use crate::scheduler::{Scheduler, EXAMINED_ENTRY_MS};
 use crate::wire::users::JobSpec;
 use lilacfork_replica_groups::registry::GroupId;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -179,7 +179,7 @@
     /// The number of entries that one slice may examine.
     fn entries_per_slice(&self) -> u64 {
         let lease_ms = self.lease_ms() as f64 * self.tuning.lease_share;
-        let entries_per_ms = self.settings.site.limits.cores / EXAMINE_MS;
+        let entries_per_ms = self.settings.site.limits.cores / EXAMINED_ENTRY_MS;
         (lease_ms * SLICE_LEASES * entries_per_ms) as u64
     }
 
@@ -206,7 +206,7 @@
         match progress {
             Progress::Unfinished => self.round = Some(round),
             Progress::Finished => {
-                self.pacing.gap_ms = self.gap_ms(self.examined() - round.examined_before);
+                self.pacing.gap_ms = self.round_gap_ms(self.examined() - round.examined_before);
             }
         }
     }
@@ -292,12 +292,12 @@
             round.stage = RoundStage::Provisioning(plan);
             return progress;
         };
-        if let Some(unplaced) = round.unplaced.get(plan.next) {
-            plan.next += 1;
-            self.cover(now, unplaced, plan);
+        if let Some(unplaced) = round.unplaced.get(plan.next_unplaced) {
+            plan.next_unplaced += 1;
+            self.cover_unplaced(now, unplaced, plan);
             return Progress::Unfinished;
         }
-        self.order(plan, cloud);
+        self.place_orders(plan, cloud);
         if round.full {
             self.scale_in(now, cloud);
         }
--- a/src/scheduler/rounds/task_placement.rs
+++ b/src/scheduler/rounds/task_placement.rs
@@ -14,12 +14,12 @@
 use std::rc::Rc;
 
 /// The most tasks of one job that one round examines.
-pub(in crate::scheduler) const ROUND_TASKS: usize = 512;
+pub(in crate::scheduler) const MAX_TASKS_PER_ROUND: usize = 512;
 
 /// What the tasks of one job ask of a machine, while they are being placed.
 pub(in crate::scheduler) struct PlacementRequest {
     pub(in crate::scheduler) spec: Rc<JobSpec>,
-    pub(in crate::scheduler) need: Resources,
+    pub(in crate::scheduler) resources: Resources,
     /// Where the job's tasks are, those placed in this round included.
     pub(in crate::scheduler) zones: ZoneCounts,
     pub(in crate::scheduler) deadline: u64,
@@ -62,13 +62,13 @@
         }
         let zones_matter = job.is_service() || job.spec.spread || job.spec.same_zone;
         let zones = if zones_matter {
-            job.zone_use()
+            job.zone_counts()
         } else {
             ZoneCounts::default()
         };
         PlacementRequest {
             spec: job.spec.clone(),
-            need: job.task_request,
+            resources: job.task_request,
             zones,
             deadline,
             probing: job.failures.is_open(),
@@ -79,10 +79,10 @@
     }
 
     /// The same request of a job that has no tasks placed yet.
-    pub(in crate::scheduler) fn like(other: &PlacementRequest) -> PlacementRequest {
+    pub(in crate::scheduler) fn without_placements(other: &PlacementRequest) -> PlacementRequest {
         PlacementRequest {
             spec: other.spec.clone(),
-            need: other.need,
+            resources: other.resources,
             zones: ZoneCounts::default(),
             deadline: other.deadline,
             probing: other.probing,
@@ -126,7 +126,7 @@
         } else if request.probing {
             1
         } else {
-            ROUND_TASKS
+            MAX_TASKS_PER_ROUND
         };
         let tasks: Vec<u32> = job.pending.iter().copied().take(limit).collect();
         self.count_scanned(assigned + tasks.len());
@@ -156,9 +156,9 @@
         let mut tally = PlacementTally::default();
         let gang_attempt = self.gang_attempt(id, &request.spec);
         let team = request.spec.team.clone();
-        let mut used = self.used_in(&team, round);
+        let mut used = self.team_usage(&team, round);
         for index in tasks {
-            if !within_quota(&self.settings, &team, &used, &request.need) {
+            if !within_quota(&self.settings, &team, &used, &request.resources) {
                 // Provisioning wouldn't help: its team has to free resources first.
                 tally.over_quota = tally.remaining(tasks.len());
                 let count = tally.over_quota;
@@ -175,7 +175,7 @@
                         self.migrations.targets.insert(task, machine.id.clone());
                     }
                     let held = round.held_by_team.entry(team.clone()).or_default();
-                    held.add(&request.need);
+                    held.add(&request.resources);
                     tally.held += 1;
                     slot
                 }
@@ -191,7 +191,7 @@
             if let Some(machine) = self.capacity.get(slot) {
                 request.zones.add(&machine.state.offer.zone);
             }
-            used.add(&request.need);
+            used.add(&request.resources);
         }
         tally
     }
@@ -206,7 +206,7 @@
     }
 
     /// What a team's tasks use, with what is held for the team in this round.
-    pub(in crate::scheduler) fn used_in(&self, team: &str, round: &Round) -> Resources {
+    pub(in crate::scheduler) fn team_usage(&self, team: &str, round: &Round) -> Resources {
         let mut used = self.jobs.used(team);
         if let Some(held) = round.held_by_team.get(team) {
             used.add(held);
--- a/src/scheduler/state/assignment.rs
+++ b/src/scheduler/state/assignment.rs
@@ -35,9 +35,9 @@
     /// Since when the task was seen running, under this leader.
     pub(in crate::scheduler) running_since_ms: Option<u64>,
     /// An earlier leader started the task: it may have run for longer.
-    pub(in crate::scheduler) inherited: bool,
+    pub(in crate::scheduler) started_by_earlier_leader: bool,
     /// The task started later than the objective of its class allows.
-    pub(in crate::scheduler) late: bool,
+    pub(in crate::scheduler) missed_start_slo: bool,
     /// How the task is to be stopped, if it is.
     pub(in crate::scheduler) stop: Option<StopRequest>,
     /// The task's absence under at least this token proves that it isn't on the
@@ -63,8 +63,8 @@
             sent_ms: None,
             phase: None,
             running_since_ms: None,
-            inherited: false,
-            late: false,
+            started_by_earlier_leader: false,
+            missed_start_slo: false,
             stop: None,
             absent_proof: None,
         }
--- a/src/scheduler/state/cleanup.rs
+++ b/src/scheduler/state/cleanup.rs
@@ -46,7 +46,7 @@
         }
         self.cleanup.in_flight = true;
         let tag = SchedulerKvCall::Cleanup(keys);
-        self.ask_transaction(now, CallPriority::Background, &txn, tag, effects);
+        self.call_kv_txn(now, CallPriority::Background, &txn, tag, effects);
     }
 
     /// The response to a removal: what failed is tried again.
@@ -59,7 +59,7 @@
     ) {
         self.cleanup.in_flight = false;
         if response.status() == Some(400) {
-            effects.refused = Some(RequestSize {
+            effects.rejected_request = Some(RequestSize {
                 write_ops: keys.len(),
                 largest_value_bytes: 0,
             });
--- a/src/scheduler/state/commit.rs
+++ b/src/scheduler/state/commit.rs
@@ -138,7 +138,7 @@
         };
         transaction.sent = true;
         let (call, writes) = kv_client::txn(&transaction.txn, CALL_TIMEOUT_MS);
-        self.ask(
+        self.call_kv(
             now,
             CallPriority::Placement,
             call,
--- a/src/scheduler/state/commit_outcome.rs
+++ b/src/scheduler/state/commit_outcome.rs
@@ -31,7 +31,7 @@
         match response {
             KvResponse::Status(200, _) => match response.committed() {
                 Some(revision) => self.on_committed(now, revision.0),
-                None => effects.resign = Some(StepDownReason::UnreadableCommitResponse),
+                None => effects.step_down = Some(StepDownReason::UnreadableCommitResponse),
             },
             KvResponse::Status(409, _) => {
                 transaction.failed_compares = response
@@ -46,7 +46,7 @@
                 }
             }
             KvResponse::Status(400, _) => {
-                effects.refused = Some(transaction.size());
+                effects.rejected_request = Some(transaction.size());
                 if transaction.indeterminate {
                     // An earlier copy may have been accepted before the limits fell.
                     self.commits.rejected_jobs.clear();
@@ -58,7 +58,7 @@
             }
             KvResponse::Status(status, _) => {
                 log::error!("commit rejected status={status}");
-                effects.resign = Some(StepDownReason::CommitRejected);
+                effects.step_down = Some(StepDownReason::CommitRejected);
             }
             KvResponse::Indeterminate => {
                 transaction.indeterminate = true;
@@ -105,7 +105,7 @@
         };
         let call = kv_client::get(&transaction.marker_key, CALL_TIMEOUT_MS);
         let tag = SchedulerKvCall::CheckCommit;
-        self.ask(now, CallPriority::Placement, call, 0, tag, effects);
+        self.call_kv(now, CallPriority::Placement, call, 0, tag, effects);
     }
 
     /// The transaction is stored: its tasks may start, and workers may forget the
@@ -146,7 +146,7 @@
         let FinishedJob { id, state } = finished;
         self.finished_jobs
             .insert(id.clone(), now.ms + FINISHED_RETENTION_MS);
-        self.forgive_unless_succeeded(&id);
+        self.exonerate_unless_succeeded(&id);
         self.groups.remove(&id);
         self.on_job_finished(now, &id, state);
         if let Some(job) = self.jobs.remove(&id) {
@@ -161,7 +161,7 @@
     /// No known limit explains why the last transaction was rejected. Its jobs are
     /// written in halves until the job at fault stands alone; that one is held back,
     /// and everything else goes on.
-    pub fn refused_without_cause(&mut self, now: Now) {
+    pub fn split_rejected_transaction(&mut self, now: Now) {
         let rejected = std::mem::take(&mut self.commits.rejected_jobs);
         if rejected.is_empty() {
             return;
@@ -217,7 +217,7 @@
                     self.read_job(now, &id, effects);
                 }
                 // The leader key or a record that only this leader writes.
-                None => effects.resign = Some(StepDownReason::CompareFailed),
+                None => effects.step_down = Some(StepDownReason::CompareFailed),
             }
         }
     }
--- a/src/scheduler/state/job.rs
+++ b/src/scheduler/state/job.rs
@@ -41,14 +41,14 @@
     pub(in crate::scheduler) shape: Option<Shape>,
     /// Since when its objectives count, time of day: its submission, or the end of
     /// the last job that it depends on.
-    pub(in crate::scheduler) ready: u64,
+    pub(in crate::scheduler) ready_at: u64,
     /// A job that it depends on isn't known to be done.
     pub(in crate::scheduler) dependencies_open: bool,
     /// The priority that its user gave it; `spec` holds the one that it is served by,
     /// which may be that of a job that depends on it.
     pub(in crate::scheduler) own_priority: Priority,
     /// How urgent the jobs that depend on it make it.
-    pub(in crate::scheduler) inherited: Option<StageUrgency<Priority>>,
+    pub(in crate::scheduler) inherited_urgency: Option<StageUrgency<Priority>>,
     /// The ranges of its tasks, with one placement record each.
     pub(in crate::scheduler) placements: PlacementRanges,
     /// One of its placement records can't be read: what it may have on machines isn't
@@ -109,10 +109,10 @@
             shape,
             task_request: record.spec.task_request(),
             submitted: record.submitted,
-            ready: record.submitted,
+            ready_at: record.submitted,
             dependencies_open: false,
             own_priority: record.spec.priority,
-            inherited: None,
+            inherited_urgency: None,
             cancelled: record.cancelled,
             revision,
             placements: PlacementRanges::new(tasks, tasks_per_range),
@@ -195,7 +195,7 @@
 
     /// Records how long a task ran, and tells whether that was far longer than the
     /// job's other tasks took: users' estimates are too often wrong to compare with.
-    pub(in crate::scheduler) fn ran(&mut self, took_ms: u64) -> bool {
+    pub(in crate::scheduler) fn record_run_time(&mut self, took_ms: u64) -> bool {
         let RunTimes { count, total_ms } = self.run_times;
         let is_slow =
             count >= MIN_COMPLETED_RUNS && took_ms > total_ms / u64::from(count) * SLOW_RUN_FACTOR;
@@ -209,7 +209,7 @@
     }
 
     /// How many of its tasks may be in each zone, for spread and samePlace.
-    pub(in crate::scheduler) fn zone_use(&self) -> ZoneCounts {
+    pub(in crate::scheduler) fn zone_counts(&self) -> ZoneCounts {
         let mut zones = ZoneCounts::default();
         for assignment in self.assignments.values() {
             zones.add(&assignment.zone);
@@ -323,7 +323,7 @@
         let bound = Assignment::new(row.attempt, row.machine, row.agent_epoch, Rc::from(zone));
         let assignment = Assignment {
             recorded: true,
-            inherited: true,
+            started_by_earlier_leader: true,
             ..bound
         };
         self.assignments.insert(row.task, assignment);
--- a/src/scheduler/state/job_watch.rs
+++ b/src/scheduler/state/job_watch.rs
@@ -93,7 +93,7 @@
                 JobRecordSource::InitialList => job.submitted,
                 JobRecordSource::Update => now.wall,
             };
-            self.estimates.arrived(arrived_at, &job.spec);
+            self.estimates.job_arrived(arrived_at, &job.spec);
         }
         if let Some(shape) = job.shape {
             self.groups.add(&id, shape);
@@ -140,7 +140,7 @@
         self.job_watch.in_flight = true;
         let wait_ms = self.lease_ms();
         let call = kv_client::watch(JOB_PREFIX, from, wait_ms, wait_ms * 2);
-        self.ask(
+        self.call_kv(
             now,
             CallPriority::Leadership,
             call,
@@ -169,14 +169,14 @@
                 self.job_watch.revision = Some(Revision(changes.revision));
             }
             None if response.status() == Some(410) => {
-                effects.resign = Some(StepDownReason::WatchTooFarBehind);
+                effects.step_down = Some(StepDownReason::WatchTooFarBehind);
             }
             None => self.job_watch.due_ms = now.ms + RETRY_MS,
         }
     }
 
     /// A peer reports that it wrote this job; the watch may be late.
-    pub fn announced(&mut self, now: Now, id: &JobId, effects: &mut SchedulerEffects) {
+    pub fn on_job_announced(&mut self, now: Now, id: &JobId, effects: &mut SchedulerEffects) {
         if self.stage == LeaderStage::Active && !self.jobs.contains(id) {
             self.read_job(now, id, effects);
         }
@@ -185,7 +185,7 @@
     /// A peer, or this node, has stored a cancellation. If the key-value store becomes
     /// unavailable before the watch reports it, the tasks must stop all the same;
     /// stopping them can do no harm.
-    pub fn cancelled(&mut self, now: Now, id: &JobId, effects: &mut SchedulerEffects) {
+    pub fn on_job_cancelled(&mut self, now: Now, id: &JobId, effects: &mut SchedulerEffects) {
         if self.stage != LeaderStage::Active {
             return;
         }
@@ -203,7 +203,7 @@
     pub(super) fn read_job(&mut self, now: Now, id: &JobId, effects: &mut SchedulerEffects) {
         let call = kv_client::get(&job_key(id), CALL_TIMEOUT_MS);
         let tag = SchedulerKvCall::ReadJob(id.clone());
-        self.ask(now, CallPriority::Placement, call, 0, tag, effects);
+        self.call_kv(now, CallPriority::Placement, call, 0, tag, effects);
     }
 
     /// A job's record, as it was read. A read that failed is repeated by
@@ -223,7 +223,7 @@
             }
             self.commits.has_changes = true;
         } else if response.status() == Some(404) && self.jobs.get(id).is_some_and(|job| job.stale) {
-            effects.resign = Some(StepDownReason::JobRecordGone);
+            effects.step_down = Some(StepDownReason::JobRecordGone);
         }
     }
 
--- a/src/scheduler/state/loading.rs
+++ b/src/scheduler/state/loading.rs
@@ -53,7 +53,7 @@
             (PLACEMENT_PREFIX, SchedulerKvCall::ListPlacements)
         };
         let call = kv_client::list(prefix, after, PAGE_TIMEOUT_MS);
-        self.ask(now, CallPriority::Leadership, call, 0, tag, effects);
+        self.call_kv(now, CallPriority::Leadership, call, 0, tag, effects);
     }
 
     /// A page of records was read.
@@ -84,8 +84,8 @@
                 self.load_placement(now, item);
             }
         }
-        self.loading.cursor = if page.more { last_key } else { None };
-        if page.more || is_job_page {
+        self.loading.cursor = if page.has_more { last_key } else { None };
+        if page.has_more || is_job_page {
             self.list_records(now, effects);
         } else {
             self.finish_loading(now);
--- a/src/scheduler/state/quotas.rs
+++ b/src/scheduler/state/quotas.rs
@@ -90,7 +90,7 @@
 
     /// Whether a job fits into its team's guarantee together with the team's
     /// earlier unfinished ones.
-    pub(in crate::scheduler) fn is_within(
+    pub(in crate::scheduler) fn is_guaranteed(
         &mut self,
         settings: &Settings,
         team: &str,
--- a/src/scheduler/state/transaction.rs
+++ b/src/scheduler/state/transaction.rs
@@ -114,8 +114,8 @@
         let record = FinalRecord {
             state,
             tasks: job.spec.tasks,
-            write: self.write_id,
-            ended: now.wall,
+            write_id: self.write_id,
+            ended_at: now.wall,
         };
         let value = serde_json::to_value(record).unwrap_or_default();
         self.txn = std::mem::take(&mut self.txn)
--- a/src/scheduler/statistics.rs
+++ b/src/scheduler/statistics.rs
@@ -77,13 +77,13 @@
     }
 
     /// Rounds, and what they examined, since the last call: for the log.
-    pub fn take_round_figures(&mut self) -> RoundStats {
+    pub fn take_round_stats(&mut self) -> RoundStats {
         let now = RoundStats {
             rounds: self.pacing.activity.rounds,
             examined: self.examined(),
             longest_slice: 0,
         };
-        let before = std::mem::replace(&mut self.pacing.logged, now);
+        let before = std::mem::replace(&mut self.pacing.logged_stats, now);
         RoundStats {
             rounds: now.rounds - before.rounds,
             examined: now.examined - before.examined,
@@ -92,7 +92,7 @@
     }
 
     /// The progress of each job, for display.
-    pub fn counts(&self) -> impl Iterator<Item = (&JobId, TaskProgress)> {
+    pub fn job_progress(&self) -> impl Iterator<Item = (&JobId, TaskProgress)> {
         self.jobs.iter().map(|(id, job)| {
             let counts = TaskProgress {
                 done: job.done.len() as u32,
--- a/src/scheduler/tick.rs
+++ b/src/scheduler/tick.rs
@@ -3,7 +3,7 @@
 use crate::cloud::CloudClient;
 use crate::kv_client::WriteBudget;
 use crate::messages::Now;
-use crate::scheduler::{LeaderStage, Scheduler, SchedulerEffects, ROUND_GAP_MS};
+use crate::scheduler::{LeaderStage, Scheduler, SchedulerEffects, MIN_ROUND_GAP_MS};
 
 /// The time between two full rounds, in heartbeat intervals.
 const FULL_ROUND_HEARTBEATS: f64 = 1.0;
@@ -15,7 +15,7 @@
 /// index, an image of a machine that is indexed anew) takes of a processor, roughly:
 /// 0.08 us on the bench's large fleets, 0.2 us beside other work. Entries are counted
 /// and not timed so that traces replay.
-pub(in crate::scheduler) const EXAMINE_MS: f64 = 100e-6;
+pub(in crate::scheduler) const EXAMINED_ENTRY_MS: f64 = 100e-6;
 /// The share of the processor's limit that rounds may take under a burst of work.
 const ROUND_CPU_SHARE: f64 = 0.3;
 
@@ -33,7 +33,7 @@
             return self.loading.retry_ms.unwrap_or(now.ms + INACTIVE_TICK_MS);
         }
         if let Some(list) = self.loading.early_cloud_list.take() {
-            self.on_listed(now, list, cloud);
+            self.on_machine_list(now, list, cloud);
         }
         self.watch_jobs(now, effects);
         self.read_stale_jobs(now, effects);
@@ -45,7 +45,7 @@
         self.commit(now, budget, effects);
         self.push_commands(now, effects);
         self.clean_up(now, effects);
-        self.store_learned(now, effects);
+        self.write_estimates(now, effects);
         self.next_round_ms(now)
             .min(self.next_commit_ms(now))
             .min(self.next_check_ms())
@@ -84,7 +84,7 @@
         self.pacing.began_ms = now.ms;
         if full {
             self.pacing.last_full_ms = now.ms;
-            self.ask_proxied(now, effects);
+            self.poll_lease_proxies(now, effects);
         }
         self.begin_round(now, full);
     }
@@ -113,9 +113,12 @@
 
     /// The pause after a round follows what it cost, so that a burst of work on a
     /// large fleet leaves time for heartbeats, submissions and cancellations.
-    pub(in crate::scheduler) fn gap_ms(&self, examined: u64) -> u64 {
-        let cost_ms = examined as f64 * EXAMINE_MS;
+    pub(in crate::scheduler) fn round_gap_ms(&self, examined: u64) -> u64 {
+        let cost_ms = examined as f64 * EXAMINED_ENTRY_MS;
         let gap = cost_ms / (self.settings.site.limits.cores * ROUND_CPU_SHARE);
-        (gap as u64).clamp(ROUND_GAP_MS, self.heartbeat_interval_ms().max(ROUND_GAP_MS))
+        (gap as u64).clamp(
+            MIN_ROUND_GAP_MS,
+            self.heartbeat_interval_ms().max(MIN_ROUND_GAP_MS),
+        )
     }
 }
--- a/src/scheduler/workers/commands.rs
+++ b/src/scheduler/workers/commands.rs
@@ -47,7 +47,7 @@
         if acknowledges {
             if let Some(machine) = self.fleet.get_mut(id) {
                 if machine.advance_fencing_token().is_none() {
-                    out.resign = Some(StepDownReason::FencingTokensExhausted);
+                    out.step_down = Some(StepDownReason::FencingTokensExhausted);
                     return Vec::new();
                 }
             }
@@ -110,7 +110,7 @@
     }
 
     /// Stops what a machine runs, with time to save checkpoints.
-    pub(in crate::scheduler) fn drain(&mut self, now: Now, id: &MachineId) {
+    pub(in crate::scheduler) fn drain_machine(&mut self, now: Now, id: &MachineId) {
         let tasks = self.fleet.get(id).map(|machine| machine.tasks.clone());
         for task in tasks.into_iter().flatten() {
             // A replica that spans machines is stopped as a whole, by its group.
--- a/src/scheduler/workers/direct_commands.rs
+++ b/src/scheduler/workers/direct_commands.rs
@@ -62,17 +62,18 @@
             commands,
         };
         let call = Call {
-            target: Destination::Worker(address),
+            destination: Destination::Worker(address),
             method: "POST",
             path: WORKER_COMMANDS_PATH.to_string(),
             body: serde_json::to_vec(&body).unwrap_or_default(),
             timeout_ms,
         };
-        out.workers.push((WorkerCommandCall { machine: id }, call));
+        out.worker_calls
+            .push((WorkerCommandCall { machine: id }, call));
     }
 
     /// Handles the result of a direct call to a worker.
-    pub fn worker_answered(
+    pub fn on_command_response(
         &mut self,
         now: Now,
         call: WorkerCommandCall,
--- a/src/scheduler/workers/failure_attribution.rs
+++ b/src/scheduler/workers/failure_attribution.rs
@@ -46,7 +46,7 @@
 
     /// The job has ended. If none of its tasks has succeeded, its failures say
     /// nothing about the machines.
-    pub(in crate::scheduler) fn forgive_unless_succeeded(&mut self, job_id: &JobId) {
+    pub(in crate::scheduler) fn exonerate_unless_succeeded(&mut self, job_id: &JobId) {
         let succeeded = self
             .jobs
             .get(job_id)
@@ -58,7 +58,7 @@
 
     /// A task of the job has succeeded: those that failed did so by the fault
     /// of their machines.
-    pub(in crate::scheduler) fn succeeded(&mut self, job_id: &JobId) {
+    pub(in crate::scheduler) fn record_job_success(&mut self, job_id: &JobId) {
         let Some(job) = self.jobs.get_mut(job_id) else {
             return;
         };
--- a/src/scheduler/workers/failure_detection.rs
+++ b/src/scheduler/workers/failure_detection.rs
@@ -101,7 +101,7 @@
             self.declare_failed(&id, failure);
         }
         for id in draining {
-            self.drain(now, &id);
+            self.drain_machine(now, &id);
         }
         for machine in self.fleet.iter() {
             if machine.phase == MachinePhase::Releasing {
--- a/src/scheduler/workers/heartbeats.rs
+++ b/src/scheduler/workers/heartbeats.rs
@@ -31,7 +31,7 @@
         out: &mut SchedulerEffects,
     ) {
         if heartbeat.fencing_token.term() > self.term {
-            out.superseded = true;
+            out.later_term_seen = true;
             let redirect = Reply::json(421, &RedirectTo { node: None });
             out.replies.push((connection, redirect));
             return;
@@ -89,7 +89,7 @@
         out: &mut SchedulerEffects,
     ) -> bool {
         if heartbeat.fencing_token.term() > self.term {
-            out.superseded = true;
+            out.later_term_seen = true;
             return false;
         }
         let id = MachineId::new(&heartbeat.machine);
--- a/src/scheduler/workers/lease_proxies.rs
+++ b/src/scheduler/workers/lease_proxies.rs
@@ -31,7 +31,11 @@
 
 impl Scheduler {
     /// Reads the followers' records when machines are silent.
-    pub(in crate::scheduler) fn ask_proxied(&mut self, now: Now, out: &mut SchedulerEffects) {
+    pub(in crate::scheduler) fn poll_lease_proxies(
+        &mut self,
+        now: Now,
+        out: &mut SchedulerEffects,
+    ) {
         let quiet_ms = self.heartbeat_interval_ms() * QUIET_HEARTBEATS;
         let any_quiet = self.fleet.iter().any(|machine| {
             machine.phase == MachinePhase::Up && now.ms > machine.last_heartbeat_ms + quiet_ms
@@ -42,7 +46,7 @@
         self.lease_proxies.in_flight = true;
         self.lease_proxies.due_ms = now.ms + quiet_ms / 2;
         let call = kv_client::list(LEASE_PROXY_PREFIX, None, PAGE_KEYS);
-        self.ask(
+        self.call_kv(
             now,
             CallPriority::Leadership,
             call,
@@ -53,7 +57,7 @@
     }
 
     /// Handles the page of the followers' records.
-    pub(in crate::scheduler) fn on_proxied(&mut self, now: Now, response: &KvResponse) {
+    pub(in crate::scheduler) fn on_lease_proxies(&mut self, now: Now, response: &KvResponse) {
         self.lease_proxies.in_flight = false;
         let Some(page) = response.read::<KeyPage>(200) else {
             return;
--- a/src/scheduler/workers/machines.rs
+++ b/src/scheduler/workers/machines.rs
@@ -18,7 +18,7 @@
 
 impl Scheduler {
     /// Handles an event of the cloud.
-    pub fn cloud_event(&mut self, now: Now, event: CloudEvent, cloud: &mut CloudClient) {
+    pub fn on_cloud_event(&mut self, now: Now, event: CloudEvent, cloud: &mut CloudClient) {
         if self.stage != LeaderStage::Active {
             if let (LeaderStage::Loading, CloudEvent::Listed(list)) = (self.stage, event) {
                 self.loading.early_cloud_list = Some(list);
@@ -39,7 +39,7 @@
                     self.machine_released(now, &name);
                 }
             }
-            CloudEvent::Listed(list) => self.on_listed(now, list, cloud),
+            CloudEvent::Listed(list) => self.on_machine_list(now, list, cloud),
         }
     }
 
@@ -97,7 +97,7 @@
     }
 
     /// Handles the cloud's list of machines.
-    pub(in crate::scheduler) fn on_listed(
+    pub(in crate::scheduler) fn on_machine_list(
         &mut self,
         now: Now,
         list: Vec<ListedMachine>,
--- a/src/scheduler/workers/reconciliation.rs
+++ b/src/scheduler/workers/reconciliation.rs
@@ -103,8 +103,8 @@
         };
         if phase != TaskPhase::PullingImage && assignment.running_since_ms.is_none() {
             assignment.running_since_ms = Some(now.ms);
-            let waited_ms = now.wall.saturating_sub(job.ready);
-            assignment.late = self
+            let waited_ms = now.wall.saturating_sub(job.ready_at);
+            assignment.missed_start_slo = self
                 .settings
                 .start_slo_ms(&job.spec)
                 .is_some_and(|slo_ms| waited_ms > slo_ms);
@@ -133,7 +133,7 @@
             }
         }
         if settled {
-            self.succeeded(&task.job);
+            self.record_job_success(&task.job);
         }
     }
 
@@ -175,7 +175,7 @@
                     .and_then(|machine| machine.advance_fencing_token())
                 {
                     Some(token) => assignment.absent_proof = Some(token),
-                    None => out.resign = Some(StepDownReason::FencingTokensExhausted),
+                    None => out.step_down = Some(StepDownReason::FencingTokensExhausted),
                 }
                 false
             }
--- a/src/scheduler/workers/task_exits.rs
+++ b/src/scheduler/workers/task_exits.rs
@@ -28,9 +28,10 @@
         // Of an inherited task only the end of its run was seen.
         let run_ms = assignment
             .running_since_ms
-            .filter(|_| !assignment.inherited)
+            .filter(|_| !assignment.started_by_earlier_leader)
             .map(|since_ms| now.ms - since_ms);
-        let slow = reason == ExitReason::Done && run_ms.is_some_and(|took_ms| job.ran(took_ms));
+        let slow = reason == ExitReason::Done
+            && run_ms.is_some_and(|took_ms| job.record_run_time(took_ms));
         if let Some(machine) = self.fleet.get_mut(id) {
             machine.unassign(task, &job.task_request, now.ms);
             if slow {
@@ -69,7 +70,7 @@
             let (class, estimated_s) = (job.spec.class.clone(), job.spec.estimated_run_s);
             self.estimates.task_ran(&class, estimated_s, run_s);
         }
-        self.succeeded(&task.job);
+        self.record_job_success(&task.job);
     }
 
     /// The task has ended without completing and is pending again.
--- a/src/scheduler/workers/zone_silence.rs
+++ b/src/scheduler/workers/zone_silence.rs
@@ -118,7 +118,7 @@
 
     /// Nothing was received for a while because this process was paused: the
     /// machines' silence until now doesn't count.
-    pub fn excuse_silence(&mut self, now: Now) {
+    pub fn on_process_paused(&mut self, now: Now) {
         self.failure_detection.process_paused_ms = now.ms;
     }
 
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -244,7 +244,7 @@
         Endpoints {
             client: self.client_listen,
             peer: self.peer_listen,
-            state: self.services.state,
+            kv_store: self.services.state,
             cloud: self.services.cloud,
         }
     }
--- a/src/slackfit.rs
+++ b/src/slackfit.rs
@@ -10,7 +10,7 @@
 
 /// A machine that could be provisioned for a task.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Rung {
+pub struct ProvisioningOption {
     /// What would be provisioned.
     pub offer: Offer,
     /// The estimated boot time plus the task's estimated run time.
@@ -18,29 +18,29 @@
     /// The price per task, in place of the paper's accuracy.
     pub cost: f64,
     /// The number of machines in its zone: among equals the emptiest zone is taken.
-    pub crowd: u32,
+    pub machines_in_zone: u32,
 }
 
 /// One evenly spaced part of the range of latencies.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Bucket {
-    /// Its cheapest rung.
-    pub rung: Rung,
+    /// Its cheapest option.
+    pub option: ProvisioningOption,
 }
 
 /// Whether `a` is preferred to `b`.
-fn is_better(a: &Rung, b: &Rung) -> bool {
+fn is_better(a: &ProvisioningOption, b: &ProvisioningOption) -> bool {
     let tolerance = COST_TOLERANCE * a.cost.abs().max(b.cost.abs());
     if (a.cost - b.cost).abs() > tolerance {
         return a.cost < b.cost;
     }
-    (a.crowd, a.latency_ms, &a.offer) < (b.crowd, b.latency_ms, &b.offer)
+    (a.machines_in_zone, a.latency_ms, &a.offer) < (b.machines_in_zone, b.latency_ms, &b.offer)
 }
 
-/// Evenly spaced buckets between the fastest and the slowest rung; empty ones are left
+/// Evenly spaced buckets between the fastest and the slowest option; empty ones are left
 /// out.
-pub fn buckets(rungs: &[Rung], count: usize) -> Vec<Bucket> {
-    let latencies = || rungs.iter().map(|rung| rung.latency_ms);
+pub fn buckets(options: &[ProvisioningOption], count: usize) -> Vec<Bucket> {
+    let latencies = || options.iter().map(|option| option.latency_ms);
     let (Some(fastest), Some(slowest)) = (latencies().min(), latencies().max()) else {
         return Vec::new();
     };
@@ -49,33 +49,41 @@
     (0..count)
         .filter_map(|number| {
             let (lower, upper) = (edge(number), edge(number + 1));
-            let inside = rungs.iter().filter(|rung| {
-                let is_fastest = number == 0 && rung.latency_ms == fastest;
-                (rung.latency_ms > lower || is_fastest) && rung.latency_ms <= upper
+            let inside = options.iter().filter(|option| {
+                let is_fastest = number == 0 && option.latency_ms == fastest;
+                (option.latency_ms > lower || is_fastest) && option.latency_ms <= upper
             });
-            let rung = cheapest_of(inside)?.clone();
-            Some(Bucket { rung })
+            let option = cheapest_of(inside)?.clone();
+            Some(Bucket { option: option })
         })
         .collect()
 }
 
-/// The rung of the bucket closest under the slack. If the slack is below every bucket,
+/// The option of the bucket closest under the slack. If the slack is below every bucket,
 /// the slowest one: the design's choice, so that what is late anyway isn't made
 /// expensive too.
-pub fn choose(buckets: &[Bucket], slack_ms: i64) -> Option<&Rung> {
+pub fn choose(buckets: &[Bucket], slack_ms: i64) -> Option<&ProvisioningOption> {
     buckets
         .iter()
         .rev()
-        .find(|bucket| bucket.rung.latency_ms as i64 <= slack_ms)
+        .find(|bucket| bucket.option.latency_ms as i64 <= slack_ms)
         .or(buckets.last())
-        .map(|bucket| &bucket.rung)
+        .map(|bucket| &bucket.option)
 }
 
-/// The cheapest rung, for work without a deadline of its own, such as services.
-pub fn cheapest(rungs: &[Rung]) -> Option<&Rung> {
-    cheapest_of(rungs.iter())
+/// The cheapest option, for work without a deadline of its own, such as services.
+pub fn cheapest(options: &[ProvisioningOption]) -> Option<&ProvisioningOption> {
+    cheapest_of(options.iter())
 }
 
-fn cheapest_of<'a>(rungs: impl Iterator<Item = &'a Rung>) -> Option<&'a Rung> {
-    rungs.reduce(|best, rung| if is_better(rung, best) { rung } else { best })
+fn cheapest_of<'a>(
+    options: impl Iterator<Item = &'a ProvisioningOption>,
+) -> Option<&'a ProvisioningOption> {
+    options.reduce(|best, option| {
+        if is_better(option, best) {
+            option
+        } else {
+            best
+        }
+    })
 }
--- a/src/wire/cloud.rs
+++ b/src/wire/cloud.rs
@@ -74,19 +74,20 @@
 pub struct Catalog {
     /// The machine types.
     #[serde(rename = "gammes")]
-    pub types: Vec<MachineType>,
+    pub machine_types: Vec<MachineType>,
 }
 
 impl Catalog {
     /// The catalog, if it has types and all their figures are plausible.
     pub fn validated(self) -> Option<Catalog> {
-        let valid = !self.types.is_empty() && self.types.iter().all(MachineType::is_plausible);
+        let valid = !self.machine_types.is_empty()
+            && self.machine_types.iter().all(MachineType::is_plausible);
         valid.then_some(self)
     }
 
     /// The machine type of this name.
     pub fn find(&self, name: &str) -> Option<&MachineType> {
-        self.types
+        self.machine_types
             .iter()
             .find(|machine_type| &*machine_type.name == name)
     }
@@ -169,5 +170,5 @@
     pub machines: Vec<ListedMachine>,
     /// There are more pages.
     #[serde(rename = "truncated", default)]
-    pub more: bool,
+    pub has_more: bool,
 }
--- a/src/wire/kv.rs
+++ b/src/wire/kv.rs
@@ -27,7 +27,7 @@
     pub items: Vec<KeyValue>,
     /// There are more pages.
     #[serde(rename = "truncated", default)]
-    pub more: bool,
+    pub has_more: bool,
     /// The revision of the store at which they were read.
     #[serde(rename = "tirage")]
     pub revision: u64,
--- a/src/wire/peers.rs
+++ b/src/wire/peers.rs
@@ -20,7 +20,7 @@
     pub term: u64,
     /// Whether the key-value store has responded to the sender lately.
     #[prost(bool, tag = "4")]
-    pub state_reachable: bool,
+    pub kv_reachable: bool,
     /// From the leader: progress of jobs, for display.
     #[prost(message, repeated, tag = "5")]
     pub job_progress: Vec<JobProgress>,
@@ -45,7 +45,7 @@
     pub worker_heartbeats: Vec<Vec<u8>>,
     /// The sender knows that the key-value store's announced limits are in force.
     #[prost(bool, tag = "13")]
-    pub limits_lowered: bool,
+    pub announced_limits_apply: bool,
     /// The sender's version; versions before 0.2 leave it out.
     #[prost(string, tag = "14")]
     pub version: String,
@@ -76,7 +76,7 @@
     pub incarnation: u64,
     /// All entries up to this number are known.
     #[prost(uint64, tag = "2")]
-    pub have: u64,
+    pub up_to: u64,
 }
 
 /// Cancellations that a process has confirmed to users, numbered from 1.
--- a/src/wire/users.rs
+++ b/src/wire/users.rs
@@ -75,7 +75,7 @@
     pub image_gb: f64,
     /// The allowed machine types; `None`: any.
     #[serde(rename = "gammes", default, skip_serializing_if = "Option::is_none")]
-    pub types: Option<Vec<Rc<str>>>,
+    pub machine_types: Option<Vec<Rc<str>>>,
     /// The only allowed zone.
     #[serde(rename = "secteur", default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<Rc<str>>,
--- a/tests/integration/cancellations.rs
+++ b/tests/integration/cancellations.rs
@@ -54,7 +54,7 @@
     refuse(&mut w, leader, true);
     w.run_for(refused_ms);
     if also == Also::AnswerLost {
-        w.hook = Box::new(move |_, node, call| match &call.target {
+        w.hook = Box::new(move |_, node, call| match &call.destination {
             Destination::KvStore | Destination::KvWatch if node == leader => Fate::Refuse,
             Destination::Peer(addr) if node == leader || node_at(addr) == leader => {
                 Fate::LoseRequest
@@ -175,7 +175,7 @@
     let leader = w.leader().unwrap();
     let other = (leader + 1) % 3;
     // Whoever leads next can't read the placements.
-    w.hook = Box::new(move |_, _, call| match &call.target {
+    w.hook = Box::new(move |_, _, call| match &call.destination {
         Destination::KvStore if call.path.contains("under=p/") => Fate::Refuse,
         Destination::Worker(_) => Fate::LoseRequest,
         _ => Fate::Pass,
@@ -261,14 +261,14 @@
             CancellationsKvCall::List => json!({"rows": [], "tirage": 5}),
             CancellationsKvCall::Poll => json!({"events": [], "tirage": 5}),
         };
-        n.answered(at(answered_ms), call, &ok(body), &mut out);
+        n.on_kv_response(at(answered_ms), call, &ok(body), &mut out);
         assert!(out.is_empty());
     }
 
     /// `n` asks its peer `index`, which is `peer`; its new jobs.
     fn pull(n: &mut Cancellations, index: usize, peer: &Cancellations, asked_ms: u64) -> usize {
         let cursor = n.cursor(index).unwrap();
-        let word = peer.confirmations(&cursor);
+        let word = peer.confirmations_after(&cursor);
         n.receive_confirmations(at(asked_ms + 10), index, Some(asked_ms), &word)
             .len()
     }
@@ -303,7 +303,7 @@
         let (mut n, mut p1, p2) = three();
         p1.confirm(at(2000), &id(1));
         assert_eq!(pull(&mut n, 0, &p1, 3000), 1);
-        assert!(n.contains(&id(1)));
+        assert!(n.is_cancelled(&id(1)));
         assert_eq!(n.watermark_ms(), Some(1000), "the other may know more");
         pull(&mut n, 1, &p2, 4000);
         assert_eq!(n.watermark_ms(), Some(3000));
@@ -365,14 +365,14 @@
     #[test]
     fn an_unsolicited_message_informs_but_moves_no_watermark() {
         let (mut n, mut p1, p2) = three();
-        p1.acknowledged(0, n.cursor(0).unwrap());
+        p1.on_acknowledgement(0, n.cursor(0).unwrap());
         assert!(p1.unacknowledged(0).is_none());
         p1.confirm(at(2000), &id(1));
         let word = p1.unacknowledged(0).expect("something to tell");
         assert_eq!(n.receive_confirmations(at(2010), 0, None, &word).len(), 1);
         pull(&mut n, 1, &p2, 2500);
         assert_eq!(n.watermark_ms(), Some(1000));
-        p1.acknowledged(0, n.cursor(0).unwrap());
+        p1.on_acknowledgement(0, n.cursor(0).unwrap());
         assert!(p1.unacknowledged(0).is_none(), "and is told once");
     }
 
@@ -380,7 +380,7 @@
     fn a_late_response_of_an_earlier_process_counts_for_its_own_time_only() {
         let (mut n, mut p1, p2) = three();
         let cursor = n.cursor(0).unwrap();
-        let late = p1.confirmations(&cursor);
+        let late = p1.confirmations_after(&cursor);
         p1.confirm(at(1800), &id(1));
         let p1 = node("n-1", 22);
         pull(&mut n, 0, &p1, 3000);
@@ -394,7 +394,7 @@
     #[test]
     fn malformed_messages_are_dropped() {
         let (mut n, p1, p2) = three();
-        let sound = p1.confirmations(&n.cursor(0).unwrap());
+        let sound = p1.confirmations_after(&n.cursor(0).unwrap());
         let job = vec!["run-7".to_string()];
         for word in [
             ConfirmedCancellations {
@@ -446,21 +446,21 @@
         let mut out = Vec::new();
         n.tick(at(2000), &mut out);
         let gone = KvResponse::Status(410, b"{}".to_vec());
-        n.answered(at(2001), CancellationsKvCall::Poll, &gone, &mut out);
+        n.on_kv_response(at(2001), CancellationsKvCall::Poll, &gone, &mut out);
         out.clear();
         n.tick(at(2002), &mut out);
         assert_eq!(out.pop().unwrap().tag, CancellationsKvCall::List, "anew");
         let page = json!({"rows": [{"k": "j/run-5", "v": {"c": 7}, "retouche": 3}],
             "truncated": true, "tirage": 9});
-        n.answered(at(2010), CancellationsKvCall::List, &ok(page), &mut out);
+        n.on_kv_response(at(2010), CancellationsKvCall::List, &ok(page), &mut out);
         assert_eq!(n.watermark_ms(), Some(1000), "half a list is none");
-        n.answered(
+        n.on_kv_response(
             at(4000),
             CancellationsKvCall::List,
             &KvResponse::Indeterminate,
             &mut out,
         );
         assert_eq!(n.watermark_ms(), Some(1000));
-        assert!(!n.contains(&id(5)));
+        assert!(!n.is_cancelled(&id(5)));
     }
 }
--- a/tests/integration/capacity_index.rs
+++ b/tests/integration/capacity_index.rs
@@ -102,11 +102,11 @@
         let offer = &state.offer;
         let mut left = state.unassigned;
         left.subtract(held);
-        let takes = drawn.open && !drawn.silent && left.covers(demand.need);
+        let takes = drawn.open && !drawn.silent && left.covers(demand.resources);
         if !takes || !placement_allowed(demand.spec, demand.zones, offer) {
             return None;
         }
-        left.subtract(demand.need);
+        left.subtract(demand.resources);
         let fit = FitScore {
             image_cached: state.images.contains(&demand.spec.image),
             image_pulling: state.pulling_images.contains(&demand.spec.image),
@@ -159,7 +159,7 @@
         spec.spread = self.spread;
         spec.same_zone = self.one_zone && !self.spread;
         spec.zone = self.only_zone.map(|z| Rc::from(ZONES[z]));
-        spec.types = self.only_eight.then(|| vec![Rc::from("g8")]);
+        spec.machine_types = self.only_eight.then(|| vec![Rc::from("g8")]);
         spec.spot = self.spot;
         spec.image = Rc::from(IMAGES[self.image]);
         let need = task_need().scaled(f64::from(self.size));
@@ -269,7 +269,7 @@
     for task in 0..spec.tasks {
         let demand = TaskDemand {
             spec: &spec,
-            need: &need,
+            resources: &need,
             zones: &zones,
             siblings: &siblings,
             failed_on: &failed_on,
@@ -325,7 +325,7 @@
         let spec = job.spec();
         let need = spec.task_request();
         let found: BTreeSet<MachineId> = rooms
-            .holding(&spec, &need)
+            .fitting(&spec, &need)
             .map(|(_, r)| r.id.clone())
             .collect();
         let holds = |drawn: &Drawn| {
@@ -435,7 +435,7 @@
         let contents = rooms.contents();
         let known = contents.schedulable.len() + contents.unschedulable.len();
         prop_assert_eq!(zones as usize, known);
-        prop_assert_eq!(rooms.reserved().count(), 0);
+        prop_assert_eq!(rooms.reserved_machines().count(), 0);
         Ok(())
     });
     verdict.unwrap();
@@ -481,7 +481,7 @@
     let spec = job.spec();
     let demand = TaskDemand {
         spec: &spec,
-        need: &spec.task_request(),
+        resources: &spec.task_request(),
         zones: &ZoneCounts::default(),
         siblings: &BTreeMap::new(),
         failed_on: &|_| false,
--- a/tests/integration/fault_interactions/kv_store_faults.rs
+++ b/tests/integration/fault_interactions/kv_store_faults.rs
@@ -17,7 +17,7 @@
     let leader = w.leader().unwrap();
     let mut cancelled = Vec::new();
     for phase in 0..3 {
-        w.hook = Box::new(move |at, node, call| match call.target {
+        w.hook = Box::new(move |at, node, call| match call.destination {
             Destination::KvStore if phase >= 1 && node == leader => Fate::Refuse,
             Destination::KvStore => Fate::SlowAnswer(100 + (at * 31) % 900),
             _ => Fate::Pass,
@@ -120,7 +120,7 @@
     for writer in 0..3 {
         let mut w = running_cluster(3);
         let at_once = |writer: usize| -> crate::simulation::Hook {
-            Box::new(move |_, node, call| match call.target {
+            Box::new(move |_, node, call| match call.destination {
                 Destination::KvStore if call.path == "/txn" && node == writer => Fate::LoseAnswer,
                 _ => Fate::Pass,
             })
--- a/tests/integration/fault_interactions/leader_changes.rs
+++ b/tests/integration/fault_interactions/leader_changes.rs
@@ -199,7 +199,7 @@
         w.boot_ms = 300;
         w.run_until(4000);
         let leader = w.leader().unwrap();
-        w.hook = Box::new(move |at, node, call| match call.target {
+        w.hook = Box::new(move |at, node, call| match call.destination {
             Destination::KvStore if call.path == "/txn" && node == leader => {
                 Fate::SlowAnswer(200 + (at * 37) % 1500)
             }
--- a/tests/integration/fault_interactions/overload.rs
+++ b/tests/integration/fault_interactions/overload.rs
@@ -64,7 +64,7 @@
 fn more_work_than_room_urgent_and_not_over_slow_links() {
     let mut w = running_cluster(3);
     w.capacity = 4;
-    w.hook = Box::new(|at, _, call| match call.target {
+    w.hook = Box::new(|at, _, call| match call.destination {
         Destination::Worker(_) => Fate::SlowAnswer((at * 13) % 1500),
         Destination::Peer(_) => Fate::SlowAnswer((at * 7) % 300),
         Destination::KvStore => Fate::SlowAnswer((at * 3) % 120),
--- a/tests/integration/fault_interactions/unreachable_machines.rs
+++ b/tests/integration/fault_interactions/unreachable_machines.rs
@@ -84,7 +84,7 @@
     for held_ms in [2000, 5000, 8000, 12_000] {
         for cancel in [true, false] {
             let mut w = running_cluster(3);
-            w.hook = Box::new(move |_, _, call| match call.target {
+            w.hook = Box::new(move |_, _, call| match call.destination {
                 Destination::Worker(_) => Fate::Late(held_ms),
                 _ => Fate::Pass,
             });
--- a/tests/integration/fault_interactions/user_requests.rs
+++ b/tests/integration/fault_interactions/user_requests.rs
@@ -43,7 +43,7 @@
 #[test]
 fn close_looks_get_nothing_older_than_what_was_told() {
     let mut w = running_cluster(3);
-    w.hook = Box::new(|at, node, call| match &call.target {
+    w.hook = Box::new(|at, node, call| match &call.destination {
         // Each node's calls take their own time.
         Destination::KvStore => Fate::SlowAnswer((at * 7 + node as u64 * 13) % 40),
         Destination::KvWatch if node == 2 => Fate::SlowAnswer(300),
@@ -150,7 +150,7 @@
     let reads = Rc::new(RefCell::new(0));
     let seen = reads.clone();
     w.hook = Box::new(move |_, n, call| {
-        *seen.borrow_mut() += usize::from(n == node && call.target == Destination::KvStore);
+        *seen.borrow_mut() += usize::from(n == node && call.destination == Destination::KvStore);
         Fate::Pass
     });
     let mut users = Vec::new();
@@ -194,7 +194,7 @@
             w.run_for(2000);
             let body = if method == "POST" { spec } else { json!(null) };
             // The state service answers while the controller sleeps.
-            w.hook = Box::new(move |_, node, call| match call.target {
+            w.hook = Box::new(move |_, node, call| match call.destination {
                 Destination::KvStore if node == follower => Fate::SlowAnswer(300),
                 _ => Fate::Pass,
             });
--- a/tests/integration/http.rs
+++ b/tests/integration/http.rs
@@ -1,7 +1,7 @@
 //! The HTTP parser on split, oversized and malformed input.
 
 use lilacfork::http::{
-    parse_request, parse_response, HttpError, Response, MAX_HEAD, MAX_REQUEST_BODY,
+    parse_request, parse_response, HttpError, Response, MAX_HEAD_BYTES, MAX_REQUEST_BODY_BYTES,
 };
 
 const REQUEST: &[u8] = b"POST /v2/runs HTTP/1.1\r\nHost: x\r\nContent-Length: 4\r\n\r\nbody";
@@ -13,7 +13,7 @@
     for (text, path) in [(REQUEST, "/v2/runs"), (CHUNKED, "/x")] {
         for n in 0..text.len() {
             assert!(
-                parse_request(&text[..n], MAX_REQUEST_BODY)
+                parse_request(&text[..n], MAX_REQUEST_BODY_BYTES)
                     .unwrap()
                     .is_none(),
                 "{n}"
@@ -21,7 +21,9 @@
         }
         let mut longer = text.to_vec();
         longer.extend_from_slice(b"GET / HT");
-        let parsed = parse_request(&longer, MAX_REQUEST_BODY).unwrap().unwrap();
+        let parsed = parse_request(&longer, MAX_REQUEST_BODY_BYTES)
+            .unwrap()
+            .unwrap();
         assert_eq!(parsed.size, text.len());
         assert_eq!(parsed.message.path, path);
         assert_eq!(parsed.message.body, b"body");
@@ -78,20 +80,21 @@
 #[test]
 fn what_is_broken_or_too_large_is_named() {
     for (text, error) in INVALID {
-        let got = parse_request(text, MAX_REQUEST_BODY).expect_err(&String::from_utf8_lossy(text));
+        let got =
+            parse_request(text, MAX_REQUEST_BODY_BYTES).expect_err(&String::from_utf8_lossy(text));
         assert_eq!(got, *error, "{}", String::from_utf8_lossy(text));
     }
-    let endless = vec![b'a'; MAX_HEAD];
+    let endless = vec![b'a'; MAX_HEAD_BYTES];
     assert_eq!(
-        parse_request(&endless, MAX_REQUEST_BODY).unwrap_err(),
+        parse_request(&endless, MAX_REQUEST_BODY_BYTES).unwrap_err(),
         HttpError::HeadTooLarge
     );
     let big = format!(
         "POST / HTTP/1.1\r\nContent-Length: {}\r\n\r\n",
-        MAX_REQUEST_BODY + 1
+        MAX_REQUEST_BODY_BYTES + 1
     );
     assert_eq!(
-        parse_request(big.as_bytes(), MAX_REQUEST_BODY).unwrap_err(),
+        parse_request(big.as_bytes(), MAX_REQUEST_BODY_BYTES).unwrap_err(),
         HttpError::BodyTooLarge
     );
 }
@@ -109,7 +112,7 @@
                 _ => text.insert(at, rng.u8(..)),
             }
         }
-        if let Ok(Some(parsed)) = parse_request(&text, MAX_REQUEST_BODY) {
+        if let Ok(Some(parsed)) = parse_request(&text, MAX_REQUEST_BODY_BYTES) {
             assert!(parsed.size <= text.len());
         }
         let _ = parse_response(&text, rng.bool());
--- a/tests/integration/large_fleets.rs
+++ b/tests/integration/large_fleets.rs
@@ -18,7 +18,10 @@
     let asked: Rc<RefCell<Asked>> = Rc::default();
     let counts = asked.clone();
     w.hook = Box::new(move |ms, _, call| {
-        if matches!(call.target, Destination::KvStore | Destination::KvWatch) {
+        if matches!(
+            call.destination,
+            Destination::KvStore | Destination::KvWatch
+        ) {
             *counts.borrow_mut().calls.entry(ms / 1000).or_default() += 1;
         }
         if call.path == "/txn" {
--- a/tests/integration/leadership.rs
+++ b/tests/integration/leadership.rs
@@ -104,7 +104,7 @@
     for seed in 0..6 {
         let mut w = running_cluster(3);
         let mut rng = fastrand::Rng::with_seed(seed);
-        w.hook = Box::new(move |_, _, call| match call.target {
+        w.hook = Box::new(move |_, _, call| match call.destination {
             Destination::KvWatch => Fate::Pass,
             _ if rng.u32(0..6) == 0 => Fate::Garble([200, 404, 409, 500][rng.usize(0..4)]),
             _ => Fate::Pass,
@@ -150,7 +150,7 @@
         if call.path == "/txn" && call.body.windows(10).any(|b| b == b"leader/key") {
             claimed.set(Some(node));
         }
-        match call.target {
+        match call.destination {
             Destination::KvStore if claimed.get().is_some_and(|n| n != node) => {
                 Fate::SlowAnswer(900)
             }
--- a/tests/integration/network_partitions.rs
+++ b/tests/integration/network_partitions.rs
@@ -53,7 +53,7 @@
     };
     let lone = (w.leader().unwrap() + 1) % 3;
     assert_eq!(ready(&mut w, lone), 200);
-    w.hook = Box::new(move |_, node, call| match call.target {
+    w.hook = Box::new(move |_, node, call| match call.destination {
         Destination::KvStore | Destination::KvWatch if node == lone => Fate::LoseRequest,
         _ => Fate::Pass,
     });
@@ -280,7 +280,7 @@
         assert_eq!(w.on_machines("run-"), 16);
         let leader = w.leader().unwrap();
         w.partitions = zone_partitions();
-        w.hook = Box::new(move |_, node, call| match &call.target {
+        w.hook = Box::new(move |_, node, call| match &call.destination {
             Destination::Peer(addr) if crosses_partition(node, addr) => Fate::LoseRequest,
             // The far follower alone loses the state service too.
             Destination::KvStore | Destination::KvWatch if state_goes_too && node == 1 => {
@@ -306,7 +306,7 @@
     let leader = w.leader().unwrap();
     assert_eq!(w.submit(0, &service("run-1", 4)), 201);
     w.run_for(3000);
-    w.hook = Box::new(move |_, node, call| match call.target {
+    w.hook = Box::new(move |_, node, call| match call.destination {
         Destination::KvWatch if node == leader => Fate::LoseRequest,
         _ => Fate::Pass,
     });
@@ -332,7 +332,7 @@
     let sizes = std::rc::Rc::new(std::cell::RefCell::new(Vec::new()));
     let seen = sizes.clone();
     w.hook = Box::new(move |_, node, call| {
-        if node == 1 && matches!(call.target, Destination::Peer(_)) {
+        if node == 1 && matches!(call.destination, Destination::Peer(_)) {
             seen.borrow_mut().push(call.body.len());
         }
         Fate::Pass
@@ -350,7 +350,9 @@
     w.run_for(1000);
     let sizes = sizes.borrow();
     assert!(
-        sizes.iter().all(|n| *n <= lilacfork::http::MAX_PEER_BODY),
+        sizes
+            .iter()
+            .all(|n| *n <= lilacfork::http::MAX_PEER_BODY_BYTES),
         "{sizes:?}"
     );
     assert!(
--- a/tests/integration/policy.rs
+++ b/tests/integration/policy.rs
@@ -8,57 +8,57 @@
 use lilacfork::placement::{FitScore, Resources, ZoneCounts};
 use lilacfork::records::placements::{format_task_ranges, parse_task_ranges};
 use lilacfork::settings::Settings;
-use lilacfork::slackfit::{buckets, cheapest, choose, Rung};
+use lilacfork::slackfit::{buckets, cheapest, choose, ProvisioningOption};
 use lilacfork::token_bucket::TokenBucket;
 use lilacfork::tuning::Tuning;
 use lilacfork::wire::kv::Txn;
 use lilacfork::wire::users::JobSpec;
 use std::rc::Rc;
 
-fn rung(name: &str, latency_ms: u64, cost: f64) -> Rung {
+fn option(name: &str, latency_ms: u64, cost: f64) -> ProvisioningOption {
     let offer = Offer {
         machine_type: Rc::from(name),
         zone: Rc::from("a"),
         spot: false,
     };
-    Rung {
+    ProvisioningOption {
         offer,
         latency_ms,
         cost,
-        crowd: 0,
+        machines_in_zone: 0,
     }
 }
 
-fn name(rung: Option<&Rung>) -> &str {
-    rung.map_or("none", |r| &r.offer.machine_type)
+fn name(option: Option<&ProvisioningOption>) -> &str {
+    option.map_or("none", |r| &r.offer.machine_type)
 }
 
 #[test]
-fn each_bucket_keeps_its_cheapest_rung() {
-    let rungs = [
-        rung("quick-dear", 10, 9.0),
-        rung("quick", 14, 5.0),
-        rung("middle", 55, 3.0),
-        rung("slow", 100, 1.0),
-        rung("slow-dear", 98, 2.0),
+fn each_bucket_keeps_its_cheapest_option() {
+    let options = [
+        option("quick-dear", 10, 9.0),
+        option("quick", 14, 5.0),
+        option("middle", 55, 3.0),
+        option("slow", 100, 1.0),
+        option("slow-dear", 98, 2.0),
     ];
-    let kept: Vec<_> = buckets(&rungs, 3)
+    let kept: Vec<_> = buckets(&options, 3)
         .iter()
-        .map(|b| b.rung.offer.machine_type.to_string())
+        .map(|b| b.option.offer.machine_type.to_string())
         .collect();
     assert_eq!(kept, ["quick", "middle", "slow"]);
     assert_eq!(buckets(&[], 3), []);
-    assert_eq!(buckets(&rungs[..1], 4).len(), 1, "one rung, one bucket");
+    assert_eq!(buckets(&options[..1], 4).len(), 1, "one option, one bucket");
 }
 
 #[test]
 fn the_bucket_closest_under_the_slack_is_taken() {
-    let rungs = [
-        rung("quick", 10, 5.0),
-        rung("middle", 55, 3.0),
-        rung("slow", 100, 1.0),
+    let options = [
+        option("quick", 10, 5.0),
+        option("middle", 55, 3.0),
+        option("slow", 100, 1.0),
     ];
-    let all = buckets(&rungs, 3);
+    let all = buckets(&options, 3);
     for (slack_ms, taken) in [
         (1000, "slow"),
         (100, "slow"),
@@ -76,11 +76,11 @@
 }
 
 #[test]
-fn services_take_the_cheapest_rung_and_equals_the_emptier_zone() {
-    let mut crowded = rung("crowded", 50, 1.0);
-    crowded.crowd = 4;
-    let rungs = [rung("dear", 10, 2.0), crowded, rung("empty", 50, 1.0)];
-    assert_eq!(name(cheapest(&rungs)), "empty");
+fn services_take_the_cheapest_option_and_equals_the_emptier_zone() {
+    let mut crowded = option("crowded", 50, 1.0);
+    crowded.machines_in_zone = 4;
+    let options = [option("dear", 10, 2.0), crowded, option("empty", 50, 1.0)];
+    assert_eq!(name(cheapest(&options)), "empty");
     assert_eq!(name(cheapest(&[])), "none");
 }
 
--- a/tests/integration/processor_costs.rs
+++ b/tests/integration/processor_costs.rs
@@ -28,7 +28,7 @@
     let calls = Rc::new(RefCell::new(0));
     let counter = calls.clone();
     w.hook = Box::new(move |_, node, call| {
-        if node == 1 && matches!(call.target, Destination::Peer(_)) {
+        if node == 1 && matches!(call.destination, Destination::Peer(_)) {
             *counter.borrow_mut() += 1;
         }
         Fate::Pass
--- a/tests/integration/provisioning.rs
+++ b/tests/integration/provisioning.rs
@@ -9,7 +9,7 @@
     let mut w = Simulation::new(1);
     let mut lost = 0;
     w.hook = Box::new(move |_, _, call| {
-        if call.target == Destination::Cloud
+        if call.destination == Destination::Cloud
             && call.body.windows(5).any(|b| b == b"\"bon\"")
             && lost < 2
         {
--- a/tests/integration/randomized_faults.rs
+++ b/tests/integration/randomized_faults.rs
@@ -52,10 +52,10 @@
         w.hook = Box::new(move |_, node, call| {
             let rates = hook_rates.get();
             let mut chance = |percent: u32| percent > 0 && rng.u32(0..100) < percent;
-            if call.target != Destination::KvWatch && chance(rates.garbled_responses) {
+            if call.destination != Destination::KvWatch && chance(rates.garbled_responses) {
                 return Fate::Garble([200, 404, 409, 500][rng.usize(0..4)]);
             }
-            match &call.target {
+            match &call.destination {
                 Destination::KvStore | Destination::KvWatch
                     if rates.rejected_node == Some(node) =>
                 {
--- a/tests/integration/reactor.rs
+++ b/tests/integration/reactor.rs
@@ -28,7 +28,7 @@
             // All of 127/8 is this machine; to the reactor they are many.
             let address = format!("127.0.{}.{}:{}", n / 200, n % 200 + 1, self.port);
             let call = Call {
-                target: Destination::Worker(address),
+                destination: Destination::Worker(address),
                 method: "POST",
                 path: "/commands".into(),
                 body: b"{}".to_vec(),
@@ -42,8 +42,14 @@
 impl Handler for Caller {
     fn request(&mut self, _: Now, _: ConnectionId, _: Listener, _: Request, _: &mut Vec<Effect>) {}
 
-    fn outcome(&mut self, _: Now, _: CallId, outcome: CallResult, out: &mut Vec<Effect>) {
-        assert!(matches!(outcome, Ok((200, _))), "{outcome:?}");
+    fn call_completed(
+        &mut self,
+        _: Now,
+        _: CallId,
+        call_completed: CallResult,
+        out: &mut Vec<Effect>,
+    ) {
+        assert!(matches!(call_completed, Ok((200, _))), "{call_completed:?}");
         self.answered += 1;
         if self.answered == WORKERS * ROUNDS {
             let _ = self.done.send(self.answered);
@@ -67,7 +73,7 @@
     Endpoints {
         client: any,
         peer: any,
-        state: any,
+        kv_store: any,
         cloud: any,
     }
 }
@@ -140,7 +146,7 @@
         out.push(Effect::Reply(conn, reply));
     }
 
-    fn outcome(&mut self, _: Now, _: CallId, _: CallResult, _: &mut Vec<Effect>) {}
+    fn call_completed(&mut self, _: Now, _: CallId, _: CallResult, _: &mut Vec<Effect>) {}
 
     fn tick(&mut self, now: Now, _: &mut Vec<Effect>) -> u64 {
         now.ms + 1000
--- a/tests/integration/replica_groups/leader_changes.rs
+++ b/tests/integration/replica_groups/leader_changes.rs
@@ -39,7 +39,7 @@
     }
     if store == StoreCondition::LosingResponses {
         let mut rng = fastrand::Rng::with_seed(after_ms);
-        w.hook = Box::new(move |now, _, call| match call.target {
+        w.hook = Box::new(move |now, _, call| match call.destination {
             Destination::KvStore if now < 40_000 && rng.bool() => Fate::LoseAnswer,
             _ => Fate::Pass,
         });
--- a/tests/integration/replica_groups/starts.rs
+++ b/tests/integration/replica_groups/starts.rs
@@ -76,7 +76,7 @@
 fn a_machine_fails_between_write_and_start() {
     let mut w = machines(3, &["vm-a", "vm-b", "vm-c"]);
     // Commands are delayed by half a second, so that nothing has started yet.
-    w.hook = Box::new(|_, _, call| match &call.target {
+    w.hook = Box::new(|_, _, call| match &call.destination {
         Destination::Worker(_) => Fate::Late(500),
         _ => Fate::Pass,
     });
--- a/tests/integration/resource_limits.rs
+++ b/tests/integration/resource_limits.rs
@@ -2,7 +2,7 @@
 
 use crate::simulation::{service, Simulation};
 use lilacfork::gateway::{Gateway, GatewayEffects};
-use lilacfork::http::MAX_PEER_BODY;
+use lilacfork::http::MAX_PEER_BODY_BYTES;
 use lilacfork::ids::{JobId, Term};
 use lilacfork::kv_client::KvResponse;
 use lilacfork::messages::TaskProgress;
@@ -35,13 +35,17 @@
     let largest = Rc::new(Cell::new(0));
     let seen = largest.clone();
     w.hook = Box::new(move |_, _, call| {
-        if matches!(call.target, Destination::Peer(_)) {
+        if matches!(call.destination, Destination::Peer(_)) {
             seen.set(seen.get().max(call.body.len()));
         }
         crate::simulation::Fate::Pass
     });
     w.run_for(20_000);
-    assert!(largest.get() <= MAX_PEER_BODY, "{} bytes", largest.get());
+    assert!(
+        largest.get() <= MAX_PEER_BODY_BYTES,
+        "{} bytes",
+        largest.get()
+    );
     assert!(largest.get() > 16_000, "counts are told all the same");
     let leader = w.leader().expect("somebody leads");
     // Those that run are shown by a peer, however many wait.
@@ -73,7 +77,7 @@
     let call = out.calls.pop().expect("its record is read");
     let record = json!({"k": "j/run-0", "v": {"spec": service("run-0", 1), "t": 0}, "retouche": 7});
     let answer = KvResponse::Status(200, record.to_string().into_bytes());
-    gateway.answered(now, call.tag, answer, &mut out);
+    gateway.on_kv_response(now, call.tag, answer, &mut out);
     let (_, reply) = out.replies.pop().expect("an answer");
     let shown: serde_json::Value = serde_json::from_slice(&reply.body).expect("JSON");
     assert_eq!(shown["etat"], "running", "the first of 60,000");
--- a/tests/integration/simulation/digest.rs
+++ b/tests/integration/simulation/digest.rs
@@ -45,7 +45,7 @@
             Effect::Call(id, call) => {
                 (id.0, call.method, &call.path).hash(&mut self.hasher);
                 (&call.body, call.timeout_ms).hash(&mut self.hasher);
-                hash_target(&call.target, &mut self.hasher);
+                hash_target(&call.destination, &mut self.hasher);
             }
         }
     }
--- a/tests/integration/simulation/fixtures.rs
+++ b/tests/integration/simulation/fixtures.rs
@@ -30,7 +30,7 @@
 /// Neither workers nor controllers reach those of the other zone.
 pub fn partition_zones(w: &mut Simulation) {
     w.partitions = zone_partitions();
-    w.hook = Box::new(|_, node, call| match &call.target {
+    w.hook = Box::new(|_, node, call| match &call.destination {
         Destination::Peer(addr) if crosses_partition(node, addr) => Fate::LoseRequest,
         _ => Fate::Pass,
     });
@@ -40,7 +40,7 @@
 /// key-value store too.
 pub fn cut_zone_from_everything(w: &mut Simulation) {
     w.partitions = zone_partitions();
-    w.hook = Box::new(|_, node, call| match &call.target {
+    w.hook = Box::new(|_, node, call| match &call.destination {
         Destination::Peer(addr) if crosses_partition(node, addr) => Fate::LoseRequest,
         Destination::KvStore | Destination::KvWatch if node == 1 => Fate::LoseRequest,
         _ => Fate::Pass,
@@ -91,7 +91,7 @@
 /// This node's calls alone to the key-value store meet this fault, and, if `deaf`, it and
 /// the other controllers don't reach each other.
 pub fn isolate_node(w: &mut Simulation, lone: usize, from_state: Fate, deaf: bool) {
-    w.hook = Box::new(move |_, node, call| match &call.target {
+    w.hook = Box::new(move |_, node, call| match &call.destination {
         Destination::KvStore | Destination::KvWatch if node == lone => from_state,
         Destination::Peer(addr) if deaf && (node == lone || node_at(addr) == lone) => {
             Fate::LoseRequest
--- a/tests/integration/simulation/mod.rs
+++ b/tests/integration/simulation/mod.rs
@@ -220,7 +220,7 @@
             Event::CallReturns { origin, outcome } => {
                 if self.epochs[origin.node] == origin.epoch {
                     self.with_node(origin.node, |node, now, effects| {
-                        node.outcome(now, origin.id, outcome, effects);
+                        node.call_completed(now, origin.id, outcome, effects);
                     });
                 }
             }
--- a/tests/integration/simulation/network.rs
+++ b/tests/integration/simulation/network.rs
@@ -97,7 +97,7 @@
 
     /// Carries out a call at its destination.
     pub(super) fn deliver_call(&mut self, origin: CallOrigin, call: Call, response: Response) {
-        let outcome = match &call.target {
+        let outcome = match &call.destination {
             Destination::KvStore | Destination::KvWatch => self.kv_store_call(origin, &call),
             Destination::Cloud => Some(self.cloud_call(&call)),
             Destination::Worker(address) => {
--- a/tests/integration/traces.rs
+++ b/tests/integration/traces.rs
@@ -54,7 +54,7 @@
     let leader = w.leader().unwrap();
     // Nothing reaches workers by the direct path, and the leader dies as soon
     // as the assignment is stored.
-    w.hook = Box::new(|_, _, call| match call.target {
+    w.hook = Box::new(|_, _, call| match call.destination {
         Destination::Worker(_) => Fate::LoseRequest,
         _ => Fate::Pass,
     });
@@ -85,7 +85,7 @@
     assert_eq!(w.submit(0, &service("run-1", 2)), 201);
     w.run_for(2000);
     // The leader alone loses the state service and its peers.
-    w.hook = Box::new(move |_, node, call| match call.target {
+    w.hook = Box::new(move |_, node, call| match call.destination {
         Destination::KvStore | Destination::KvWatch | Destination::Peer(_) if node == old => {
             Fate::LoseRequest
         }
@@ -105,7 +105,7 @@
     let mut w = running_cluster(1);
     // Every start is also delivered again half a minute later.
     let mut first = true;
-    w.hook = Box::new(move |_, _, call| match call.target {
+    w.hook = Box::new(move |_, _, call| match call.destination {
         Destination::Worker(_) if first && call.body.windows(5).any(|b| b == b"start") => {
             first = false;
             Fate::Late(30_000)
@@ -152,7 +152,7 @@
     let mut w = running_cluster(1);
     let mut left = 3;
     w.hook = Box::new(move |_, _, call| {
-        if call.target == Destination::KvStore && call.path == "/txn" && left > 0 {
+        if call.destination == Destination::KvStore && call.path == "/txn" && left > 0 {
             left -= 1;
             return Fate::LoseAnswer;
         }
