--- a/replica-groups/src/group/state.rs
+++ b/replica-groups/src/group/state.rs
@@ -20,7 +20,7 @@
 
 impl GroupState {
     /// All states.
-    pub const ALL: [GroupState; 6] = [
+    pub(crate) const ALL: [GroupState; 6] = [
         GroupState::Pending,
         GroupState::Starting,
         GroupState::Serving,
--- a/replica-groups/src/job_groups.rs
+++ b/replica-groups/src/job_groups.rs
@@ -32,12 +32,12 @@
     }
 
     /// The group of a replica.
-    pub fn get(&self, replica: ReplicaIndex) -> Option<&ReplicaGroup> {
+    pub(crate) fn get(&self, replica: ReplicaIndex) -> Option<&ReplicaGroup> {
         self.groups.get(replica.0 as usize)
     }
 
     /// The group of a replica, to change it.
-    pub fn get_mut(&mut self, replica: ReplicaIndex) -> Option<&mut ReplicaGroup> {
+    pub(crate) fn get_mut(&mut self, replica: ReplicaIndex) -> Option<&mut ReplicaGroup> {
         self.groups.get_mut(replica.0 as usize)
     }
 
--- a/replica-groups/src/metrics.rs
+++ b/replica-groups/src/metrics.rs
@@ -24,7 +24,7 @@
     }
 
     /// How many groups are in this state.
-    pub fn count(&self, state: GroupState) -> usize {
+    fn count(&self, state: GroupState) -> usize {
         self.counts[state as usize]
     }
 }
@@ -44,11 +44,11 @@
     /// histogram couldn't be allocated.
     repair_ms: Option<Histogram<u64>>,
     /// Times that a silent part reported again before a repair began.
-    pub interruptions: u64,
+    pub(crate) interruptions: u64,
     /// Migrations that were completed.
-    pub migrations: u64,
+    pub(crate) migrations: u64,
     /// Migrations that were abandoned.
-    pub abandoned_migrations: u64,
+    pub(crate) abandoned_migrations: u64,
 }
 
 impl Default for GroupMetrics {
@@ -72,7 +72,7 @@
     }
 
     /// How many repairs were completed.
-    pub fn repairs(&self) -> u64 {
+    fn repairs(&self) -> u64 {
         self.repair_ms.as_ref().map_or(0, Histogram::len)
     }
 }
--- a/replica-groups/src/migration.rs
+++ b/replica-groups/src/migration.rs
@@ -17,14 +17,14 @@
 /// A migration under way.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct Migration {
-    /// What is stored of it.
+    /// Its stored intent.
     pub intent: MigrationIntent,
     /// How far it has got.
     pub stage: MigrationStage,
     /// An earlier leader planned it.
-    pub inherited: bool,
+    pub(crate) inherited: bool,
     /// When the reservation of its capacity ends.
-    pub reserved_until_ms: u64,
+    pub(crate) reserved_until_ms: u64,
 }
 
 /// Why a migration was abandoned.
--- a/src/scheduler/replica_groups/migration.rs
+++ b/src/scheduler/replica_groups/migration.rs
@@ -18,6 +18,18 @@
     binding: Binding,
 }
 
+/// The parts of a group that migrates.
+struct MigratingParts<'a> {
+    id: &'a GroupId,
+    request: &'a PlacementRequest,
+    /// Parts on machines that stay.
+    staying: &'a [BoundPart],
+    /// Parts on machines that are leaving, silent or lost.
+    leaving: &'a [BoundPart],
+    /// The machines of all parts.
+    excluded: &'a [Slot],
+}
+
 impl Scheduler {
     /// Plans the migration of a group one of whose machines is leaving. The parts on
     /// other machines stay where they are, if their zone has capacity for the rest.
@@ -75,11 +87,18 @@
         let (staying, leaving): (Vec<_>, Vec<_>) = bound
             .into_iter()
             .partition(|part| part.binding.health == MachineHealth::Reporting);
-        let mut used = self.slots_of(&staying);
-        used.extend(self.slots_of(&leaving));
+        let mut excluded = self.slots_of(&staying);
+        excluded.extend(self.slots_of(&leaving));
+        let parts = MigratingParts {
+            id,
+            request: &request,
+            staying: &staying,
+            leaving: &leaving,
+            excluded: &excluded,
+        };
         let targets = self
-            .replace_leaving_parts(id, &request, &staying, &leaving, &used)
-            .or_else(|| self.replace_all_parts(id, &request, &staying, &leaving, &used))?;
+            .replace_leaving_parts(&parts)
+            .or_else(|| self.replace_all_parts(&parts))?;
         Some(MigrationIntent {
             generation,
             targets,
@@ -106,35 +125,28 @@
     }
 
     /// New targets for the parts on leaving machines, near the parts that stay.
-    fn replace_leaving_parts(
-        &self,
-        id: &GroupId,
-        request: &PlacementRequest,
-        staying: &[BoundPart],
-        leaving: &[BoundPart],
-        excluded: &[Slot],
-    ) -> Option<Vec<PartTarget>> {
-        let staying_slots = self.slots_of(staying);
+    fn replace_leaving_parts(&self, parts: &MigratingParts) -> Option<Vec<PartTarget>> {
+        let staying_slots = self.slots_of(parts.staying);
         if staying_slots.is_empty() {
             return None;
         }
-        let zone = self.common_zone(&request.spec, &staying_slots);
-        let mut leaving_request = PlacementRequest::like(request);
-        leaving_request.zones = request.zones.clone();
-        for part in staying {
+        let zone = self.common_zone(&parts.request.spec, &staying_slots);
+        let mut leaving_request = PlacementRequest::like(parts.request);
+        leaving_request.zones = parts.request.zones.clone();
+        for part in parts.staying {
             let machine = self.fleet.get(&part.binding.machine)?;
             leaving_request.zones.add(&machine.offer.zone);
         }
         let search = GroupSearch {
-            id,
+            id: parts.id,
             request: &leaving_request,
-            count: leaving.len(),
+            count: parts.leaving.len(),
             zone: zone.as_deref(),
-            excluded,
+            excluded: parts.excluded,
         };
         let machines = self.find_machines(&search, SearchScope::WithForecast)?;
-        let mut targets = self.part_targets(leaving.iter(), &machines)?;
-        targets.extend(staying.iter().map(|part| PartTarget {
+        let mut targets = self.part_targets(parts.leaving.iter(), &machines)?;
+        targets.extend(parts.staying.iter().map(|part| PartTarget {
             task: part.task,
             machine: part.binding.machine.clone(),
         }));
@@ -142,23 +154,16 @@
     }
 
     /// New targets for all parts.
-    fn replace_all_parts(
-        &self,
-        id: &GroupId,
-        request: &PlacementRequest,
-        staying: &[BoundPart],
-        leaving: &[BoundPart],
-        excluded: &[Slot],
-    ) -> Option<Vec<PartTarget>> {
+    fn replace_all_parts(&self, parts: &MigratingParts) -> Option<Vec<PartTarget>> {
         let search = GroupSearch {
-            id,
-            request,
-            count: staying.len() + leaving.len(),
+            id: parts.id,
+            request: parts.request,
+            count: parts.staying.len() + parts.leaving.len(),
             zone: None,
-            excluded,
+            excluded: parts.excluded,
         };
         let machines = self.find_machines(&search, SearchScope::WithForecast)?;
-        self.part_targets(staying.iter().chain(leaving), &machines)
+        self.part_targets(parts.staying.iter().chain(parts.leaving), &machines)
     }
 
     fn part_targets<'a>(
