--- a/loadtest/tests/loopback.rs
+++ b/loadtest/tests/loopback.rs
@@ -108,7 +108,7 @@
     std::thread::spawn(move || {
         let settings = Settings::parse(&settings, "test").expect("sound settings");
         let mut options = Tuning::default();
-        let set = options.replica_classes.set("large", "2");
+        let set = options.replica_classes.insert("large", "2");
         set.expect("two parts");
         let endpoints = settings.endpoints();
         let bounds = settings.site.limits.bounds();
--- a/replica-groups/src/classes.rs
+++ b/replica-groups/src/classes.rs
@@ -61,11 +61,6 @@
         Ok(())
     }
 
-    /// [`insert`](Self::insert) with the error as text, for the reader of the settings.
-    pub fn set(&mut self, class: &str, value: &str) -> Result<(), String> {
-        self.insert(class, value).map_err(|error| error.to_string())
-    }
-
     /// Sets whether each gang is a group by itself.
     pub fn set_gangs(&mut self, gangs: bool) {
         self.gangs = gangs;
--- a/replica-groups/tests/classes.rs
+++ b/replica-groups/tests/classes.rs
@@ -28,9 +28,9 @@
 #[test]
 fn classes_decide_for_services_and_gangs_alone() {
     let mut classes = ReplicaClasses::default();
-    assert_eq!(classes.set("large", " 4 "), Ok(()));
+    assert_eq!(classes.insert("large", " 4 "), Ok(()));
     for wrong in ["0", "1", "-2", "2.5", "many", "", "99999999999"] {
-        assert!(classes.set("large", wrong).is_err(), "{wrong}");
+        assert!(classes.insert("large", wrong).is_err(), "{wrong}");
     }
     assert_eq!(
         classes.shape(service("large", 8), 409),
--- a/src/tuning.rs
+++ b/src/tuning.rs
@@ -10,7 +10,7 @@
 use crate::limits::EffectiveLimits;
 use crate::records::placements::tasks_per_record;
 use crate::settings::Site;
-use lilacfork_replica_groups::classes::ReplicaClasses;
+use lilacfork_replica_groups::classes::{ReplicaClassError, ReplicaClasses};
 use std::path::Path;
 use thiserror::Error;
 
@@ -55,8 +55,8 @@
         max: f64,
     },
     /// The number of parts of a replica can't be used.
-    #[error("{0}")]
-    ReplicaParts(String),
+    #[error(transparent)]
+    ReplicaParts(#[from] ReplicaClassError),
     /// No job can be of this class.
     #[error("no objective of the platform's settings names this class")]
     UnknownClass,
@@ -169,10 +169,8 @@
 
     fn set_text(&mut self, section: &str, key: &str, value: &str) -> Result<(), InvalidTuning> {
         if section == REPLICA_PARTS {
-            return self
-                .replica_classes
-                .set(key, value)
-                .map_err(InvalidTuning::ReplicaParts);
+            self.replica_classes.insert(key, value)?;
+            return Ok(());
         }
         let number = value
             .trim()
