--- a/src/election/responses.rs
+++ b/src/election/responses.rs
@@ -29,7 +29,7 @@
             ElectionKvCall::WatchRecords => self.watch_in_flight = false,
             ElectionKvCall::RevokeLease => {}
             _ if self.in_flight == Some(kv_call) => self.in_flight = None,
-            // A call from before the last change of role.
+            // The next step depends on another call.
             _ => return None,
         }
         match kv_call {
--- a/src/node/effects.rs
+++ b/src/node/effects.rs
@@ -4,7 +4,7 @@
 use super::outgoing_calls::OutgoingCall;
 use super::Node;
 use crate::cancellations::CancellationsKvCall;
-use crate::election::{ElectionKvCall, LeadershipChange};
+use crate::election::{ElectionEffects, LeadershipChange};
 use crate::gateway::GatewayEffects;
 use crate::ids::JobId;
 use crate::kv_client::KvCall;
@@ -91,13 +91,24 @@
     fn step_down(&mut self, now: Now, effects: &mut Vec<Effect>) {
         let mut calls = Vec::new();
         let change = self.election.step_down(now, &mut calls);
+        self.apply_election_effects(now, calls, change, effects);
+    }
+
+    /// Submits the election's calls, and acts on a change of leadership.
+    pub(super) fn apply_election_effects(
+        &mut self,
+        now: Now,
+        calls: ElectionEffects,
+        change: Option<LeadershipChange>,
+        effects: &mut Vec<Effect>,
+    ) {
         self.submit_election_calls(calls);
         if let Some(change) = change {
             self.on_leadership_change(now, change, effects);
         }
     }
 
-    pub(super) fn submit_election_calls(&mut self, calls: Vec<KvCall<ElectionKvCall>>) {
+    pub(super) fn submit_election_calls(&mut self, calls: ElectionEffects) {
         for call in calls {
             self.kv.submit(call.map_tag(KvCallOwner::Election));
         }
--- a/src/node/handover.rs
+++ b/src/node/handover.rs
@@ -68,10 +68,7 @@
     fn hand_over(&mut self, now: Now, effects: &mut Vec<Effect>) {
         let mut calls = Vec::new();
         let change = self.election.yield_leadership(now, &mut calls);
-        self.submit_election_calls(calls);
-        if let Some(change) = change {
-            self.on_leadership_change(now, change, effects);
-        }
+        self.apply_election_effects(now, calls, change, effects);
     }
 
     /// A worker waits 4 s for a node that doesn't respond and tries the next one a
--- a/src/node/kv_responses.rs
+++ b/src/node/kv_responses.rs
@@ -81,10 +81,7 @@
     ) {
         let mut calls = Vec::new();
         let change = self.election.on_response(now, call, response, &mut calls);
-        self.submit_election_calls(calls);
-        if let Some(change) = change {
-            self.on_leadership_change(now, change, effects);
-        }
+        self.apply_election_effects(now, calls, change, effects);
     }
 
     fn on_gateway_response(
