--- a/tests/integration/boot_times.rs
+++ b/tests/integration/boot_times.rs
@@ -10,7 +10,7 @@
 }
 
 /// Machines that were released before they were up.
-fn given_up(w: &Simulation) -> usize {
+fn failed_boots(w: &Simulation) -> usize {
     let early = |worker: &&Worker| worker.gone && !worker.up;
     w.workers.values().filter(early).count()
 }
@@ -33,7 +33,7 @@
     w.boot_ms = 12_000;
     long_array(&mut w, "run-8", 16);
     w.run_for(14_000);
-    assert_eq!(given_up(&w), 0, "none is late yet");
+    assert_eq!(failed_boots(&w), 0, "none is late yet");
     assert_eq!(w.on_machines("run-8"), 16);
     assert!(
         w.workers.len() <= before + 4,
@@ -52,15 +52,15 @@
     long_array(&mut w, "run-1", 16);
     w.run_for(60_000);
     assert_eq!(w.on_machines("run-1"), 16);
-    let rented = w.workers.len();
-    assert!(rented <= 12, "{rented} rented for two machines' work");
+    let machines = w.workers.len();
+    assert!(machines <= 12, "{machines} rented for two machines' work");
     long_array(&mut w, "run-2", 16);
     w.run_for(40_000);
     assert_eq!(w.on_machines("run-2"), 16);
     assert!(
-        w.workers.len() - rented <= 4,
+        w.workers.len() - machines <= 4,
         "{} more for as much work",
-        w.workers.len() - rented
+        w.workers.len() - machines
     );
 }
 
@@ -76,7 +76,7 @@
     assert_eq!(w.submit(leader, &array("run-1", 16)), 201);
     w.run_for(75_000);
     assert_eq!(w.on_machines("run-1"), 16);
-    let (rented, late) = (w.workers.len(), given_up(&w));
+    let (machines, late) = (w.workers.len(), failed_boots(&w));
     w.kill(leader);
     w.run_for(8000);
     let next = w.leader().unwrap();
@@ -84,11 +84,11 @@
     w.run_for(35_000);
     assert_eq!(w.on_machines("run-2"), 16);
     assert!(
-        w.workers.len() <= rented + 2,
+        w.workers.len() <= machines + 2,
         "{} rented for two machines' work",
-        w.workers.len() - rented
+        w.workers.len() - machines
     );
-    assert_eq!(given_up(&w), late, "none was given up");
+    assert_eq!(failed_boots(&w), late, "none was given up");
 }
 
 /// A record of estimates that is old or malformed has no effect.
--- a/tests/integration/cancellations.rs
+++ b/tests/integration/cancellations.rs
@@ -65,7 +65,7 @@
         w.ask(other, "POST", "/v2/runs/run-1/abort", json!(null));
         w.run_for(20);
         assert_eq!(w.poll((leader + 2) % 3, "run-1").1, "cancelled");
-        // Users ask for this at many nodes, and the first word counts.
+        // Users ask for this at many nodes, and the first confirmation counts.
         refuse(&mut w, leader, true);
     } else {
         assert_eq!(w.cancel(other, "run-1").1, "cancelled");
@@ -268,8 +268,8 @@
     /// `n` asks its peer `index`, which is `peer`; its new jobs.
     fn pull(n: &mut Cancellations, index: usize, peer: &Cancellations, asked_ms: u64) -> usize {
         let cursor = n.cursor(index).unwrap();
-        let word = peer.confirmations(&cursor);
-        n.receive_confirmations(at(asked_ms + 10), index, Some(asked_ms), &word)
+        let message = peer.confirmations(&cursor);
+        n.receive_confirmations(at(asked_ms + 10), index, Some(asked_ms), &message)
             .len()
     }
 
@@ -315,7 +315,7 @@
         pull(&mut n, 0, &p1, 1500);
         pull(&mut n, 1, &p2, 1500);
         assert_eq!(n.watermark_ms(), Some(1500));
-        // Confirmed, and nobody was told before it ended.
+        // Confirmed, and no node was informed before it ended.
         p1.confirm(at(2000), &id(1));
         let p1 = node("n-1", 22);
         for asked_ms in [3000, 4000] {
@@ -368,8 +368,11 @@
         p1.acknowledged(0, n.cursor(0).unwrap());
         assert!(p1.unacknowledged(0).is_none());
         p1.confirm(at(2000), &id(1));
-        let word = p1.unacknowledged(0).expect("something to tell");
-        assert_eq!(n.receive_confirmations(at(2010), 0, None, &word).len(), 1);
+        let message = p1.unacknowledged(0).expect("something to tell");
+        assert_eq!(
+            n.receive_confirmations(at(2010), 0, None, &message).len(),
+            1
+        );
         pull(&mut n, 1, &p2, 2500);
         assert_eq!(n.watermark_ms(), Some(1000));
         p1.acknowledged(0, n.cursor(0).unwrap());
@@ -396,7 +399,7 @@
         let (mut n, p1, p2) = three();
         let sound = p1.confirmations(&n.cursor(0).unwrap());
         let job = vec!["run-7".to_string()];
-        for word in [
+        for message in [
             ConfirmedCancellations {
                 node: "n-2".into(),
                 ..sound.clone()
@@ -428,9 +431,9 @@
             },
         ] {
             assert!(
-                n.receive_confirmations(at(2000), 0, Some(1990), &word)
+                n.receive_confirmations(at(2000), 0, Some(1990), &message)
                     .is_empty(),
-                "{word:?}"
+                "{message:?}"
             );
         }
         pull(&mut n, 1, &p2, 2000);
--- a/tests/integration/dependencies.rs
+++ b/tests/integration/dependencies.rs
@@ -22,8 +22,8 @@
     }
 }
 
-/// What every node says of every job, asked in one moment.
-fn told(w: &mut Simulation, ids: &[&str]) -> Vec<(u16, String)> {
+/// The states that all nodes report of all jobs, queried at one moment.
+fn reported_states(w: &mut Simulation, ids: &[&str]) -> Vec<(u16, String)> {
     let mut asked = Vec::new();
     for id in ids {
         for node in 0..w.nodes.len() {
@@ -34,19 +34,19 @@
     asked.iter().map(|user| w.answer(*user)).collect()
 }
 
-/// Asked until everybody answers, all nodes say the same of each job.
+/// Queried until every node answers, all nodes report this state of each job.
 fn settle(w: &mut Simulation, ids: &[&str], state: &str) {
     for _ in 0..40 {
-        let all = told(w, ids);
+        let all = reported_states(w, ids);
         if all
             .iter()
-            .all(|(status, said)| *status == 200 && said == state)
+            .all(|(status, reported)| *status == 200 && reported == state)
         {
             return;
         }
         w.run_for(1000);
     }
-    panic!("{ids:?} aren't all {state}: {:?}", told(w, ids));
+    panic!("{ids:?} aren't all {state}: {:?}", reported_states(w, ids));
 }
 
 const DIAMOND: [(&str, &[&str]); 5] = [
@@ -172,7 +172,7 @@
     let ids: Vec<&str> = ids.iter().map(String::as_str).collect();
     assert_eq!(w.cancel(1, "run-0").1, "cancelled");
     // At once, on all nodes, from the records of those that are needed.
-    let all = told(&mut w, &ids);
+    let all = reported_states(&mut w, &ids);
     assert!(all.iter().all(|(_, state)| state == "cancelled"), "{all:?}");
     // What needs a cancelled job is cancelled from the start, however late it comes.
     w.run_for(CANCEL_MS * 3);
@@ -234,7 +234,7 @@
         w.run_for(gap);
         w.state.away = true;
         for _ in 0..12 {
-            for (status, state) in told(&mut w, &DIAMOND_IDS[1..]) {
+            for (status, state) in reported_states(&mut w, &DIAMOND_IDS[1..]) {
                 assert!(status == 503 || state == "cancelled", "{status} {state}");
             }
             w.run_for(2000);
@@ -335,7 +335,7 @@
         self.users.insert(user, id);
     }
 
-    /// Users name jobs only that they were told are accepted.
+    /// Users name only jobs whose submission was confirmed to them.
     fn hear(&mut self, w: &Simulation) {
         let answered = self.users.iter().filter(|(user, _)| w.answer(**user).0 > 0);
         let answered: Vec<u64> = answered.map(|(user, _)| *user).collect();
--- a/tests/integration/fault_interactions/user_requests.rs
+++ b/tests/integration/fault_interactions/user_requests.rs
@@ -56,15 +56,15 @@
         let mut cancel = None;
         for step in 0..200 {
             // Two close looks at each event, and one now and then.
-            let told = w.answers.contains_key(&first);
-            let over = cancel.is_some_and(|c| w.answers.contains_key(&c));
-            if told && (step % 20 < 2 || (over && step % 3 == 0)) {
+            let accepted = w.answers.contains_key(&first);
+            let cancelled = cancel.is_some_and(|c| w.answers.contains_key(&c));
+            if accepted && (step % 20 < 2 || (cancelled && step % 3 == 0)) {
                 for node in 0..3 {
                     w.ask(node, "GET", &format!("/v2/runs/{id}"), Value::Null);
                     w.ask(node, "POST", "/v2/runs", spec.clone());
                 }
             }
-            if told && n % 2 == 0 && cancel.is_none() {
+            if accepted && n % 2 == 0 && cancel.is_none() {
                 let path = format!("/v2/runs/{id}/abort");
                 cancel = Some(w.ask((n + step) % 3, "POST", &path, Value::Null));
             }
@@ -193,7 +193,7 @@
             assert_eq!(w.submit(leader, &spec), 201);
             w.run_for(2000);
             let body = if method == "POST" { spec } else { json!(null) };
-            // The state service answers while the controller sleeps.
+            // The key-value store responds while the controller is paused.
             w.hook = Box::new(move |_, node, call| match call.target {
                 Destination::KvStore if node == follower => Fate::SlowAnswer(300),
                 _ => Fate::Pass,
--- a/tests/integration/leadership.rs
+++ b/tests/integration/leadership.rs
@@ -75,7 +75,7 @@
 fn a_leader_that_a_worker_outranks_asks_before_it_goes_on() {
     let (mut w, _) = full_zone(3);
     let old = w.leader().unwrap();
-    // It hears neither peers nor, by its renewals, the state service.
+    // It reaches neither peers nor, by its renewals, the key-value store.
     isolate_node(&mut w, old, Fate::Refuse, true);
     w.run_for(8000);
     let new = (0..3).find(|n| *n != old && w.nodes[*n].as_ref().unwrap().is_leader());
--- a/tests/integration/network_partitions.rs
+++ b/tests/integration/network_partitions.rs
@@ -177,7 +177,7 @@
 fn a_leader_whose_own_machines_all_fail_leads_on_and_gives_them_up() {
     let (mut w, names) = full_zone(3);
     let leader = w.leader().unwrap();
-    // The other zone's reports are passed on all the while.
+    // The other zone's heartbeats are forwarded meanwhile.
     let own: Vec<String> = match leader {
         1 => names,
         _ => vec!["vm-a".into()],
@@ -282,7 +282,7 @@
         w.partitions = zone_partitions();
         w.hook = Box::new(move |_, node, call| match &call.target {
             Destination::Peer(addr) if crosses_partition(node, addr) => Fate::LoseRequest,
-            // The far follower alone loses the state service too.
+            // The far follower alone is partitioned from the key-value store too.
             Destination::KvStore | Destination::KvWatch if state_goes_too && node == 1 => {
                 Fate::LoseRequest
             }
--- a/tests/integration/simulation/observer.rs
+++ b/tests/integration/simulation/observer.rs
@@ -45,7 +45,7 @@
 /// The rules of the protocol.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Rule {
-    /// A job that users were told is known stays known.
+    /// A job that was confirmed to a user stays known.
     Forgotten,
     /// Only what users submitted is known and started.
     Invented,
@@ -98,12 +98,12 @@
     Err(Violation { rule, details })
 }
 
-/// A final state of which a user was told.
+/// A final state that was reported to a user.
 #[derive(Debug)]
 struct FinalState {
     state: String,
-    /// When a user was told first.
-    told_ms: u64,
+    /// When it was first reported to a user.
+    reported_ms: u64,
 }
 
 /// What has happened so far, as far as the rules need it.
@@ -112,7 +112,7 @@
     /// GPUs that a team may use at once.
     limits: HashMap<String, f64>,
     specs: HashMap<String, Value>,
-    /// When a user was first told that the job is known.
+    /// When the job was first confirmed to a user.
     accepted_ms: HashMap<String, u64>,
     cancel_asked: HashSet<String>,
     final_states: BTreeMap<String, FinalState>,
@@ -151,8 +151,8 @@
     fn confirmed_ms(&self, job: &str) -> Option<u64> {
         self.final_states
             .get(job)
-            .filter(|told| told.state == "cancelled")
-            .map(|told| told.told_ms)
+            .filter(|last| last.state == "cancelled")
+            .map(|last| last.reported_ms)
     }
 
     /// A user submits a job.
@@ -222,7 +222,7 @@
     }
 
     /// A user gets a response. It may be as old as its request: only what users were
-    /// told before the request binds it.
+    /// told before the request is binding.
     pub fn answered(
         &mut self,
         now: u64,
@@ -239,9 +239,9 @@
             return broken(Rule::Invented, format!("nobody submitted {job}"));
         };
         self.accepted_ms.entry(job.clone()).or_insert(now);
-        if let Some(told) = self.final_states.get(job) {
-            if told.told_ms < request.asked_ms && told.state != state {
-                let (before, at) = (&told.state, told.told_ms);
+        if let Some(last) = self.final_states.get(job) {
+            if last.reported_ms < request.asked_ms && last.state != state {
+                let (before, at) = (&last.state, last.reported_ms);
                 let details = format!("{job} was {before} at {at} and is {state} at {now}");
                 return broken(Rule::WentBack, details);
             }
@@ -266,7 +266,7 @@
             .entry(job.clone())
             .or_insert_with(|| FinalState {
                 state: state.to_string(),
-                told_ms: now,
+                reported_ms: now,
             });
         Ok(())
     }
--- a/tests/integration/simulation/workers.rs
+++ b/tests/integration/simulation/workers.rs
@@ -15,7 +15,7 @@
 #[derive(Clone, Debug)]
 pub struct WorkerTask {
     pub attempt: u64,
-    /// The protocol's word for the state.
+    /// The state in the protocol's terms.
     pub state: &'static str,
     /// Why an ended task has ended.
     pub end_reason: Option<&'static str>,
--- a/tests/integration/traces.rs
+++ b/tests/integration/traces.rs
@@ -84,7 +84,7 @@
     let old = w.leader().unwrap();
     assert_eq!(w.submit(0, &service("run-1", 2)), 201);
     w.run_for(2000);
-    // The leader alone loses the state service and its peers.
+    // The leader alone is partitioned from the key-value store and its peers.
     w.hook = Box::new(move |_, node, call| match call.target {
         Destination::KvStore | Destination::KvWatch | Destination::Peer(_) if node == old => {
             Fate::LoseRequest
@@ -176,12 +176,12 @@
         let mut w = running_cluster(1);
         assert_eq!(w.submit(0, &array("run-1", 1)), 201);
         w.run_for(w.run_ms - 300 + delay * 25);
-        let (status, told) = w.cancel(0, "run-1");
+        let (status, state) = w.cancel(0, "run-1");
         assert_eq!(status, 200);
-        seen[usize::from(told == "done")] += 1;
+        seen[usize::from(state == "done")] += 1;
         w.run_for(8000);
-        assert_eq!(w.poll(0, "run-1").1, told, "it stays what it was called");
-        assert_eq!(w.cancel(0, "run-1").1, told);
+        assert_eq!(w.poll(0, "run-1").1, state, "it stays what it was called");
+        assert_eq!(w.cancel(0, "run-1").1, state);
         assert_eq!(w.on_machines("run-1"), 0);
     }
     assert!(seen[0] > 0 && seen[1] > 0, "both happen: {seen:?}");
