--- a/replica-groups/src/job_groups.rs
+++ b/replica-groups/src/job_groups.rs
@@ -54,7 +54,7 @@
 
     /// Of the groups that wait for capacity and may start now: whether the circuit
     /// breaker of each is open. `None`: no group waits.
-    pub fn only_failing_wait(&self, now_ms: u64) -> Option<bool> {
+    pub fn waiting_groups_all_failing(&self, now_ms: u64) -> Option<bool> {
         let mut waiting = self
             .groups
             .iter()
--- a/src/cloud/client.rs
+++ b/src/cloud/client.rs
@@ -185,7 +185,7 @@
     }
 
     /// When `dispatch` should be called next at the latest.
-    pub fn wake_ms(&self, now: Now) -> u64 {
+    pub fn due_ms(&self, now: Now) -> u64 {
         let pending = !self.releases.is_empty() || self.orders.any_unsent();
         let next_ms = if pending {
             now.ms + PENDING_WAKE_MS
--- a/src/kv_client.rs
+++ b/src/kv_client.rs
@@ -244,7 +244,7 @@
 
     /// Sets the write rate to what the other controllers leave of
     /// `ALLOCATED_WRITE_SHARE`, and to `min_share` of the store's rate at least.
-    pub fn set_write_share_beside(&mut self, now: Now, min_share: f64, others_per_s: f64) {
+    pub fn set_write_share(&mut self, now: Now, min_share: f64, others_per_s: f64) {
         let min_per_s = self.write_rps * min_share;
         let available_per_s = self.write_rps * ALLOCATED_WRITE_SHARE - others_per_s;
         self.write_tokens
@@ -326,7 +326,7 @@
     }
 
     /// Takes the result of call `id`. A call that got a 429 returns to its queue.
-    pub fn answered(&mut self, now: Now, id: u64, result: CallResult) -> Option<(T, KvResponse)> {
+    pub fn on_result(&mut self, now: Now, id: u64, result: CallResult) -> Option<(T, KvResponse)> {
         let call = self.in_flight.remove(&id)?;
         let response = match result {
             Ok((429, _)) => {
--- a/src/node/event_handler.rs
+++ b/src/node/event_handler.rs
@@ -77,7 +77,7 @@
         log::info!("kv calls {}", self.kv.take_stats());
         if self.scheduler.active() {
             log::info!("rounds {}", self.scheduler.take_round_stats());
-            if let Some(stats) = self.scheduler.replica_figures() {
+            if let Some(stats) = self.scheduler.replica_group_stats() {
                 log::info!("replica groups {stats}");
             }
         }
@@ -86,7 +86,7 @@
 
 impl Node {
     fn on_kv_result(&mut self, now: Now, id: u64, result: CallResult, effects: &mut Vec<Effect>) {
-        if let Some((owner, response)) = self.kv.answered(now, id, result) {
+        if let Some((owner, response)) = self.kv.on_result(now, id, result) {
             self.purpose = owner.purpose();
             self.on_kv_response(now, owner, response, effects);
         }
--- a/src/node/rate_shares.rs
+++ b/src/node/rate_shares.rs
@@ -42,6 +42,6 @@
         }
         let followers_per_s = self.peers.writes_per_s(now) * FOLLOWER_WRITE_GROWTH;
         self.kv
-            .set_write_share_beside(now, self.leader_rate_share, followers_per_s);
+            .set_write_share(now, self.leader_rate_share, followers_per_s);
     }
 }
--- a/src/scheduler/provisioning/scale_out.rs
+++ b/src/scheduler/provisioning/scale_out.rs
@@ -121,7 +121,7 @@
             return;
         }
         if let Some(demand) = &unplaced.group {
-            if self.cover_group(now, unplaced, demand, plan) {
+            if self.plan_group_provisioning(now, unplaced, demand, plan) {
                 return;
             }
         }
--- a/src/scheduler/replica_groups/evaluation.rs
+++ b/src/scheduler/replica_groups/evaluation.rs
@@ -18,7 +18,7 @@
 impl Scheduler {
     /// Evaluates the groups about which something may have changed. The actions may
     /// change other groups, or the same ones again.
-    pub(in crate::scheduler) fn observe_groups(&mut self, now: Now) {
+    pub(in crate::scheduler) fn evaluate_groups(&mut self, now: Now) {
         loop {
             let touched = self.groups.take_touched();
             if touched.is_empty() {
--- a/src/scheduler/replica_groups/mod.rs
+++ b/src/scheduler/replica_groups/mod.rs
@@ -46,7 +46,7 @@
 
 impl Scheduler {
     /// Statistics of replica groups. `None`: there are no groups.
-    pub fn replica_figures(&self) -> Option<ReplicaGroupStats<'_>> {
+    pub fn replica_group_stats(&self) -> Option<ReplicaGroupStats<'_>> {
         self.groups.iter().next()?;
         Some(ReplicaGroupStats {
             counts: self.groups.counts(),
@@ -132,7 +132,7 @@
     }
 
     /// The start of a part was rejected: its group isn't placed before then.
-    pub(in crate::scheduler) fn delay_group(&mut self, task: &TaskRef, at_ms: u64) {
+    pub(in crate::scheduler) fn defer_group(&mut self, task: &TaskRef, at_ms: u64) {
         let groups = self.groups.get_mut(&task.job);
         if let Some(group) = groups.and_then(|groups| groups.for_task_mut(task.index)) {
             group.defer_until(at_ms);
--- a/src/scheduler/replica_groups/provisioning.rs
+++ b/src/scheduler/replica_groups/provisioning.rs
@@ -45,7 +45,7 @@
     /// Covers the unplaced parts of a group with machines that are being provisioned in
     /// one zone and, for the rest, with one option. `false`: no single zone allows all
     /// parts.
-    pub(in crate::scheduler) fn cover_group(
+    pub(in crate::scheduler) fn plan_group_provisioning(
         &mut self,
         now: Now,
         unplaced: &Unplaced,
--- a/src/scheduler/replica_groups/reservations.rs
+++ b/src/scheduler/replica_groups/reservations.rs
@@ -13,7 +13,7 @@
     /// Reserves capacity for the next generations of all groups that have a
     /// reservation. A round begins with this, so that it doesn't give the capacity to
     /// other work.
-    pub(in crate::scheduler) fn hold_for_groups(&mut self, now: Now) {
+    pub(in crate::scheduler) fn reserve_for_groups(&mut self, now: Now) {
         self.group_reservations.clear();
         for id in self.groups.with_reservations(now.ms) {
             self.reserve_for_group(now, &id);
--- a/src/scheduler/rounds/round.rs
+++ b/src/scheduler/rounds/round.rs
@@ -128,7 +128,7 @@
         let examined_before = self.examined();
         self.refresh(now);
         self.capacity.begin_round();
-        self.hold_for_groups(now);
+        self.reserve_for_groups(now);
         self.forget_ended_migrations();
         if full {
             self.demand_forecast = self.forecast_demand(now);
--- a/src/scheduler/tick.rs
+++ b/src/scheduler/tick.rs
@@ -39,7 +39,7 @@
         self.read_stale_jobs(now, effects);
         self.read_unresolved_dependencies(now, effects);
         self.check_machines_if_due(now, cloud);
-        self.observe_groups(now);
+        self.evaluate_groups(now);
         self.begin_round_if_due(now, effects);
         self.continue_round(now, cloud);
         self.commit(now, budget, effects);
--- a/src/scheduler/workers/task_exits.rs
+++ b/src/scheduler/workers/task_exits.rs
@@ -93,7 +93,7 @@
             ExitReason::Error if multi_host => self.part_failed(now, id, task, attempt),
             ExitReason::Error => self.task_failed(now, id, task),
             ExitReason::Stopped => {}
-            _ if multi_host => self.delay_group(task, retry_ms),
+            _ if multi_host => self.defer_group(task, retry_ms),
             _ => job.failures.defer_until(retry_ms),
         }
     }
--- a/tests/integration/policy.rs
+++ b/tests/integration/policy.rs
@@ -315,13 +315,13 @@
     store.set_share(at(0), 0.6, 1.0);
     let share = changes_sent(&mut store, 0);
     assert!((300..=340).contains(&share), "{share}");
-    store.set_write_share_beside(at(20_000), 0.6, 2.0);
+    store.set_write_share(at(20_000), 0.6, 2.0);
     let rest = changes_sent(&mut store, 20_000);
     assert!((430..=480).contains(&rest), "{rest}");
     let used = store.writes_per_s(at(30_000));
     assert!((38.0..48.0).contains(&used), "{used}");
     // Never less than its share, however much the others say they write.
-    store.set_write_share_beside(at(40_000), 0.6, 1e9);
+    store.set_write_share(at(40_000), 0.6, 1e9);
     let least = changes_sent(&mut store, 40_000);
     assert!((300..=340).contains(&least), "{least}");
     assert!(store.writes_per_s(at(70_000)) < 0.1, "and it is forgotten");
