--- a/src/http.rs
+++ b/src/http.rs
@@ -24,7 +24,7 @@
     /// It violates the grammar.
     #[error("malformed message")]
     Malformed,
-    /// Its head exceeds [`MAX_HEAD`].
+    /// Its head exceeds [`MAX_HEAD_BYTES`].
     #[error("head too large")]
     HeadTooLarge,
     /// Its body exceeds the limit for its kind of message.
@@ -67,7 +67,7 @@
 }
 
 /// Where `needle` is within the first `limit` bytes. Once the buffer holds
-/// [`MAX_HEAD`] bytes without it, the message is rejected for this reason.
+/// [`MAX_HEAD_BYTES`] bytes without it, the message is rejected for this reason.
 fn find_or_reject(
     buffer: &[u8],
     needle: &[u8],
--- a/src/scheduler/provisioning/mod.rs
+++ b/src/scheduler/provisioning/mod.rs
@@ -11,4 +11,3 @@
 mod scale_in;
 pub(super) mod scale_out;
 
-pub(super) use scale_out as scaling;
--- a/src/scheduler/replica_groups/provisioning.rs
+++ b/src/scheduler/replica_groups/provisioning.rs
@@ -4,7 +4,7 @@
 use crate::messages::Now;
 use crate::placement::Resources;
 use crate::scheduler::displacement::preemption::PreemptionCandidate;
-use crate::scheduler::provisioning::scaling::ProvisionPlan;
+use crate::scheduler::provisioning::scale_out::ProvisionPlan;
 use crate::scheduler::replica_groups::search::{GroupSearch, PartMachine, SearchScope};
 use crate::scheduler::rounds::round::{GroupDemand, Unplaced};
 use crate::scheduler::rounds::task_placement::PlacementRequest;
--- a/src/scheduler/rounds/round.rs
+++ b/src/scheduler/rounds/round.rs
@@ -9,7 +9,7 @@
 use crate::messages::Now;
 use crate::placement::{Resources, ZoneCounts};
 use crate::scheduler::displacement::compaction::Compaction;
-use crate::scheduler::provisioning::scaling::ProvisionPlan;
+use crate::scheduler::provisioning::scale_out::ProvisionPlan;
 use crate::scheduler::rounds::demand_forecast::ColdReservation;
 use crate::scheduler::rounds::queue_order::{QueueKey, QueuedWork};
 use crate::scheduler::{Scheduler, EXAMINED_ENTRY_MS};
