--- a/src/scheduler/provisioning/mod.rs
+++ b/src/scheduler/provisioning/mod.rs
@@ -10,4 +10,3 @@
 mod pending_machines;
 mod scale_in;
 pub(super) mod scale_out;
-
