--- a/src/gateway/admission.rs
+++ b/src/gateway/admission.rs
@@ -36,8 +36,8 @@
     #[error("a task fits no allowed machine type")]
     FitsNoMachineType,
     /// Its tasks can't be grouped as the class asks for.
-    #[error("{0}")]
-    Grouping(ShapeError),
+    #[error(transparent)]
+    Grouping(#[from] ShapeError),
     /// Its record can't be stored whole.
     #[error("its record takes {bytes} bytes, {max_bytes} can be stored")]
     RecordTooLarge {
@@ -203,9 +203,7 @@
             tasks: spec.tasks,
         };
         let max_parts = tasks_per_record(self.max_value_bytes as f64 / 1024.0);
-        self.replica_classes
-            .shape(request, max_parts)
-            .map_err(Rejection::Grouping)
+        Ok(self.replica_classes.shape(request, max_parts)?)
     }
 }
 
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -97,8 +97,8 @@
     }
 
     /// Whether a poll of the records shows the state of every job from now on.
-    pub fn set_polls_complete(&mut self, tell_all: bool) {
-        self.polls_complete = tell_all;
+    pub fn set_polls_complete(&mut self, complete: bool) {
+        self.polls_complete = complete;
     }
 
     // ---- new requests ----
--- a/src/gateway/pending_request.rs
+++ b/src/gateway/pending_request.rs
@@ -129,13 +129,7 @@
             RequestStep::ReadFinal => final_key(&self.id),
             _ => job_key(&self.id),
         };
-        KvCall {
-            priority: self.kind.read_priority(),
-            call: kv_client::get(&key, self.remaining_ms(now)),
-            writes: 0,
-            expires_ms: self.deadline_ms,
-            tag: self.number,
-        }
+        self.get_call(now, self.kind.read_priority(), self.number, &key)
     }
 
     /// The read of how a dependency has ended; `number` is the read's own.
@@ -144,10 +138,26 @@
         now: Now,
         number: RequestNumber,
         dependency: &JobId,
+    ) -> KvCall<RequestNumber> {
+        self.get_call(
+            now,
+            CallPriority::Submission,
+            number,
+            &final_key(dependency),
+        )
+    }
+
+    /// A read of one record within the request's time.
+    fn get_call(
+        &self,
+        now: Now,
+        priority: CallPriority,
+        number: RequestNumber,
+        key: &str,
     ) -> KvCall<RequestNumber> {
         KvCall {
-            priority: CallPriority::Submission,
-            call: kv_client::get(&final_key(dependency), self.remaining_ms(now)),
+            priority,
+            call: kv_client::get(key, self.remaining_ms(now)),
             writes: 0,
             expires_ms: self.deadline_ms,
             tag: number,
--- a/src/node/effects.rs
+++ b/src/node/effects.rs
@@ -120,8 +120,8 @@
     }
 
     pub(super) fn submit_cancellation_calls(&mut self, calls: Vec<KvCall<CancellationsKvCall>>) {
-        let polls_cover_all = self.cancellations.is_caught_up();
-        self.gateway.set_polls_complete(polls_cover_all);
+        self.gateway
+            .set_polls_complete(self.cancellations.is_caught_up());
         for call in calls {
             if call.tag == CancellationsKvCall::Poll {
                 self.last_polled_request = self.gateway.last_request_number();
