--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -159,7 +159,7 @@
 
     /// The cost of its rounds so far, in entries examined.
     pub fn examined(&self) -> u64 {
-        self.scheduler.examined()
+        self.scheduler.examined_entries()
     }
 
     /// The most entries that one slice of a round has examined.
@@ -169,7 +169,7 @@
 
     /// How many machines it knows as leader.
     pub fn machines(&self) -> usize {
-        self.scheduler.machines()
+        self.scheduler.machine_count()
     }
 
     /// How many tasks are queued in the round under way.
--- a/src/scheduler/displacement/compaction.rs
+++ b/src/scheduler/displacement/compaction.rs
@@ -1,6 +1,6 @@
-//! Compaction: the replicas of the least used machines migrate into free capacity that
-//! isn't reserved, so that those machines can be released. Only a few machines at a
-//! time are drained, and only where the replicas have a short outage.
+//! Compaction: migrates the replicas of the least used machines to unreserved free
+//! capacity so that those machines can be released. Compaction drains only a few
+//! machines at a time, and only machines whose replicas have a short outage.
 
 use crate::capacity_index::{MachineCapacity, OccupiedCursor, Slot};
 use crate::fleet::MachinePhase;
@@ -10,25 +10,27 @@
 use crate::scheduler::rounds::round::Progress;
 use crate::scheduler::{Job, Scheduler};
 
-/// At most one of this many machines is drained at a time.
-const MACHINES_PER_DRAINED: usize = 16;
-/// A machine that is used to more than this share isn't drained.
+/// One machine may be drained at a time for each group of this many schedulable
+/// machines.
+const MACHINES_PER_CONCURRENT_DRAIN: usize = 16;
+/// Machines with a higher used share than this are not drained.
 const MAX_USED_SHARE: f64 = 0.6;
-/// The most machines that one round examines; the next round goes on after them.
-const MAX_EXAMINED: usize = 256;
+/// The maximum number of machines that one round examines. The next round continues
+/// after the last of them.
+const MAX_EXAMINED_PER_ROUND: usize = 256;
 
-/// How far compaction has got in a round.
+/// The progress of compaction within a round.
 #[derive(Debug)]
 pub(in crate::scheduler) struct Compaction {
-    /// How many more machines may be drained.
+    /// The number of further machines that may be drained.
     drains_left: usize,
-    /// How many more machines may be examined.
+    /// The number of further machines that may be examined.
     examinations_left: usize,
-    /// The last machine that was examined.
+    /// The last machine that was examined; `None` before the first one.
     cursor: Option<OccupiedCursor>,
 }
 
-/// A replica that migrates.
+/// A planned migration of one replica.
 struct TaskMigration {
     task: TaskRef,
     target: Slot,
@@ -36,8 +38,8 @@
 }
 
 impl Scheduler {
-    /// Begins compaction where the last round ended it. Machines that are still being
-    /// drained count against the limit.
+    /// Begins compaction after the machine at which the previous round stopped. Machines
+    /// that are still draining count against the limit.
     pub(in crate::scheduler) fn begin_compaction(&mut self) -> Compaction {
         let unschedulable = self
             .capacity
@@ -51,16 +53,16 @@
         }
         self.pacing.examined += unschedulable_count as u64;
         let schedulable = self.fleet.len() - unschedulable_count;
-        let max_drained = (schedulable / MACHINES_PER_DRAINED).max(1);
+        let max_drained = (schedulable / MACHINES_PER_CONCURRENT_DRAIN).max(1);
         Compaction {
             drains_left: max_drained.saturating_sub(draining),
-            examinations_left: MAX_EXAMINED,
+            examinations_left: MAX_EXAMINED_PER_ROUND,
             cursor: self.migrations.compaction_cursor.take(),
         }
     }
 
-    /// Examines the next machine. Compaction is finished once there is none to examine,
-    /// or enough machines have been drained or examined in this round.
+    /// Examines the next machine. Compaction finishes when no machine is left to examine
+    /// or when the round has reached its limit of drained or examined machines.
     pub(in crate::scheduler) fn compact_next(
         &mut self,
         now: Now,
@@ -87,10 +89,11 @@
         Progress::Finished
     }
 
-    /// Drains a machine if all its replicas may migrate and have a target; says whether
-    /// it did.
+    /// Drains a machine if all its replicas may migrate and have a target. Returns whether
+    /// the machine was drained.
     fn compact_machine(&mut self, now: Now, from: Slot) -> bool {
-        // Replicas of a machine that was drained before may be on their way here.
+        // A reserved machine may be the target of replicas from a machine that was
+        // drained earlier.
         let Some(machine) = self.capacity.get(from).filter(|m| !m.is_reserved()) else {
             return false;
         };
@@ -104,7 +107,7 @@
             target_machine,
         } in migrations
         {
-            // Nothing else is placed on a target in this round.
+            // Keeps the round from placing any other task on the target.
             self.capacity.reserve_all_free(target);
             self.migrations.targets.insert(task, target_machine);
         }
@@ -117,8 +120,8 @@
         true
     }
 
-    /// Where all tasks of a machine migrate to; `None`: one of them may not migrate or
-    /// has no target.
+    /// Returns the migrations of all tasks of a machine, or `None` if a task may not
+    /// migrate or has no target.
     fn plan_compaction(&self, now: Now, from: Slot) -> Option<Vec<TaskMigration>> {
         let capacity = self.capacity.get(from)?;
         let machine = self.fleet.get(&capacity.id)?;
@@ -142,8 +145,10 @@
         Some(migrations)
     }
 
-    /// A target for a replica in this zone beside those planned: at least as full, no spot
-    /// instance unless the present one is, and with the image there or soon.
+    /// Returns a target for a replica in `zone` that has capacity in addition to the
+    /// planned migrations. The target is at least as full as the source, is a spot
+    /// instance only if the source is one, and has the image or can pull it with a short
+    /// outage.
     fn compaction_target(
         &self,
         job: &Job,
--- a/src/scheduler/displacement/image_displacement.rs
+++ b/src/scheduler/displacement/image_displacement.rs
@@ -1,9 +1,10 @@
-//! Displacement for an image. Work whose objective leaves no time to pull its image
-//! may find free capacity only on machines that lack the image, while settled replicas
-//! that can be moved with a short outage occupy the machines that have it. Those
-//! replicas migrate to the free capacity, and the work takes their place. Less
-//! important replicas are displaced first, equally important ones if necessary, more
-//! important ones never.
+//! Displacement for an image. A job whose objective leaves no time for an image pull may
+//! find free capacity only on machines that lack the image, while the machines that have
+//! it are occupied by replicas that can migrate with a short outage. The scheduler
+//! migrates those replicas to the free capacity and places the job's tasks where the
+//! replicas ran. Replicas of the same or lower priority may be displaced; displacing
+//! replicas of the same priority costs more. Replicas of higher priority are never
+//! displaced.
 
 use crate::capacity_index::{MachineCapacity, Slot};
 use crate::ids::{JobId, MachineId, TaskRef};
@@ -14,16 +15,17 @@
 use crate::wire::users::{JobSpec, Priority};
 use std::collections::HashMap;
 
-/// An image pull takes up to this multiple of its nominal time (PROTOCOL: give or take
-/// a third).
-const SLOWEST_PULL: f64 = 4.0 / 3.0;
-/// Stopping a task, storing that and starting another one takes about this share of a
-/// heartbeat interval.
+/// The longest image pull as a multiple of the nominal pull time. The protocol allows a
+/// deviation of one third.
+const MAX_PULL_FACTOR: f64 = 4.0 / 3.0;
+/// The approximate time to stop a task, store the stop and start another task, in
+/// heartbeat intervals.
 const HANDOVER_HEARTBEATS: f64 = 0.25;
-/// The most machines of one type, zone and purchase option that are examined.
+/// The maximum number of machines of one type, zone and purchase option that are
+/// examined.
 pub(super) const CANDIDATES_PER_GROUP: usize = 64;
 
-/// A replica that is displaced, and the machine that it migrates to.
+/// A replica to displace, and the machine that it migrates to.
 struct DisplacedTask {
     task: TaskRef,
     resources: Resources,
@@ -31,10 +33,11 @@
     target_machine: MachineId,
 }
 
-/// Replicas that are displaced together from a machine.
+/// The replicas to displace together from one machine.
 struct Displacement {
     from: Slot,
-    /// The time for which they are out of service, with a penalty for equals.
+    /// The total outage of the replicas, plus a penalty for each replica with the same
+    /// priority as the work that displaces it.
     cost_s: f64,
     tasks: Vec<DisplacedTask>,
     planned: PlannedUse,
@@ -44,21 +47,21 @@
 #[derive(Clone, Copy)]
 struct MigrationTarget {
     slot: Slot,
-    /// How long the replica would be out of service.
+    /// The image pull time on this machine, during which the replica is out of service.
     outage_s: f64,
 }
 
-/// Where the replicas of each job could migrate to, as long as nothing else is planned
-/// there.
+/// The migration target for the replicas of each job, valid while no other migration to
+/// that machine is planned; `None` if there is no target.
 type MigrationTargets = HashMap<JobId, Option<MigrationTarget>>;
 
-/// What one task of a planned migration takes on its target.
+/// The resources that one planned migration uses on its target.
 struct PlannedTask {
     slot: Slot,
     resources: Resources,
 }
 
-/// What the tasks that leave a machine together take on other machines.
+/// The resources that the planned migrations from one machine use on their targets.
 #[derive(Default)]
 pub(super) struct PlannedUse {
     tasks: Vec<PlannedTask>,
@@ -69,7 +72,7 @@
         self.tasks.push(PlannedTask { slot, resources });
     }
 
-    /// Whether a machine fits one more task beside the planned ones.
+    /// Returns whether a machine fits one more task in addition to the planned ones.
     pub(super) fn leaves_capacity(
         &self,
         slot: Slot,
@@ -100,9 +103,9 @@
 }
 
 impl Scheduler {
-    /// Makes place for one task on a machine that has its image, if the image pull that
-    /// it would need on `cold` might make it miss its objective. Returns that machine;
-    /// the capacity is held for the task from then on.
+    /// Displaces replicas to place one task on a machine that has its image, if the image
+    /// pull on the machine `cold` might make the task miss its objective. Holds the
+    /// capacity for the task and returns the machine.
     pub(in crate::scheduler) fn displace_for_image(
         &mut self,
         now: Now,
@@ -111,10 +114,10 @@
     ) -> Option<Slot> {
         let spec = &request.spec;
         self.settings.start_slo_ms(spec)?;
-        let slack_ms = request.deadline.saturating_sub(now.wall) as f64;
+        let slack_ms = request.deadline_wall_ms.saturating_sub(now.wall) as f64;
         let pull_ms = self.nominal_pull_s(&self.capacity.get(cold)?.id, spec)? * 1000.0;
         let handover_ms = self.handover_s() * 1000.0;
-        if slack_ms < handover_ms || pull_ms * SLOWEST_PULL < slack_ms {
+        if slack_ms < handover_ms || pull_ms * MAX_PULL_FACTOR < slack_ms {
             return None;
         }
         let Displacement { from, tasks, .. } = self.cheapest_displacement(now, request)?;
@@ -136,7 +139,8 @@
         Some(from)
     }
 
-    /// The displacement with the shortest outage, over the machines that have the image.
+    /// Returns the displacement with the lowest cost among the machines that have the
+    /// image.
     fn cheapest_displacement(&self, now: Now, request: &PlacementRequest) -> Option<Displacement> {
         let mut targets = MigrationTargets::new();
         let mut cheapest: Option<Displacement> = None;
@@ -148,7 +152,7 @@
             else {
                 continue;
             };
-            // The least that is possible: one replica that has no image to pull.
+            // The lowest possible cost: one replica whose target has its image.
             let is_minimal = found.cost_s <= self.handover_s();
             if cheapest
                 .as_ref()
@@ -163,8 +167,8 @@
         cheapest
     }
 
-    /// Replicas of a machine that have somewhere to migrate to and whose displacement
-    /// frees enough for the request.
+    /// Returns replicas of a machine whose displacement frees enough capacity for the
+    /// request, or `None` if too few replicas have a migration target.
     fn displacement_from(
         &self,
         now: Now,
@@ -207,8 +211,8 @@
         free.covers(&request.resources).then_some(displacement)
     }
 
-    /// The job of a task, if that is a replica that may be displaced for work of this
-    /// priority.
+    /// Returns the job of a task if the task is a replica that may be displaced for work
+    /// of this priority.
     fn displaceable(&self, now: Now, task: &TaskRef, priority: Priority) -> Option<&Job> {
         let job = self.jobs.get(&task.job)?;
         let displaceable = job.is_service()
@@ -218,8 +222,8 @@
         displaceable.then_some(job)
     }
 
-    /// Where a replica in this zone would migrate to with the shortest outage, beside
-    /// those that are displaced with it.
+    /// Returns the target with the shortest outage for a replica in `zone`, given the
+    /// replicas that `displacement` already contains.
     fn migration_target(
         &self,
         job: &Job,
@@ -233,7 +237,7 @@
             planned,
             ..
         } = displacement;
-        // All replicas of a job have the same targets, unless zones restrict them.
+        // Without zone constraints, all replicas of a job have the same targets.
         let interchangeable = !job.spec.spread && !job.spec.same_zone;
         let known = targets.get(&job.spec.id).filter(|_| interchangeable);
         match known {
@@ -258,8 +262,9 @@
         target
     }
 
-    /// The target for a replica in these zones with the shortest outage: any machine that
-    /// has the image before all that have to pull it.
+    /// Returns the target with the shortest outage for a replica of a job whose other
+    /// tasks are in `zones`. Machines that have the image take precedence over machines
+    /// that have to pull it.
     fn shortest_outage_target(
         &self,
         job: &Job,
@@ -282,13 +287,14 @@
             .min_by(|a, b| a.outage_s.total_cmp(&b.outage_s))
     }
 
-    /// The time to stop a task, store that, and start another one in its place.
+    /// Returns the time to stop a task, store the stop, and start another task in its
+    /// place.
     pub(super) fn handover_s(&self) -> f64 {
         self.settings.site.workers.heartbeat_s * HANDOVER_HEARTBEATS
     }
 
-    /// How long a task that starts on the machine would pull its image; pulls share
-    /// the machine's rate.
+    /// Returns the expected image pull time of a task that starts on the machine.
+    /// Concurrent pulls share the machine's pull rate.
     pub(super) fn expected_pull_s(&self, machine: &MachineCapacity, spec: &JobSpec) -> Option<f64> {
         if machine.has_image(&spec.image) {
             return Some(0.0);
--- a/src/scheduler/displacement/migration.rs
+++ b/src/scheduler/displacement/migration.rs
@@ -1,5 +1,5 @@
-//! Migration: which replicas may migrate, where to, and how long they are out of
-//! service; and migrations that place images ahead of forecast demand.
+//! Migration: which replicas may migrate, their targets and their outage, and
+//! migrations that place images ahead of forecast demand.
 
 use crate::capacity_index::OccupiedCursor;
 use crate::fleet::{Machine, MachinePhase};
@@ -13,56 +13,58 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// Migrations under way, and what limits further ones.
+/// The migrations in progress, and the state that limits further ones.
 #[derive(Debug, Default)]
 pub(in crate::scheduler) struct Migrations {
     /// The target of each task that is migrating.
     pub(in crate::scheduler) targets: HashMap<TaskRef, MachineId>,
-    /// When a replica of a class may next migrate to place its image elsewhere.
+    /// The earliest time of the next preplacement migration, by job class.
     preplacement_due_ms: HashMap<Rc<str>, u64>,
     /// The machine after which compaction continues.
     pub(super) compaction_cursor: Option<OccupiedCursor>,
 }
 
 impl Migrations {
-    /// Forgets the migrations of the leadership that has ended.
+    /// Clears the migrations when this controller stops leading.
     pub(in crate::scheduler) fn reset(&mut self) {
         self.targets.clear();
         self.compaction_cursor = None;
     }
 }
 
-/// A start counts for the users once the task has run for this long (PROTOCOL, "How
-/// aims are counted"); migrating a replica before would make its start late.
+/// The start objective counts a start only after the task has run for this long. If a
+/// replica migrated earlier, its start would count as late.
 const START_COUNTS_AFTER_S: f64 = 30.0;
-/// Heartbeat intervals between a start on the worker and the leader's knowledge of it.
-const START_NOTICE_HEARTBEATS: f64 = 2.0;
-/// An outage of this many heartbeat intervals is short.
+/// The maximum delay from a task's start until the leader receives the report of it, in
+/// heartbeat intervals.
+const START_REPORT_HEARTBEATS: f64 = 2.0;
+/// The longest outage that counts as short, in heartbeat intervals.
 const SHORT_OUTAGE_HEARTBEATS: f64 = 2.5;
-/// A replica of a class migrates to place its image at most once in this many pull
-/// times.
-const PREPLACEMENT_PULLS: f64 = 10.0;
-/// An image is only placed ahead if its pull takes more than this share of the start
+/// The minimum time between two preplacement migrations of a class, as a multiple of
+/// the image pull time.
+const PREPLACEMENT_INTERVAL_PULLS: f64 = 10.0;
+/// An image is only preplaced if its pull takes at least this share of the start
 /// objective.
 const LONG_PULL_SHARE: f64 = 0.5;
 
-/// How long a task has to run for its start to count for its users.
+/// Returns the run time after which a task is settled: its start counts for the start
+/// objective even if the task migrates.
 pub(in crate::scheduler) fn settled_ms(settings: &Settings) -> u64 {
-    let notice_s = settings.site.workers.heartbeat_s * START_NOTICE_HEARTBEATS;
-    ((START_COUNTS_AFTER_S + notice_s) * 1000.0) as u64
+    let report_s = settings.site.workers.heartbeat_s * START_REPORT_HEARTBEATS;
+    ((START_COUNTS_AFTER_S + report_s) * 1000.0) as u64
 }
 
 impl Scheduler {
-    /// The zones of a job's tasks once all migrations under way, and the planned ones,
-    /// have ended. Replicas that migrate together may each be allowed in a zone where
-    /// only one of them is.
+    /// Returns the zones of a job's tasks as they will be after all current and planned
+    /// migrations. Replicas that migrate at the same time could otherwise choose the same
+    /// zone although only one of them is allowed there.
     pub(super) fn zones_after_migrations<'a>(
         &self,
         job: &Job,
         planned: impl Iterator<Item = (&'a TaskRef, &'a MachineId)>,
     ) -> ZoneCounts {
         if !job.spec.spread && !job.spec.same_zone {
-            // The zones of its tasks don't restrict each other.
+            // The job has no zone constraint.
             return ZoneCounts::default();
         }
         let mut zones = job.zone_counts();
@@ -88,33 +90,33 @@
         zones
     }
 
-    /// How long a task has to run for its start to count for its users.
+    /// Returns [`settled_ms`] for the scheduler's settings.
     pub(in crate::scheduler) fn settled_ms(&self) -> u64 {
         settled_ms(&self.settings)
     }
 
-    /// Whether a task may migrate: it has run long enough that its start counts in any
-    /// case, or has started so late that it doesn't. A replica that spans machines
-    /// migrates as a whole, by rules of its own.
+    /// Returns whether a task may migrate. A task may migrate if it has run long enough
+    /// for its start to count, or if it has already missed its start objective. Replicas
+    /// that span machines migrate as a whole under separate rules and are excluded.
     pub(super) fn may_migrate(&self, now: Now, job: &Job, assignment: &Assignment) -> bool {
         let Some(running_since_ms) = assignment.running_since_ms else {
             return false;
         };
         let settled_ms = self.settled_ms();
         let settled = now.ms > running_since_ms + settled_ms;
-        // A new leader only knows the age of the job.
+        // A new leader doesn't know the start times of running tasks, only the time at
+        // which the job was submitted.
         let old = assignment.started_by_earlier_leader && now.wall > job.submitted + settled_ms;
         job.shape.is_none()
             && assignment.stop.is_none()
             && (old || assignment.missed_start_slo || settled)
     }
 
-    /// Whether this is a short outage for a replica.
     pub(super) fn is_short_outage(&self, outage_s: f64) -> bool {
         outage_s <= self.settings.site.workers.heartbeat_s * SHORT_OUTAGE_HEARTBEATS
     }
 
-    /// Whether a machine has the image, or would pull it with a short outage.
+    /// Returns whether a machine has the image or would pull it with a short outage.
     pub(super) fn has_image_soon(&self, id: &MachineId, spec: &JobSpec) -> bool {
         let machine = self.fleet.get(id);
         machine.is_some_and(|machine| machine.has_image(&spec.image))
@@ -123,10 +125,11 @@
                 .is_some_and(|pull_s| self.is_short_outage(pull_s))
     }
 
-    /// Forecast demand may have capacity reserved where it would have to pull its image
-    /// for most of the time that its class may wait. A settled replica with that image
-    /// then migrates to such a machine, and leaves capacity behind where the image is.
-    /// Rarely, so that the outages stay far below what the objectives allow.
+    /// Preplaces images for forecast demand. Capacity may be reserved on a machine where
+    /// the image pull would take a large share of the start objective. A settled replica
+    /// with that image then migrates to the machine, which frees capacity where the image
+    /// already is. Preplacement migrations of a class are rare, so that their outages stay
+    /// far below what the objectives allow.
     pub(in crate::scheduler) fn preplace_images(
         &mut self,
         now: Now,
@@ -140,7 +143,7 @@
                 continue;
             };
             log::info!("task migrates task={task} machine={machine} reason=\"image preplacement\"");
-            let due_ms = now.ms + (pull_s * 1000.0 * PREPLACEMENT_PULLS) as u64;
+            let due_ms = now.ms + (pull_s * 1000.0 * PREPLACEMENT_INTERVAL_PULLS) as u64;
             self.migrations
                 .preplacement_due_ms
                 .insert(spec.class.clone(), due_ms);
@@ -149,8 +152,8 @@
         }
     }
 
-    /// How long the image pull of a replica that migrates to the machine takes; `None`:
-    /// placing the image there ahead isn't due, not worth it or not possible.
+    /// Returns the pull time of a replica that migrates to the machine to preplace its
+    /// image, or `None` if a preplacement isn't due yet, not worthwhile or not possible.
     fn preplacement_pull_s(&self, now: Now, spec: &JobSpec, machine: &MachineId) -> Option<f64> {
         let due_ms = self.migrations.preplacement_due_ms.get(&spec.class);
         if due_ms.is_some_and(|due_ms| now.ms < *due_ms) {
@@ -158,13 +161,14 @@
         }
         let pull_s = self.nominal_pull_s(machine, spec)?;
         let start_slo_ms = self.settings.start_slo_ms(spec)? as f64;
-        // A pull that is short beside the objective may as well happen on demand; a
-        // long one would be a long outage for the replica.
+        // A pull that is short relative to the objective can happen on demand. A pull
+        // that exceeds a short outage would keep the replica out of service for too long.
         let long_pull = pull_s * 1000.0 >= start_slo_ms * LONG_PULL_SHARE;
         (long_pull && self.is_short_outage(pull_s)).then_some(pull_s)
     }
 
-    /// The nominal time in which a machine pulls a task's image.
+    /// Returns the time that a machine takes to pull a task's image at its nominal rate.
+    /// `None` means that the machine, its type or the type's pull rate is unknown.
     pub(super) fn nominal_pull_s(&self, machine: &MachineId, spec: &JobSpec) -> Option<f64> {
         let machine_type = &self.fleet.get(machine)?.offer.machine_type;
         if spec.image_gb <= 0.0 {
@@ -178,7 +182,7 @@
         (rate > 0.0).then(|| spec.image_gb / rate)
     }
 
-    /// A settled replica with this image that may migrate to the target.
+    /// Returns a replica with this image that may migrate to the target.
     fn replica_to_preplace(&self, now: Now, spec: &JobSpec, target: &MachineId) -> Option<TaskRef> {
         let zone = &self.fleet.get(target)?.offer.zone;
         let is_up = |machine: &Machine| {
--- a/src/scheduler/displacement/mod.rs
+++ b/src/scheduler/displacement/mod.rs
@@ -1,4 +1,4 @@
-//! Tasks that leave their machine for other work: preemption, migration, compaction.
+//! Displacement of tasks from their machines: preemption, migration and compaction.
 
 pub(super) mod compaction;
 pub(super) mod image_displacement;
--- a/src/scheduler/displacement/preemption.rs
+++ b/src/scheduler/displacement/preemption.rs
@@ -1,4 +1,5 @@
-//! Preemption: tasks are stopped for more important work.
+//! Preemption: stops tasks of lower priority to free capacity for work of higher
+//! priority.
 
 use crate::capacity_index::{MachineCapacity, Slot};
 use crate::ids::TaskRef;
@@ -11,24 +12,24 @@
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-/// Work lost by a task that was started recently counts this many times.
+/// The multiple at which the lost work of a recently started task counts.
 const RECENT_START_FACTOR: f64 = 2.0;
-/// Added to the cost of each victim, so that fewer victims are preferred.
+/// The cost added for each victim, so that plans with fewer victims are preferred.
 const VICTIM_COST_S: f64 = 1.0;
 
 /// A task that may be preempted.
 struct Victim {
     task: TaskRef,
     resources: Resources,
-    /// Seconds of work that preempting it costs.
+    /// The cost of preempting the task, in seconds of lost work.
     cost_s: f64,
-    /// It saves a checkpoint before it stops.
-    checkpoints: bool,
+    /// Whether the task saves a checkpoint before it stops.
+    saves_checkpoint: bool,
 }
 
-/// What making place on a machine would cost, and the tasks that have to stop.
+/// The tasks to preempt on a machine so that it fits one more task, and their cost.
 pub(in crate::scheduler) struct PreemptionPlan {
-    /// Seconds of work lost, and of pulling the image.
+    /// The cost of all victims plus the time to pull the image.
     pub(in crate::scheduler) cost_s: f64,
     victims: Vec<Victim>,
 }
@@ -36,7 +37,7 @@
 /// A machine on which tasks could be preempted.
 pub(in crate::scheduler) struct PreemptionCandidate {
     pub(in crate::scheduler) slot: Slot,
-    /// `None`: it doesn't fit one more task even with preemption.
+    /// `None` if the machine doesn't fit one more task even with preemption.
     pub(in crate::scheduler) plan: Option<PreemptionPlan>,
 }
 
@@ -48,11 +49,11 @@
 }
 
 impl Scheduler {
-    /// Preempts tasks of less important jobs where that gives capacity to work with a
-    /// start objective sooner than provisioning would. A preempted task saves a
-    /// checkpoint first, if it can, and is queued again.
+    /// Preempts tasks of lower priority for unplaced work that has a start objective,
+    /// because preemption frees capacity sooner than provisioning. A preempted task saves
+    /// a checkpoint first if time allows, and is queued again.
     pub(in crate::scheduler) fn preempt(&mut self, now: Now, unplaced: &mut Unplaced) {
-        if unplaced.forecast || self.settings.start_slo_ms(&unplaced.spec).is_none() {
+        if unplaced.is_forecast || self.settings.start_slo_ms(&unplaced.spec).is_none() {
             return;
         }
         self.refresh(now);
@@ -71,7 +72,7 @@
             let plan = candidate.plan.take();
             self.carry_out_preemption(now, slot, plan, &unplaced.spec);
             self.refresh(now);
-            // Only the chosen candidate has changed for the job's next task.
+            // Of all candidates, only the chosen one has changed.
             candidates[chosen.index].plan = self.preemption_plan(now, slot, unplaced);
             unplaced.zones.add(&chosen.zone);
             unplaced.count -= 1;
@@ -89,17 +90,20 @@
         let victims = plan.map(|plan| plan.victims).unwrap_or_default();
         for victim in victims {
             let Victim {
-                task, checkpoints, ..
+                task,
+                saves_checkpoint,
+                ..
             } = victim;
             let job = &spec.id;
-            log::info!("task preempted task={task} job={job} checkpoint={checkpoints}");
-            self.stop_task(now, &task, checkpoints);
+            log::info!("task preempted task={task} job={job} checkpoint={saves_checkpoint}");
+            self.stop_task(now, &task, saves_checkpoint);
         }
         self.capacity.hold(slot, &spec.task_request());
     }
 
-    /// Machines that run less important tasks, those with the image first, and those
-    /// on which tasks are being stopped already.
+    /// Returns the machines on which the work could be placed by preemption: those that
+    /// run tasks of lower priority, with and without the image, and those on which tasks
+    /// are already stopping.
     pub(in crate::scheduler) fn preemption_candidates(
         &mut self,
         now: Now,
@@ -130,7 +134,7 @@
         candidates
     }
 
-    /// The cheapest candidate in a zone that the work allows.
+    /// Returns the candidate with the lowest cost in a zone that the work allows.
     fn cheapest_candidate(
         &self,
         candidates: &[PreemptionCandidate],
@@ -157,17 +161,17 @@
         cheapest
     }
 
-    /// The tasks of less important jobs on a machine whose preemption costs least and
-    /// frees enough for one task. Where saving a checkpoint would make the waiting work
-    /// miss its objective and stopping at once would not, tasks go back to their last
-    /// checkpoint instead.
+    /// Selects tasks of lower priority on a machine, in order of their preemption cost,
+    /// until enough capacity is free for one task. A task is stopped without saving a
+    /// checkpoint, and later resumes from its last one, if the waiting work would miss its
+    /// objective with the save and meet it without.
     fn preemption_plan(&self, now: Now, slot: Slot, unplaced: &Unplaced) -> Option<PreemptionPlan> {
         let machine = self.capacity.get(slot)?;
         if !offer_allowed(&unplaced.spec, &machine.state.offer) {
             return None;
         }
         let pull_s = self.expected_pull_s(machine, &unplaced.spec)?;
-        let slack_s = (unplaced.deadline as f64 - now.wall as f64) / 1000.0;
+        let slack_s = (unplaced.deadline_wall_ms as f64 - now.wall as f64) / 1000.0;
         let need = unplaced.spec.task_request();
         let mut free = machine.free_after_stops();
         let mut plan = PreemptionPlan {
@@ -190,8 +194,8 @@
         free.covers(&need).then_some(plan)
     }
 
-    /// The tasks of a machine that may be preempted for this work, which can wait for
-    /// `slack_s` without missing its objective.
+    /// Returns the tasks of a machine that may be preempted for this work. The work can
+    /// wait for `slack_s` without missing its objective.
     fn victims(
         &self,
         now: Now,
@@ -212,7 +216,8 @@
             .collect()
     }
 
-    /// What preempting a task costs, and whether it can save a checkpoint first.
+    /// Computes the cost of preempting a task and whether the task saves a checkpoint
+    /// first.
     fn victim(
         &self,
         now: Now,
@@ -230,9 +235,10 @@
         let has_checkpoints = interval_s > 0.0;
         let save_s = job.spec.checkpoint_save_s;
         let saved_in_time = handover_s + save_s <= slack_s;
-        // Where even an immediate stop would be too late, saving does no harm.
-        let checkpoints = has_checkpoints && (saved_in_time || slack_s < handover_s);
-        let lost_s = if checkpoints {
+        // If even an immediate stop would be too late, saving a checkpoint costs the
+        // waiting work nothing.
+        let saves_checkpoint = has_checkpoints && (saved_in_time || slack_s < handover_s);
+        let lost_s = if saves_checkpoint {
             save_s
         } else if has_checkpoints {
             ran_s % interval_s
@@ -245,13 +251,13 @@
         } else {
             1.0
         };
-        // If one part of a replica stops, all of it does.
+        // Stopping one part of a replica stops all its parts.
         let parts = job.shape.map_or(1.0, |shape| f64::from(shape.parts()));
         Victim {
             task: task.clone(),
             resources: job.task_request,
             cost_s: (lost_s * factor + VICTIM_COST_S) * parts,
-            checkpoints,
+            saves_checkpoint,
         }
     }
 }
--- a/src/scheduler/effects.rs
+++ b/src/scheduler/effects.rs
@@ -1,4 +1,5 @@
-//! What the scheduler asks its node to do, and the calls whose responses it awaits.
+//! The actions that the scheduler requests from its node, and the tags of the calls
+//! whose responses the node returns to the scheduler.
 
 use crate::ids::{JobId, MachineId};
 use crate::kv_client::KvCall;
@@ -7,40 +8,42 @@
 use crate::usage::Purpose;
 use thiserror::Error;
 
-/// What a call of the key-value store was made for.
+/// The purpose of a call to the key-value store, which determines how the scheduler
+/// handles the response.
 #[derive(Clone, PartialEq, Debug)]
 pub enum SchedulerKvCall {
-    /// A page of the job records.
+    /// Reads a page of the job records.
     ListJobs,
-    /// A page of the placement records.
+    /// Reads a page of the placement records.
     ListPlacements,
-    /// Changes of the job records.
+    /// Waits for changes of the job records.
     Watch,
-    /// The transaction in flight.
+    /// Sends the transaction in flight.
     Commit,
-    /// Whether the transaction in flight was carried out.
+    /// Reads whether the transaction in flight was committed, after an indeterminate
+    /// outcome.
     CheckCommit,
-    /// This job's record.
+    /// Reads the record of this job.
     ReadJob(JobId),
-    /// The machines whose leases followers renew.
-    ListProxied,
-    /// The removal of these records.
+    /// Lists the followers' records of the machines whose leases they renew.
+    ListLeaseProxies,
+    /// Deletes the records with these keys.
     Cleanup(Vec<String>),
-    /// How this job, which others depend on, has ended.
+    /// Reads the final state of this job, which other jobs depend on.
     ReadDependency(JobId),
-    /// The online estimates of the previous leader.
+    /// Reads the online estimates that the previous leader stored.
     ReadEstimates,
-    /// The write of the online estimates.
+    /// Writes the online estimates.
     StoreEstimates,
 }
 
 impl SchedulerKvCall {
-    /// What the work on its response is accounted to.
+    /// Returns the purpose to which the handling of the response is accounted.
     pub fn purpose(&self) -> Purpose {
         match self {
             SchedulerKvCall::ListJobs
             | SchedulerKvCall::ListPlacements
-            | SchedulerKvCall::ListProxied
+            | SchedulerKvCall::ListLeaseProxies
             | SchedulerKvCall::ReadEstimates => Purpose::Loading,
             SchedulerKvCall::Watch
             | SchedulerKvCall::ReadJob(_)
@@ -53,51 +56,51 @@
     }
 }
 
-/// A call straight to a worker.
+/// A call that sends commands directly to a worker, outside a heartbeat response.
 #[derive(Clone, PartialEq, Debug)]
 pub struct WorkerCommandCall {
-    /// The machine that is called.
+    /// The machine whose worker receives the commands.
     pub machine: MachineId,
 }
 
-/// What the scheduler wants done.
+/// The actions that the scheduler requests from its node.
 #[derive(Default)]
 pub struct SchedulerEffects {
-    /// Responses to workers.
+    /// Heartbeat responses, each with the connection that it answers.
     pub replies: Vec<(ConnectionId, Reply)>,
-    /// Calls of the key-value store.
+    /// Calls to send to the key-value store.
     pub kv_calls: Vec<KvCall<SchedulerKvCall>>,
-    /// Direct calls to workers.
+    /// Commands to send directly to workers.
     pub worker_calls: Vec<(WorkerCommandCall, Call)>,
-    /// Why the leader has to step down, if it has to.
+    /// Set if the leader must step down.
     pub step_down: Option<StepDownReason>,
-    /// A heartbeat showed a term above this leader's.
+    /// Whether a heartbeat carried a higher term than this leader's.
     pub later_term_seen: bool,
-    /// The key-value store rejected a transaction of this size as malformed.
+    /// The size of a transaction that the key-value store rejected as malformed.
     pub rejected_request: Option<RequestSize>,
 }
 
-/// Why a leader steps down: something can't be explained, and the next leader starts
-/// afresh from what is stored.
+/// The reason for which a leader steps down. Each reason is an inconsistency that the
+/// leader can't resolve; the next leader rebuilds its state from the stored records.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Error)]
 pub enum StepDownReason {
-    /// A transaction was carried out, but the response doesn't say at which revision.
-    #[error("the response to a commit can't be read")]
+    /// A transaction was committed, but its response contains no readable revision.
+    #[error("the response to a committed transaction contains no readable revision")]
     UnreadableCommitResponse,
-    /// The key-value store rejected a transaction with a status that has no known
-    /// cause.
-    #[error("a commit was rejected")]
+    /// The key-value store rejected a transaction with an unexpected status.
+    #[error("the key-value store rejected a transaction with an unexpected status")]
     CommitRejected,
     /// The leader key, or a record that only the leader writes, has changed.
-    #[error("a compare on a record of the leader's failed")]
+    #[error("a compare failed on the leader key or a record that only the leader writes")]
     CompareFailed,
-    /// Changes between two calls of the watch are lost.
-    #[error("the watch fell too far behind")]
+    /// The key-value store no longer keeps the revision from which the watch continues,
+    /// so changes have been missed.
+    #[error("the watch fell behind the revisions that the key-value store keeps")]
     WatchTooFarBehind,
-    /// The record of an unfinished job was removed by somebody else.
-    #[error("the record of an unfinished job is gone")]
-    JobRecordGone,
-    /// A machine's fencing token can't grow any more in this term.
-    #[error("a machine's fencing tokens are used up")]
+    /// Another process deleted the record of an unfinished job.
+    #[error("another process deleted the record of an unfinished job")]
+    JobRecordDeleted,
+    /// A machine has no fencing tokens left in this term.
+    #[error("a machine has no fencing tokens left in this term")]
     FencingTokensExhausted,
 }
--- a/src/scheduler/invariants.rs
+++ b/src/scheduler/invariants.rs
@@ -1,5 +1,5 @@
-//! Violations of the scheduler's invariants: derived state that differs from what it
-//! is derived from. Tests check for them.
+//! Violations of the scheduler's invariants, which tests check: derived state that
+//! differs from the state that it is derived from.
 
 use crate::capacity_index::CapacityIndexViolation;
 use crate::ids::{JobId, MachineId, TaskRef};
@@ -9,65 +9,65 @@
 use std::rc::Rc;
 use thiserror::Error;
 
-/// An invariant of the scheduler's state that doesn't hold.
+/// A violated invariant of the scheduler's state.
 #[derive(Clone, PartialEq, Debug, Error)]
 pub enum InvariantViolation {
-    /// A list of jobs isn't up to date.
-    #[error("{list} jobs are {listed:?}, recounted {recounted:?}")]
+    /// A list of jobs differs from the list recomputed from the jobs' states.
+    #[error("list of {list} jobs: maintained {listed:?}, recomputed {recounted:?}")]
     JobList {
-        /// Which list.
+        /// The state that the listed jobs have in common.
         list: &'static str,
-        /// The jobs of the list.
+        /// The incrementally maintained list.
         listed: BTreeSet<JobId>,
-        /// The jobs that should be on it.
+        /// The list recomputed from the jobs' states.
         recounted: BTreeSet<JobId>,
     },
-    /// A team's usage isn't the sum over its jobs.
-    #[error("team {team} uses {used:?}, recounted {recounted:?}")]
+    /// A team's resource usage differs from the sum over its jobs.
+    #[error("usage of team {team}: maintained {used:?}, recomputed {recounted:?}")]
     TeamUsage {
-        /// The team.
+        /// The name of the team, as in the settings.
         team: Rc<str>,
-        /// Its usage as it is kept.
+        /// The incrementally maintained usage.
         used: Resources,
-        /// Its usage by its jobs.
+        /// The sum over the team's jobs.
         recounted: Resources,
     },
-    /// The capacity index doesn't hold the machines of the fleet.
-    #[error("machines {machines:?}, in the capacity index {indexed:?}")]
+    /// The capacity index and the fleet contain different machines.
+    #[error("machines in the fleet {machines:?}, in the capacity index {indexed:?}")]
     IndexedMachines {
-        /// The machines of the fleet.
+        /// The machines in the fleet.
         machines: BTreeSet<MachineId>,
-        /// The machines of the capacity index.
+        /// The machines in the capacity index.
         indexed: BTreeSet<MachineId>,
     },
-    /// The capacity index holds an earlier state of a machine.
-    #[error("machine {0} is indexed with an earlier state")]
+    /// The capacity index has an outdated state of a machine.
+    #[error("the capacity index has an outdated state of machine {0}")]
     StaleCapacity(MachineId),
-    /// A machine holds a task that its job hasn't assigned to it.
-    #[error("task {task} is on machine {machine}, its job doesn't assign it there")]
+    /// A machine lists a task that has no assignment to this machine.
+    #[error("machine {machine} lists task {task}, which is not assigned to it")]
     UnassignedTask {
-        /// The task.
+        /// The task without an assignment to the machine.
         task: TaskRef,
-        /// The machine.
+        /// The machine that lists the task.
         machine: MachineId,
     },
-    /// A machine's usage isn't the sum over its tasks.
-    #[error("machine {machine} uses {used:?}, recounted {recounted:?}")]
+    /// A machine's allocated resources differ from the sum over its tasks.
+    #[error("usage of machine {machine}: maintained {used:?}, recomputed {recounted:?}")]
     MachineUsage {
-        /// The machine.
+        /// The machine whose usage is wrong.
         machine: MachineId,
-        /// Its usage as it is kept.
+        /// The incrementally maintained usage.
         used: Resources,
-        /// Its usage by its tasks.
+        /// The sum over the machine's tasks.
         recounted: Resources,
     },
-    /// A job that is over has replica groups.
-    #[error("job {0} has replica groups and is over")]
+    /// A finished job still has replica groups.
+    #[error("finished job {0} still has replica groups")]
     GroupsOfFinishedJob(JobId),
     /// A replica group serves although parts of it are missing.
-    #[error("replica group {0} serves incomplete")]
+    #[error("replica group {0} serves although parts of it are missing")]
     IncompleteGroup(GroupId),
-    /// The capacity index contradicts itself.
+    /// The capacity index is inconsistent in itself.
     #[error(transparent)]
     CapacityIndex(#[from] CapacityIndexViolation),
 }
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -1,13 +1,14 @@
-//! The leader's scheduler: it joins stored jobs, the fleet's heartbeats, the policy
-//! and the cloud. A plain struct without I/O: messages and time in, messages out.
+//! The leader's scheduler. It assigns the tasks of stored jobs to the machines of the
+//! fleet, and provisions and releases machines. The scheduler does no I/O: its methods
+//! receive messages and the current time, and return the messages to send.
 //!
-//! - `tick`: the loop, with what is due in which order.
-//! - `effects`: what the scheduler asks its node to do.
-//! - `statistics`: counters of its work.
-//! - `invariants`: what tests find wrong with its state.
-//! - `state`: the jobs, how they are loaded, watched and stored.
-//! - `dependencies`: jobs that depend on others.
-//! - `rounds`: scheduling rounds: the queue, the search, the placement of tasks.
+//! - `tick`: the periodic loop and the order of its steps.
+//! - `effects`: the actions that the scheduler requests from its node.
+//! - `statistics`: counters of the scheduler's work.
+//! - `invariants`: the invariant violations that tests check for.
+//! - `state`: the jobs, and how they are loaded, watched and stored.
+//! - `dependencies`: jobs that depend on other jobs.
+//! - `rounds`: scheduling rounds: the queue, the machine search, the placement of tasks.
 //! - `displacement`: preemption, migration and compaction.
 //! - `replica_groups`: replicas that span machines.
 //! - `provisioning`: scale out and scale in, with online estimates.
@@ -59,67 +60,69 @@
 use state::loading::Loading;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::rc::Rc;
-use tick::EXAMINED_ENTRY_MS;
+use tick::EXAMINED_ENTRY_CPU_MS;
 use workers::failure_detection::FailureDetection;
 use workers::lease_proxies::LeaseProxyPoll;
 
-/// How long the response to a call of the key-value store is waited for.
+/// The timeout of a call to the key-value store.
 const CALL_TIMEOUT_MS: u64 = 1000;
-/// The window over which arrivals are counted, in worker leases.
+/// The length of the window over which arrivals are counted, in worker leases.
 const ARRIVAL_WINDOW_LEASES: f64 = 9.0;
-/// A call that the key-value store couldn't answer is repeated after this pause.
+/// The delay before a failed call to the key-value store is retried.
 const RETRY_MS: u64 = 200;
-/// The least time between two rounds, so that a burst of submissions is served in
-/// batches.
+/// The minimum time between the beginnings of two rounds, so that a burst of submissions
+/// is served in batches.
 const MIN_ROUND_GAP_MS: u64 = 20;
 
-/// How far a controller is with its leadership.
+/// The leadership stage of a controller.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum LeaderStage {
-    /// It doesn't lead.
+    /// The controller doesn't lead.
     Idle,
-    /// It was elected and reads what is stored.
+    /// The controller was elected and is reading the stored records.
     Loading,
-    /// Everything stored is read.
+    /// The controller leads and has read all stored records.
     Active,
 }
 
-/// The scheduler of a controller, which acts while the controller leads.
+/// The scheduler of a controller. It is only active while the controller leads.
 pub struct Scheduler {
     settings: Rc<Settings>,
     tuning: Tuning,
     catalog: Option<Rc<Catalog>>,
     stage: LeaderStage,
     term: Term,
-    /// The revision of the leader key: every write compares it.
+    /// The revision of the leader key, which every write compares.
     leader_key_revision: u64,
     elected_ms: u64,
-    /// What the key-value store accepts.
+    /// The limits that the key-value store sets on requests.
     limits: StoreLimits,
-    /// Every cancellation that was confirmed before this time is known.
-    cancellations_known_ms: u64,
+    /// The cancellation watermark: all cancellations confirmed before this time have
+    /// been received.
+    cancellation_watermark_ms: u64,
     loading: Loading,
     job_watch: JobWatch,
     jobs: JobTable,
-    /// Jobs that ended under this leader, and until when slow responses may show them
-    /// as unfinished.
+    /// Jobs that finished under this leader, each with the time until which late
+    /// responses may still show it as unfinished.
     finished_jobs: HashMap<JobId, u64>,
-    /// Tasks in each placement range of a job that has no placement record yet.
+    /// The number of tasks in each placement range of a job that has no placement record
+    /// yet.
     tasks_per_range: u32,
     commits: CommitState,
     cleanup: RecordCleanup,
-    /// Which jobs depend on which.
     dependencies: Dependencies,
     fleet: Fleet,
-    /// Machines whose commands should be sent directly, not with a heartbeat's response.
+    /// Machines to which commands are to be sent directly instead of in a heartbeat
+    /// response.
     machines_to_command: BTreeSet<MachineId>,
     failure_detection: FailureDetection,
     lease_proxies: LeaseProxyPoll,
     capacity: CapacityIndex,
     pacing: RoundPacing,
-    /// The current round, if any.
+    /// The round in progress.
     round: Option<Round>,
-    /// The demand forecast of the last full round.
+    /// The forecast demand computed by the last full round.
     demand_forecast: Vec<ForecastDemand>,
     migrations: Migrations,
     provisioning: Provisioning,
@@ -133,7 +136,7 @@
 }
 
 impl Scheduler {
-    /// A scheduler that doesn't lead yet.
+    /// Creates the scheduler of a controller that doesn't lead yet.
     pub fn new(settings: Rc<Settings>, tuning: Tuning) -> Self {
         let site = &settings.site;
         let window_ms = (site.workers.lease_s * (ARRIVAL_WINDOW_LEASES * 1000.0)) as u64;
@@ -144,7 +147,7 @@
             leader_key_revision: 0,
             elected_ms: 0,
             limits: EffectiveLimits::new(&site.state).current(),
-            cancellations_known_ms: 0,
+            cancellation_watermark_ms: 0,
             loading: Loading::default(),
             job_watch: JobWatch::default(),
             jobs: JobTable::default(),
@@ -172,33 +175,38 @@
         }
     }
 
-    /// The machine types are known from now on.
+    /// Sets the catalog of machine types and requests a round.
     pub fn set_catalog(&mut self, catalog: Rc<Catalog>) {
         self.catalog = Some(catalog);
         self.pacing.requested = true;
     }
 
-    /// The key-value store's limits are these from now on.
+    /// Sets the limits of the key-value store.
     pub fn set_limits(&mut self, limits: StoreLimits) {
         self.limits = limits;
     }
 
-    /// Every cancellation that was confirmed before this time is known.
+    /// Advances the cancellation watermark: all cancellations confirmed before
+    /// `watermark_ms` have been received. `None`, or an earlier time than before, leaves
+    /// the watermark unchanged.
     pub fn set_cancellations_watermark(&mut self, watermark_ms: Option<u64>) {
-        self.cancellations_known_ms = self.cancellations_known_ms.max(watermark_ms.unwrap_or(0));
+        self.cancellation_watermark_ms = self
+            .cancellation_watermark_ms
+            .max(watermark_ms.unwrap_or(0));
     }
 
-    /// Whether this controller leads, be it loading or active.
+    /// Returns whether this controller leads, in the loading or the active stage.
     pub fn leading(&self) -> bool {
         self.stage != LeaderStage::Idle
     }
 
-    /// Whether everything stored has been read.
+    /// Returns whether this controller leads and has read all stored records.
     pub fn active(&self) -> bool {
         self.stage == LeaderStage::Active
     }
 
-    /// The term that it leads, or led last.
+    /// Returns the term in which this controller leads or last led; 0 before its first
+    /// term.
     pub fn term(&self) -> Term {
         self.term
     }
@@ -211,7 +219,8 @@
         (self.settings.site.workers.heartbeat_s * 1000.0) as u64
     }
 
-    /// The controller was elected: everything is rebuilt from what is stored.
+    /// Starts the term for which this controller was elected: discards the previous state
+    /// and begins to read the stored records.
     pub fn on_elected(
         &mut self,
         now: Now,
@@ -230,7 +239,7 @@
         self.read_estimates(now, effects);
     }
 
-    /// The controller leads no longer: everything is forgotten.
+    /// Discards the state of the term that has ended.
     pub fn on_deposed(&mut self) {
         if self.stage != LeaderStage::Idle {
             log::info!("leader deposed term={}", self.term);
@@ -256,7 +265,7 @@
         self.group_reservations.clear();
     }
 
-    /// Sends a call to the key-value store.
+    /// Adds a call to the key-value store to the effects.
     fn call_kv(
         &self,
         now: Now,
@@ -275,7 +284,7 @@
         });
     }
 
-    /// Sends a transaction to the key-value store.
+    /// Adds a transaction for the key-value store to the effects.
     fn call_kv_txn(
         &self,
         now: Now,
@@ -288,7 +297,8 @@
         self.call_kv(now, priority, call, writes, tag, effects);
     }
 
-    /// The response to a call of the key-value store.
+    /// Handles the response to a call to the key-value store. A controller that no longer
+    /// leads only records that a call failed and ignores all other responses.
     pub fn on_kv_response(
         &mut self,
         now: Now,
@@ -323,7 +333,7 @@
             (_, SchedulerKvCall::ReadDependency(id)) => {
                 self.on_dependency_response(now, &id, &response)
             }
-            (_, SchedulerKvCall::ListProxied) => self.on_lease_proxies(now, &response),
+            (_, SchedulerKvCall::ListLeaseProxies) => self.on_lease_proxies(now, &response),
             (_, SchedulerKvCall::Cleanup(keys)) => {
                 self.on_cleanup_response(now, keys, &response, effects)
             }
--- a/src/scheduler/provisioning/offer_choice.rs
+++ b/src/scheduler/provisioning/offer_choice.rs
@@ -25,7 +25,7 @@
         crowd: &BTreeMap<Rc<str>, u32>,
     ) -> Option<ProvisioningOption> {
         let spec = &unplaced.spec;
-        let slack_ms = unplaced.deadline as i64 - now.wall as i64;
+        let slack_ms = unplaced.deadline_wall_ms as i64 - now.wall as i64;
         // Among equals, the zone with the fewest machines, new ones included.
         let with_crowd = |option: &ProvisioningOption| ProvisioningOption {
             machines_in_zone: crowd.get(&option.offer.zone).copied().unwrap_or(0),
--- a/src/scheduler/provisioning/pending_machines.rs
+++ b/src/scheduler/provisioning/pending_machines.rs
@@ -47,7 +47,7 @@
     /// again or be declared failed.
     fn is_briefly_silent(&self, now: Now, machine: &Machine) -> bool {
         machine.phase == MachinePhase::Up
-            && !machine.accepts_tasks(now.ms, self.fresh_ms())
+            && !machine.accepts_tasks(now.ms, self.max_heartbeat_age_ms())
             && machine.reclaim_at_ms.is_none()
             && !machine.faults.is_suspect()
             && now.ms < machine.last_heartbeat_ms + self.lease_ms() / 2
--- a/src/scheduler/provisioning/scale_out.rs
+++ b/src/scheduler/provisioning/scale_out.rs
@@ -116,7 +116,7 @@
         unplaced: &Unplaced,
         plan: &mut ProvisionPlan,
     ) {
-        if !unplaced.forecast && !self.jobs.contains(&unplaced.spec.id) {
+        if !unplaced.is_forecast && !self.jobs.contains(&unplaced.spec.id) {
             // The job has ended in the meantime.
             return;
         }
--- a/src/scheduler/replica_groups/observation.rs
+++ b/src/scheduler/replica_groups/observation.rs
@@ -49,7 +49,7 @@
     }
 
     fn health_of(&self, now: Now, machine: &Machine) -> MachineHealth {
-        let silent = now.ms >= machine.last_heartbeat_ms + self.fresh_ms();
+        let silent = now.ms >= machine.last_heartbeat_ms + self.max_heartbeat_age_ms();
         if machine.phase == MachinePhase::Releasing {
             MachineHealth::Lost
         } else if silent || machine.unresponsive_since_ms.is_some() {
@@ -78,6 +78,6 @@
     /// Whether a machine accepts tasks.
     pub(super) fn accepts_parts(&self, now: Now, machine: &MachineId) -> bool {
         let machine = self.fleet.get(machine);
-        machine.is_some_and(|machine| machine.accepts_tasks(now.ms, self.fresh_ms()))
+        machine.is_some_and(|machine| machine.accepts_tasks(now.ms, self.max_heartbeat_age_ms()))
     }
 }
--- a/src/scheduler/replica_groups/placement.rs
+++ b/src/scheduler/replica_groups/placement.rs
@@ -250,7 +250,8 @@
             let machine = self.capacity.get(slot);
             let machine = machine.and_then(|machine| self.fleet.get(&machine.id));
             let fits = machine.is_some_and(|machine| {
-                machine.accepts_tasks(now.ms, self.fresh_ms()) && machine.free().covers(need)
+                machine.accepts_tasks(now.ms, self.max_heartbeat_age_ms())
+                    && machine.free().covers(need)
             });
             used.insert(slot) && fits
         })
--- a/src/scheduler/replica_groups/provisioning.rs
+++ b/src/scheduler/replica_groups/provisioning.rs
@@ -37,7 +37,7 @@
 
     fn request_of(&self, unplaced: &Unplaced) -> Option<PlacementRequest> {
         let job = self.jobs.get(&unplaced.spec.id)?;
-        let mut request = PlacementRequest::new(job, unplaced.deadline);
+        let mut request = PlacementRequest::new(job, unplaced.deadline_wall_ms);
         request.zones = unplaced.zones.clone();
         Some(request)
     }
--- a/src/scheduler/replica_groups/reservations.rs
+++ b/src/scheduler/replica_groups/reservations.rs
@@ -100,9 +100,9 @@
         Some(Unplaced {
             spec: request.spec.clone(),
             count: count as u32,
-            deadline: request.deadline,
+            deadline_wall_ms: request.deadline_wall_ms,
             zones: request.zones.clone(),
-            forecast: false,
+            is_forecast: false,
             group: Some(GroupDemand {
                 id: id.clone(),
                 zone,
--- a/src/scheduler/rounds/capacity_sync.rs
+++ b/src/scheduler/rounds/capacity_sync.rs
@@ -1,5 +1,5 @@
-//! Keeps the capacity index in step with the fleet and the jobs, and checks that it
-//! still is.
+//! Keeps the capacity index consistent with the fleet and the jobs, and checks the
+//! scheduler's invariants.
 
 use crate::capacity_index::CapacityState;
 use crate::fleet::Machine;
@@ -9,7 +9,7 @@
 use std::collections::BTreeSet;
 
 impl Scheduler {
-    /// The machine as the capacity index should hold it now.
+    /// Returns the state that the capacity index should have for the machine.
     fn capacity_state(&self, machine: &Machine) -> CapacityState {
         let mut freeing = Resources::default();
         let mut least_important = None;
@@ -18,7 +18,7 @@
                 continue;
             };
             match job.assignments.get(&task.index) {
-                Some(assign) if assign.stop.is_some() => freeing.add(&job.task_request),
+                Some(assignment) if assignment.stop.is_some() => freeing.add(&job.task_request),
                 Some(_) => least_important = least_important.max(Some(job.spec.priority)),
                 None => {}
             }
@@ -36,14 +36,13 @@
         }
     }
 
-    /// Updates the capacity index for every machine that changed since the last call.
+    /// Updates the capacity index for all machines that changed since the last call.
     pub(super) fn refresh_capacity(&mut self) {
         for id in self.fleet.take_dirty() {
             self.refresh_machine_capacity(&id);
         }
     }
 
-    /// Updates the capacity index for one machine.
     fn refresh_machine_capacity(&mut self, id: &MachineId) {
         match self.fleet.get(id) {
             Some(machine) => {
@@ -54,8 +53,8 @@
         }
     }
 
-    /// Recomputes everything that is maintained incrementally and compares; the error
-    /// names the first difference. For tests.
+    /// Recomputes the incrementally maintained state and compares it with the maintained
+    /// one, for tests. Returns the first difference as an error.
     pub fn check_invariants(&mut self) -> Result<(), InvariantViolation> {
         self.jobs.refresh();
         self.jobs.check_invariants()?;
@@ -78,17 +77,19 @@
         Ok(self.capacity.check_invariants()?)
     }
 
-    /// Checks that the jobs and the machine agree on which tasks it runs and on the
-    /// resources that they use.
+    /// Checks that all tasks of the machine are assigned to it and that its allocated
+    /// resources are the sum over these tasks.
     fn check_machine(&self, machine: &Machine) -> Result<(), InvariantViolation> {
         let mut used = Resources::default();
         for task in &machine.tasks {
-            let assign = self
+            let job_and_assignment = self
                 .jobs
                 .get(&task.job)
-                .and_then(|j| Some((j, j.assignments.get(&task.index)?)));
-            match assign {
-                Some((job, assign)) if assign.machine == machine.id => used.add(&job.task_request),
+                .and_then(|job| Some((job, job.assignments.get(&task.index)?)));
+            match job_and_assignment {
+                Some((job, assignment)) if assignment.machine == machine.id => {
+                    used.add(&job.task_request)
+                }
                 _ => {
                     return Err(InvariantViolation::UnassignedTask {
                         task: task.clone(),
@@ -97,9 +98,9 @@
                 }
             }
         }
-        let off =
+        let difference =
             (used.gpus - machine.allocated.gpus).abs() + (used.cpus - machine.allocated.cpus).abs();
-        if off > 1e-6 {
+        if difference > 1e-6 {
             return Err(InvariantViolation::MachineUsage {
                 machine: machine.id.clone(),
                 used: machine.allocated,
--- a/src/scheduler/rounds/demand_forecast.rs
+++ b/src/scheduler/rounds/demand_forecast.rs
@@ -1,4 +1,5 @@
-//! Forecast demand, and the capacity that is reserved for it.
+//! Forecasts the demand that may arrive during one machine boot, and reserves capacity
+//! for it.
 
 use crate::capacity_index::FullestMachine;
 use crate::ids::MachineId;
@@ -10,30 +11,31 @@
 use std::cmp::Reverse;
 use std::rc::Rc;
 
-/// The number of CPU cores that count as much as one GPU where classes are compared.
+/// The number of CPU cores that are equivalent to one GPU when the demand of classes is
+/// compared.
 const CPUS_PER_GPU: f64 = 8.0;
 
-/// Tasks like these that may arrive within the time of one boot.
+/// Tasks of one job specification that may arrive during one machine boot.
 #[derive(Clone, Debug)]
 pub(in crate::scheduler) struct ForecastDemand {
     pub(super) spec: Rc<JobSpec>,
-    /// How many of them.
     pub(super) count: u32,
 }
 
-/// Capacity reserved for forecast demand on a machine that lacks its image.
+/// Capacity for one task of forecast demand that is reserved on a machine without the
+/// task's image.
 #[derive(Debug)]
 pub(in crate::scheduler) struct ColdReservation {
     pub(in crate::scheduler) spec: Rc<JobSpec>,
     pub(in crate::scheduler) machine: MachineId,
 }
 
-/// The variance of one class's demand during a boot.
+/// The variance of the demand of one class during one machine boot.
 struct DemandVariance {
-    /// Of the number of tasks.
+    /// The variance of the number of tasks.
     tasks: f64,
-    /// Of the scarcest resource that they take, in GPUs, so that one class can stand
-    /// in for another.
+    /// The variance of the resources that the tasks use, in squared GPU equivalents, so
+    /// that the demand of different classes can be pooled.
     resources: f64,
 }
 
@@ -48,7 +50,8 @@
     }
 }
 
-/// The standard deviation of the pooled demand relative to the sum over the classes.
+/// Returns the ratio of the standard deviation of the pooled demand to the sum of the
+/// classes' standard deviations.
 fn pooling_ratio(variances: &[DemandVariance]) -> f64 {
     let pooled: f64 = variances.iter().map(|v| v.resources).sum::<f64>().sqrt();
     let separate: f64 = variances.iter().map(|v| v.resources.sqrt()).sum();
@@ -60,8 +63,9 @@
 }
 
 impl Scheduler {
-    /// Capacity for arrivals: as many standard deviations of what arrives and ends
-    /// during one boot as the operator has set, pooled over the classes.
+    /// Forecasts the demand for which to keep free capacity. The forecast is a number of
+    /// standard deviations (the `headroom` setting) of the tasks that arrive and end
+    /// during one machine boot, pooled over the classes.
     pub(super) fn forecast_demand(&mut self, now: Now) -> Vec<ForecastDemand> {
         let boot_s = self.slowest_boot_s();
         let rates: Vec<ArrivalRate> = self
@@ -83,9 +87,9 @@
         forecast
     }
 
-    /// Divides a class's forecast demand among its images in proportion to their jobs:
-    /// a reserved machine only gives a quick start if it holds the task's image. The
-    /// remainder goes to the most common images.
+    /// Divides the forecast demand of a class among its images in proportion to their
+    /// numbers of jobs, because reserved capacity only shortens a start if the machine has
+    /// the task's image. The remainder goes to the images with the most jobs.
     fn divide_by_image(
         &mut self,
         class_spec: &Rc<JobSpec>,
@@ -99,20 +103,20 @@
         if images.is_empty() {
             images.push((1, class_spec.clone()));
         }
-        let (mut cumulative_jobs, mut assigned) = (0, 0);
+        let (mut cumulative_jobs, mut assigned_tasks) = (0, 0);
         for (jobs, spec) in images {
             cumulative_jobs += jobs;
             let cumulative = tasks * f64::from(cumulative_jobs) / f64::from(total_jobs.max(1));
-            let cumulative = cumulative.ceil() as u32;
-            let count = cumulative - assigned;
-            assigned = cumulative;
+            let cumulative_tasks = cumulative.ceil() as u32;
+            let count = cumulative_tasks - assigned_tasks;
+            assigned_tasks = cumulative_tasks;
             if count > 0 {
                 forecast.push(ForecastDemand { spec, count });
             }
         }
     }
 
-    /// How long the slowest machine type is expected to boot.
+    /// Returns the expected boot time of the machine type that boots slowest.
     pub(in crate::scheduler) fn slowest_boot_s(&self) -> f64 {
         let types = self
             .catalog
@@ -126,9 +130,9 @@
             .fold(0.0, f64::max)
     }
 
-    /// Reserves capacity for forecast demand: on machines with its image, and then on
-    /// the fullest ones, so that empty machines can be released. Returns the number of
-    /// tasks for which there is none.
+    /// Reserves capacity for forecast demand, first on machines that have the image, then
+    /// on the fullest other machines, so that empty machines can be released. Returns the
+    /// number of tasks for which no capacity was found.
     pub(super) fn reserve_for_demand(&mut self, demand: &ForecastDemand, round: &mut Round) -> u32 {
         let spec = &demand.spec;
         let need = spec.task_request();
@@ -141,8 +145,9 @@
             let Some(machine) = self.capacity.get(slot) else {
                 return remaining;
             };
-            // A reservation makes the machine fuller, so it stays the first choice
-            // until nothing more fits.
+            // A reservation makes the machine fuller, so the machine remains the first
+            // choice until no further task fits. All tasks that fit can be reserved at
+            // once.
             let fitting = machine.free().count_of(&need).clamp(1, remaining);
             if !has_image {
                 let reservation = || ColdReservation {
--- a/src/scheduler/rounds/gang.rs
+++ b/src/scheduler/rounds/gang.rs
@@ -1,4 +1,5 @@
-//! Gang scheduling: all tasks of a gang are placed at once, or none of them.
+//! Gang scheduling: the tasks of a gang are placed either all in the same round or not
+//! at all.
 
 use crate::capacity_index::Slot;
 use crate::placement::Resources;
@@ -8,7 +9,7 @@
 use crate::scheduler::Scheduler;
 use std::rc::Rc;
 
-/// What a machine would have free after some tasks of the gang were placed.
+/// The free resources of a machine after some tasks of the gang have been placed on it.
 struct FreeMachine {
     slot: Slot,
     zone: Rc<str>,
@@ -16,7 +17,7 @@
 }
 
 impl Scheduler {
-    /// Whether all tasks of a gang find free capacity within their team's quota.
+    /// Returns whether all tasks of a gang fit into free capacity and their team's quota.
     pub(super) fn gang_fits(
         &self,
         request: &PlacementRequest,
--- a/src/scheduler/rounds/machine_choice.rs
+++ b/src/scheduler/rounds/machine_choice.rs
@@ -1,4 +1,4 @@
-//! The choice of a machine for one more task of a job.
+//! The choice of a machine for the next task of a job.
 
 use crate::capacity_index::{BestFit, MachineCapacity, SearchConstraint, Slot, TaskDemand};
 use crate::ids::{JobId, MachineId, TaskRef};
@@ -7,18 +7,21 @@
 use crate::scheduler::rounds::task_placement::PlacementRequest;
 use crate::scheduler::Scheduler;
 
-/// Where a task goes.
+/// The machine chosen for a task.
 pub(super) enum MachineChoice {
-    /// To this machine, at once.
+    /// The task can be placed on this machine immediately.
     Free(Slot),
-    /// To this machine, once enough of it has been freed; the capacity is held.
+    /// Capacity on this machine is held for the task, which can be placed there when
+    /// stopping tasks have freed enough of it.
     Held(Slot),
-    /// No machine fits now.
+    /// No machine fits the task now.
     Unavailable,
 }
 
 impl Scheduler {
-    /// Chooses a machine for one more task of a job.
+    /// Chooses a machine for the next task of a job: the target of its migration, the best
+    /// machine with free capacity, a machine from which replicas are displaced, or a
+    /// machine whose capacity is reserved for forecast demand.
     pub(super) fn choose_machine(
         &mut self,
         now: Now,
@@ -41,7 +44,7 @@
         if request.probing || self.settings.start_slo_ms(&request.spec).is_none() {
             return MachineChoice::Unavailable;
         }
-        // Actual demand goes before forecast demand.
+        // Actual demand takes precedence over forecast demand.
         match self.reserved_for_forecast(request) {
             Some(slot) => {
                 self.capacity.release_forecast(slot);
@@ -51,7 +54,8 @@
         }
     }
 
-    /// A migrating task goes to its target if that is still possible.
+    /// Chooses the target of a migrating task, or returns `None` if the target no longer
+    /// fits the task.
     fn choose_migration_target(
         &mut self,
         now: Now,
@@ -61,24 +65,26 @@
         let target = self.capacity.get(slot)?;
         let machine = self.fleet.get(&target.id)?;
         let allowed = placement_allowed(&request.spec, &request.zones, &target.state.offer);
-        if !allowed || !machine.accepts_tasks(now.ms, self.fresh_ms()) {
+        if !allowed || !machine.accepts_tasks(now.ms, self.max_heartbeat_age_ms()) {
             return None;
         }
         if target.free().covers(&request.resources) {
             return Some(MachineChoice::Free(slot));
         }
-        // Capacity that is being freed for the task is worth waiting for while its
-        // objective can still be met.
-        if now.wall < request.deadline && target.free_after_stops().covers(&request.resources) {
+        // The task waits for capacity that is being freed on its target as long as its
+        // deadline has not passed.
+        if now.wall < request.deadline_wall_ms
+            && target.free_after_stops().covers(&request.resources)
+        {
             self.capacity.hold(slot, &request.resources);
             return Some(MachineChoice::Held(slot));
         }
         None
     }
 
-    /// The best machine with free capacity for one more task. Tasks that end fill a
-    /// machine up: the best one for a task is also the best for the next while it
-    /// has capacity.
+    /// Returns the best machine with free capacity for the next task. Tasks of batch jobs
+    /// and gangs fill one machine after another, so the machine of the previous task is
+    /// reused without a search as long as its rank has not become worse.
     fn best_free(&mut self, id: &JobId, request: &mut PlacementRequest) -> Option<Slot> {
         let job = self.jobs.get(id)?;
         let failed_on = |machine: &MachineId| job.failures.failed_on(machine);
@@ -91,17 +97,18 @@
             constraint: SearchConstraint::default(),
         };
         let last_fit = request.last_fit.filter(|_| !job.is_service());
-        let same_again = last_fit.and_then(|last| {
+        let reused_fit = last_fit.and_then(|last| {
             self.pacing.examined += 1;
             let rank = self.capacity.rank(last.slot, &demand)?;
             (rank <= last.rank).then_some(BestFit { rank, ..last })
         });
-        request.last_fit = same_again.or_else(|| self.capacity.best(&demand));
+        request.last_fit = reused_fit.or_else(|| self.capacity.best(&demand));
         request.last_fit.map(|best| best.slot)
     }
 
-    /// If the best free machine lacks the task's image: a machine that has it, and from
-    /// which other replicas are displaced because the image pull would take too long.
+    /// Displaces replicas from a machine that has the task's image if the best free
+    /// machine lacks the image and the image pull would take too long. Returns the
+    /// machine on which capacity is now held for the task.
     fn displace_if_cold(
         &mut self,
         now: Now,
@@ -111,7 +118,7 @@
         let slot = best.filter(|_| !request.probing)?;
         let image = &request.spec.image;
         let machine = self.capacity.get(slot);
-        // What wasn't possible for one replica isn't for the next one.
+        // If displacement failed for one task of the job, it also fails for the next one.
         if machine.is_some_and(|machine| machine.has_image(image)) || request.displacement_failed {
             return None;
         }
@@ -120,8 +127,8 @@
         displaced
     }
 
-    /// A machine that fits the task if what is reserved there for forecast demand is
-    /// released.
+    /// Returns a machine that fits the task once its capacity reserved for forecast
+    /// demand is released.
     fn reserved_for_forecast(&self, request: &PlacementRequest) -> Option<Slot> {
         let fits = |machine: &MachineCapacity| {
             let mut available = machine.free();
@@ -135,10 +142,10 @@
             .map(|(slot, _)| slot)
     }
 
-    /// Holds capacity that is about to be freed for work with a start objective.
-    /// Otherwise the tasks that were preempted for it would start again in the first
-    /// gap that is too small for it, and be preempted again, over and over. Returns
-    /// the number of tasks for which there is none.
+    /// Holds capacity that stopping tasks are about to free for a job with a start
+    /// objective. Without the hold, preempted tasks would restart in freed capacity that
+    /// is still too small for the job, and would be preempted again repeatedly. Returns
+    /// the number of tasks for which no such capacity was found.
     pub(super) fn hold_freeing_capacity(
         &mut self,
         request: &mut PlacementRequest,
--- a/src/scheduler/rounds/mod.rs
+++ b/src/scheduler/rounds/mod.rs
@@ -1,5 +1,5 @@
-//! Scheduling rounds: queued jobs and forecast demand take free capacity in queue
-//! order.
+//! Scheduling rounds, which assign free capacity to queued jobs and forecast demand in
+//! queue order.
 
 pub(super) mod capacity_sync;
 pub(super) mod demand_forecast;
--- a/src/scheduler/rounds/pacing.rs
+++ b/src/scheduler/rounds/pacing.rs
@@ -1,26 +1,28 @@
-//! When rounds begin, how long the pause after one is, and what they have cost.
+//! The timing of rounds and counters of their cost.
 
 use crate::scheduler::{ActivityCounters, RoundStats, MIN_ROUND_GAP_MS};
 
-/// What decides when the next round begins, and the cost of the rounds so far.
+/// The state that determines when the next round begins, and counters of the cost of
+/// rounds.
 #[derive(Debug)]
 pub(in crate::scheduler) struct RoundPacing {
-    /// Something has changed that the next round should consider.
+    /// Whether a change requires a round before the next full one.
     pub(in crate::scheduler) requested: bool,
-    /// When the last round began.
+    /// The time at which the last round began.
     pub(in crate::scheduler) began_ms: u64,
     /// The minimum time between the beginnings of two rounds.
     pub(in crate::scheduler) gap_ms: u64,
-    /// When the last full round began, which also scales in and compacts.
+    /// The time at which the last full round began. Full rounds also scale in and
+    /// compact.
     pub(in crate::scheduler) last_full_ms: u64,
-    /// Entries that rounds have examined since the process began, those of the
-    /// capacity index excluded: it counts its own.
+    /// The entries that rounds have examined since the process started, except those of
+    /// the capacity index, which has its own counter.
     pub(in crate::scheduler) examined: u64,
-    /// The most entries that one slice of a round has examined.
+    /// The maximum number of entries that one slice of a round has examined.
     pub(in crate::scheduler) longest_slice: u64,
-    /// The leader's periodic work since the process began.
+    /// The counters of the leader's periodic work.
     pub(in crate::scheduler) activity: ActivityCounters,
-    /// The statistics as of the last time that they were logged.
+    /// The totals at the time of the last log line.
     pub(in crate::scheduler) logged_stats: RoundStats,
 }
 
--- a/src/scheduler/rounds/pending_capacity.rs
+++ b/src/scheduler/rounds/pending_capacity.rs
@@ -1,7 +1,7 @@
-//! Pending capacity: machines that are booting, ordered, or silent for a short time.
-//! Machines of the same offer with the same free resources are counted instead of
-//! listed, so that the cost of placing a task depends on the number of kinds, and not
-//! on the number of machines that are pending.
+//! Pending capacity: machines that are ordered, booting, or unresponsive for a short
+//! time. Machines of the same offer with the same free resources form one kind and are
+//! counted instead of listed, so that the cost of placing a task depends on the number
+//! of kinds and not on the number of pending machines.
 
 use crate::cloud::Offer;
 use crate::placement::{offer_allowed, placement_allowed, Resources, ZoneCounts};
@@ -9,7 +9,7 @@
 use std::cmp::Ordering;
 use std::rc::Rc;
 
-/// Amounts that differ by less are the same.
+/// The difference below which two amounts are considered equal.
 const AMOUNT_TOLERANCE: f64 = 1e-6;
 
 /// Pending machines of the same offer with the same free resources.
@@ -20,7 +20,7 @@
     count: u32,
 }
 
-/// All capacity that is pending, by kind of machine.
+/// All pending capacity, grouped by kind of machine.
 #[derive(Debug, Default)]
 pub(in crate::scheduler) struct PendingCapacity {
     kinds: Vec<PendingMachines>,
@@ -31,7 +31,8 @@
     same(a.gpus, b.gpus) && same(a.cpus, b.cpus) && same(a.memory_gb, b.memory_gb)
 }
 
-/// Orders by free resources: the machines with the least are filled first.
+/// Compares free resources by GPUs, then CPUs, then memory. Machines with the least free
+/// resources are filled first.
 fn compare_free(a: &Resources, b: &Resources) -> Ordering {
     let by_gpus = a.gpus.total_cmp(&b.gpus);
     by_gpus
@@ -40,14 +41,14 @@
 }
 
 impl PendingMachines {
-    /// Whether each of these machines fits a task of the job and is in this zone.
+    /// Returns whether these machines are in the zone and each fit a task of the job.
     fn fits_in_zone(&self, spec: &JobSpec, need: &Resources, zone: &str) -> bool {
         self.free.covers(need) && *self.offer.zone == *zone && offer_allowed(spec, &self.offer)
     }
 }
 
 impl PendingCapacity {
-    /// Adds `count` machines with this much free.
+    /// Adds `count` machines of an offer, each with the free resources `free`.
     pub(in crate::scheduler) fn add(&mut self, offer: &Offer, free: Resources, count: u32) {
         let same_kind =
             |kind: &&mut PendingMachines| kind.offer == *offer && same_amounts(&kind.free, &free);
@@ -61,8 +62,8 @@
         }
     }
 
-    /// Takes capacity for one task of a job and returns its zone. `None`: no pending
-    /// machine fits the task.
+    /// Takes capacity for one task of a job and returns the zone of the machine, or `None`
+    /// if no pending machine fits the task.
     pub(in crate::scheduler) fn take(
         &mut self,
         spec: &JobSpec,
@@ -84,7 +85,7 @@
         Some(offer.zone)
     }
 
-    /// The number of machines pending in a zone that each fit a task of the job.
+    /// Returns the number of pending machines in a zone that each fit a task of the job.
     pub(in crate::scheduler) fn count_fitting(
         &self,
         spec: &JobSpec,
@@ -98,8 +99,8 @@
             .sum()
     }
 
-    /// Takes capacity for one task each on up to `limit` different machines that are
-    /// pending in a zone. Returns how many there were.
+    /// Takes capacity for one task each on up to `limit` different pending machines in a
+    /// zone. Returns the number of machines on which capacity was taken.
     pub(in crate::scheduler) fn take_on_separate_machines(
         &mut self,
         spec: &JobSpec,
@@ -128,7 +129,7 @@
         limit - remaining
     }
 
-    /// The number of kinds of machines.
+    /// Returns the number of kinds of machines.
     pub(in crate::scheduler) fn len(&self) -> usize {
         self.kinds.len()
     }
--- a/src/scheduler/rounds/queue_order.rs
+++ b/src/scheduler/rounds/queue_order.rs
@@ -1,5 +1,5 @@
 //! The order in which a round serves queued work: by priority, then work within its
-//! team's guarantee, then earliest deadline first.
+//! team's guarantee before other work, then earliest deadline first.
 
 use crate::ids::TaskRef;
 use crate::messages::Now;
@@ -8,22 +8,21 @@
 use crate::wire::users::{JobSpec, Priority};
 use std::collections::BTreeSet;
 
-/// A job that has missed every objective is due at this multiple of its deadline, so
-/// that it is served eventually.
-const LAST_DEADLINE: f64 = 3.0;
-/// A job without a deadline or a start objective is due after this multiple of its
-/// estimated run time, as the design has it.
-const DEFAULT_DEADLINE_RUNS_MS: f64 = 2000.0;
+/// The multiple of its deadline by which a job is ordered once the job can't meet any of
+/// its objectives, so that the job is served eventually.
+const LAST_DEADLINE_MULTIPLE: f64 = 3.0;
+/// The deadline of a job without a deadline and without an objective on waiting, in
+/// milliseconds per second of its estimated run time: twice the run time.
+const DEFAULT_DEADLINE_MS_PER_RUN_S: f64 = 2000.0;
 
-/// The position of work in the queue, most urgent first.
+/// The position of work in the queue. Lower keys are served first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub(super) struct QueueKey {
     pub(super) priority: Priority,
-    /// It exceeds what its team is guaranteed.
+    /// Whether the work exceeds the guarantee of its team.
     pub(super) over_guarantee: bool,
-    /// Wall-clock time, in milliseconds.
-    pub(super) deadline: u64,
-    /// Equals are served in the order in which they were queued.
+    pub(super) deadline_wall_ms: u64,
+    /// The order in which entries were queued, which breaks ties.
     pub(super) sequence: u64,
 }
 
@@ -35,10 +34,10 @@
 }
 
 impl Scheduler {
-    /// The deadline that orders a job in the queue: its own, or the earlier one by
-    /// which it has to end for the jobs that depend on it.
-    fn queue_deadline(&self, now: Now, job: &Job) -> u64 {
-        let own = self.own_deadline(now, job);
+    /// Returns the deadline that orders a job in the queue: the job's own deadline, or an
+    /// earlier attainable one inherited from jobs that depend on it.
+    fn queue_deadline_wall_ms(&self, now: Now, job: &Job) -> u64 {
+        let own = self.own_deadline_wall_ms(now, job);
         let run_ms = self.estimated_run_ms(&job.spec);
         let inherited = job.inherited_urgency.as_ref();
         let mut deadlines = inherited.into_iter().flat_map(|urgency| &urgency.deadlines);
@@ -46,21 +45,23 @@
         attainable.map_or(own, |deadline| own.min(*deadline))
     }
 
-    /// How long one of its tasks is expected to run.
+    /// Returns the expected run time of one task: the user's estimate, corrected by the
+    /// observed bias of such estimates in the job's class.
     fn estimated_run_ms(&self, spec: &JobSpec) -> u64 {
         (spec.estimated_run_s * self.estimates.run_bias(&spec.class) * 1000.0) as u64
     }
 
-    /// The job's own deadline. One that can't be met any more would only make other
-    /// jobs late too, so the job is ordered by the next one that it can still meet.
-    fn own_deadline(&self, now: Now, job: &Job) -> u64 {
+    /// Returns the earliest of the job's own deadlines and objectives that the job can
+    /// still meet. Serving a job by a deadline that it can't meet would only delay other
+    /// jobs.
+    fn own_deadline_wall_ms(&self, now: Now, job: &Job) -> u64 {
         let spec = &job.spec;
         let class = &spec.class;
         let Some(deadline_s) = spec.deadline_s else {
             let within_ms = self
                 .settings
                 .wait_slo_ms(class)
-                .unwrap_or((spec.estimated_run_s * DEFAULT_DEADLINE_RUNS_MS) as u64);
+                .unwrap_or((spec.estimated_run_s * DEFAULT_DEADLINE_MS_PER_RUN_S) as u64);
             return job.ready_at + within_ms;
         };
         let run_ms = self.estimated_run_ms(spec);
@@ -73,24 +74,25 @@
             .collect();
         let finish_slos_ms = self.settings.finish_slos_ms(class);
         deadlines.extend(finish_slos_ms.map(|slo_ms| job.ready_at + slo_ms));
-        // A task that should start by some time should end one run later.
+        // A task that starts exactly at its objective on waiting ends one run time later.
         let start_slo_ms = self.settings.wait_slo_ms(class);
         deadlines.extend(start_slo_ms.map(|slo_ms| job.ready_at + slo_ms + run_ms));
         deadlines.sort_unstable();
         deadlines
             .into_iter()
             .find(|deadline| now.wall + run_ms <= *deadline)
-            .unwrap_or_else(|| after(LAST_DEADLINE))
+            .unwrap_or_else(|| after(LAST_DEADLINE_MULTIPLE))
     }
 
-    /// The jobs whose tasks are migrating: these have their destination already, and
-    /// no forecast demand may take it before they arrive.
+    /// Returns the jobs with migrating tasks. Rounds serve these jobs first, so that no
+    /// other work or forecast demand takes the capacity on their migration targets.
     pub(super) fn migrating_jobs(&self) -> BTreeSet<JobId> {
         let tasks = self.migrations.targets.keys();
         tasks.map(|TaskRef { job, .. }| job.clone()).collect()
     }
 
-    /// The position of a job in the queue; `None`: it has nothing to place now.
+    /// Returns the position of a job in the queue, or `None` if the job has nothing to
+    /// place now.
     pub(super) fn queue_key(
         &mut self,
         now: Now,
@@ -118,12 +120,12 @@
         let priority = if is_migrating {
             Priority::Critical
         } else if failing {
-            // A probe of an open circuit breaker goes after all that can succeed.
+            // A probe of an open circuit breaker is served after all other work.
             Priority::Idle
         } else {
             job.spec.priority
         };
-        let deadline = self.queue_deadline(now, job);
+        let deadline_wall_ms = self.queue_deadline_wall_ms(now, job);
         let team = job.spec.team.clone();
         let submission = (job.submitted, id.clone());
         let within_guarantee = self.jobs.teams().is_guaranteed(
@@ -135,7 +137,7 @@
         Some(QueueKey {
             priority,
             over_guarantee: !is_migrating && !within_guarantee,
-            deadline,
+            deadline_wall_ms,
             sequence,
         })
     }
--- a/src/scheduler/rounds/round.rs
+++ b/src/scheduler/rounds/round.rs
@@ -1,8 +1,8 @@
-//! A scheduling round: queued jobs and forecast demand take free capacity in queue
-//! order; what finds none preempts other work or is provisioned for. A round is done in
-//! slices, so that it never blocks the thread: heartbeats, lease renewals,
-//! cancellations and submissions are handled between two slices, and each slice sees
-//! what has changed meanwhile.
+//! A scheduling round. The round assigns free capacity to queued jobs and forecast
+//! demand in queue order. For work that finds no free capacity, the round preempts other
+//! work or provisions machines. A round runs in slices so that it doesn't block the
+//! thread: heartbeats, lease renewals, cancellations and submissions are handled between
+//! slices, and each slice starts from the updated state.
 
 use crate::cloud::CloudClient;
 use crate::ids::JobId;
@@ -12,75 +12,77 @@
 use crate::scheduler::provisioning::scale_out::ProvisionPlan;
 use crate::scheduler::rounds::demand_forecast::ColdReservation;
 use crate::scheduler::rounds::queue_order::{QueueKey, QueuedWork};
-use crate::scheduler::{Scheduler, EXAMINED_ENTRY_MS};
+use crate::scheduler::{Scheduler, EXAMINED_ENTRY_CPU_MS};
 use crate::wire::users::JobSpec;
 use lilacfork_replica_groups::registry::GroupId;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::rc::Rc;
 
-/// A worker that has been silent for this many heartbeat intervals gets no new tasks.
-const FRESH_HEARTBEATS: u64 = 3;
-/// A slice may take this share of the leader's lease.
-const SLICE_LEASES: f64 = 1.0 / 300.0;
+/// A machine whose last heartbeat is this many heartbeat intervals old gets no new tasks.
+const MAX_HEARTBEAT_AGE_INTERVALS: u64 = 3;
+/// The share of the leader's lease that one slice may take.
+const SLICE_LEASE_SHARE: f64 = 1.0 / 300.0;
 
-/// Tasks for which a round has found no capacity.
+/// Tasks of a job, or of forecast demand, for which a round has found no capacity.
 #[derive(Debug)]
 pub(in crate::scheduler) struct Unplaced {
     pub(in crate::scheduler) spec: Rc<JobSpec>,
     pub(in crate::scheduler) count: u32,
-    pub(in crate::scheduler) deadline: u64,
+    pub(in crate::scheduler) deadline_wall_ms: u64,
     pub(in crate::scheduler) zones: ZoneCounts,
-    pub(in crate::scheduler) forecast: bool,
-    /// Set for the parts of one replica that spans machines: they need `count`
-    /// machines, all or none.
+    pub(in crate::scheduler) is_forecast: bool,
+    /// Set for the parts of one replica that spans machines. The parts need `count`
+    /// different machines; a smaller number is of no use.
     pub(in crate::scheduler) group: Option<GroupDemand>,
 }
 
-/// What a replica that spans machines asks for beside capacity.
+/// The requirements of a replica that spans machines, in addition to capacity.
 #[derive(Clone, Debug, PartialEq)]
 pub(in crate::scheduler) struct GroupDemand {
-    /// The replica.
+    /// The replica group whose parts are unplaced.
     pub(in crate::scheduler) id: GroupId,
-    /// The zone in which its other parts have their machines.
+    /// The zone of the machines that the replica's other parts already have; `None` if
+    /// there are none.
     pub(in crate::scheduler) zone: Option<Rc<str>>,
 }
 
-/// How far a round has got.
+/// The stage of a round.
 #[derive(Debug)]
 enum RoundStage {
-    /// Queued work is placed.
+    /// Places queued work.
     Placing,
-    /// The unplaced work at this position preempts less important tasks.
+    /// Preempts tasks of lower priority for the unplaced work with this index.
     Preempting(usize),
-    /// Replicas are compacted, so that machines become empty.
+    /// Compacts replicas so that machines become empty.
     Compacting(Compaction),
-    /// The remaining unplaced work is provisioned for; `None`: not begun yet.
+    /// Provisions machines for the remaining unplaced work; `None` until the plan is
+    /// begun.
     Provisioning(Option<ProvisionPlan>),
 }
 
-/// Whether a round, or one of its stages, goes on after a step.
+/// Whether a round, or one of its stages, continues after a step.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(in crate::scheduler) enum Progress {
     Unfinished,
     Finished,
 }
 
-/// The round under way.
+/// A round in progress.
 #[derive(Debug)]
 pub(in crate::scheduler) struct Round {
-    /// It also compacts and scales in, and doesn't only place queued work.
+    /// Whether the round also compacts and scales in.
     full: bool,
     queue: BTreeMap<QueueKey, QueuedWork>,
-    /// How many entries have been queued, those served included.
+    /// The number of entries queued so far, including those already served.
     queued_total: u64,
-    /// Jobs whose tasks were migrating when the round began.
+    /// The jobs whose tasks were migrating when the round began.
     migrating: BTreeSet<JobId>,
     pub(in crate::scheduler) unplaced: Vec<Unplaced>,
     pub(super) cold_reservations: Vec<ColdReservation>,
-    /// Capacity held for tasks of a team that can't be assigned yet.
+    /// The capacity held for each team's tasks that can't be assigned yet.
     pub(super) held_by_team: HashMap<Rc<str>, Resources>,
     stage: RoundStage,
-    /// Entries that had been examined before it began.
+    /// The scheduler's count of examined entries when the round began.
     examined_before: u64,
 }
 
@@ -99,7 +101,7 @@
         }
     }
 
-    /// The number of queue entries that haven't been served yet.
+    /// Returns the number of queue entries that have not been served yet.
     pub(in crate::scheduler) fn queued(&self) -> usize {
         self.queue.len()
     }
@@ -111,21 +113,22 @@
 }
 
 impl Scheduler {
-    /// A machine that has been silent for this long gets no new tasks.
-    pub(in crate::scheduler) fn fresh_ms(&self) -> u64 {
-        self.heartbeat_interval_ms() * FRESH_HEARTBEATS
+    /// Returns the age of its last heartbeat at which a machine gets no new tasks.
+    pub(in crate::scheduler) fn max_heartbeat_age_ms(&self) -> u64 {
+        self.heartbeat_interval_ms() * MAX_HEARTBEAT_AGE_INTERVALS
     }
 
     /// Brings the job table and the capacity index up to date.
     pub(in crate::scheduler) fn refresh(&mut self, now: Now) {
-        self.capacity.set_time(now.ms, self.fresh_ms());
+        self.capacity.set_time(now.ms, self.max_heartbeat_age_ms());
         self.pacing.examined += self.jobs.refresh();
         self.refresh_capacity();
     }
 
-    /// Begins a round, with no reservations but those of replica groups.
+    /// Begins a round: clears the reservations of the previous round, reserves capacity
+    /// for replica groups, and queues the jobs and the forecast demand.
     pub(in crate::scheduler) fn begin_round(&mut self, now: Now, full: bool) {
-        let examined_before = self.examined();
+        let examined_before = self.examined_entries();
         self.refresh(now);
         self.capacity.begin_round();
         self.reserve_for_groups(now);
@@ -141,7 +144,7 @@
         self.round = Some(round);
     }
 
-    /// Keeps the migration targets of tasks that are pending or being stopped only.
+    /// Removes the migration targets of tasks that are neither pending nor stopping.
     fn forget_ended_migrations(&mut self) {
         let jobs = &self.jobs;
         self.migrations.targets.retain(|task, _| {
@@ -153,7 +156,7 @@
         });
     }
 
-    /// Queues those of these jobs that have something to place now.
+    /// Queues the given jobs, except those that have nothing to place now.
     fn enqueue_jobs(&mut self, now: Now, jobs: Vec<JobId>, round: &mut Round) {
         for id in jobs {
             if let Some(key) = self.queue_key(now, &id, &round.migrating, round.queued_total) {
@@ -162,56 +165,58 @@
         }
     }
 
-    /// Queues the forecast demand, due once a machine ordered now would have booted.
+    /// Queues the forecast demand. Its deadline is the time at which a machine ordered now
+    /// would have booted.
     fn enqueue_forecast(&mut self, now: Now, round: &mut Round) {
-        let deadline = now.wall + (self.slowest_boot_s() * 1000.0) as u64;
+        let deadline_wall_ms = now.wall + (self.slowest_boot_s() * 1000.0) as u64;
         for demand in &self.demand_forecast {
             let key = QueueKey {
                 priority: demand.spec.priority,
                 over_guarantee: true,
-                deadline,
+                deadline_wall_ms,
                 sequence: round.queued_total,
             };
             round.enqueue(key, QueuedWork::Forecast(demand.clone()));
         }
     }
 
-    /// The number of entries that one slice may examine.
+    /// Returns the number of entries that one slice may examine.
     fn entries_per_slice(&self) -> u64 {
         let lease_ms = self.lease_ms() as f64 * self.tuning.lease_share;
-        let entries_per_ms = self.settings.site.limits.cores / EXAMINED_ENTRY_MS;
-        (lease_ms * SLICE_LEASES * entries_per_ms) as u64
+        let entries_per_ms = self.settings.site.limits.cores / EXAMINED_ENTRY_CPU_MS;
+        (lease_ms * SLICE_LEASE_SHARE * entries_per_ms) as u64
     }
 
-    /// Does one slice of the round under way, if any.
+    /// Runs one slice of the round in progress, if there is one.
     pub(in crate::scheduler) fn continue_round(&mut self, now: Now, cloud: &mut CloudClient) {
         let Some(mut round) = self.round.take() else {
             return;
         };
-        let examined_before = self.examined();
+        let examined_before = self.examined_entries();
         let slice_end = examined_before + self.entries_per_slice();
         self.refresh(now);
-        // Jobs that have arrived since the last slice are served in their turn.
+        // Jobs that have arrived since the last slice are queued by their own keys.
         let arrived = self.jobs.take_newly_waiting();
         if matches!(round.stage, RoundStage::Placing) {
             self.enqueue_jobs(now, arrived, &mut round);
         }
         let mut progress = Progress::Unfinished;
-        while progress == Progress::Unfinished && self.examined() < slice_end {
+        while progress == Progress::Unfinished && self.examined_entries() < slice_end {
             progress = self.step(now, &mut round, cloud);
         }
-        let slice_examined = self.examined() - examined_before;
+        let slice_examined = self.examined_entries() - examined_before;
         self.pacing.longest_slice = self.pacing.longest_slice.max(slice_examined);
         self.commits.has_changes = true;
         match progress {
             Progress::Unfinished => self.round = Some(round),
             Progress::Finished => {
-                self.pacing.gap_ms = self.round_gap_ms(self.examined() - round.examined_before);
+                self.pacing.gap_ms =
+                    self.round_gap_ms(self.examined_entries() - round.examined_before);
             }
         }
     }
 
-    /// Does the next step of a round.
+    /// Runs the next step of a round.
     fn step(&mut self, now: Now, round: &mut Round, cloud: &mut CloudClient) -> Progress {
         match &mut round.stage {
             RoundStage::Placing => match round.queue.pop_first() {
@@ -242,9 +247,9 @@
         match work {
             QueuedWork::Job(id) => {
                 if self.groups.get(&id).is_some() {
-                    self.place_groups(now, &id, key.deadline, round);
+                    self.place_groups(now, &id, key.deadline_wall_ms, round);
                 } else {
-                    let unplaced = self.place_job(now, &id, key.deadline, round);
+                    let unplaced = self.place_job(now, &id, key.deadline_wall_ms, round);
                     round.unplaced.extend(unplaced);
                 }
                 self.refresh(now);
@@ -255,9 +260,9 @@
                     round.unplaced.push(Unplaced {
                         spec: demand.spec,
                         count,
-                        deadline: key.deadline,
+                        deadline_wall_ms: key.deadline_wall_ms,
                         zones: ZoneCounts::default(),
-                        forecast: true,
+                        is_forecast: true,
                         group: None,
                     });
                 }
@@ -265,7 +270,8 @@
         }
     }
 
-    /// Machines are only compacted if no work is left without capacity.
+    /// Selects the stage after preemption: compaction if the round is full and no work is
+    /// left without capacity, otherwise provisioning.
     fn finish_preempting(&mut self, round: &mut Round) {
         round.unplaced.retain(|unplaced| unplaced.count > 0);
         round.stage = if round.unplaced.is_empty() && round.full {
@@ -275,7 +281,8 @@
         };
     }
 
-    /// Begins provisioning, or covers the next unplaced work, or orders machines.
+    /// Runs one step of provisioning: begins the plan, covers the next unplaced work, or
+    /// orders the machines.
     fn step_provisioning(
         &mut self,
         now: Now,
--- a/src/scheduler/rounds/task_placement.rs
+++ b/src/scheduler/rounds/task_placement.rs
@@ -1,5 +1,5 @@
-//! Places a job's pending tasks: on free capacity, or on capacity that is being freed
-//! for them.
+//! Places the pending tasks of a job on free capacity, or holds capacity that is being
+//! freed for them.
 
 use crate::capacity_index::{BestFit, Slot};
 use crate::ids::{Attempt, JobId, MachineId, TaskRef};
@@ -13,47 +13,52 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// The most tasks of one job that one round examines.
+/// The maximum number of tasks of one job that one round examines. Gangs are exempt
+/// because all their tasks are placed together.
 pub(in crate::scheduler) const MAX_TASKS_PER_ROUND: usize = 512;
 
-/// What the tasks of one job ask of a machine, while they are being placed.
+/// The requirements of the tasks of one job while a round places them.
 pub(in crate::scheduler) struct PlacementRequest {
     pub(in crate::scheduler) spec: Rc<JobSpec>,
     pub(in crate::scheduler) resources: Resources,
-    /// Where the job's tasks are, those placed in this round included.
+    /// The zones of the tasks placed in this round and, if the job is a service or has a
+    /// zone constraint, of its other tasks.
     pub(in crate::scheduler) zones: ZoneCounts,
-    pub(in crate::scheduler) deadline: u64,
-    /// The job's circuit breaker is open: only one task probes whether it works again.
+    pub(in crate::scheduler) deadline_wall_ms: u64,
+    /// Whether the job's circuit breaker is open. Only one task is then started, as a
+    /// probe.
     pub(super) probing: bool,
-    /// For a service: the number of its replicas on each machine.
+    /// The number of the job's replicas on each machine; empty unless the job is a
+    /// service.
     pub(in crate::scheduler) siblings: BTreeMap<MachineId, u32>,
     /// The machine chosen for the previous task.
     pub(super) last_fit: Option<BestFit>,
-    /// No replica could be displaced for the previous task.
+    /// Whether displacement was tried for the previous task and failed.
     pub(super) displacement_failed: bool,
 }
 
-/// How the tasks of a job fared in a round.
+/// The numbers of a job's tasks by the outcome of their placement in a round.
 #[derive(Default)]
-struct PlacementTally {
-    /// Bound to a machine.
+struct PlacementCounts {
+    /// Tasks bound to a machine.
     placed: usize,
-    /// Waiting for capacity that is being freed and is held for them.
+    /// Tasks for which capacity is held that is still being freed.
     held: usize,
-    /// Kept waiting by their team's limit.
+    /// Tasks that wait because their team's quota is used up.
     over_quota: usize,
 }
 
-impl PlacementTally {
-    /// How many of so many tasks are still to be provided for.
+impl PlacementCounts {
+    /// Returns the number of tasks, out of `tasks`, that still need capacity.
     fn remaining(&self, tasks: usize) -> usize {
         tasks - self.placed - self.held - self.over_quota
     }
 }
 
 impl PlacementRequest {
-    /// The request of a job's next tasks, given where its other tasks are.
-    pub(in crate::scheduler) fn new(job: &Job, deadline: u64) -> PlacementRequest {
+    /// Creates the request for a job's pending tasks from the placements of its other
+    /// tasks.
+    pub(in crate::scheduler) fn new(job: &Job, deadline_wall_ms: u64) -> PlacementRequest {
         let mut siblings = BTreeMap::new();
         if job.is_service() {
             for assignment in job.assignments.values() {
@@ -70,7 +75,7 @@
             spec: job.spec.clone(),
             resources: job.task_request,
             zones,
-            deadline,
+            deadline_wall_ms,
             probing: job.failures.is_open(),
             siblings,
             last_fit: None,
@@ -78,13 +83,13 @@
         }
     }
 
-    /// The same request of a job that has no tasks placed yet.
+    /// Copies a request without the placements of the job's other tasks.
     pub(in crate::scheduler) fn without_placements(other: &PlacementRequest) -> PlacementRequest {
         PlacementRequest {
             spec: other.spec.clone(),
             resources: other.resources,
             zones: ZoneCounts::default(),
-            deadline: other.deadline,
+            deadline_wall_ms: other.deadline_wall_ms,
             probing: other.probing,
             siblings: BTreeMap::new(),
             last_fit: None,
@@ -92,30 +97,31 @@
         }
     }
 
-    /// The tasks of the job that found no capacity.
+    /// Converts the request to `count` unplaced tasks.
     fn into_unplaced(self, count: usize) -> Unplaced {
         Unplaced {
             spec: self.spec,
             count: count as u32,
-            deadline: self.deadline,
+            deadline_wall_ms: self.deadline_wall_ms,
             zones: self.zones,
-            forecast: false,
+            is_forecast: false,
             group: None,
         }
     }
 }
 
 impl Scheduler {
-    /// Places the pending tasks of a job; returns those that found no capacity.
+    /// Places the pending tasks of a job and returns those for which no capacity was
+    /// found.
     pub(super) fn place_job(
         &mut self,
         now: Now,
         id: &JobId,
-        deadline: u64,
+        deadline_wall_ms: u64,
         round: &mut Round,
     ) -> Option<Unplaced> {
         let job = self.jobs.get(id)?;
-        let mut request = PlacementRequest::new(job, deadline);
+        let mut request = PlacementRequest::new(job, deadline_wall_ms);
         let assigned = job.assignments.len();
         if request.probing && assigned > 0 {
             return None;
@@ -131,20 +137,21 @@
         let tasks: Vec<u32> = job.pending.iter().copied().take(limit).collect();
         self.count_scanned(assigned + tasks.len());
         if is_gang && !self.gang_fits(&request, tasks.len(), round) {
-            // A gang is placed as a whole, within one round, or waits.
+            // The gang waits until a round can place all its tasks.
             return (!request.probing).then(|| request.into_unplaced(tasks.len()));
         }
-        let tally = self.place_tasks(now, id, &tasks, &mut request, round);
+        let counts = self.place_tasks(now, id, &tasks, &mut request, round);
         if request.probing {
-            // Nothing is held, provisioned or preempted for a probe.
+            // A probe only uses free capacity: no capacity is held, provisioned or
+            // preempted for it.
             return None;
         }
-        let remaining = tally.remaining(tasks.len());
+        let remaining = counts.remaining(tasks.len());
         let unplaced = self.hold_freeing_capacity(&mut request, remaining);
         (unplaced > 0).then(|| request.into_unplaced(unplaced))
     }
 
-    /// Places these tasks one by one, until the quota or the capacity is exhausted.
+    /// Places these tasks one by one until the quota or the capacity is exhausted.
     fn place_tasks(
         &mut self,
         now: Now,
@@ -152,16 +159,17 @@
         tasks: &[u32],
         request: &mut PlacementRequest,
         round: &mut Round,
-    ) -> PlacementTally {
-        let mut tally = PlacementTally::default();
+    ) -> PlacementCounts {
+        let mut counts = PlacementCounts::default();
         let gang_attempt = self.gang_attempt(id, &request.spec);
         let team = request.spec.team.clone();
         let mut used = self.team_usage(&team, round);
         for index in tasks {
             if !within_quota(&self.settings, &team, &used, &request.resources) {
-                // Provisioning wouldn't help: its team has to free resources first.
-                tally.over_quota = tally.remaining(tasks.len());
-                let count = tally.over_quota;
+                // Provisioning would not help, because the team has to free resources
+                // first.
+                counts.over_quota = counts.remaining(tasks.len());
+                let count = counts.over_quota;
                 log::debug!("job waits for quota job={id} team={team} count={count}");
                 break;
             }
@@ -176,14 +184,14 @@
                     }
                     let held = round.held_by_team.entry(team.clone()).or_default();
                     held.add(&request.resources);
-                    tally.held += 1;
+                    counts.held += 1;
                     slot
                 }
                 MachineChoice::Free(slot) => {
                     if self.bind(now, &task, gang_attempt, slot, request).is_none() {
                         break;
                     }
-                    tally.placed += 1;
+                    counts.placed += 1;
                     slot
                 }
                 MachineChoice::Unavailable => break,
@@ -193,10 +201,11 @@
             }
             used.add(&request.resources);
         }
-        tally
+        counts
     }
 
-    /// The attempt that the tasks of a gang share, by which they find each other.
+    /// Allocates the attempt that all tasks of a gang share, by which the tasks find each
+    /// other. Returns `None` if the job is not a gang.
     fn gang_attempt(&mut self, id: &JobId, spec: &JobSpec) -> Option<Attempt> {
         if spec.kind != JobKind::Gang {
             return None;
@@ -205,7 +214,8 @@
         Some(job.placements.common_attempt())
     }
 
-    /// What a team's tasks use, with what is held for the team in this round.
+    /// Returns the resources that a team's tasks use, including the capacity held for the
+    /// team in this round.
     pub(in crate::scheduler) fn team_usage(&self, team: &str, round: &Round) -> Resources {
         let mut used = self.jobs.used(team);
         if let Some(held) = round.held_by_team.get(team) {
@@ -214,8 +224,9 @@
         used
     }
 
-    /// Binds a pending task to a machine; `None`: that isn't possible. The worker is
-    /// told once the assignment is stored.
+    /// Assigns a pending task to a machine. Returns `None` if the job or the machine
+    /// doesn't allow it. The worker receives the start command after the assignment has
+    /// been stored.
     pub(in crate::scheduler) fn bind(
         &mut self,
         now: Now,
@@ -225,16 +236,17 @@
         request: &mut PlacementRequest,
     ) -> Option<()> {
         let id = self.capacity.get(slot)?.id.clone();
-        let fresh_ms = self.fresh_ms();
+        let max_heartbeat_age_ms = self.max_heartbeat_age_ms();
         let job = self.jobs.get_mut(&task.job)?;
         let machine = self.fleet.get_mut(&id)?;
-        // The job table and the fleet decide, whatever the capacity index says.
+        // The job table and the fleet are authoritative; the capacity index is derived
+        // from them.
         let possible = job.pending.contains(&task.index)
             && !job.dependencies_open
-            && machine.accepts_tasks(now.ms, fresh_ms)
+            && machine.accepts_tasks(now.ms, max_heartbeat_age_ms)
             && machine.free().covers(&job.task_request);
         if !possible {
-            log::error!("task placement invalid task={task} machine={id}");
+            log::error!("task placement not allowed task={task} machine={id}");
             return None;
         }
         let attempt = shared_attempt.or_else(|| job.next_attempt(task.index))?;
@@ -262,7 +274,7 @@
         if job.is_service() {
             *request.siblings.entry(id).or_insert(0) += 1;
         }
-        // The next task has to see the machine as it is now.
+        // The search for the next task needs the machine's current state.
         self.refresh_capacity();
         Some(())
     }
--- a/src/scheduler/state/job_watch.rs
+++ b/src/scheduler/state/job_watch.rs
@@ -223,7 +223,7 @@
             }
             self.commits.has_changes = true;
         } else if response.status() == Some(404) && self.jobs.get(id).is_some_and(|job| job.stale) {
-            effects.step_down = Some(StepDownReason::JobRecordGone);
+            effects.step_down = Some(StepDownReason::JobRecordDeleted);
         }
     }
 
--- a/src/scheduler/statistics.rs
+++ b/src/scheduler/statistics.rs
@@ -1,4 +1,4 @@
-//! Counters of the leader's work, for logs, metrics and tests.
+//! Counters of the leader's work for logs, metrics and tests.
 
 use crate::ids::JobId;
 use crate::messages::TaskProgress;
@@ -6,28 +6,29 @@
 use crate::scheduler::Scheduler;
 use std::fmt;
 
-/// This many numbers that are only scanned count as one examined entry.
+/// The number of scanned numbers that count as one examined entry.
 const SCANNED_PER_ENTRY: u64 = 16;
 
-/// The leader's regular work, counted since the process began.
+/// Counters of the leader's periodic work since the process started.
 #[derive(Clone, Copy, Default, PartialEq, Eq, Debug)]
 pub struct ActivityCounters {
-    /// Scheduling rounds.
+    /// Scheduling rounds that have begun.
     pub rounds: u64,
-    /// Checks of every machine.
+    /// Checks of all machines and of all stops that are due.
     pub checks: u64,
-    /// Walks over all jobs for what there is to write.
+    /// Attempts to build a transaction from the unwritten changes of the jobs.
     pub commits: u64,
 }
 
-/// What rounds have cost, for the log.
+/// The cost of scheduling rounds, as logged.
 #[derive(Clone, Copy, Default, PartialEq, Eq, Debug)]
 pub struct RoundStats {
-    /// Scheduling rounds.
+    /// Scheduling rounds that have begun.
     pub rounds: u64,
-    /// Entries that they examined.
+    /// Entries that these rounds have examined.
     pub examined: u64,
-    /// The most that one slice has examined since the process began.
+    /// The maximum number of entries that one slice has examined since the process
+    /// started; 0 in the snapshot that the scheduler keeps.
     pub longest_slice: u64,
 }
 
@@ -46,41 +47,42 @@
 }
 
 impl Scheduler {
-    /// Counts numbers that are only scanned.
+    /// Adds the cost of scanning this many numbers to the examined entries.
     pub(in crate::scheduler) fn count_scanned(&mut self, numbers: usize) {
         self.pacing.examined += (numbers as u64).div_ceil(SCANNED_PER_ENTRY);
     }
 
-    /// How much of its regular work it has done so far.
+    /// Returns the counters of the leader's periodic work.
     pub fn activity(&self) -> ActivityCounters {
         self.pacing.activity
     }
 
-    /// Entries that rounds have examined since the process began.
-    pub fn examined(&self) -> u64 {
+    /// Returns the number of entries that rounds have examined since the process started.
+    pub fn examined_entries(&self) -> u64 {
         self.pacing.examined + self.capacity.examined()
     }
 
-    /// The most entries that one slice of a round has examined.
+    /// Returns the maximum number of entries that one slice of a round has examined.
     pub fn longest_slice(&self) -> u64 {
         self.pacing.longest_slice
     }
 
-    /// How many machines it knows.
-    pub fn machines(&self) -> usize {
+    /// Returns the number of machines in the fleet.
+    pub fn machine_count(&self) -> usize {
         self.fleet.len()
     }
 
-    /// How many items are queued in the current round.
+    /// Returns the number of queue entries that the current round has not served yet.
     pub fn queued_in_round(&self) -> usize {
         self.round.as_ref().map_or(0, Round::queued)
     }
 
-    /// Rounds, and what they examined, since the last call: for the log.
+    /// Returns the number of rounds and of examined entries since the previous call, for
+    /// the log.
     pub fn take_round_stats(&mut self) -> RoundStats {
         let now = RoundStats {
             rounds: self.pacing.activity.rounds,
-            examined: self.examined(),
+            examined: self.examined_entries(),
             longest_slice: 0,
         };
         let before = std::mem::replace(&mut self.pacing.logged_stats, now);
@@ -91,7 +93,7 @@
         }
     }
 
-    /// The progress of each job, for display.
+    /// Returns the task counts of each unfinished job that status queries report.
     pub fn job_progress(&self) -> impl Iterator<Item = (&JobId, TaskProgress)> {
         self.jobs.iter().map(|(id, job)| {
             let counts = TaskProgress {
--- a/src/scheduler/tick.rs
+++ b/src/scheduler/tick.rs
@@ -1,26 +1,26 @@
-//! The leader's loop: what is due at a time, and in which order.
+//! The leader's periodic loop: which steps are due and the order in which they run.
 
 use crate::cloud::CloudClient;
 use crate::kv_client::WriteBudget;
 use crate::messages::Now;
 use crate::scheduler::{LeaderStage, Scheduler, SchedulerEffects, MIN_ROUND_GAP_MS};
 
-/// The time between two full rounds, in heartbeat intervals.
+/// The interval between full rounds, in heartbeat intervals.
 const FULL_ROUND_HEARTBEATS: f64 = 1.0;
-/// How often machines are checked between two full rounds.
+/// The number of machine checks per full round interval.
 const CHECKS_PER_FULL_ROUND: u64 = 4;
-/// How often a controller that isn't an active leader looks whether anything is due.
+/// The tick interval of a controller that isn't an active leader.
 const INACTIVE_TICK_MS: u64 = 1000;
-/// What examining one entry of a round (a machine, a task, a level of the capacity
-/// index, an image of a machine that is indexed anew) takes of a processor, roughly:
-/// 0.08 us on the bench's large fleets, 0.2 us beside other work. Entries are counted
-/// and not timed so that traces replay.
-pub(in crate::scheduler) const EXAMINED_ENTRY_MS: f64 = 100e-6;
-/// The share of the processor's limit that rounds may take under a burst of work.
+/// The approximate processor time for examining one entry of a round: a machine, a task,
+/// a level of the capacity index, or an image of a machine that is indexed again. An
+/// entry takes 0.08 us on large fleets and 0.2 us alongside other work. Rounds count
+/// entries instead of measuring time so that traces replay deterministically.
+pub(in crate::scheduler) const EXAMINED_ENTRY_CPU_MS: f64 = 100e-6;
+/// The share of the CPU limit that rounds may use during a burst of work.
 const ROUND_CPU_SHARE: f64 = 0.3;
 
 impl Scheduler {
-    /// Acts on what is due, and returns when to be called again.
+    /// Runs the steps that are due and returns the time at which to call `tick` again.
     pub fn tick(
         &mut self,
         now: Now,
@@ -52,7 +52,10 @@
     }
 
     fn retry_loading(&mut self, now: Now, effects: &mut SchedulerEffects) {
-        let is_due = self.loading.retry_ms.is_some_and(|at| now.ms >= at);
+        let is_due = self
+            .loading
+            .retry_ms
+            .is_some_and(|retry_ms| now.ms >= retry_ms);
         if self.stage == LeaderStage::Loading && is_due {
             self.loading.retry_ms = None;
             self.list_records(now, effects);
@@ -65,18 +68,20 @@
             self.failure_detection.last_check_ms = now.ms;
             self.pacing.activity.checks += 1;
             self.check_machines(now, cloud);
-            // Silence and reserved capacity have no event of their own.
+            // Missing heartbeats and expired reservations cause no event, so each check
+            // evaluates all groups.
             self.groups.touch_all();
         }
     }
 
-    /// Begins a round: a full one at regular intervals, in between one that only
-    /// places what has arrived and scales out for it. Scaling in and the care for
-    /// machines can wait for the next full round.
+    /// Begins a round if one is due. Full rounds run at regular intervals. A round between
+    /// two full ones only places queued work and scales out for it; scale in and
+    /// compaction wait for the next full round.
     fn begin_round_if_due(&mut self, now: Now, effects: &mut SchedulerEffects) {
         let full = now.ms >= self.next_full_round_ms();
-        let wanted = self.pacing.requested && now.ms >= self.pacing.began_ms + self.pacing.gap_ms;
-        if self.round.is_some() || !(full || wanted) {
+        let requested_due =
+            self.pacing.requested && now.ms >= self.pacing.began_ms + self.pacing.gap_ms;
+        if self.round.is_some() || !(full || requested_due) {
             return;
         }
         self.pacing.requested = false;
@@ -111,12 +116,13 @@
         self.failure_detection.last_check_ms + self.full_round_interval_ms() / CHECKS_PER_FULL_ROUND
     }
 
-    /// The pause after a round follows what it cost, so that a burst of work on a
-    /// large fleet leaves time for heartbeats, submissions and cancellations.
+    /// Returns the minimum time until the next round, in proportion to the cost of the
+    /// last one, so that a burst of work on a large fleet leaves processor time for
+    /// heartbeats, submissions and cancellations.
     pub(in crate::scheduler) fn round_gap_ms(&self, examined: u64) -> u64 {
-        let cost_ms = examined as f64 * EXAMINED_ENTRY_MS;
-        let gap = cost_ms / (self.settings.site.limits.cores * ROUND_CPU_SHARE);
-        (gap as u64).clamp(
+        let cost_ms = examined as f64 * EXAMINED_ENTRY_CPU_MS;
+        let gap_ms = cost_ms / (self.settings.site.limits.cores * ROUND_CPU_SHARE);
+        (gap_ms as u64).clamp(
             MIN_ROUND_GAP_MS,
             self.heartbeat_interval_ms().max(MIN_ROUND_GAP_MS),
         )
--- a/src/scheduler/workers/commands.rs
+++ b/src/scheduler/workers/commands.rs
@@ -61,7 +61,7 @@
         let rules = CommandRules {
             resend_ms: (heartbeat_ms as f64 * RESEND_HEARTBEATS) as u64,
             // A leader that may have missed a cancellation starts nothing.
-            may_start: now.ms <= self.cancellations_known_ms + heartbeat_ms * START_HEARTBEATS,
+            may_start: now.ms <= self.cancellation_watermark_ms + heartbeat_ms * START_HEARTBEATS,
         };
         let Some(machine) = self.fleet.get(id) else {
             return Vec::new();
--- a/src/scheduler/workers/failure_detection.rs
+++ b/src/scheduler/workers/failure_detection.rs
@@ -189,7 +189,7 @@
     /// Silence has no event of its own and yet changes what a machine may get:
     /// silent machines are marked as changed for the capacity index.
     fn refresh_silent_machines(&mut self, now: Now) {
-        let fresh_ms = self.fresh_ms();
+        let fresh_ms = self.max_heartbeat_age_ms();
         let silent: Vec<MachineId> = self
             .fleet
             .iter()
--- a/src/scheduler/workers/lease_proxies.rs
+++ b/src/scheduler/workers/lease_proxies.rs
@@ -51,7 +51,7 @@
             CallPriority::Leadership,
             call,
             0,
-            SchedulerKvCall::ListProxied,
+            SchedulerKvCall::ListLeaseProxies,
             out,
         );
     }
