--- a/src/scheduler/rounds/round.rs
+++ b/src/scheduler/rounds/round.rs
@@ -195,7 +195,7 @@
         let examined_before = self.examined_entries();
         let slice_end = examined_before + self.entries_per_slice();
         self.refresh(now);
-        // Jobs that have arrived since the last slice are queued by their own keys.
+        // Jobs that have arrived since the last slice take their place in the queue order.
         let arrived = self.jobs.take_newly_waiting();
         if matches!(round.stage, RoundStage::Placing) {
             self.enqueue_jobs(now, arrived, &mut round);
--- a/src/scheduler/statistics.rs
+++ b/src/scheduler/statistics.rs
@@ -6,7 +6,7 @@
 use crate::scheduler::Scheduler;
 use std::fmt;
 
-/// The number of scanned numbers that count as one examined entry.
+/// Scanning this many task indexes or candidates costs as much as examining one entry.
 const SCANNED_PER_ENTRY: u64 = 16;
 
 /// Counters of the leader's periodic work since the process started.
@@ -47,7 +47,8 @@
 }
 
 impl Scheduler {
-    /// Adds the cost of scanning this many numbers to the examined entries.
+    /// Adds the cost of scanning this many task indexes or candidates to the examined
+    /// entries.
     pub(in crate::scheduler) fn count_scanned(&mut self, numbers: usize) {
         self.pacing.examined += (numbers as u64).div_ceil(SCANNED_PER_ENTRY);
     }
