--- a/src/scheduler/dependencies/mod.rs
+++ b/src/scheduler/dependencies/mod.rs
@@ -1,6 +1,7 @@
-//! Jobs that depend on others, as their leader holds them. None of their tasks is
-//! bound before it is stored that all their dependencies are done, so a job that
-//! waits has no task anywhere, and to cancel it there is nothing to stop.
+//! Dependencies between jobs, as the leader tracks them. The tasks of a job are bound
+//! only after the final records of all its dependencies are stored as done. A job
+//! with open dependencies therefore has no task on any machine, and cancelling it
+//! requires no task to be stopped.
 
 pub(in crate::scheduler) mod propagation;
 
@@ -15,24 +16,25 @@
 use lilacfork_dependencies::graph::DependencyGraph;
 use std::collections::BTreeMap;
 
-/// What a leader knows of dependencies between jobs.
+/// The dependencies between unfinished jobs that the leader knows.
 #[derive(Debug, Default)]
 pub(in crate::scheduler) struct Dependencies {
     graph: DependencyGraph,
-    /// Dependencies that the leader doesn't hold as jobs: how they ended has to be
-    /// read, at this time.
+    /// Dependencies that are not among the leader's jobs, with the time in
+    /// milliseconds at which the leader next reads their final record.
     unresolved: BTreeMap<JobId, u64>,
 }
 
 impl Dependencies {
-    /// The leader was deposed.
+    /// Removes all dependencies after the leader was deposed.
     pub(in crate::scheduler) fn clear(&mut self) {
         *self = Dependencies::default();
     }
 }
 
 impl Scheduler {
-    /// A job was added; if it depends on others it waits for them.
+    /// Registers the dependencies of a new job. Its tasks are not placed until all of
+    /// them are done.
     pub(in crate::scheduler) fn add_dependencies(&mut self, now: Now, id: &JobId) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -41,22 +43,23 @@
         if spec.dependencies.is_empty() {
             return;
         }
-        job.dependencies_open = true;
+        job.has_open_dependencies = true;
         self.dependencies.graph.add(id, &spec.dependencies);
         self.propagate_urgency(spec.dependencies.clone());
-        // While records are still being read, a missing job may be yet to come.
+        // While a new leader still reads records, the record of a missing job may not
+        // have been read yet.
         if self.stage == LeaderStage::Active {
             self.resolve_dependencies(now, id);
         }
     }
 
-    /// Looks the job's open dependencies up among the jobs, and notes the others to be
-    /// read.
+    /// Cancels the job if one of its open dependencies is cancelled. Open dependencies
+    /// that the leader doesn't hold as jobs are scheduled to be read.
     fn resolve_dependencies(&mut self, now: Now, id: &JobId) {
         let mut is_cancelled = false;
         for dependency in self.dependencies.graph.open_dependencies_of(id) {
             match self.jobs.get(dependency) {
-                Some(job) => is_cancelled |= job.cancelled.is_some(),
+                Some(job) => is_cancelled |= job.cancelled_wall_ms.is_some(),
                 None => {
                     let unresolved = self.dependencies.unresolved.entry(dependency.clone());
                     unresolved.or_insert(now.ms);
@@ -69,9 +72,10 @@
         }
     }
 
-    /// All records are read. Jobs that started under an earlier leader have all their
-    /// dependencies done, cancellations extend to dependents, and of dependencies that
-    /// aren't held it is read how they ended.
+    /// Resolves the dependencies of all jobs once a new leader has read all records.
+    /// A job that started under an earlier leader has all its dependencies done. The
+    /// dependents of a cancelled job are cancelled. The final records of dependencies
+    /// that the leader doesn't hold as jobs are scheduled to be read.
     pub(in crate::scheduler) fn resolve_loaded_dependencies(&mut self, now: Now) {
         let blocked: Vec<JobId> = self
             .jobs
@@ -93,7 +97,8 @@
         }
     }
 
-    /// Whether a placement record of the job is stored: it has started then.
+    /// Whether a placement record of the job is stored, which is the case once the job
+    /// has started.
     fn has_stored_placements(&self, id: &JobId) -> bool {
         let Some(job) = self.jobs.get(id) else {
             return false;
@@ -102,12 +107,12 @@
         ranges.any(|range| range.revision > 0)
     }
 
-    /// All dependencies of the job are done.
+    /// Makes a job eligible for placement once all its dependencies are done.
     fn on_dependencies_met(&mut self, now: Now, id: &JobId) {
         self.dependencies.graph.remove_dependencies(id);
         if let Some(job) = self.jobs.get_mut(id) {
-            job.dependencies_open = false;
-            let waited_ms = now.wall.saturating_sub(job.submitted);
+            job.has_open_dependencies = false;
+            let waited_ms = now.wall.saturating_sub(job.submitted_wall_ms);
             log::info!(
                 "job ready job={id} class={} waited_ms={waited_ms}",
                 job.spec.class
@@ -116,8 +121,15 @@
         self.pacing.requested = true;
     }
 
-    /// A job that others depend on has ended, and that is stored.
-    fn on_dependency_finished(&mut self, now: Now, id: &JobId, state: FinalState, ended: u64) {
+    /// Handles the stored end of a dependency: cancels its dependents if it was
+    /// cancelled, or marks it as done for them.
+    fn on_dependency_finished(
+        &mut self,
+        now: Now,
+        id: &JobId,
+        state: FinalState,
+        ended_wall_ms: u64,
+    ) {
         self.dependencies.unresolved.remove(id);
         match state {
             FinalState::Cancelled => self.cancel_dependents(now, id),
@@ -125,7 +137,7 @@
                 let dependents = self.dependencies.graph.dependents_of(id);
                 for dependent in dependents.cloned().collect::<Vec<JobId>>() {
                     if let Some(job) = self.jobs.get_mut(&dependent) {
-                        job.ready_at = job.ready_at.max(ended);
+                        job.ready_wall_ms = job.ready_wall_ms.max(ended_wall_ms);
                     }
                 }
                 for ready in self.dependencies.graph.mark_done(id) {
@@ -135,7 +147,7 @@
         }
     }
 
-    /// A job is cancelled, and with it all jobs that depend on it.
+    /// Cancels all jobs that depend on a cancelled job, directly or indirectly.
     pub(in crate::scheduler) fn cancel_dependents(&mut self, now: Now, id: &JobId) {
         for dependent in self.dependencies.graph.transitive_dependents(id) {
             self.cancel_dependent(now, &dependent);
@@ -143,23 +155,27 @@
     }
 
     fn cancel_dependent(&mut self, now: Now, id: &JobId) {
-        let Some(job) = self.jobs.get_mut(id).filter(|job| job.cancelled.is_none()) else {
+        let Some(job) = self
+            .jobs
+            .get_mut(id)
+            .filter(|job| job.cancelled_wall_ms.is_none())
+        else {
             return;
         };
-        if !job.dependencies_open {
+        if !job.has_open_dependencies {
             log::error!(
                 "job started early job={id} \
-                 reason=\"a job that it depends on wasn't done\""
+                 reason=\"a dependency is cancelled, not done\""
             );
             return;
         }
-        log::info!("job cancelled job={id} reason=\"a job that it depends on is cancelled\"");
-        job.cancelled = Some(now.wall);
+        log::info!("job cancelled job={id} reason=\"a dependency is cancelled\"");
+        job.cancelled_wall_ms = Some(now.wall);
         self.commits.has_changes = true;
     }
 
-    /// A job has ended, and that is stored: it has no dependencies any more, and its
-    /// dependents go on or are cancelled.
+    /// Handles the stored end of a job: removes its dependencies, and makes its
+    /// dependents ready or cancels them.
     pub(in crate::scheduler) fn on_job_finished(
         &mut self,
         now: Now,
@@ -169,10 +185,10 @@
         let graph = &self.dependencies.graph;
         let has_dependents = graph.has_dependents(id);
         let open: Vec<JobId> = graph.open_dependencies_of(id).cloned().collect();
-        let is_stage = |job: &Job| has_dependents || !job.spec.dependencies.is_empty();
-        let job = self.jobs.get(id).filter(|job| is_stage(job));
+        let is_pipeline_stage = |job: &Job| has_dependents || !job.spec.dependencies.is_empty();
+        let job = self.jobs.get(id).filter(|job| is_pipeline_stage(job));
         if let Some(job) = job.filter(|_| state == FinalState::Done) {
-            let took_ms = now.wall.saturating_sub(job.ready_at);
+            let took_ms = now.wall.saturating_sub(job.ready_wall_ms);
             self.estimates
                 .stage_took(&job.spec, took_ms as f64 / 1000.0);
         }
@@ -181,7 +197,7 @@
         self.on_dependency_finished(now, id, state, now.wall);
     }
 
-    /// Reads how dependencies ended that aren't held here.
+    /// Reads the final records of the unresolved dependencies that are due.
     pub(in crate::scheduler) fn read_unresolved_dependencies(
         &mut self,
         now: Now,
@@ -190,7 +206,7 @@
         let mut due = Vec::new();
         for (id, due_ms) in &mut self.dependencies.unresolved {
             if now.ms >= *due_ms {
-                // The call ends before that, be it by its timeout.
+                // The call completes or times out before the next read.
                 *due_ms = now.ms + CALL_TIMEOUT_MS * 2;
                 due.push(id.clone());
             }
@@ -202,7 +218,7 @@
         }
     }
 
-    /// The final record of a dependency, if it was found.
+    /// Handles the response to the read of a dependency's final record.
     pub(in crate::scheduler) fn on_dependency_response(
         &mut self,
         now: Now,
@@ -217,7 +233,8 @@
         let record = item.and_then(|item| serde_json::from_value::<FinalRecord>(item.value).ok());
         match record {
             Some(record) => self.on_dependency_finished(now, id, record.state, record.ended_at),
-            // Its job record has come meanwhile, or comes with the watch's next changes.
+            // The dependency is unfinished: its job record has been read since. If it has
+            // not, the watch will deliver it.
             None if self.jobs.contains(id) => {
                 self.dependencies.unresolved.remove(id);
             }
--- a/src/scheduler/dependencies/propagation.rs
+++ b/src/scheduler/dependencies/propagation.rs
@@ -1,5 +1,6 @@
-//! A pipeline has one deadline, at its end. Earlier jobs inherit it, less the time
-//! that the later jobs are expected to take, and the priority of their dependents.
+//! Propagation of deadlines and priorities through a pipeline. Only the last job of a
+//! pipeline has a deadline. Each earlier job inherits that deadline, less the expected
+//! duration of the later jobs, and the priority of its dependents.
 
 use crate::ids::JobId;
 use crate::messages::Now;
@@ -9,12 +10,17 @@
 use std::rc::Rc;
 
 impl Scheduler {
-    /// How urgent a job makes its dependencies.
+    /// Returns the urgency that a job passes on to its dependencies; `None` if the job
+    /// is cancelled or unknown.
     fn urgency_for_dependencies(&self, id: &JobId) -> Option<StageUrgency<Priority>> {
-        let job = self.jobs.get(id).filter(|job| job.cancelled.is_none())?;
+        let job = self
+            .jobs
+            .get(id)
+            .filter(|job| job.cancelled_wall_ms.is_none())?;
         let multiples = self.settings.deadline_multiples(&job.spec.class);
         let deadline_ms = job.spec.deadline_s.map(|seconds| seconds * 1000.0);
-        let deadline = |multiple: &f64| Some(job.submitted + (deadline_ms? * multiple) as u64);
+        let deadline =
+            |multiple: &f64| Some(job.submitted_wall_ms + (deadline_ms? * multiple) as u64);
         let own = StageUrgency {
             priority: job.own_priority,
             deadlines: multiples.iter().filter_map(deadline).collect(),
@@ -23,14 +29,15 @@
             Some(inherited) => own.merge(inherited),
             None => own,
         };
-        // Its end has to be reported and stored before the next job may start.
-        let takes_ms = (self.estimates.expected_stage_s(&job.spec) * 1000.0) as u64
+        // The end of the job has to be reported and stored before the next job may
+        // start, which takes up to one heartbeat interval.
+        let expected_duration_ms = (self.estimates.expected_stage_s(&job.spec) * 1000.0) as u64
             + self.heartbeat_interval_ms();
-        Some(urgency.for_predecessor(takes_ms))
+        Some(urgency.for_predecessor(expected_duration_ms))
     }
 
-    /// The dependents of these jobs have changed: works out anew how urgent the jobs
-    /// are, and their dependencies in turn.
+    /// Recomputes the inherited urgency of jobs whose dependents have changed, and of
+    /// their dependencies in turn.
     pub(super) fn propagate_urgency(&mut self, mut changed: Vec<JobId>) {
         while let Some(id) = changed.pop() {
             let inherited = self
@@ -59,10 +66,10 @@
         }
     }
 
-    /// A job that others depend on keeps its own priority as long as there is time: a
-    /// small job of low priority would otherwise displace what others wait for. Once
-    /// a machine that is provisioned for it might come too late, it is served by the
-    /// priority of its dependents.
+    /// Raises a job to the priority of its dependents once it might miss the inherited
+    /// deadline even on a newly provisioned machine. Until then the job keeps its own
+    /// priority: otherwise a small job of low priority would displace jobs that others
+    /// wait for.
     pub(in crate::scheduler) fn raise_priority_if_late(&mut self, now: Now, id: &JobId) {
         let Some(job) = self.jobs.get(id) else {
             return;
@@ -70,17 +77,18 @@
         let Some(urgency) = &job.inherited_urgency else {
             return;
         };
-        let takes_s = self.estimates.expected_stage_s(&job.spec) + self.slowest_boot_s();
-        let expected_end = now.wall + (takes_s * 1000.0) as u64;
+        let boot_and_run_s = self.estimates.expected_stage_s(&job.spec) + self.slowest_boot_s();
+        let expected_end_wall_ms = now.wall + (boot_and_run_s * 1000.0) as u64;
         let first_deadline = urgency.deadlines.first();
-        let is_pressed = first_deadline.is_some_and(|deadline| *deadline < expected_end);
-        if is_pressed && urgency.priority < job.spec.priority {
+        let is_at_risk = first_deadline.is_some_and(|deadline| *deadline < expected_end_wall_ms);
+        if is_at_risk && urgency.priority < job.spec.priority {
             let priority = urgency.priority;
             self.set_effective_priority(id, priority);
         }
     }
 
-    /// Sets the priority that a job is served by.
+    /// Sets the priority by which a job is scheduled, which may differ from the priority
+    /// that its user gave it.
     fn set_effective_priority(&mut self, id: &JobId, priority: Priority) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -93,7 +101,8 @@
             ..JobSpec::clone(&job.spec)
         });
         for assignment in job.assignments.values() {
-            // Which of a machine's tasks may be preempted is indexed by machine.
+            // The capacity index holds the preemptible tasks of each machine, so the
+            // machine has to be marked as changed.
             self.fleet.get_mut(&assignment.machine);
         }
         self.pacing.requested = true;
--- a/src/scheduler/displacement/image_displacement.rs
+++ b/src/scheduler/displacement/image_displacement.rs
@@ -212,7 +212,7 @@
     fn displaceable(&self, now: Now, task: &TaskRef, priority: Priority) -> Option<&Job> {
         let job = self.jobs.get(&task.job)?;
         let displaceable = job.is_service()
-            && job.cancelled.is_none()
+            && job.cancelled_wall_ms.is_none()
             && job.spec.priority >= priority
             && self.may_migrate(now, job, job.assignments.get(&task.index)?);
         displaceable.then_some(job)
--- a/src/scheduler/displacement/migration.rs
+++ b/src/scheduler/displacement/migration.rs
@@ -103,7 +103,8 @@
         let settled_ms = self.settled_ms();
         let settled = now.ms > running_since_ms + settled_ms;
         // A new leader only knows the age of the job.
-        let old = assignment.started_by_earlier_leader && now.wall > job.submitted + settled_ms;
+        let old =
+            assignment.started_by_earlier_leader && now.wall > job.submitted_wall_ms + settled_ms;
         job.shape.is_none()
             && assignment.stop.is_none()
             && (old || assignment.missed_start_slo || settled)
@@ -185,7 +186,7 @@
             machine.phase == MachinePhase::Up && machine.reclaim_at_ms.is_none()
         };
         let jobs = self.jobs.with_image(&spec.class, &spec.image);
-        for job in jobs.filter(|job| job.is_service() && job.cancelled.is_none()) {
+        for job in jobs.filter(|job| job.is_service() && job.cancelled_wall_ms.is_none()) {
             for (index, assignment) in &job.assignments {
                 let mut zones = self.zones_after_migrations(job, std::iter::empty());
                 zones.remove(&assignment.zone);
--- a/src/scheduler/replica_groups/evaluation.rs
+++ b/src/scheduler/replica_groups/evaluation.rs
@@ -80,7 +80,7 @@
         if let Some(job) = self.jobs.get_mut(&id.job) {
             let first = job.shape.map(|shape| shape.tasks_of(id.replica).start);
             let is_urgent = urgency == WriteUrgency::Immediate;
-            job.touch(first.unwrap_or_default(), now.ms, is_urgent);
+            job.mark_dirty(first.unwrap_or_default(), now.ms, is_urgent);
         }
         self.commits.has_changes = true;
     }
--- a/src/scheduler/replica_groups/reservations.rs
+++ b/src/scheduler/replica_groups/reservations.rs
@@ -26,7 +26,7 @@
         let (Some(group), Some(job)) = (self.groups.group(id), self.jobs.get(&id.job)) else {
             return Vec::new();
         };
-        if job.cancelled.is_some() {
+        if job.cancelled_wall_ms.is_some() {
             return Vec::new();
         }
         let is_in_use = |target: &PartTarget| {
--- a/src/scheduler/rounds/queue_order.rs
+++ b/src/scheduler/rounds/queue_order.rs
@@ -61,10 +61,10 @@
                 .settings
                 .wait_slo_ms(class)
                 .unwrap_or((spec.estimated_run_s * DEFAULT_DEADLINE_RUNS_MS) as u64);
-            return job.ready_at + within_ms;
+            return job.ready_wall_ms + within_ms;
         };
         let run_ms = self.estimated_run_ms(spec);
-        let after = |multiple: f64| job.submitted + (deadline_s * multiple * 1000.0) as u64;
+        let after = |multiple: f64| job.submitted_wall_ms + (deadline_s * multiple * 1000.0) as u64;
         let mut deadlines: Vec<u64> = self
             .settings
             .deadline_multiples(class)
@@ -72,10 +72,10 @@
             .map(after)
             .collect();
         let finish_slos_ms = self.settings.finish_slos_ms(class);
-        deadlines.extend(finish_slos_ms.map(|slo_ms| job.ready_at + slo_ms));
+        deadlines.extend(finish_slos_ms.map(|slo_ms| job.ready_wall_ms + slo_ms));
         // A task that should start by some time should end one run later.
         let start_slo_ms = self.settings.wait_slo_ms(class);
-        deadlines.extend(start_slo_ms.map(|slo_ms| job.ready_at + slo_ms + run_ms));
+        deadlines.extend(start_slo_ms.map(|slo_ms| job.ready_wall_ms + slo_ms + run_ms));
         deadlines.sort_unstable();
         deadlines
             .into_iter()
@@ -101,11 +101,11 @@
         self.pacing.examined += 1;
         self.raise_priority_if_late(now, id);
         let job = self.jobs.get(id)?;
-        if job.cancelled.is_some()
+        if job.cancelled_wall_ms.is_some()
             || job.pending.is_empty()
             || job.stale
             || job.unreadable
-            || job.dependencies_open
+            || job.has_open_dependencies
             || !job.failures.allows_attempt(now.ms)
         {
             return None;
@@ -125,7 +125,7 @@
         };
         let deadline = self.queue_deadline(now, job);
         let team = job.spec.team.clone();
-        let submission = (job.submitted, id.clone());
+        let submission = (job.submitted_wall_ms, id.clone());
         let within_guarantee = self.jobs.teams().is_guaranteed(
             &self.settings,
             &team,
--- a/src/scheduler/rounds/task_placement.rs
+++ b/src/scheduler/rounds/task_placement.rs
@@ -230,7 +230,7 @@
         let machine = self.fleet.get_mut(&id)?;
         // The job table and the fleet decide, whatever the capacity index says.
         let possible = job.pending.contains(&task.index)
-            && !job.dependencies_open
+            && !job.has_open_dependencies
             && machine.accepts_tasks(now.ms, fresh_ms)
             && machine.free().covers(&job.task_request);
         if !possible {
@@ -257,7 +257,7 @@
         );
         job.pending.remove(&task.index);
         job.assignments.insert(task.index, assignment);
-        job.touch(task.index, now.ms, true);
+        job.mark_dirty(task.index, now.ms, true);
         machine.assign(task.clone(), &job.task_request);
         if job.is_service() {
             *request.siblings.entry(id).or_insert(0) += 1;
--- a/src/scheduler/state/cleanup.rs
+++ b/src/scheduler/state/cleanup.rs
@@ -1,4 +1,4 @@
-//! Removal of obsolete records: placements of jobs that are over.
+//! Deletion of obsolete records: the placement records of finished jobs.
 
 use crate::kv_client::{CallPriority, KvResponse};
 use crate::limits::RequestSize;
@@ -7,39 +7,40 @@
 use crate::scheduler::{Scheduler, SchedulerEffects, SchedulerKvCall, RETRY_MS};
 use crate::wire::kv::Txn;
 
-/// The most records that are removed lazily: as many as a new leader reads in one
-/// call. From there on removal doesn't wait for other writes.
-const MAX_OBSOLETE_KEYS: usize = 500;
+/// With this many obsolete records, which is one page of a new leader's reads, their
+/// deletion no longer waits for other writes.
+const MAX_DEFERRED_DELETIONS: usize = 500;
 
-/// Records that are to be removed.
+/// The obsolete records that the leader has yet to delete.
 #[derive(Debug, Default)]
 pub(in crate::scheduler) struct RecordCleanup {
-    /// Their keys, oldest first.
-    pub(super) keys: Vec<String>,
+    /// The keys of the records, in the order in which they are deleted.
+    pub(super) obsolete_keys: Vec<String>,
     in_flight: bool,
     due_ms: u64,
 }
 
 impl RecordCleanup {
-    /// The leader was deposed.
+    /// Discards all pending deletions after the leader was deposed.
     pub(in crate::scheduler) fn reset(&mut self) {
-        self.keys.clear();
+        self.obsolete_keys.clear();
         self.in_flight = false;
     }
 }
 
 impl Scheduler {
-    /// Removes obsolete records while there is nothing more urgent to write.
+    /// Deletes obsolete records when there is nothing more urgent to write.
     pub(in crate::scheduler) fn clean_up(&mut self, now: Now, effects: &mut SchedulerEffects) {
-        // Removal waits while there is more to write than the store accepts.
+        // Deletion waits while other changes wait for the write budget.
         let busy = self.commits.transaction.is_some()
-            || (self.commits.has_changes && self.cleanup.keys.len() < MAX_OBSOLETE_KEYS);
+            || (self.commits.has_changes
+                && self.cleanup.obsolete_keys.len() < MAX_DEFERRED_DELETIONS);
         let too_soon = now.ms < self.cleanup.due_ms;
-        if self.cleanup.keys.is_empty() || self.cleanup.in_flight || busy || too_soon {
+        if self.cleanup.obsolete_keys.is_empty() || self.cleanup.in_flight || busy || too_soon {
             return;
         }
-        let count = self.limits.txn_ops.min(self.cleanup.keys.len());
-        let keys: Vec<String> = self.cleanup.keys.drain(..count).collect();
+        let count = self.limits.txn_ops.min(self.cleanup.obsolete_keys.len());
+        let keys: Vec<String> = self.cleanup.obsolete_keys.drain(..count).collect();
         let mut txn = Txn::default().compare(LEADER_KEY, self.leader_key_revision);
         for key in &keys {
             txn = txn.delete(key.clone());
@@ -49,7 +50,7 @@
         self.call_kv_txn(now, CallPriority::Background, &txn, tag, effects);
     }
 
-    /// The response to a removal: what failed is tried again.
+    /// Handles the response to a deletion, and schedules a retry if it failed.
     pub(in crate::scheduler) fn on_cleanup_response(
         &mut self,
         now: Now,
@@ -65,7 +66,7 @@
             });
         }
         if response.status() != Some(200) {
-            self.cleanup.keys.extend(keys);
+            self.cleanup.obsolete_keys.extend(keys);
             self.cleanup.due_ms = now.ms + RETRY_MS;
         }
     }
--- a/src/scheduler/state/commit.rs
+++ b/src/scheduler/state/commit.rs
@@ -1,30 +1,35 @@
-//! When the leader writes: one transaction at a time, guarded by compares, with as many
-//! jobs' changes as the limits and the write budget allow.
+//! Scheduling of the leader's writes. The leader has at most one transaction in flight.
+//! Each transaction is guarded by compares and holds the changes of as many jobs as the
+//! store's limits and the write budget allow.
 
 use crate::ids::JobId;
 use crate::kv_client::{self, CallPriority, WriteBudget};
 use crate::messages::Now;
-use crate::scheduler::state::transaction::{PendingTransaction, FINAL_CHANGES};
+use crate::scheduler::state::transaction::{PendingTransaction, FINISHED_JOB_WRITE_OPS};
 use crate::scheduler::{Scheduler, SchedulerEffects, SchedulerKvCall, CALL_TIMEOUT_MS};
 
-/// What decides when the leader writes, and how much at once.
+/// The transaction in flight, and the state that decides when the next one is built and
+/// how large it may be.
 #[derive(Debug)]
 pub(in crate::scheduler) struct CommitState {
-    /// The transaction in flight, if any.
+    /// The transaction that is in flight or waits to be sent again.
     pub(in crate::scheduler) transaction: Option<PendingTransaction>,
-    /// Something may have to be written.
+    /// Whether jobs may have changes to write. `false` defers the search for changes to
+    /// `lazy_due_ms`.
     pub(in crate::scheduler) has_changes: bool,
-    /// The next transaction isn't built before this time.
+    /// The earliest time at which the next transaction is built.
     pub(super) due_ms: u64,
-    /// Since when a transaction has waited for the write budget.
+    /// Since when changes have waited for the write budget; `None`: none wait.
     deferred_since_ms: Option<u64>,
-    /// When lazily stored changes are looked for next.
+    /// When the leader next searches for changes that are written lazily.
     lazy_due_ms: u64,
-    /// How many transactions were built in this term.
+    /// How many transactions were built in this term. The count is part of the write id.
     pub(super) transactions_built: u64,
-    /// The jobs of the last transaction that the store rejected as malformed.
+    /// The jobs of the transaction that the store last rejected with status 400; empty
+    /// once the rejection is handled.
     pub(super) rejected_jobs: Vec<JobId>,
-    /// The most jobs that a transaction may hold.
+    /// The most jobs that a transaction may hold: half of the jobs of a rejected
+    /// transaction, doubled after each commit.
     pub(super) max_jobs: usize,
 }
 
@@ -44,7 +49,8 @@
 }
 
 impl CommitState {
-    /// The leader was deposed: whatever is in flight can't be carried out any more.
+    /// Discards the transaction in flight after the leader was deposed: the transaction
+    /// can't be executed any more.
     pub(in crate::scheduler) fn reset(&mut self) {
         self.rejected_jobs.clear();
         self.max_jobs = usize::MAX;
@@ -54,28 +60,29 @@
     }
 }
 
-/// How long to wait for the write budget to grow before looking again.
+/// The pause before changes deferred for lack of write budget are examined again.
 const BUDGET_RETRY_MS: u64 = 50;
 
-/// What the leader has yet to write.
+/// The changes that the leader has yet to write.
 #[derive(Debug, Default)]
 struct UnwrittenChanges {
-    /// Most important first.
+    /// The jobs with changes, in descending order of importance.
     jobs: Vec<JobId>,
-    /// How many write operations they take.
-    changes: usize,
-    /// Tasks with a start objective of seconds wait for them.
+    /// How many write operations the changes take.
+    write_ops: usize,
+    /// Whether tasks with a start objective of seconds wait for the changes.
     urgent: bool,
 }
 
 impl Scheduler {
-    /// How long progress that isn't urgent may stay unwritten: one write then covers
-    /// several changes.
+    /// Returns how long changes that aren't urgent may stay unwritten. The delay lets one
+    /// write cover several changes.
     pub(super) fn lazy_write_delay_ms(&self) -> u64 {
         self.heartbeat_interval_ms()
     }
 
-    /// When [`Scheduler::commit`] has to be called next.
+    /// Returns when [`Scheduler::commit`] has to be called next; `u64::MAX` while a
+    /// transaction is in flight.
     pub(in crate::scheduler) fn next_commit_ms(&self, now: Now) -> u64 {
         let earliest = now.ms + 1;
         match &self.commits.transaction {
@@ -90,15 +97,16 @@
         }
     }
 
-    /// Builds the next transaction if one is due, and sends what waits to be sent.
+    /// Builds the next transaction if one is due, and sends the current one if it waits
+    /// to be sent.
     pub(in crate::scheduler) fn commit(
         &mut self,
         now: Now,
         budget: WriteBudget,
         effects: &mut SchedulerEffects,
     ) {
-        // Looking for changes takes a walk over all jobs: it is made when something
-        // happened, and now and then for what is stored lazily.
+        // The search for changes visits all unwritten jobs. It therefore runs only after
+        // an event, and periodically for changes that are written lazily.
         let may_have_changes = self.commits.has_changes || now.ms >= self.commits.lazy_due_ms;
         let may_write = self.commits.transaction.is_none() && now.ms >= self.commits.due_ms;
         if may_write && may_have_changes {
@@ -107,15 +115,16 @@
         self.send_transaction(now, effects);
     }
 
-    /// Builds a transaction from what is unwritten, or defers it until the budget
-    /// allows more.
+    /// Builds a transaction from the unwritten changes, or defers it until the write
+    /// budget allows it.
     fn prepare_transaction(&mut self, now: Now, budget: WriteBudget) {
         self.pacing.activity.commits += 1;
         let unwritten = self.unwritten_changes(now);
-        match self.max_changes(now, &unwritten, budget) {
-            Some(max_changes) => {
+        match self.max_write_ops(now, &unwritten, budget) {
+            Some(max_write_ops) => {
                 self.commits.deferred_since_ms = None;
-                self.commits.transaction = self.build_transaction(now, unwritten.jobs, max_changes);
+                self.commits.transaction =
+                    self.build_transaction(now, unwritten.jobs, max_write_ops);
                 self.commits.has_changes = self.commits.transaction.is_some();
             }
             None => {
@@ -126,7 +135,7 @@
         self.commits.lazy_due_ms = now.ms + self.lazy_write_delay_ms() / 4;
     }
 
-    /// Sends the current transaction, if it isn't in flight.
+    /// Sends the current transaction if it is due and not already in flight.
     fn send_transaction(&mut self, now: Now, effects: &mut SchedulerEffects) {
         let Some(transaction) = self
             .commits
@@ -148,7 +157,8 @@
         );
     }
 
-    /// What there is to write, most important jobs first.
+    /// Collects the unwritten changes, with the jobs ordered by priority, submission time
+    /// and id.
     fn unwritten_changes(&mut self, now: Now) -> UnwrittenChanges {
         let lazy_delay_ms = self.lazy_write_delay_ms();
         let mut unwritten = UnwrittenChanges::default();
@@ -162,42 +172,42 @@
                 continue;
             }
             if job.final_state().is_some() {
-                unwritten.changes += FINAL_CHANGES;
+                unwritten.write_ops += FINISHED_JOB_WRITE_OPS;
             } else {
                 let ranges = job.placements.iter();
                 let due = ranges.filter(|range| range.is_due(now, lazy_delay_ms));
-                unwritten.changes += due.count();
+                unwritten.write_ops += due.count();
                 unwritten.urgent |= job.placements.iter().any(|range| range.urgent)
                     && self.settings.start_slo_ms(&job.spec).is_some();
             }
-            order.push((job.spec.priority, job.submitted, id.clone()));
+            order.push((job.spec.priority, job.submitted_wall_ms, id.clone()));
         }
         order.sort();
         unwritten.jobs = order.into_iter().map(|(_, _, id)| id).collect();
         unwritten
     }
 
-    /// How many changes the next transaction may hold. `None`: wait until the budget
-    /// allows more. A transaction that is sent before it can be afforded would delay
-    /// what turns out to be urgent meanwhile; and one that is built late covers more
-    /// of a job's changes with one write.
-    fn max_changes(
+    /// Returns how many write operations the next transaction may hold; `None` if it has
+    /// to wait for the write budget. A transaction that exceeds the budget would delay
+    /// urgent changes that arrive in the meantime. A transaction that is built later
+    /// also covers more changes of a job with one write.
+    fn max_write_ops(
         &self,
         now: Now,
         unwritten: &UnwrittenChanges,
         budget: WriteBudget,
     ) -> Option<usize> {
         let txn_ops = self.limits.txn_ops;
-        // Without a bound on the wait, submissions could use up all tokens of the
-        // write budget as they come.
+        // The wait is bounded because submissions could otherwise consume every token of
+        // the write budget as soon as it is added.
         let waited_long_enough = self
             .commits
             .deferred_since_ms
-            .is_some_and(|since| now.ms >= since + self.lazy_write_delay_ms());
+            .is_some_and(|since_ms| now.ms >= since_ms + self.lazy_write_delay_ms());
         if unwritten.urgent || waited_long_enough {
-            return Some(budget.now.clamp(FINAL_CHANGES, txn_ops));
+            return Some(budget.now.clamp(FINISHED_JOB_WRITE_OPS, txn_ops));
         }
-        let wanted = unwritten.changes.min(txn_ops).min(budget.max);
+        let wanted = unwritten.write_ops.min(txn_ops).min(budget.max);
         (budget.now >= wanted).then_some(txn_ops)
     }
 }
--- a/src/scheduler/state/commit_outcome.rs
+++ b/src/scheduler/state/commit_outcome.rs
@@ -1,5 +1,6 @@
-//! The outcome of the leader's writes. A transaction with an indeterminate outcome is
-//! sent again verbatim until the key-value store tells what became of it.
+//! Handling of the outcome of the leader's transactions. A transaction with an
+//! indeterminate outcome is resent unchanged until the key-value store's response shows
+//! whether it was executed.
 
 use crate::kv_client::{self, CallPriority, KvResponse};
 use crate::messages::Now;
@@ -11,14 +12,15 @@
 };
 use crate::wire::kv::{KeyValue, TxnResponse};
 
-/// A job whose record the store rejects without a known cause is written again after
-/// this many heartbeat intervals.
-const HELD_BACK_HEARTBEATS: u64 = 30;
-/// How long a finished job is remembered: longer than any call's timeout.
+/// The pause, in heartbeat intervals, before a job is written again whose record the
+/// store rejected for an unknown reason.
+const REJECTED_JOB_RETRY_HEARTBEATS: u64 = 30;
+/// How long the id of a finished job is kept, so that late responses don't add the job
+/// again. Longer than the timeout of any call.
 const FINISHED_RETENTION_MS: u64 = 60_000;
 
 impl Scheduler {
-    /// The response to the transaction in flight.
+    /// Handles the response to the transaction in flight.
     pub(in crate::scheduler) fn on_commit_response(
         &mut self,
         now: Now,
@@ -39,7 +41,7 @@
                     .map(|response| response.failed)
                     .unwrap_or_default();
                 if transaction.indeterminate {
-                    // An earlier copy of it may have been carried out.
+                    // An earlier copy may have been executed and caused the conflict.
                     self.check_commit(now, effects);
                 } else {
                     self.on_conflict(now, effects);
@@ -48,7 +50,7 @@
             KvResponse::Status(400, _) => {
                 effects.rejected_request = Some(transaction.size());
                 if transaction.indeterminate {
-                    // An earlier copy may have been accepted before the limits fell.
+                    // An earlier copy may have been accepted before the limits were lowered.
                     self.commits.rejected_jobs.clear();
                     self.check_commit(now, effects);
                 } else {
@@ -62,12 +64,12 @@
             }
             KvResponse::Indeterminate => {
                 transaction.indeterminate = true;
-                transaction.send_again_at(now.ms + RETRY_MS);
+                transaction.schedule_resend(now.ms + RETRY_MS);
             }
             KvResponse::NotExecuted if transaction.indeterminate => {
-                transaction.send_again_at(now.ms + RETRY_MS);
+                transaction.schedule_resend(now.ms + RETRY_MS);
             }
-            // Certainly not carried out: build it anew.
+            // No copy was executed, so the transaction can be rebuilt.
             KvResponse::NotExecuted => {
                 self.commits.due_ms = now.ms + RETRY_MS;
                 self.requeue_transaction(now);
@@ -75,7 +77,7 @@
         }
     }
 
-    /// The response to the read that tells whether the transaction was carried out.
+    /// Handles the response to the read that shows whether the transaction was executed.
     pub(in crate::scheduler) fn on_commit_check_response(
         &mut self,
         now: Now,
@@ -98,7 +100,8 @@
         }
     }
 
-    /// Reads whether the transaction in flight was carried out.
+    /// Reads the marker key of the transaction in flight, whose value shows whether the
+    /// transaction was executed.
     fn check_commit(&mut self, now: Now, effects: &mut SchedulerEffects) {
         let Some(transaction) = self.commits.transaction.as_ref() else {
             return;
@@ -108,8 +111,8 @@
         self.call_kv(now, CallPriority::Placement, call, 0, tag, effects);
     }
 
-    /// The transaction is stored: its tasks may start, and workers may forget the
-    /// results that it holds.
+    /// Applies a committed transaction: its assignments may be started, and workers may
+    /// discard the task results that it stores.
     fn on_committed(&mut self, now: Now, revision: u64) {
         let Some(transaction) = self.commits.transaction.take() else {
             return;
@@ -135,13 +138,13 @@
             self.group_records_stored(&write.job, &write.groups);
         }
         self.commits.max_jobs = self.commits.max_jobs.saturating_mul(2);
-        self.cleanup.keys.extend(transaction.obsolete_keys);
+        self.cleanup.obsolete_keys.extend(transaction.obsolete_keys);
         for finished in transaction.finished_jobs {
             self.forget_finished_job(now, finished);
         }
     }
 
-    /// The final record of a job is stored: the leader doesn't hold it any more.
+    /// Removes a job whose final record is stored.
     fn forget_finished_job(&mut self, now: Now, finished: FinishedJob) {
         let FinishedJob { id, state } = finished;
         self.finished_jobs
@@ -153,14 +156,14 @@
             log::info!(
                 "job finished job={id} state={state:?} class={} after_ms={}",
                 job.spec.class,
-                now.wall.saturating_sub(job.submitted)
+                now.wall.saturating_sub(job.submitted_wall_ms)
             );
         }
     }
 
-    /// No known limit explains why the last transaction was rejected. Its jobs are
-    /// written in halves until the job at fault stands alone; that one is held back,
-    /// and everything else goes on.
+    /// Isolates the job that caused a rejection which no known limit explains. The number
+    /// of jobs per transaction is halved until the rejected job is written alone. That
+    /// job's next write is then delayed, and all other jobs proceed.
     pub fn split_rejected_transaction(&mut self, now: Now) {
         let rejected = std::mem::take(&mut self.commits.rejected_jobs);
         if rejected.is_empty() {
@@ -172,15 +175,15 @@
         };
         log::error!(
             "job record rejected job={id} \
-             reason=\"the key-value store rejects it for no known cause, held back\""
+             reason=\"rejected by the key-value store for an unknown reason, retry delayed\""
         );
-        let pause_ms = self.heartbeat_interval_ms() * HELD_BACK_HEARTBEATS;
+        let pause_ms = self.heartbeat_interval_ms() * REJECTED_JOB_RETRY_HEARTBEATS;
         if let Some(job) = self.jobs.get_mut(id) {
             job.held_back_until_ms = now.ms + pause_ms;
         }
     }
 
-    /// The transaction was certainly not carried out; its contents are due again.
+    /// Discards a transaction that was not executed, and makes its changes due again.
     fn requeue_transaction(&mut self, now: Now) {
         self.commits.has_changes = true;
         let Some(transaction) = self.commits.transaction.take() else {
@@ -189,7 +192,7 @@
         for write in transaction.placement_writes {
             if let Some(job) = self.jobs.get_mut(&write.job) {
                 if let Some(range) = job.placements.get_mut(write.range) {
-                    range.touch(now.ms, true);
+                    range.mark_dirty(now.ms, true);
                 }
             }
         }
@@ -200,8 +203,9 @@
         }
     }
 
-    /// A compare of the transaction failed: job records that users changed meanwhile
-    /// are read again; any other key should be changed by this leader alone.
+    /// Handles failed compares of the transaction. Job records, which users may have
+    /// changed concurrently, are read again. All other keys are written by this leader
+    /// only, so their mismatch makes the leader step down.
     fn on_conflict(&mut self, now: Now, effects: &mut SchedulerEffects) {
         let failed_compares = match &mut self.commits.transaction {
             Some(transaction) => std::mem::take(&mut transaction.failed_compares),
@@ -216,7 +220,7 @@
                     }
                     self.read_job(now, &id, effects);
                 }
-                // The leader key or a record that only this leader writes.
+                // The key is the leader key or a record that only this leader writes.
                 None => effects.step_down = Some(StepDownReason::CompareFailed),
             }
         }
--- a/src/scheduler/state/job.rs
+++ b/src/scheduler/state/job.rs
@@ -1,4 +1,5 @@
-//! An unfinished job as the leader holds it, and which of its state is stored.
+//! The leader's state of an unfinished job, how that state is restored from placement
+//! records, and which part of it is not stored yet.
 
 use crate::faults::CircuitBreaker;
 use crate::ids::{Attempt, TaskRef};
@@ -18,68 +19,72 @@
 use std::ops::Range;
 use std::rc::Rc;
 
-/// After this many finished tasks a job's usual run time is known.
+/// The average of a job's run times is used once this many have been recorded.
 const MIN_COMPLETED_RUNS: u32 = 3;
-/// A run that took this many times as long as usual is the machine's fault: sound
-/// machines of a type differ by a tenth.
+/// A run that takes longer than this many times the job's average is attributed to the
+/// machine: healthy machines of one type differ by about 10 %.
 const SLOW_RUN_FACTOR: u64 = 3;
 
-/// An unfinished job, as the leader holds it.
+/// An unfinished job with its tasks and their assignments.
 #[derive(Debug)]
 pub struct Job {
-    /// The job as its user described it, but with the priority that it is served by.
+    /// The specification that the user submitted, except that `priority` is the one by
+    /// which the job is currently scheduled.
     pub(in crate::scheduler) spec: Rc<JobSpec>,
-    /// The resources of one task.
+    /// The resources that each task needs.
     pub(in crate::scheduler) task_request: Resources,
-    /// When it was submitted, time of day.
-    pub(in crate::scheduler) submitted: u64,
-    /// When it was cancelled, time of day.
-    pub(in crate::scheduler) cancelled: Option<u64>,
-    /// The revision of its record.
+    /// The time of submission.
+    pub(in crate::scheduler) submitted_wall_ms: u64,
+    /// The time of cancellation; `None`: the job is not cancelled.
+    pub(in crate::scheduler) cancelled_wall_ms: Option<u64>,
+    /// The revision of the job record that was read last.
     pub(in crate::scheduler) revision: u64,
-    /// How its tasks form replicas that span machines; `None`: they don't.
+    /// How the tasks form replicas that span machines; `None`: each task is placed on its
+    /// own.
     pub(in crate::scheduler) shape: Option<Shape>,
-    /// Since when its objectives count, time of day: its submission, or the end of
-    /// the last job that it depends on.
-    pub(in crate::scheduler) ready_at: u64,
-    /// A job that it depends on isn't known to be done.
-    pub(in crate::scheduler) dependencies_open: bool,
-    /// The priority that its user gave it; `spec` holds the one that it is served by,
-    /// which may be that of a job that depends on it.
+    /// The time from which the service-level objectives count: the submission, or the end
+    /// of the last dependency.
+    pub(in crate::scheduler) ready_wall_ms: u64,
+    /// Whether at least one dependency is not known to be done.
+    pub(in crate::scheduler) has_open_dependencies: bool,
+    /// The priority that the user gave the job. `spec.priority` may instead be the
+    /// priority of a dependent.
     pub(in crate::scheduler) own_priority: Priority,
-    /// How urgent the jobs that depend on it make it.
+    /// The deadlines and priority inherited from dependents; `None`: no job that
+    /// isn't cancelled depends on this one.
     pub(in crate::scheduler) inherited_urgency: Option<StageUrgency<Priority>>,
-    /// The ranges of its tasks, with one placement record each.
+    /// The ranges into which the tasks are divided, each with its own placement record.
     pub(in crate::scheduler) placements: PlacementRanges,
-    /// One of its placement records can't be read: what it may have on machines isn't
-    /// known, so none of its tasks is placed.
+    /// Whether a placement record is unreadable. The tasks that may run on machines are
+    /// then unknown, so none of the job's tasks is placed.
     pub unreadable: bool,
-    /// The key-value store rejected its record: it isn't written again before this
-    /// time.
+    /// The earliest time at which the job is written again after the key-value store
+    /// rejected its record; 0: no limit.
     pub(in crate::scheduler) held_back_until_ms: u64,
-    /// The tasks that may be on a machine.
+    /// The assignments of the tasks that may be on a machine, by task index.
     pub assignments: BTreeMap<u32, Assignment>,
-    /// The tasks that are done.
+    /// The indices of the tasks that have completed successfully.
     pub done: BTreeSet<u32>,
-    /// The tasks that wait to be placed.
+    /// The indices of the tasks that wait to be placed.
     pub(in crate::scheduler) pending: BTreeSet<u32>,
-    /// Ended attempts whose end isn't stored yet: their workers must not forget them.
+    /// Ended attempts whose end is not stored yet. Workers must keep the results of these
+    /// attempts.
     pub(in crate::scheduler) unstored_ends: BTreeSet<(u32, Attempt)>,
-    /// The final record is being written.
+    /// Whether the final record is part of the current transaction.
     pub(in crate::scheduler) finishing: bool,
-    /// Whether its tasks fail wherever they run.
+    /// Opens once tasks have failed on several machines and none has succeeded.
     pub(in crate::scheduler) failures: CircuitBreaker,
-    /// How long its tasks usually run.
     run_times: RunTimes,
-    /// Its record was changed by somebody else; it is read before the next write.
+    /// Whether another writer has changed the job record, which must then be read before
+    /// the next write.
     pub(in crate::scheduler) stale: bool,
-    /// How the table of jobs lists it.
+    /// The membership in the lists of the job table, as of the last refresh.
     pub(super) listed: JobListing,
-    /// It may have changed since it was listed.
+    /// Whether the job may have changed since the last refresh of the job table.
     pub(super) dirty: bool,
 }
 
-/// Run times of a job's tasks whose whole run was seen.
+/// Run times of a job's tasks whose whole run this leader observed.
 #[derive(Clone, Copy, Debug, Default)]
 struct RunTimes {
     count: u32,
@@ -87,18 +92,18 @@
 }
 
 impl Job {
-    /// A job whose placements aren't known yet.
+    /// Creates a job from its record, with all tasks pending and no placement records.
     pub fn new(record: JobRecord, revision: u64, tasks_per_range: u32) -> Job {
         let tasks = record.spec.tasks;
         let shape = record
             .replica_parts
             .and_then(|parts| Shape::new(parts, tasks));
-        // A replica group lies in one record, so that its parts are bound by one write.
+        // A replica group is stored in one record, so that one write binds all its parts.
         let tasks_of_whole_replicas = shape.map(|shape| shape.whole_replicas(tasks_per_range));
         if tasks_of_whole_replicas == Some(None) {
             log::error!(
                 "replica exceeds record job={} \
-                 reason=\"a record holds no whole replica here, its tasks are placed one by one\"",
+                 reason=\"no placement record can hold a whole replica, tasks are placed individually\"",
                 record.spec.id
             );
         }
@@ -108,12 +113,12 @@
         Job {
             shape,
             task_request: record.spec.task_request(),
-            submitted: record.submitted,
-            ready_at: record.submitted,
-            dependencies_open: false,
+            submitted_wall_ms: record.submitted,
+            ready_wall_ms: record.submitted,
+            has_open_dependencies: false,
             own_priority: record.spec.priority,
             inherited_urgency: None,
-            cancelled: record.cancelled,
+            cancelled_wall_ms: record.cancelled,
             revision,
             placements: PlacementRanges::new(tasks, tasks_per_range),
             unreadable: false,
@@ -132,38 +137,36 @@
         }
     }
 
-    /// Whether its tasks run until it is cancelled.
+    /// Whether the job is a service, whose tasks run until it is cancelled.
     pub(in crate::scheduler) fn is_service(&self) -> bool {
         self.spec.kind == JobKind::Service
     }
 
-    /// Whether all its tasks are done.
     fn all_done(&self) -> bool {
         self.done.len() as u32 == self.spec.tasks
     }
 
-    /// How it has ended, if nothing of it is left to run or to stop.
+    /// Returns how the job ended; `None` while tasks remain to be run or stopped.
     pub(in crate::scheduler) fn final_state(&self) -> Option<FinalState> {
-        match self.cancelled {
+        match self.cancelled_wall_ms {
             Some(_) => self.assignments.is_empty().then_some(FinalState::Cancelled),
             None => self.all_done().then_some(FinalState::Done),
         }
     }
 
-    /// Whether there is anything to store of it: its end, or where its tasks are.
-    /// What the tasks of a cancelled job do needs no record: the next leader stops
-    /// them all.
+    /// Whether the end of the job or any placement has yet to be stored. The placements
+    /// of a cancelled job need not be stored, because a new leader stops all its tasks.
     pub(super) fn has_unwritten_changes(&self) -> bool {
-        // A record that couldn't be read must not be overwritten.
-        let may_be_written = self.cancelled.is_none() && !self.unreadable;
+        // An unreadable record must not be overwritten.
+        let may_be_written = self.cancelled_wall_ms.is_none() && !self.unreadable;
         let has_dirty_range = || {
             let mut ranges = self.placements.iter();
-            ranges.any(|range| range.dirty_ms.is_some())
+            ranges.any(|range| range.dirty_since_ms.is_some())
         };
         self.final_state().is_some() || (may_be_written && has_dirty_range())
     }
 
-    /// How many of its tasks are seen running.
+    /// Returns the number of tasks that are reported as running.
     pub(in crate::scheduler) fn running(&self) -> u32 {
         self.assignments
             .values()
@@ -171,7 +174,7 @@
             .count() as u32
     }
 
-    /// The name of one of its tasks.
+    /// Returns the reference to the task of this index.
     pub(in crate::scheduler) fn task(&self, index: u32) -> TaskRef {
         TaskRef {
             job: self.spec.id.clone(),
@@ -179,36 +182,39 @@
         }
     }
 
-    /// The record that holds the task has to be written.
-    pub(in crate::scheduler) fn touch(&mut self, task: u32, now_ms: u64, urgent: bool) {
+    /// Marks the placement record that holds the task as having unwritten changes.
+    pub(in crate::scheduler) fn mark_dirty(&mut self, task: u32, now_ms: u64, urgent: bool) {
         if let Some(range) = self.placements.range_of_task_mut(task) {
-            range.touch(now_ms, urgent);
+            range.mark_dirty(now_ms, urgent);
         }
     }
 
-    /// The next attempt of the range that holds this task.
+    /// Allocates the next attempt in the range that holds the task; `None`: the job has no
+    /// such task.
     pub(in crate::scheduler) fn next_attempt(&mut self, task: u32) -> Option<Attempt> {
         let range = self.placements.range_of_task_mut(task)?;
         range.next_attempt = Attempt(range.next_attempt.0 + 1);
         Some(range.next_attempt)
     }
 
-    /// Records how long a task ran, and tells whether that was far longer than the
-    /// job's other tasks took: users' estimates are too often wrong to compare with.
-    pub(in crate::scheduler) fn record_run_time(&mut self, took_ms: u64) -> bool {
+    /// Records the run time of a task, unless it is an outlier, and returns whether it is
+    /// one. The reference is the average of the job's other tasks, because users'
+    /// estimates are often wrong.
+    pub(in crate::scheduler) fn record_run_time(&mut self, run_ms: u64) -> bool {
         let RunTimes { count, total_ms } = self.run_times;
         let is_slow =
-            count >= MIN_COMPLETED_RUNS && took_ms > total_ms / u64::from(count) * SLOW_RUN_FACTOR;
+            count >= MIN_COMPLETED_RUNS && run_ms > total_ms / u64::from(count) * SLOW_RUN_FACTOR;
         if !is_slow {
             self.run_times = RunTimes {
                 count: count + 1,
-                total_ms: total_ms + took_ms,
+                total_ms: total_ms + run_ms,
             };
         }
         is_slow
     }
 
-    /// How many of its tasks may be in each zone, for spread and samePlace.
+    /// Counts the assigned tasks in each zone, for the constraints `spread` and
+    /// `samePlace`.
     pub(in crate::scheduler) fn zone_counts(&self) -> ZoneCounts {
         let mut zones = ZoneCounts::default();
         for assignment in self.assignments.values() {
@@ -217,7 +223,8 @@
         zones
     }
 
-    /// What is to be stored now of the tasks of a range.
+    /// Builds the placement record of a range from the current state, without its replica
+    /// groups.
     pub(super) fn placement_record(
         &self,
         number: usize,
@@ -253,14 +260,16 @@
         }
     }
 
-    /// How many tasks have to stay in one record together: the parts of a replica.
+    /// Returns the number of tasks that must share a placement record: the parts of a
+    /// replica, or 1 without replica groups.
     pub(super) fn tasks_per_replica(&self) -> u32 {
         self.shape.map_or(1, |shape| shape.parts())
     }
 
-    /// Restores what earlier leaders stored, from all of its placement records.
+    /// Restores the job's assignments and results from all its placement records.
     pub fn restore(&mut self, mut stored: Vec<StoredPlacement>, zones: &[String]) {
-        // The records say how the job was divided; today's settings may differ.
+        // The length of the stored ranges is authoritative: the settings may have changed
+        // since.
         let tasks_per_range = stored
             .iter()
             .map(|stored| stored.record.tasks_per_range)
@@ -269,7 +278,7 @@
         if let Some(tasks_per_range) = tasks_per_range {
             self.placements = PlacementRanges::new(self.spec.tasks, tasks_per_range);
         }
-        // The finer of two records is authoritative, so it comes last.
+        // The finer of two overlapping records is authoritative, so it is applied last.
         stored.sort_by_key(|stored| match stored.name {
             RangeName::Uniform(_) => 0,
             RangeName::Tasks { first, last } => u32::MAX - (last - first),
@@ -281,7 +290,8 @@
         }
     }
 
-    /// Restores one range. `None`: its record doesn't fit the job.
+    /// Restores one range from its record; `None` if the record is inconsistent with the
+    /// job.
     fn restore_range(&mut self, stored: StoredPlacement, zones: &[String]) -> Option<()> {
         let StoredPlacement {
             name,
@@ -329,7 +339,8 @@
         self.assignments.insert(row.task, assignment);
     }
 
-    /// Forgets what a coarser record said of these tasks: a finer one holds them.
+    /// Discards the state of these tasks that a coarser record set: a finer record holds
+    /// them.
     fn reset_tasks(&mut self, tasks: Range<u32>) {
         for task in tasks.start..tasks.end.min(self.spec.tasks) {
             self.assignments.remove(&task);
@@ -339,13 +350,13 @@
     }
 }
 
-/// A placement record as it was read.
+/// A placement record read from the key-value store.
 #[derive(Debug)]
 pub struct StoredPlacement {
-    /// Which record it is.
+    /// The range of tasks that the record covers, from the key.
     pub name: RangeName,
-    /// Its revision.
+    /// The revision at which the key-value store last changed the record.
     pub revision: u64,
-    /// What it holds.
+    /// The decoded value.
     pub record: PlacementRecord,
 }
--- a/src/scheduler/state/job_table.rs
+++ b/src/scheduler/state/job_table.rs
@@ -1,8 +1,7 @@
-//! The leader's unfinished jobs, and what is derived from them: which wait, which
-//! have to be written, what teams use, which images are asked for. A job that is to
-//! be changed is taken from [`JobTable::get_mut`], which notes it as touched;
-//! [`JobTable::refresh`] then brings the derived lists up to date for touched jobs,
-//! and for no others.
+//! The table of the leader's unfinished jobs, with lists derived from them: jobs that
+//! wait to be placed, jobs that have to be written, the usage of teams, and the images
+//! that jobs need. [`JobTable::get_mut`] marks the job that it returns as touched.
+//! [`JobTable::refresh`] updates the derived lists for the touched jobs only.
 
 use crate::ids::JobId;
 use crate::placement::Resources;
@@ -13,31 +12,31 @@
 use std::collections::{btree_map, BTreeMap, BTreeSet, HashMap};
 use std::rc::Rc;
 
-/// How far a team's usage may differ from the sum over its jobs by rounding.
+/// The most by which rounding may make a team's usage differ from the sum over its jobs.
 const MAX_USAGE_DIFFERENCE: f64 = 1e-6;
 
-/// How the lists of [`JobTable`] hold a job.
+/// The membership of a job in the lists of [`JobTable`].
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(in crate::scheduler) struct JobListing {
-    /// It has tasks that wait to be placed.
+    /// Tasks of the job wait to be placed.
     waiting: bool,
-    /// Something of it has to be stored.
+    /// The job has changes to be stored.
     unwritten: bool,
-    /// Its record was changed by somebody else.
+    /// Another writer has changed the job record.
     stale: bool,
-    /// It is cancelled, and tasks may still be on machines.
+    /// The job is cancelled, and tasks may still be on machines.
     stopping: bool,
     /// How many tasks may be on machines.
     assigned: usize,
-    /// How many tasks count towards its team's guarantee.
+    /// How many tasks count towards the team's guarantee; `None`: the job may not run.
     guaranteed: Option<u32>,
 }
 
 impl JobListing {
     fn of(job: &Job) -> JobListing {
-        let cancelled = job.cancelled.is_some();
+        let cancelled = job.cancelled_wall_ms.is_some();
         let readable = !job.stale && !job.unreadable;
-        let may_run = !cancelled && !job.dependencies_open;
+        let may_run = !cancelled && !job.has_open_dependencies;
         JobListing {
             waiting: may_run && !job.pending.is_empty() && readable,
             unwritten: !job.stale && !job.finishing && job.has_unwritten_changes(),
@@ -49,11 +48,11 @@
     }
 }
 
-/// What its team's account needs of a job; it never changes.
+/// The properties of a job that its team's account needs and that never change.
 struct ImmutableJobFacts {
     team: Rc<str>,
     task_request: Resources,
-    submitted: u64,
+    submitted_wall_ms: u64,
 }
 
 impl ImmutableJobFacts {
@@ -61,7 +60,7 @@
         ImmutableJobFacts {
             team: job.spec.team.clone(),
             task_request: job.task_request,
-            submitted: job.submitted,
+            submitted_wall_ms: job.submitted_wall_ms,
         }
     }
 }
@@ -73,10 +72,10 @@
 #[derive(Debug, Default)]
 pub(in crate::scheduler) struct JobTable {
     jobs: BTreeMap<JobId, Job>,
-    /// Jobs that changed since the lists were last brought up to date.
+    /// Jobs that may have changed since the last refresh.
     touched: Vec<JobId>,
     waiting: BTreeSet<JobId>,
-    /// Jobs that began to wait since this was last taken.
+    /// Jobs that began to wait since the last call of `take_newly_waiting`.
     newly_waiting: Vec<JobId>,
     unwritten: BTreeSet<JobId>,
     stale: BTreeSet<JobId>,
@@ -87,27 +86,23 @@
 }
 
 impl JobTable {
-    /// Forgets all jobs.
     pub(in crate::scheduler) fn clear(&mut self) {
         *self = JobTable::default();
     }
 
-    /// How many jobs there are.
     pub(in crate::scheduler) fn len(&self) -> usize {
         self.jobs.len()
     }
 
-    /// Whether the job is held.
     pub(in crate::scheduler) fn contains(&self, id: &JobId) -> bool {
         self.jobs.contains_key(id)
     }
 
-    /// The job of this name.
     pub(in crate::scheduler) fn get(&self, id: &JobId) -> Option<&Job> {
         self.jobs.get(id)
     }
 
-    /// The job of this name, to be changed.
+    /// Returns the job for modification, and marks it as touched.
     pub(in crate::scheduler) fn get_mut(&mut self, id: &JobId) -> Option<&mut Job> {
         let job = self.jobs.get_mut(id)?;
         if !std::mem::replace(&mut job.dirty, true) {
@@ -116,12 +111,12 @@
         Some(job)
     }
 
-    /// All jobs, by name.
+    /// Iterates over all jobs in the order of their ids.
     pub(in crate::scheduler) fn iter(&self) -> btree_map::Iter<'_, JobId, Job> {
         self.jobs.iter()
     }
 
-    /// Adds a job.
+    /// Adds a job and marks it as touched.
     pub(super) fn insert(&mut self, id: JobId, job: Job) {
         let by_image = self.images.entry(job.spec.class.clone()).or_default();
         let with_image = by_image.entry(job.spec.image.clone()).or_default();
@@ -130,7 +125,7 @@
         self.get_mut(&id);
     }
 
-    /// Removes a job that is over.
+    /// Removes a job from the table and from all derived lists.
     pub(super) fn remove(&mut self, id: &JobId) -> Option<Job> {
         let job = self.jobs.remove(id)?;
         let facts = ImmutableJobFacts::of(&job);
@@ -146,7 +141,7 @@
         Some(job)
     }
 
-    /// Brings the lists up to date. Returns how many jobs had changed.
+    /// Updates the derived lists for the touched jobs. Returns the number of those jobs.
     pub(in crate::scheduler) fn refresh(&mut self) -> u64 {
         let touched = std::mem::take(&mut self.touched);
         for id in &touched {
@@ -164,7 +159,7 @@
         touched.len() as u64
     }
 
-    /// Moves a job between the lists.
+    /// Updates the lists and the team's account for a job whose listing has changed.
     fn update_lists(
         &mut self,
         id: &JobId,
@@ -198,50 +193,50 @@
         if now.guaranteed != before.guaranteed {
             let tasks = now.guaranteed.map(f64::from);
             let remaining = tasks.map(|tasks| facts.task_request.scaled(tasks));
-            let submission = (facts.submitted, id.clone());
+            let submission = (facts.submitted_wall_ms, id.clone());
             self.teams.set_remaining(&facts.team, submission, remaining);
         }
     }
 
-    // ---- lists, as of the last refresh ----
+    // The following methods return the derived lists as of the last refresh.
 
-    /// Jobs with tasks that wait to be placed.
+    /// Returns the jobs with tasks that wait to be placed.
     pub(in crate::scheduler) fn waiting(&self) -> &BTreeSet<JobId> {
         &self.waiting
     }
 
-    /// Takes the jobs that began to wait since the last call.
+    /// Takes the jobs that began to wait since the previous call.
     pub(in crate::scheduler) fn take_newly_waiting(&mut self) -> Vec<JobId> {
         std::mem::take(&mut self.newly_waiting)
     }
 
-    /// Jobs of which something has to be stored.
+    /// Returns the jobs with changes to be stored.
     pub(super) fn unwritten(&self) -> &BTreeSet<JobId> {
         &self.unwritten
     }
 
-    /// Jobs whose record was changed by somebody else.
+    /// Returns the jobs whose record another writer has changed.
     pub(super) fn stale(&self) -> &BTreeSet<JobId> {
         &self.stale
     }
 
-    /// Cancelled jobs with tasks that may be on machines.
+    /// Returns the cancelled jobs with tasks that may be on machines.
     pub(in crate::scheduler) fn stopping(&self) -> &BTreeSet<JobId> {
         &self.stopping
     }
 
-    /// What the team's tasks may be using.
+    /// Returns the resources of the team's tasks that may be on machines.
     pub(in crate::scheduler) fn used(&self, team: &str) -> Resources {
         self.teams.used(team)
     }
 
-    /// What teams use and are guaranteed.
+    /// Returns the accounts of the teams' usage and guarantees.
     pub(in crate::scheduler) fn teams(&mut self) -> &mut TeamAccounts {
         &mut self.teams
     }
 
-    /// The images of a class's jobs: how many have each, and one that stands for
-    /// them.
+    /// Iterates over the images of a class's jobs, with the number of jobs for each image
+    /// and the specification of one of them.
     pub(in crate::scheduler) fn images_of<'a>(
         &'a self,
         class: &str,
@@ -253,7 +248,7 @@
         })
     }
 
-    /// The jobs of a class with an image.
+    /// Iterates over the jobs of a class that use an image.
     pub(in crate::scheduler) fn with_image<'a>(
         &'a self,
         class: &str,
@@ -268,7 +263,8 @@
             .filter_map(|id| self.jobs.get(id))
     }
 
-    /// Recounts the lists and the teams' usage, and compares. For tests.
+    /// Recomputes the lists and the teams' usage, and returns the first difference from
+    /// the maintained ones. For tests.
     pub(in crate::scheduler) fn check_invariants(&self) -> Result<(), InvariantViolation> {
         self.check_lists()?;
         self.check_usage()
--- a/src/scheduler/state/job_watch.rs
+++ b/src/scheduler/state/job_watch.rs
@@ -1,5 +1,5 @@
-//! The watch on the job records: new jobs, cancellations, and records that somebody
-//! else changed.
+//! The watch on the job records, which reports new jobs, cancellations, and records that
+//! other writers changed.
 
 use crate::ids::{JobId, Revision};
 use crate::kv_client::{self, CallPriority, KvResponse};
@@ -11,36 +11,36 @@
 };
 use crate::wire::kv::{KeyValue, WatchResponse};
 
-/// The state of the watch.
+/// The progress of the watch on the job records.
 #[derive(Debug, Default)]
 pub(in crate::scheduler) struct JobWatch {
-    /// Changes up to this revision are known; `None`: nothing has been read.
+    /// The revision up to which changes are known; `None`: no job record has been read.
     pub(super) revision: Option<Revision>,
     in_flight: bool,
     due_ms: u64,
-    /// When stale job records are read again.
+    /// The earliest time at which stale job records are read again.
     reread_due_ms: u64,
 }
 
 impl JobWatch {
-    /// The leader was deposed.
+    /// Resets the watch after the leader was deposed.
     pub(in crate::scheduler) fn reset(&mut self) {
         self.revision = None;
         self.in_flight = false;
     }
 }
 
-/// Where a job record was read.
+/// The kind of read that returned a job record.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(super) enum JobRecordSource {
-    /// In the list of all records that a new leader reads.
+    /// The list of all records that a new leader reads.
     InitialList,
-    /// By the watch, or by a read of this record.
+    /// The watch, or a read of the single record.
     Update,
 }
 
 impl Scheduler {
-    /// Adds the job of a record, or brings it up to date.
+    /// Adds the job of a record, or updates the job if the record is newer.
     pub(super) fn apply_job_record(
         &mut self,
         now: Now,
@@ -52,12 +52,12 @@
         let record: JobRecord = match serde_json::from_value(value) {
             Ok(record) => record,
             Err(error) => {
-                log::error!("job record unreadable key={key} reason=\"it can't be read: {error}\"");
+                log::error!("job record unreadable key={key} reason=\"parse error: {error}\"");
                 return;
             }
         };
         let id = record.spec.id.clone();
-        // A finished job never comes back: this is an old response.
+        // The record comes from an old response: a finished job is never stored again.
         if self.finished_jobs.contains_key(&id) {
             return;
         }
@@ -68,8 +68,8 @@
                 }
                 job.revision = revision;
                 job.stale = false;
-                if job.cancelled.is_none() {
-                    job.cancelled = record.cancelled;
+                if job.cancelled_wall_ms.is_none() {
+                    job.cancelled_wall_ms = record.cancelled;
                 }
             }
             None => self.add_job(now, record, revision, source),
@@ -88,12 +88,12 @@
         }
         let job = Job::new(record, revision, self.tasks_per_range);
         if job.is_service() {
-            // Stored jobs tell a new leader of arrivals, too.
-            let arrived_at = match source {
-                JobRecordSource::InitialList => job.submitted,
+            // Stored jobs count as arrivals at their time of submission.
+            let arrived_wall_ms = match source {
+                JobRecordSource::InitialList => job.submitted_wall_ms,
                 JobRecordSource::Update => now.wall,
             };
-            self.estimates.job_arrived(arrived_at, &job.spec);
+            self.estimates.job_arrived(arrived_wall_ms, &job.spec);
         }
         if let Some(shape) = job.shape {
             self.groups.add(&id, shape);
@@ -102,12 +102,13 @@
         self.add_dependencies(now, &id);
     }
 
-    /// Stops what a cancelled job still has on machines.
+    /// Requests the immediate stop of all assigned tasks if the job is cancelled, and
+    /// cancels its dependents.
     pub(in crate::scheduler) fn enforce_cancel(&mut self, now: Now, id: &JobId) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        if job.cancelled.is_none() {
+        if job.cancelled_wall_ms.is_none() {
             return;
         }
         for assignment in job.assignments.values_mut() {
@@ -115,9 +116,10 @@
             if has_grace_left {
                 assignment.stop = Some(StopRequest {
                     grace_s: 0,
-                    since_ms: now.ms,
+                    requested_ms: now.ms,
                 });
-                // The capacity that it frees has to be indexed anew.
+                // The machine is marked as changed because its stopping tasks affect the
+                // capacity index.
                 self.fleet.get_mut(&assignment.machine);
                 self.machines_to_command.insert(assignment.machine.clone());
             }
@@ -126,7 +128,7 @@
         self.cancel_dependents(now, id);
     }
 
-    /// Keeps one watch call in flight.
+    /// Sends a watch call unless one is in flight or a retry is not due yet.
     pub(in crate::scheduler) fn watch_jobs(&mut self, now: Now, effects: &mut SchedulerEffects) {
         let Some(from) = self.job_watch.revision else {
             return;
@@ -150,7 +152,8 @@
         );
     }
 
-    /// The changes that the watch has seen.
+    /// Applies the changes in a watch response. The leader steps down if the store no
+    /// longer holds the changes since the watched revision (status 410).
     pub(in crate::scheduler) fn on_watch_response(
         &mut self,
         now: Now,
@@ -175,39 +178,42 @@
         }
     }
 
-    /// A peer reports that it wrote this job; the watch may be late.
+    /// Reads a job whose submission a peer reports, because the watch may be delayed.
     pub fn on_job_announced(&mut self, now: Now, id: &JobId, effects: &mut SchedulerEffects) {
         if self.stage == LeaderStage::Active && !self.jobs.contains(id) {
             self.read_job(now, id, effects);
         }
     }
 
-    /// A peer, or this node, has stored a cancellation. If the key-value store becomes
-    /// unavailable before the watch reports it, the tasks must stop all the same;
-    /// stopping them can do no harm.
+    /// Stops the tasks of a job whose cancellation this controller or a peer has stored.
+    /// The tasks have to stop even if the key-value store becomes unavailable before the
+    /// watch reports the cancellation. Stopping them early is safe.
     pub fn on_job_cancelled(&mut self, now: Now, id: &JobId, effects: &mut SchedulerEffects) {
         if self.stage != LeaderStage::Active {
             return;
         }
-        let Some(job) = self.jobs.get_mut(id).filter(|job| job.cancelled.is_none()) else {
+        let Some(job) = self
+            .jobs
+            .get_mut(id)
+            .filter(|job| job.cancelled_wall_ms.is_none())
+        else {
             return;
         };
-        job.cancelled = Some(now.wall);
-        // Its record has changed: it is read before anything of it is written.
+        job.cancelled_wall_ms = Some(now.wall);
+        // The record has changed, so it has to be read before the job is written.
         job.stale = true;
         self.enforce_cancel(now, id);
         self.read_job(now, id, effects);
     }
 
-    /// Reads a job's record.
     pub(super) fn read_job(&mut self, now: Now, id: &JobId, effects: &mut SchedulerEffects) {
         let call = kv_client::get(&job_key(id), CALL_TIMEOUT_MS);
         let tag = SchedulerKvCall::ReadJob(id.clone());
         self.call_kv(now, CallPriority::Placement, call, 0, tag, effects);
     }
 
-    /// A job's record, as it was read. A read that failed is repeated by
-    /// [`Scheduler::read_stale_jobs`].
+    /// Handles the response to the read of a job record. A failed read of a stale job is
+    /// retried by [`Scheduler::read_stale_jobs`].
     pub(in crate::scheduler) fn on_job_response(
         &mut self,
         now: Now,
@@ -227,8 +233,8 @@
         }
     }
 
-    /// Reads stale job records until that succeeds, with pauses: more requests don't
-    /// end an outage sooner.
+    /// Reads the stale job records, and retries at a fixed interval until that succeeds.
+    /// More frequent requests would not end an outage sooner.
     pub(in crate::scheduler) fn read_stale_jobs(
         &mut self,
         now: Now,
--- a/src/scheduler/state/loading.rs
+++ b/src/scheduler/state/loading.rs
@@ -1,5 +1,5 @@
-//! A new leader rebuilds its jobs, and what each machine may hold, from the stored
-//! records.
+//! Rebuilding of a new leader's jobs, and of the tasks that each machine may hold, from
+//! the stored records.
 
 use crate::cloud::Offer;
 use crate::fleet::{Machine, MachinePhase};
@@ -18,23 +18,24 @@
 use lilacfork_replica_groups::record::GroupRecord;
 use std::rc::Rc;
 
-/// How long a page of records is waited for.
+/// The timeout for reading one page of records.
 const PAGE_TIMEOUT_MS: u64 = 2000;
 
-/// How far a new leader has got in reading what is stored.
+/// The progress of a new leader's reading of the stored records.
 #[derive(Debug, Default)]
 pub(in crate::scheduler) struct Loading {
-    /// The placement records of the job that is being read.
+    /// The job whose placement records are being read.
     partial: Option<PartialLoad>,
-    /// The last key that was read.
+    /// The last key of the previous page; `None`: the next page is the first of its
+    /// prefix.
     cursor: Option<String>,
-    /// When a list that failed is asked for again.
-    pub(in crate::scheduler) retry_ms: Option<u64>,
-    /// The cloud's list, if it came before everything was read.
+    /// When a failed read of a page is retried; `None`: no read has failed.
+    pub(in crate::scheduler) retry_due_ms: Option<u64>,
+    /// The cloud's list of machines, if it was received before all records were read.
     pub(in crate::scheduler) early_cloud_list: Option<Vec<ListedMachine>>,
 }
 
-/// The placement records of one job, as far as they are read.
+/// The placement records of one job that have been read so far.
 #[derive(Debug)]
 struct PartialLoad {
     job: JobId,
@@ -42,7 +43,8 @@
 }
 
 impl Scheduler {
-    /// Reads the next page: the job records first, then the placement records.
+    /// Reads the next page of records. The job records are read first, then the placement
+    /// records.
     pub(in crate::scheduler) fn list_records(&mut self, now: Now, effects: &mut SchedulerEffects) {
         let after = self.loading.cursor.as_deref();
         let reads_jobs = self.job_watch.revision.is_none()
@@ -56,7 +58,7 @@
         self.call_kv(now, CallPriority::Leadership, call, 0, tag, effects);
     }
 
-    /// A page of records was read.
+    /// Handles the response to the read of a page, and reads the next one.
     pub(in crate::scheduler) fn on_list_response(
         &mut self,
         now: Now,
@@ -65,8 +67,8 @@
         effects: &mut SchedulerEffects,
     ) {
         let Some(page) = response.read::<KeyPage>(200) else {
-            // The store is unavailable; the lease decides whether there is a retry.
-            self.loading.retry_ms = Some(now.ms + RETRY_MS);
+            // The store is unavailable. The read is retried unless the lease expires before.
+            self.loading.retry_due_ms = Some(now.ms + RETRY_MS);
             return;
         };
         let last_key = page.items.last().map(|item| item.key.clone());
@@ -92,7 +94,7 @@
         }
     }
 
-    /// Everything is read: the leader becomes active.
+    /// Makes the leader active once all records are read.
     fn finish_loading(&mut self, now: Now) {
         self.finish_loading_job(now);
         self.stage = LeaderStage::Active;
@@ -113,7 +115,8 @@
         );
     }
 
-    /// Takes in a placement record. All records of a job come one after the other.
+    /// Adds a placement record to those of its job. The records of a job are contiguous in
+    /// the order of keys.
     fn load_placement(&mut self, now: Now, item: KeyValue) {
         let Some((id, name)) = parse_placement_key(&item.key) else {
             return;
@@ -123,15 +126,15 @@
             self.finish_loading_job(now);
         }
         let Some(job) = self.jobs.get_mut(&id) else {
-            // Its job is over: the record is obsolete.
-            self.cleanup.keys.push(item.key);
+            // The job has finished, so the record is obsolete.
+            self.cleanup.obsolete_keys.push(item.key);
             return;
         };
         let record = serde_json::from_value::<PlacementRecord>(item.value);
         let (Some(name), Ok(record)) = (name, record) else {
             log::error!(
                 "placement record unreadable job={id} key={} \
-                 reason=\"it can't be read, its job waits\"",
+                 reason=\"invalid key or value, no task of the job is placed\"",
                 item.key
             );
             job.unreadable = true;
@@ -148,7 +151,7 @@
         });
     }
 
-    /// All placement records of a job are read: restores it.
+    /// Restores the current job once all its placement records are read.
     fn finish_loading_job(&mut self, now: Now) {
         let Some(PartialLoad {
             job: id,
@@ -168,7 +171,7 @@
         if job.unreadable {
             log::error!(
                 "placement records unreadable job={id} \
-                 reason=\"they don't fit the job, it waits\""
+                 reason=\"inconsistent with the job, none of its tasks is placed\""
             );
         }
         let tasks: Vec<(TaskRef, MachineId, Rc<str>)> = job
@@ -187,8 +190,9 @@
         }
     }
 
-    /// The machine of a stored assignment. Until it sends a heartbeat or the cloud
-    /// lists it, only its zone is known.
+    /// Returns the machine of a stored assignment, or adds a placeholder for it. Only the
+    /// zone of a placeholder is known until the machine sends a heartbeat or the cloud
+    /// lists it.
     fn machine_or_placeholder(&mut self, now: Now, id: MachineId, zone: Rc<str>) -> &mut Machine {
         let term = self.term;
         self.fleet.get_or_add(&id, || {
--- a/src/scheduler/state/mod.rs
+++ b/src/scheduler/state/mod.rs
@@ -1,4 +1,5 @@
-//! What the leader holds of jobs, and how it is loaded, watched and stored.
+//! The leader's state of the unfinished jobs, and how that state is loaded, watched and
+//! stored.
 
 pub(super) mod assignment;
 pub(super) mod cleanup;
--- a/src/scheduler/state/placement_ranges.rs
+++ b/src/scheduler/state/placement_ranges.rs
@@ -1,9 +1,8 @@
-//! How the placements of a job's tasks are divided into ranges, one record each. A
-//! job is divided into ranges of equal length first. A range whose record gets too
-//! large for the key-value store is split again: its tasks go to finer ranges, which
-//! name their tasks in their keys. While both records are stored, the finer one is
-//! authoritative for its tasks, so a leader that finds any intermediate step of a
-//! split reads the same facts.
+//! Division of a job's tasks into placement ranges, each stored as one placement record.
+//! A job is first divided into ranges of equal length. A range whose record exceeds the
+//! key-value store's size limit is split: its tasks move to finer ranges, whose keys name
+//! their tasks. While both records are stored, the finer one is authoritative for its
+//! tasks. A leader therefore restores the same state at any intermediate step of a split.
 
 use crate::ids::Attempt;
 use crate::messages::Now;
@@ -11,20 +10,20 @@
 use std::collections::BTreeMap;
 use std::ops::Range;
 
-/// A range of a job's tasks with one placement record, as the leader keeps it.
+/// A range of a job's tasks that is stored as one placement record.
 #[derive(Clone, Debug)]
 pub struct PlacementRange {
-    /// Which record it is.
+    /// The name from which the key of the placement record is built.
     pub name: RangeName,
-    /// The tasks of its name, some of which finer ranges may hold.
+    /// The tasks that the name covers. Finer ranges may hold some of them.
     tasks: Range<u32>,
-    /// The revision of the stored record; 0: none is stored.
+    /// The revision of the stored record; 0: no record is stored.
     pub(in crate::scheduler) revision: u64,
-    /// The next attempt of its tasks.
+    /// The last attempt allocated in the range. Each allocation increments it.
     pub(in crate::scheduler) next_attempt: Attempt,
-    /// Since when there is something to write; `None`: nothing is.
-    pub(in crate::scheduler) dirty_ms: Option<u64>,
-    /// It has to be written soon, not lazily.
+    /// Since when the range has unwritten changes; `None`: it has none.
+    pub(in crate::scheduler) dirty_since_ms: Option<u64>,
+    /// Whether the changes are written as soon as possible rather than lazily.
     pub(in crate::scheduler) urgent: bool,
 }
 
@@ -35,40 +34,40 @@
             tasks,
             revision: 0,
             next_attempt: Attempt::default(),
-            dirty_ms: None,
+            dirty_since_ms: None,
             urgent: false,
         }
     }
 
-    /// Whether it should be written now.
+    /// Whether the record should be written now.
     pub(super) fn is_due(&self, now: Now, lazy_delay_ms: u64) -> bool {
-        self.dirty_ms
-            .is_some_and(|since| self.urgent || now.ms >= since + lazy_delay_ms)
+        self.dirty_since_ms
+            .is_some_and(|since_ms| self.urgent || now.ms >= since_ms + lazy_delay_ms)
     }
 
-    /// Its record has to be written.
-    pub(super) fn touch(&mut self, now_ms: u64, urgent: bool) {
-        self.dirty_ms.get_or_insert(now_ms);
+    /// Marks the range as having unwritten changes.
+    pub(super) fn mark_dirty(&mut self, now_ms: u64, urgent: bool) {
+        self.dirty_since_ms.get_or_insert(now_ms);
         self.urgent |= urgent;
     }
 }
 
-/// All ranges of a job's tasks. Ranges are numbered in the order in which they came
-/// to be.
+/// All ranges of a job's tasks, numbered in the order of their creation.
 #[derive(Clone, Debug)]
 pub struct PlacementRanges {
-    /// How many tasks the job has.
+    /// The number of tasks of the job.
     tasks: u32,
-    /// Tasks in each of the equal ranges that the job was divided into first.
+    /// The number of tasks in each of the equal ranges of the first division.
     tasks_per_range: u32,
     ranges: Vec<PlacementRange>,
-    /// The first task of each segment of contiguous tasks, and the number of the
-    /// range that holds them.
+    /// The number of the range that holds each segment of contiguous tasks, by the first
+    /// task of the segment.
     segments: BTreeMap<u32, usize>,
 }
 
 impl PlacementRanges {
-    /// Divides the tasks of a job into ranges of equal length.
+    /// Divides the tasks of a job into ranges of `tasks_per_range` tasks each; the last
+    /// range may be shorter.
     pub fn new(tasks: u32, tasks_per_range: u32) -> PlacementRanges {
         let count = tasks.div_ceil(tasks_per_range);
         let tasks_of =
@@ -85,50 +84,48 @@
         }
     }
 
-    /// Tasks in each of the equal ranges that the job was divided into first.
+    /// Returns the number of tasks in each of the equal ranges of the first division.
     pub(super) fn tasks_per_range(&self) -> u32 {
         self.tasks_per_range
     }
 
-    /// All ranges, by number.
+    /// Iterates over all ranges in the order of their numbers.
     pub fn iter(&self) -> impl Iterator<Item = &PlacementRange> {
         self.ranges.iter()
     }
 
-    /// How many ranges there are.
+    /// Returns the number of ranges, including those whose tasks all moved to finer ones.
     pub fn len(&self) -> usize {
         self.ranges.len()
     }
 
-    /// Whether there is none, which is so of no job.
+    /// Whether there are no ranges, which is never the case for a job with tasks.
     pub fn is_empty(&self) -> bool {
         self.ranges.is_empty()
     }
 
-    /// The range of this number.
+    /// Returns the range of this number; `None` if the number is out of range.
     pub fn get(&self, number: usize) -> Option<&PlacementRange> {
         self.ranges.get(number)
     }
 
-    /// The range of this number, to be changed.
     pub(super) fn get_mut(&mut self, number: usize) -> Option<&mut PlacementRange> {
         self.ranges.get_mut(number)
     }
 
-    /// The number of the range that holds a task.
+    /// Returns the number of the range that holds a task; `None`: the job has no such task.
     pub fn range_of_task(&self, task: u32) -> Option<usize> {
         let (_, number) = self.segments.range(..=task).next_back()?;
         (task < self.tasks).then_some(*number)
     }
 
-    /// The range that holds a task, to be changed.
     pub(super) fn range_of_task_mut(&mut self, task: u32) -> Option<&mut PlacementRange> {
         let number = self.range_of_task(task)?;
         self.ranges.get_mut(number)
     }
 
-    /// The tasks that a range holds, in contiguous segments: those that no finer
-    /// range holds.
+    /// Returns the tasks that a range holds, as contiguous segments. Tasks that finer
+    /// ranges hold are excluded.
     pub fn tasks_of(&self, number: usize) -> Vec<Range<u32>> {
         let Some(range) = self.ranges.get(number) else {
             return Vec::new();
@@ -140,19 +137,19 @@
             .collect()
     }
 
-    /// The most bytes of a range's record, with all its tasks assigned.
+    /// Returns the most bytes that a range's record can take, with all its tasks assigned.
     pub(super) fn max_record_bytes(&self, number: usize) -> usize {
         max_record_bytes(task_count(&self.tasks_of(number)))
     }
 
-    /// The end of the segment that begins with this task.
+    /// Returns the end (exclusive) of the segment that begins with this task.
     fn segment_end(&self, first: u32) -> u32 {
         let next = self.segments.range(first + 1..).next();
         next.map_or(self.tasks, |(start, _)| *start)
     }
 
-    /// From now on these tasks are held by a finer range of their own. Returns its
-    /// number; `None`: the job has no such tasks.
+    /// Moves these tasks to a finer range of their own. Returns the number of the new
+    /// range; `None`: the job has no such tasks.
     pub(super) fn split_off(&mut self, tasks: Range<u32>) -> Option<usize> {
         if tasks.is_empty() || tasks.end > self.tasks {
             return None;
@@ -172,12 +169,13 @@
         Some(number)
     }
 
-    /// Splits a range whose record is too large into finer ones of at most
-    /// `max_tasks`, in multiples of `unit`. `false`: it can't be split any further.
+    /// Splits a range whose record is too large into finer ranges of at most `max_tasks`
+    /// tasks, in multiples of `unit`. Returns `false` if the range can't be split further.
     pub fn split(&mut self, number: usize, max_tasks: u32, unit: u32) -> bool {
         let segments = self.tasks_of(number);
         let held = task_count(&segments);
-        // Half of them at the most, or the same record would come out again.
+        // A finer range holds at most half of the tasks: otherwise the split could produce
+        // the same record again.
         let max_tasks = max_tasks.min(held / 2) / unit * unit;
         let length = max_tasks.max(unit);
         if held <= unit {
@@ -186,7 +184,11 @@
         let Some(coarse) = self.ranges.get_mut(number) else {
             return false;
         };
-        let (next, dirty_ms, urgent) = (coarse.next_attempt, coarse.dirty_ms.take(), coarse.urgent);
+        let (next, dirty_since_ms, urgent) = (
+            coarse.next_attempt,
+            coarse.dirty_since_ms.take(),
+            coarse.urgent,
+        );
         coarse.urgent = false;
         for segment in segments {
             for first in segment.clone().step_by(length as usize) {
@@ -196,14 +198,14 @@
                     continue;
                 };
                 fine.next_attempt = next;
-                fine.dirty_ms = dirty_ms;
+                fine.dirty_since_ms = dirty_since_ms;
                 fine.urgent = urgent;
             }
         }
         true
     }
 
-    /// A new attempt that is the same for the tasks of all ranges.
+    /// Allocates a new attempt that is the same for the tasks of all ranges.
     pub(in crate::scheduler) fn common_attempt(&mut self) -> Attempt {
         let latest = self.ranges.iter().map(|range| range.next_attempt).max();
         let next = Attempt(latest.unwrap_or_default().0 + 1);
--- a/src/scheduler/state/quotas.rs
+++ b/src/scheduler/state/quotas.rs
@@ -1,5 +1,4 @@
-//! What each team uses and what its quota guarantees, kept up to date as its jobs
-//! change.
+//! Accounts of each team's usage and guaranteed quota, updated as the team's jobs change.
 
 use crate::ids::JobId;
 use crate::placement::Resources;
@@ -7,35 +6,37 @@
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
 
-/// How far a sum may exceed its bound: rounding of decimal amounts must not cost a
-/// team its last task.
+/// The most by which a sum may exceed its bound. Without a tolerance, rounding of decimal
+/// amounts could prevent a team from running the last task within its quota.
 const ROUNDING_TOLERANCE: f64 = 1e-6;
 
-/// Orders a team's jobs by their time of submission.
-type Submission = (u64, JobId);
+/// The key that orders a team's jobs: time of submission (wall clock, milliseconds) and
+/// id.
+type SubmissionKey = (u64, JobId);
 
-/// One team's usage and guarantee.
+/// The usage of one team, and which of its jobs its quota guarantees.
 #[derive(Debug, Default)]
 struct TeamAccount {
-    /// Its tasks that may be on machines.
+    /// The number of the team's tasks that may be on machines.
     tasks: u64,
-    /// The resources that these take together.
+    /// The resources that these tasks take together.
     used: Resources,
-    /// What its unfinished jobs have left to run, in the order of submission.
-    remaining: BTreeMap<Submission, Resources>,
-    /// The last job that fits into the guarantee together with all before it.
-    last_guaranteed: Option<Submission>,
-    /// `last_guaranteed` has to be worked out anew.
-    is_stale: bool,
+    /// The resources of the unfinished tasks of each job that may run, in the order of
+    /// submission.
+    remaining: BTreeMap<SubmissionKey, Resources>,
+    /// The last job that fits into the guarantee together with all earlier jobs.
+    last_guaranteed: Option<SubmissionKey>,
+    /// Whether `last_guaranteed` has to be recomputed.
+    last_guaranteed_is_stale: bool,
 }
 
-/// All teams' usage and guarantees.
+/// The accounts of all teams.
 #[derive(Debug, Default)]
 pub(in crate::scheduler) struct TeamAccounts {
     teams: HashMap<Rc<str>, TeamAccount>,
 }
 
-/// Whether amounts stay below bounds of which 0 means none.
+/// Whether the resources stay within the bounds. A bound of 0 means unlimited.
 fn within_bounds(used: &Resources, max_cpus: f64, max_gpus: f64) -> bool {
     let fits = |used: f64, max: f64| max <= 0.0 || used <= max + ROUNDING_TOLERANCE;
     fits(used.cpus, max_cpus) && fits(used.gpus, max_gpus)
@@ -46,7 +47,8 @@
         self.teams.entry(team.clone()).or_default()
     }
 
-    /// Changes how many tasks of a job may be on machines.
+    /// Updates the team's usage when the number of a job's tasks that may be on machines
+    /// changes from `before` to `now`.
     pub(super) fn set_assigned_tasks(
         &mut self,
         team: &Rc<str>,
@@ -57,7 +59,7 @@
         let account = self.account_mut(team);
         account.tasks = account.tasks + now as u64 - before as u64;
         if account.tasks == 0 {
-            // Sums of decimals must not leave a remainder behind.
+            // The sum is reset so that rounding errors don't accumulate.
             account.used = Resources::default();
             return;
         }
@@ -65,36 +67,36 @@
         account.used.add(&task_request.scaled(now as f64));
     }
 
-    /// Sets what a job has left to run; `None`: the guarantee doesn't count for it
-    /// any more.
+    /// Sets the resources of a job's unfinished tasks; `None`: the job no longer counts
+    /// towards the guarantee.
     pub(super) fn set_remaining(
         &mut self,
         team: &Rc<str>,
-        job: Submission,
+        job: SubmissionKey,
         remaining: Option<Resources>,
     ) {
         let account = self.account_mut(team);
-        account.is_stale = true;
+        account.last_guaranteed_is_stale = true;
         match remaining {
             Some(remaining) => account.remaining.insert(job, remaining),
             None => account.remaining.remove(&job),
         };
     }
 
-    /// What the team's tasks may be using.
+    /// Returns the resources of the team's tasks that may be on machines.
     pub(super) fn used(&self, team: &str) -> Resources {
         self.teams
             .get(team)
             .map_or(Resources::default(), |account| account.used)
     }
 
-    /// Whether a job fits into its team's guarantee together with the team's
-    /// earlier unfinished ones.
+    /// Whether a job fits into its team's guarantee together with the team's earlier
+    /// unfinished jobs. Adds the number of jobs visited to `examined`.
     pub(in crate::scheduler) fn is_guaranteed(
         &mut self,
         settings: &Settings,
         team: &str,
-        job: &Submission,
+        job: &SubmissionKey,
         examined: &mut u64,
     ) -> bool {
         let Some(guarantee) = settings.team(team).filter(|t| t.cpus > 0.0 || t.gpus > 0.0) else {
@@ -103,7 +105,7 @@
         let Some(account) = self.teams.get_mut(team) else {
             return false;
         };
-        if std::mem::take(&mut account.is_stale) {
+        if std::mem::take(&mut account.last_guaranteed_is_stale) {
             account.update_last_guaranteed(guarantee, examined);
         }
         account
@@ -112,7 +114,7 @@
             .is_some_and(|last| job <= last)
     }
 
-    /// What each team uses, for the check that counts everything anew.
+    /// Iterates over the teams' usage, for the invariant check that recomputes it.
     pub(super) fn all_used(&self) -> impl Iterator<Item = (&Rc<str>, &Resources)> {
         self.teams
             .iter()
@@ -135,7 +137,8 @@
     }
 }
 
-/// Whether the team's limit allows one more such task.
+/// Whether the team's quota allows one more task with this request; `false` for an
+/// unknown team.
 pub(in crate::scheduler) fn within_quota(
     settings: &Settings,
     team: &str,
--- a/src/scheduler/state/transaction.rs
+++ b/src/scheduler/state/transaction.rs
@@ -1,5 +1,5 @@
-//! How a transaction of the leader's is built: final records of jobs and placement
-//! records, most important first, as many as the limits allow.
+//! Construction of the leader's transactions. A transaction holds final records of jobs
+//! and placement records, most important jobs first, as many as the limits allow.
 
 use crate::ids::{Attempt, JobId, Revision};
 use crate::limits::{RequestSize, StoreLimits};
@@ -13,57 +13,59 @@
 use lilacfork_replica_groups::record::GroupRecord;
 use lilacfork_replica_groups::registry::ReplicaGroups;
 
-/// The most bytes of a transaction's records: the protocol's 64 KiB less headers and
-/// compares.
+/// Once a transaction's records exceed this size, no more are added: the protocol's
+/// 64 KiB less headers and compares.
 const MAX_TXN_BYTES: usize = 52 * 1024;
-/// A job's end takes two changes: its final record is put, its job record deleted.
-pub(super) const FINAL_CHANGES: usize = 2;
-/// Bytes that a job's end takes in a transaction, generously.
-const FINAL_RECORD_BYTES: usize = 200;
+/// The write operations for the end of a job: one puts the final record, one deletes the
+/// job record.
+pub(super) const FINISHED_JOB_WRITE_OPS: usize = 2;
+/// An upper bound for the bytes that the end of a job takes in a transaction.
+const MAX_FINAL_RECORD_BYTES: usize = 200;
 
-/// A placement record in a transaction.
+/// A placement record that a transaction writes.
 #[derive(Debug)]
 pub(super) struct PlacementWrite {
     pub(super) job: JobId,
-    /// The number of the record's range within its job.
+    /// The number of the record's range in [`Job::placements`].
     pub(super) range: usize,
     /// The assignments that the record holds, by task and attempt.
     pub(super) assigned: Vec<(u32, Attempt)>,
-    /// The ends of attempts that it stores.
+    /// The ended attempts, by task and attempt, whose end the record stores.
     pub(super) ended: Vec<(u32, Attempt)>,
-    /// The replica groups that it holds.
+    /// The replica groups that the record holds.
     pub(super) groups: Vec<GroupRecord>,
 }
 
-/// A job whose final record is in a transaction.
+/// A job whose final record a transaction writes.
 #[derive(Debug)]
 pub(super) struct FinishedJob {
     pub(super) id: JobId,
     pub(super) state: FinalState,
 }
 
-/// A transaction of the leader's, and what is true once it is stored.
+/// A transaction of the leader, with the changes to apply once it is committed.
 #[derive(Debug)]
 pub(in crate::scheduler) struct PendingTransaction {
-    /// Identifies the write in the records that it puts.
+    /// The id that every record of the transaction carries.
     pub(super) write_id: u64,
     pub(super) txn: Txn,
     pub(super) placement_writes: Vec<PlacementWrite>,
     pub(super) finished_jobs: Vec<FinishedJob>,
-    /// Placement records of jobs that are over once this is stored.
+    /// The keys of placement records that become obsolete when the transaction commits,
+    /// because their jobs finish with it.
     pub(super) obsolete_keys: Vec<String>,
-    /// The key of the first record that it puts: its value names this write if the
-    /// transaction was carried out.
+    /// The key of the first record that the transaction puts. Its value holds `write_id`
+    /// if the transaction was executed.
     pub(super) marker_key: String,
-    /// It is in flight.
+    /// Whether the transaction is in flight.
     pub(super) sent: bool,
-    /// An earlier copy of it may have been carried out.
+    /// Whether an earlier copy of the transaction may have been executed.
     pub(super) indeterminate: bool,
-    /// The keys whose compares failed, as the store named them.
+    /// The keys whose compares failed, from the response of the store.
     pub(super) failed_compares: Vec<String>,
-    /// When it may be sent.
+    /// The earliest time at which the transaction is sent.
     pub(super) due_ms: u64,
-    /// The size of its records, roughly.
+    /// The estimated size of the records.
     estimated_bytes: usize,
 }
 
@@ -84,12 +86,11 @@
         }
     }
 
-    /// How large it is.
     pub(super) fn size(&self) -> RequestSize {
         RequestSize::of(&self.txn)
     }
 
-    /// The jobs that it writes.
+    /// Returns the jobs whose records the transaction writes.
     pub(super) fn jobs(&self) -> Vec<JobId> {
         let finished = self.finished_jobs.iter().map(|finished| &finished.id);
         let placed = self.placement_writes.iter().map(|write| &write.job);
@@ -98,17 +99,17 @@
         jobs
     }
 
-    /// It isn't in flight any more, and is to be sent again.
-    pub(super) fn send_again_at(&mut self, due_ms: u64) {
+    /// Schedules the transaction to be sent again, once its call has ended.
+    pub(super) fn schedule_resend(&mut self, due_ms: u64) {
         self.sent = false;
         self.due_ms = due_ms;
     }
 
-    fn has_capacity_for(&self, changes: usize, max_changes: usize) -> bool {
-        self.txn.writes.len() + changes <= max_changes && self.estimated_bytes <= MAX_TXN_BYTES
+    fn has_capacity_for(&self, write_ops: usize, max_write_ops: usize) -> bool {
+        self.txn.writes.len() + write_ops <= max_write_ops && self.estimated_bytes <= MAX_TXN_BYTES
     }
 
-    /// Adds the end of a job.
+    /// Adds the final record of a job and the deletion of its job record.
     fn add_final_record(&mut self, now: Now, job: &mut Job, state: FinalState) {
         let id = job.spec.id.clone();
         let record = FinalRecord {
@@ -130,7 +131,7 @@
         self.obsolete_keys.extend(keys);
         job.finishing = true;
         self.finished_jobs.push(FinishedJob { id, state });
-        self.estimated_bytes += FINAL_RECORD_BYTES;
+        self.estimated_bytes += MAX_FINAL_RECORD_BYTES;
     }
 
     /// Adds the placement record of one of a job's ranges.
@@ -152,13 +153,14 @@
         let Some(range) = job.placements.get_mut(number) else {
             return;
         };
-        range.dirty_ms = None;
+        range.dirty_since_ms = None;
         range.urgent = false;
         let key = placement_key(&id, range.name);
         self.estimated_bytes += record.max_bytes();
         let mut txn = std::mem::take(&mut self.txn);
         if first_of_job {
-            // If the job was cancelled meanwhile, the cancellation wins.
+            // The compare fails if the job was cancelled concurrently: the cancellation
+            // takes precedence.
             txn = txn.compare(job_key(&id), job.revision);
         }
         self.placement_writes.push(PlacementWrite {
@@ -182,7 +184,7 @@
     }
 }
 
-/// The placement record of one of a job's ranges as of now, with its replica groups.
+/// Builds the current placement record of one of a job's ranges, with its replica groups.
 fn current_record(
     job: &Job,
     number: usize,
@@ -201,20 +203,20 @@
     record
 }
 
-/// Splits a job's due ranges until the record of each is accepted by the key-value
-/// store, or can't be split any further.
+/// Splits a job's due ranges until the record of each is small enough for the key-value
+/// store or can't be split further.
 fn split_oversized_ranges(
     job: &mut Job,
     is_due: impl Fn(&Job, usize) -> bool,
     groups: &ReplicaGroups,
     limits: &StoreLimits,
 ) {
-    // Ranges that come of a split are looked at in their turn.
+    // A split appends the new ranges, so the loop examines them too.
     let mut number = 0;
     while number < job.placements.len() {
         if is_due(job, number) && may_exceed(job, number, limits) {
-            // Zones are stored as numbers of one digit or two: which ones they are
-            // doesn't matter for the size.
+            // The list of zones isn't needed: zones are stored as numbers of one or two
+            // digits, so their values don't matter for the size.
             let record = current_record(job, number, u64::MAX, groups, &[]);
             if !record.fits(limits.value_bytes) {
                 let max_tasks = record.tasks_that_fit(limits.value_bytes);
@@ -228,19 +230,20 @@
     }
 }
 
-/// Whether the record of a range may be larger than the store accepts. Of jobs with
-/// replica groups the size isn't known in advance.
+/// Whether the record of a range may be larger than the store accepts. The size is not
+/// known in advance for jobs with replica groups.
 fn may_exceed(job: &Job, number: usize, limits: &StoreLimits) -> bool {
     job.shape.is_some() || job.placements.max_record_bytes(number) > limits.value_bytes
 }
 
 impl Scheduler {
-    /// Builds the transaction of what is to be written next; `None`: nothing.
+    /// Builds the next transaction from the due changes of the jobs; `None`: there are
+    /// none.
     pub(super) fn build_transaction(
         &mut self,
         now: Now,
         jobs: Vec<JobId>,
-        max_changes: usize,
+        max_write_ops: usize,
     ) -> Option<PendingTransaction> {
         let lazy_delay_ms = self.lazy_write_delay_ms();
         self.commits.transactions_built += 1;
@@ -251,12 +254,12 @@
             let range = job.placements.get(number);
             range.is_some_and(|range| range.is_due(now, lazy_delay_ms))
         };
-        // What doesn't fit waits for the next one.
+        // Changes that don't fit wait for the next transaction.
         for id in jobs.into_iter().take(self.commits.max_jobs) {
             let Some(job) = self.jobs.get_mut(&id) else {
                 continue;
             };
-            if !transaction.has_capacity_for(FINAL_CHANGES, max_changes) {
+            if !transaction.has_capacity_for(FINISHED_JOB_WRITE_OPS, max_write_ops) {
                 break;
             }
             if let Some(state) = job.final_state() {
@@ -266,7 +269,7 @@
             split_oversized_ranges(job, is_due, &self.groups, &self.limits);
             let mut first_of_job = true;
             for number in 0..job.placements.len() {
-                if !transaction.has_capacity_for(1, max_changes) {
+                if !transaction.has_capacity_for(1, max_write_ops) {
                     break;
                 }
                 if is_due(job, number) {
--- a/src/scheduler/tick.rs
+++ b/src/scheduler/tick.rs
@@ -30,7 +30,10 @@
     ) -> u64 {
         if self.stage != LeaderStage::Active {
             self.retry_loading(now, effects);
-            return self.loading.retry_ms.unwrap_or(now.ms + INACTIVE_TICK_MS);
+            return self
+                .loading
+                .retry_due_ms
+                .unwrap_or(now.ms + INACTIVE_TICK_MS);
         }
         if let Some(list) = self.loading.early_cloud_list.take() {
             self.on_machine_list(now, list, cloud);
@@ -52,9 +55,9 @@
     }
 
     fn retry_loading(&mut self, now: Now, effects: &mut SchedulerEffects) {
-        let is_due = self.loading.retry_ms.is_some_and(|at| now.ms >= at);
+        let is_due = self.loading.retry_due_ms.is_some_and(|at| now.ms >= at);
         if self.stage == LeaderStage::Loading && is_due {
-            self.loading.retry_ms = None;
+            self.loading.retry_due_ms = None;
             self.list_records(now, effects);
         }
     }
--- a/src/scheduler/workers/commands.rs
+++ b/src/scheduler/workers/commands.rs
@@ -139,9 +139,9 @@
         };
         assignment.stop = Some(StopRequest {
             grace_s,
-            since_ms: now.ms,
+            requested_ms: now.ms,
         });
-        assignment.sent_ms = None;
+        assignment.last_sent_ms = None;
         self.groups.touch_task(&task.job, task.index);
         let id = assignment.machine.clone();
         // Its capacity is about to become free: the capacity index has to look
@@ -187,7 +187,7 @@
             return None;
         }
         assignment.first_sent_ms.get_or_insert(now.ms);
-        assignment.sent_ms = Some(now.ms);
+        assignment.last_sent_ms = Some(now.ms);
         Some(Command::Start {
             task: task.to_string(),
             attempt: assignment.attempt,
@@ -205,11 +205,11 @@
         // A task that saves a checkpoint is left alone until its grace period
         // is over.
         let saving = assignment.phase == Some(TaskPhase::Checkpointing) && stop.grace_s > 0;
-        let stop_sent = assignment.sent_ms > Some(stop.since_ms);
+        let stop_sent = assignment.last_sent_ms > Some(stop.requested_ms);
         if saving || (stop_sent && self.just_sent(now, assignment)) {
             return None;
         }
-        assignment.sent_ms = Some(now.ms);
+        assignment.last_sent_ms = Some(now.ms);
         Some(Command::Stop {
             task: task.to_string(),
             attempt: assignment.attempt,
@@ -220,7 +220,7 @@
     /// Whether a command was sent so recently that its effect can't show yet.
     fn just_sent(&self, now: Now, assignment: &Assignment) -> bool {
         assignment
-            .sent_ms
+            .last_sent_ms
             .is_some_and(|sent_ms| now.ms < sent_ms + self.resend_ms)
     }
 }
--- a/src/scheduler/workers/failure_detection.rs
+++ b/src/scheduler/workers/failure_detection.rs
@@ -173,9 +173,9 @@
     /// Since when a task of a cancelled job is to be stopped.
     fn cancelled_since_ms(&self, task: &TaskRef) -> Option<u64> {
         let job = self.jobs.get(&task.job)?;
-        job.cancelled?;
+        job.cancelled_wall_ms?;
         let stop = job.assignments.get(&task.index)?.stop?;
-        Some(stop.since_ms)
+        Some(stop.requested_ms)
     }
 
     /// The machine is released.
--- a/src/scheduler/workers/reconciliation.rs
+++ b/src/scheduler/workers/reconciliation.rs
@@ -103,7 +103,7 @@
         };
         if phase != TaskPhase::PullingImage && assignment.running_since_ms.is_none() {
             assignment.running_since_ms = Some(now.ms);
-            let waited_ms = now.wall.saturating_sub(job.ready_at);
+            let waited_ms = now.wall.saturating_sub(job.ready_wall_ms);
             assignment.missed_start_slo = self
                 .settings
                 .start_slo_ms(&job.spec)
@@ -163,7 +163,7 @@
                 .first_sent_ms
                 .is_some_and(|sent_ms| now.ms > sent_ms + start_timeout_ms);
         }
-        let proven = match (assignment.first_sent_ms, assignment.absent_proof) {
+        let proven = match (assignment.first_sent_ms, assignment.absence_proof_token) {
             // No start of this term was sent, and starts of earlier terms are
             // refused under the token of this heartbeat.
             (None, _) => true,
@@ -174,7 +174,7 @@
                     .get_mut(id)
                     .and_then(|machine| machine.advance_fencing_token())
                 {
-                    Some(token) => assignment.absent_proof = Some(token),
+                    Some(token) => assignment.absence_proof_token = Some(token),
                     None => out.step_down = Some(StepDownReason::FencingTokensExhausted),
                 }
                 false
@@ -221,10 +221,10 @@
             assignment.machine
         );
         let task_request = job.task_request;
-        if job.cancelled.is_none() {
+        if job.cancelled_wall_ms.is_none() {
             job.pending.insert(task.index);
         }
-        job.touch(task.index, now.ms, false);
+        job.mark_dirty(task.index, now.ms, false);
         if let Some(machine) = self.fleet.get_mut(&assignment.machine) {
             machine.unassign(task, &task_request, now.ms);
         }
--- a/src/scheduler/workers/task_exits.rs
+++ b/src/scheduler/workers/task_exits.rs
@@ -43,7 +43,7 @@
         }
         self.pacing.requested = true;
         self.commits.has_changes = true;
-        if job.cancelled.is_some() {
+        if job.cancelled_wall_ms.is_some() {
             return;
         }
         log::info!(
@@ -64,7 +64,7 @@
             return;
         };
         job.done.insert(task.index);
-        job.touch(task.index, now.ms, false);
+        job.mark_dirty(task.index, now.ms, false);
         if let Some(run_ms) = run_ms {
             let run_s = run_ms as f64 / 1000.0;
             let (class, estimated_s) = (job.spec.class.clone(), job.spec.estimated_run_s);
@@ -86,7 +86,7 @@
             return;
         };
         job.pending.insert(task.index);
-        job.touch(task.index, now.ms, false);
+        job.mark_dirty(task.index, now.ms, false);
         let multi_host = job.shape.is_some();
         let retry_ms = now.ms + REFUSED_START_PAUSE_MS;
         match reason {
