--- a/src/scheduler/displacement/migration.rs
+++ b/src/scheduler/displacement/migration.rs
@@ -106,7 +106,8 @@
         let settled = now.ms > running_since_ms + settled_ms;
         // A new leader doesn't know the start times of running tasks, only the time at
         // which the job was submitted.
-        let old = assignment.started_by_earlier_leader && now.wall > job.submitted + settled_ms;
+        let old =
+            assignment.started_by_earlier_leader && now.wall > job.submitted_wall_ms + settled_ms;
         job.shape.is_none()
             && assignment.stop.is_none()
             && (old || assignment.missed_start_slo || settled)
@@ -189,7 +190,7 @@
             machine.phase == MachinePhase::Up && machine.reclaim_at_ms.is_none()
         };
         let jobs = self.jobs.with_image(&spec.class, &spec.image);
-        for job in jobs.filter(|job| job.is_service() && job.cancelled.is_none()) {
+        for job in jobs.filter(|job| job.is_service() && job.cancelled_wall_ms.is_none()) {
             for (index, assignment) in &job.assignments {
                 let mut zones = self.zones_after_migrations(job, std::iter::empty());
                 zones.remove(&assignment.zone);
--- a/src/scheduler/rounds/task_placement.rs
+++ b/src/scheduler/rounds/task_placement.rs
@@ -242,7 +242,7 @@
         // The job table and the fleet are authoritative; the capacity index is derived
         // from them.
         let possible = job.pending.contains(&task.index)
-            && !job.dependencies_open
+            && !job.has_open_dependencies
             && machine.accepts_tasks(now.ms, max_heartbeat_age_ms)
             && machine.free().covers(&job.task_request);
         if !possible {
@@ -269,7 +269,7 @@
         );
         job.pending.remove(&task.index);
         job.assignments.insert(task.index, assignment);
-        job.touch(task.index, now.ms, true);
+        job.mark_dirty(task.index, now.ms, true);
         machine.assign(task.clone(), &job.task_request);
         if job.is_service() {
             *request.siblings.entry(id).or_insert(0) += 1;
