--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,20 +1,21 @@
 //! lilacfork: a scheduler for fleets that serve language models.
 //!
-//! The key-value store decides; everything else is a hint. The modules below are
-//! layers, from what knows least to what joins the rest:
+//! The key-value store is the only source of truth; all other messages are hints. The
+//! modules form layers, from the lowest to the highest:
 //!
-//! - [`ids`], [`messages`], [`wire`]: names and numbers, what actors and the reactor
-//!   exchange, the protocols of the counterparts;
-//! - [`records`]: what is stored;
-//! - [`limits`], [`token_bucket`], [`kv_client`]: the way to the key-value store;
-//! - the actors, plain structs that take a message and the time and give messages:
-//!   [`election`], [`cancellations`], [`gateway`], [`cloud`], [`fleet`],
-//!   [`capacity_index`], [`scheduler`], with [`placement`] and [`slackfit`] as pure
-//!   policy;
-//! - [`node`]: one controller, the actors joined;
-//! - [`reactor`], [`http`]: one thread of I/O, which knows nothing of jobs.
+//! - [`ids`], [`messages`], [`wire`]: identifiers, the messages between the actors and
+//!   the reactor, and the protocols of users, workers, the cloud, the key-value store
+//!   and peers;
+//! - [`records`]: the records in the key-value store;
+//! - [`limits`], [`token_bucket`], [`kv_client`]: the client of the key-value store;
+//! - the actors: plain structs that receive a message with the time and return
+//!   messages: [`election`], [`cancellations`], [`gateway`], [`cloud`], [`fleet`],
+//!   [`capacity_index`], [`scheduler`]; [`placement`] and [`slackfit`] are pure
+//!   functions for their scheduling policy;
+//! - [`node`]: one controller, which connects the actors;
+//! - [`reactor`], [`http`]: I/O on a single thread, independent of jobs.
 //!
-//! `docs/ARCHITECTURE.md` says who owns which state.
+//! `docs/ARCHITECTURE.md` describes which module owns which state.
 
 #![warn(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,5 @@
-//! The program: reads settings, starts the reactor, and runs until it is killed.
+//! The controller binary: loads the settings, starts the reactor, and runs until the
+//! process is killed.
 
 use clap::Parser;
 use lilacfork::node::Node;
@@ -9,7 +10,6 @@
 use std::process::ExitCode;
 use thiserror::Error;
 
-/// The exit code for wrong settings.
 const EXIT_INVALID_SETTINGS: u8 = 2;
 
 /// A scheduler for fleets that serve language models.
@@ -30,7 +30,7 @@
     config: Option<PathBuf>,
 }
 
-/// What is wrong with the settings.
+/// An error in the platform's settings or in the operators' INI file.
 #[derive(Debug, Error)]
 enum ConfigError {
     #[error(transparent)]
--- a/src/messages.rs
+++ b/src/messages.rs
@@ -2,20 +2,20 @@
 
 pub use lilacfork_common::time::Now;
 
-/// A connection on which a client waits for a reply.
+/// An incoming connection whose client waits for a reply.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug, PartialOrd, Ord)]
 pub struct ConnectionId(pub u64);
 
-/// A call of this process.
+/// An outgoing call. Ids are unique within one process.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug, PartialOrd, Ord)]
 pub struct CallId(pub u64);
 
 /// The listener that accepted a request.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Listener {
-    /// Users, workers and the load balancer.
+    /// The listener for users, workers and the load balancer.
     Client,
-    /// The other controllers.
+    /// The listener for peers.
     Peer,
 }
 
@@ -24,57 +24,57 @@
 pub enum Destination {
     /// The key-value store.
     KvStore,
-    /// The key-value store, for watches: they wait for long and have connections of
-    /// their own.
+    /// The key-value store, for watches. Watches stay open for a long time, so they use
+    /// separate connections.
     KvWatch,
-    /// The cloud.
+    /// The cloud's API.
     Cloud,
     /// The worker at this address.
     Worker(String),
-    /// The controller at this address.
+    /// The peer at this address.
     Peer(String),
 }
 
-/// A request that this process makes.
+/// An HTTP request that this process sends.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// The receiver.
+    /// The service or controller that the request is sent to.
     pub destination: Destination,
-    /// The HTTP method.
+    /// HTTP method, in upper case.
     pub method: &'static str,
-    /// The path, with its query.
+    /// Path with query, without scheme and host.
     pub path: String,
-    /// The body.
+    /// Encoded body; empty if the request has none.
     pub body: Vec<u8>,
-    /// How long a response is waited for.
+    /// Maximum time to wait for the response.
     pub timeout_ms: u64,
 }
 
-/// Why a call has no response.
+/// The reason why a call has no response.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum CallError {
-    /// The request wasn't sent: certainly not executed.
+    /// The request was not sent, so it was not executed.
     NotSent,
-    /// It may have been executed, or may be later.
+    /// The request may have been executed, or may still be executed later.
     Indeterminate,
 }
 
-/// Status and body of the response, or why there is none.
+/// Status and body of the response, or the reason why there is no response.
 pub type CallResult = Result<(u16, Vec<u8>), CallError>;
 
-/// The response to a request.
+/// The response to an incoming request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Reply {
-    /// The HTTP status.
+    /// HTTP status code.
     pub status: u16,
-    /// The body.
+    /// Encoded body: protobuf in responses to peer heartbeats, JSON in all others.
     pub body: Vec<u8>,
-    /// `Retry-After`, in seconds.
+    /// Value of the `Retry-After` header. `None` leaves the header out.
     pub retry_after_s: Option<u64>,
 }
 
 impl Reply {
-    /// A response with a JSON body.
+    /// Creates a response with a JSON body.
     pub fn json<T: serde::Serialize>(status: u16, body: &T) -> Reply {
         Reply {
             status,
@@ -83,12 +83,12 @@
         }
     }
 
-    /// A response that names an error.
+    /// Creates a response with the body `{"error": message}`.
     pub fn error(status: u16, message: &str) -> Reply {
         Reply::json(status, &serde_json::json!({ "error": message }))
     }
 
-    /// An error for a request that may succeed later, with the time to retry.
+    /// Creates an error response that asks the client to retry after `after_s` seconds.
     pub fn retry_later(status: u16, message: &str, after_s: u64) -> Reply {
         Reply {
             retry_after_s: Some(after_s),
@@ -97,34 +97,34 @@
     }
 }
 
-/// A request that was received.
+/// An incoming HTTP request.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// The HTTP method.
+    /// HTTP method, as received.
     pub method: String,
-    /// The path, with its query.
+    /// Path with query, as received.
     pub path: String,
-    /// The body.
+    /// Complete body; empty if the request has none.
     pub body: Vec<u8>,
 }
 
-/// What the node wants the reactor to do.
+/// An action that the node requests from the reactor.
 #[derive(Clone, Debug)]
 pub enum Effect {
-    /// Reply on this connection.
+    /// Sends the reply on this connection.
     Reply(ConnectionId, Reply),
-    /// Make this call.
+    /// Sends this call; the reactor reports its result under the id.
     Call(CallId, Call),
 }
 
 /// Progress of a job, for display.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub struct TaskProgress {
-    /// Tasks that are done.
+    /// Number of tasks that have completed.
     pub done: u32,
-    /// Tasks that run.
+    /// Number of tasks that are running.
     pub running: u32,
-    /// The job's replicas span machines. A report that such a replica serves holds
-    /// only as long as the leader that made it leads.
+    /// Whether the job's replicas span several machines. A report that such a replica is
+    /// serving is valid only while the reporting leader leads.
     pub multi_host: bool,
 }
--- a/src/node/catalog.rs
+++ b/src/node/catalog.rs
@@ -1,5 +1,5 @@
-//! The catalog of machine types: read from the cloud, and stored for the time when the
-//! cloud can't be reached.
+//! The catalog of machine types. It is read from the cloud, and a copy is kept in the
+//! key-value store for when the cloud is unreachable.
 
 use super::kv_responses::KvCallOwner;
 use super::Node;
@@ -13,20 +13,21 @@
 use crate::wire::kv::{KeyValue, Txn};
 use std::rc::Rc;
 
-/// Time between attempts to read the stored catalog.
+/// Interval between attempts to read the stored catalog.
 const READ_INTERVAL_MS: u64 = 1000;
-/// Time between attempts to store the catalog.
+/// Interval between attempts to store the catalog.
 const WRITE_INTERVAL_MS: u64 = 1000;
-/// How long a call is waited for.
-const TIMEOUT_MS: u64 = 1000;
-/// How long the write may wait to be sent.
+/// Timeout of the calls that read and store the catalog.
+const CALL_TIMEOUT_MS: u64 = 1000;
+/// Time after which a write that is still queued is abandoned.
 const WRITE_EXPIRY_MS: u64 = 2000;
 
-/// The catalog, as far as this controller knows it.
+/// The latest catalog that this controller has received, and its stored copy.
 #[derive(Debug, Default)]
 pub(super) struct CatalogCache {
     catalog: Option<Rc<Catalog>>,
-    /// This controller has stored the catalog as leader, or is about to.
+    /// Whether this controller, as leader, needs no further write of the catalog: it is
+    /// stored, its write is in flight, or it is too large to store.
     stored: bool,
     next_read_ms: u64,
     next_write_ms: u64,
@@ -37,13 +38,13 @@
         self.catalog.is_some()
     }
 
-    /// When the stored catalog is to be read. `None`: the catalog is known.
+    /// Returns when to read the stored catalog next, or `None` if the catalog is known.
     pub(super) fn next_read_ms(&self) -> Option<u64> {
         (!self.is_known()).then_some(self.next_read_ms)
     }
 
-    /// The response to the write of the catalog.
-    pub(super) fn on_written(&mut self, response: &KvResponse) {
+    /// Records whether the write of the catalog succeeded.
+    pub(super) fn on_write_response(&mut self, response: &KvResponse) {
         self.stored = response.status() == Some(200);
     }
 }
@@ -56,7 +57,7 @@
         self.catalog.catalog = Some(catalog);
     }
 
-    /// The cloud has sent its catalog.
+    /// Applies a catalog received from the cloud.
     pub(super) fn on_cloud_catalog(&mut self, catalog: Catalog) {
         if !self.catalog.is_known() {
             self.catalog.stored = false;
@@ -64,7 +65,8 @@
         self.set_catalog(catalog);
     }
 
-    /// The stored catalog was read. The cloud's takes precedence.
+    /// Applies the stored catalog, unless a catalog is already known: the cloud's own
+    /// takes precedence.
     pub(super) fn on_stored_catalog(&mut self, response: &KvResponse) {
         if self.catalog.is_known() {
             return;
@@ -78,7 +80,7 @@
         }
     }
 
-    /// Reads the stored catalog until one is known, and stores it as leader.
+    /// Reads the stored catalog until a catalog is known. As leader, stores the catalog.
     pub(super) fn maintain_catalog(&mut self, now: Now) {
         self.read_catalog(now);
         self.store_catalog(now);
@@ -89,7 +91,7 @@
             return;
         }
         self.catalog.next_read_ms = now.ms + READ_INTERVAL_MS;
-        let call = kv_client::get(CATALOG_KEY, TIMEOUT_MS);
+        let call = kv_client::get(CATALOG_KEY, CALL_TIMEOUT_MS);
         self.kv.submit(KvCall::new(
             now,
             CallPriority::Submission,
@@ -122,13 +124,13 @@
             log::warn!("catalog not stored reason=\"too large for a value\" bytes={bytes}");
             return;
         }
-        // A rejected write must not be repeated at once.
+        // Delays the next attempt in case the write is rejected.
         self.catalog.next_write_ms = now.ms + WRITE_INTERVAL_MS;
         let call = KvCall::transaction(
             now,
             CallPriority::Background,
             &txn,
-            TIMEOUT_MS,
+            CALL_TIMEOUT_MS,
             KvCallOwner::WriteCatalog,
         );
         self.kv.submit(call.expiring_at(now.ms + WRITE_EXPIRY_MS));
--- a/src/node/effects.rs
+++ b/src/node/effects.rs
@@ -1,4 +1,5 @@
-//! Carries out what the actors want done: replies, calls, and messages to one another.
+//! Executes the effects that the actors return: replies, calls, and messages to other
+//! actors.
 
 use super::kv_responses::KvCallOwner;
 use super::outgoing_calls::OutgoingCall;
@@ -34,7 +35,8 @@
         if gateway_effects.poll_wanted {
             self.cancellations.request_poll();
         }
-        // Before the reply to the user is sent, so before anybody can ask about it.
+        // Recorded before the reply is sent, so that every later query sees the
+        // cancellation.
         for id in &gateway_effects.confirmed_cancellations {
             self.cancellations.confirm(now, id);
         }
@@ -42,7 +44,7 @@
             self.peers.announce_cancellations();
         }
         let mut scheduler_effects = SchedulerEffects::default();
-        self.learn_cancelled(
+        self.notify_scheduler_of_cancellations(
             now,
             &gateway_effects.confirmed_cancellations,
             &mut scheduler_effects,
@@ -50,9 +52,9 @@
         self.apply_scheduler_effects(now, scheduler_effects, effects);
     }
 
-    /// Informs the scheduler after cancellations may have been learned: as leader it
-    /// stops these jobs' tasks at once.
-    pub(super) fn learn_cancelled(
+    /// Passes newly known cancellations and the cancellation watermark to the scheduler.
+    /// On the leader, the scheduler stops the tasks of these jobs at once.
+    pub(super) fn notify_scheduler_of_cancellations(
         &mut self,
         now: Now,
         jobs: &[JobId],
@@ -87,7 +89,8 @@
             log::error!("leader steps down reason=\"{why}\"");
             self.step_down(now, effects);
         } else if scheduler.later_term_seen {
-            // The store decides who leads; one worker's report is a hint.
+            // The key-value store decides which controller leads; a worker's report is
+            // only a hint.
             log::info!("leadership unconfirmed reason=\"a worker reports a later term\"");
             self.election.require_renewal(now);
         }
@@ -99,7 +102,7 @@
         self.apply_election_effects(now, calls, change, effects);
     }
 
-    /// Submits the election's calls, and acts on a change of leadership.
+    /// Submits the election's calls and applies a change of leadership.
     pub(super) fn apply_election_effects(
         &mut self,
         now: Now,
@@ -144,7 +147,7 @@
             } => {
                 self.handover.on_elected(now);
                 self.heartbeat_routes.clear();
-                self.peers.forget_sent_progress();
+                self.peers.clear_sent_progress();
                 self.cloud.set_leading(now, true);
                 let mut scheduler_effects = SchedulerEffects::default();
                 self.scheduler
@@ -157,7 +160,7 @@
                 self.scheduler.on_deposed();
             }
         }
-        // The peers should learn where to redirect workers.
+        // Informs the peers at once, so that they redirect workers to the right leader.
         self.peers.expedite_heartbeat(now);
     }
 }
--- a/src/node/event_handler.rs
+++ b/src/node/event_handler.rs
@@ -1,4 +1,5 @@
-//! The node as the reactor sees it: requests, results of calls, and turns.
+//! The node's implementation of the reactor's event handler: incoming requests, results
+//! of calls, and turns.
 
 use super::outgoing_calls::OutgoingCall;
 use super::Node;
@@ -9,10 +10,10 @@
 use crate::scheduler::{SchedulerEffects, WorkerCommandCall};
 use crate::usage::Purpose;
 
-/// A process that handled no event for so many heartbeat intervals was paused: within
-/// one lease of the leader key, peers send heartbeats and a leader renews its lease
-/// this often.
-const PAUSE_HEARTBEATS: u64 = 4;
+/// Number of peer heartbeat intervals without any event after which the process is
+/// taken to have been paused. It equals one TTL of the leader key's lease, within which
+/// peers send heartbeats and a leader renews its lease.
+const PAUSE_DETECTION_HEARTBEATS: u64 = 4;
 
 impl Handler for Node {
     fn request(
@@ -47,7 +48,7 @@
                 self.purpose = Purpose::PeerHeartbeat;
                 self.on_peer_result(now, index, sent_ms, result, effects);
             }
-            // A call of an earlier term, or one that is no longer known.
+            // The call belongs to an earlier term or is not registered.
             Some(OutgoingCall::Worker(..)) | None => {}
         }
     }
@@ -115,11 +116,13 @@
         self.apply_scheduler_effects(now, scheduler_effects, effects);
     }
 
-    /// A process that was paused wakes up with its sockets full of outdated messages.
-    /// What it read for users may be outdated; if it led, another may lead; and that
-    /// it heard nobody in the meantime says nothing of them.
+    /// Detects that the process was paused, and discards state that may be outdated.
+    /// After a pause, the socket buffers hold outdated messages, data read for users'
+    /// requests may be stale, another controller may have become leader, and the lack
+    /// of heartbeats during the pause does not mean that peers or workers were
+    /// unresponsive.
     fn detect_process_pause(&mut self, now: Now, effects: &mut Vec<Effect>) {
-        let pause_ms = self.peers.heartbeat_interval_ms() * PAUSE_HEARTBEATS;
+        let pause_ms = self.peers.heartbeat_interval_ms() * PAUSE_DETECTION_HEARTBEATS;
         let paused = self.last_event_ms > 0 && now.ms > self.last_event_ms + pause_ms;
         self.last_event_ms = now.ms;
         if !paused || self.peers.is_empty() {
--- a/src/node/handover.rs
+++ b/src/node/handover.rs
@@ -1,19 +1,21 @@
-//! When a leader hands leadership over of its own accord: its workers don't reach it,
-//! or the controller that they would try next is silent.
+//! Voluntary handover of leadership. A leader hands over if its workers can't reach it,
+//! or if the controller that workers would try next is unresponsive.
 
 use super::peers::Peer;
 use super::Node;
 use crate::messages::{Effect, Now};
 
-/// What may make a leader hand over.
+/// The state on which a leader's decision to hand over depends.
 #[derive(Debug, Default)]
 pub(super) struct Handover {
-    /// When this node was elected; `None`: it doesn't lead.
+    /// When this controller was elected; `None` if it doesn't lead.
     elected_ms: Option<u64>,
-    /// The silent successor because of which this node has handed over.
-    handed_over_for: Option<String>,
-    /// This node handed over as leader, and no worker has reached it since.
-    unreached: bool,
+    /// The unresponsive successor because of which this controller last handed over.
+    /// `None` once a check as leader finds its successor responsive.
+    last_handover_successor: Option<String>,
+    /// Whether this controller handed over because workers could not reach it, and no
+    /// worker has reached it since.
+    unreachable_since_handover: bool,
 }
 
 impl Handover {
@@ -25,15 +27,16 @@
         self.elected_ms = None;
     }
 
-    /// A worker reaches this node.
+    /// Records that a worker's heartbeat reached this controller directly.
     pub(super) fn on_worker_heartbeat(&mut self) {
-        self.unreached = false;
+        self.unreachable_since_handover = false;
     }
 
-    /// Whether the peers are told that no worker reaches this node, since it handed
-    /// over for that.
-    pub(super) fn reports_unreached(&self) -> bool {
-        self.unreached
+    /// Returns whether heartbeats to the peers report that no worker reaches this
+    /// controller. That is the case after a handover for that reason, until a worker
+    /// reaches this controller again.
+    pub(super) fn reports_unreachable(&self) -> bool {
+        self.unreachable_since_handover
     }
 
     fn has_led_for(&self, now: Now, period_ms: u64) -> bool {
@@ -42,26 +45,30 @@
 }
 
 impl Node {
-    /// Whether none of the workers that should report to this leader itself is heard.
-    /// While it leads on, no other controller may serve them.
-    pub(super) fn unreached_by_workers(&self, now: Now) -> bool {
+    /// Returns whether this leader receives no heartbeats from any of the workers that
+    /// should report to it directly. While it stays leader, no other controller may
+    /// serve these workers.
+    pub(super) fn unreachable_by_workers(&self, now: Now) -> bool {
         let reports_to_us = |zone: &str| self.forwarder_for(now, zone).is_none();
         self.scheduler.hears_no_worker(now, reports_to_us)
     }
 
-    /// Hands over because workers of this leader reach a peer and not this leader, nor
-    /// do its commands reach them.
-    pub(super) fn hand_over_if_unreached(
+    /// Hands leadership over because this leader's workers reach the peer
+    /// `reached_peer` but not this leader, and its commands don't reach the workers.
+    pub(super) fn hand_over_because_unreachable(
         &mut self,
         now: Now,
-        reached: &str,
+        reached_peer: &str,
         effects: &mut Vec<Effect>,
     ) {
         if !self.election.is_leader() || self.election.leadership_unconfirmed() {
             return;
         }
-        log::error!("leader hands over reason=\"its workers reach only a peer\" node={reached}");
-        self.handover.unreached = true;
+        log::error!(
+            "leader hands over reason=\"workers reach a peer but not this leader\" \
+             node={reached_peer}"
+        );
+        self.handover.unreachable_since_handover = true;
         self.hand_over(now, effects);
     }
 
@@ -71,39 +78,42 @@
         self.apply_election_effects(now, calls, change, effects);
     }
 
-    /// A worker waits 4 s for a node that doesn't respond and tries the next one a
-    /// second later; two silent nodes in a row cost it its lease. So a leader whose
-    /// successor in that order has been silent for a lease hands over, once, to a
-    /// controller with a successor that isn't.
+    /// Hands leadership over if the next controller in the workers' retry order has
+    /// been unresponsive for a worker's lease and a better candidate exists. A worker
+    /// waits 4 s for a controller that doesn't respond and tries the next one a second
+    /// later, so two unresponsive controllers in a row cost the worker its lease. The
+    /// leader hands over only once for the same unresponsive successor.
     pub(super) fn check_successor(&mut self, now: Now, effects: &mut Vec<Effect>) {
         let lease_ms = self.worker_lease_ms();
         if !self.handover.has_led_for(now, lease_ms) || self.election.leadership_unconfirmed() {
             return;
         }
         let order = self.worker_retry_order();
-        let silent_successor = self
+        let unresponsive_successor = self
             .successor(&order, &self.settings.node_name)
-            .filter(|peer| peer.silent_for(now, lease_ms));
-        let Some(successor) = silent_successor else {
-            self.handover.handed_over_for = None;
+            .filter(|peer| peer.unresponsive_for(now, lease_ms));
+        let Some(successor) = unresponsive_successor else {
+            self.handover.last_handover_successor = None;
             return;
         };
         let name = successor.name.clone();
-        // A successor whose whole zone is silent is beyond a network partition, and a
-        // new leader would only have to detect that again.
-        let zone_heard = self.scheduler.hears_zone(now, &successor.zone);
-        let already_handed_over = self.handover.handed_over_for.as_ref() == Some(&name);
-        if zone_heard && !already_handed_over && self.has_better_candidate(now, &order) {
+        // If the successor's whole zone is unresponsive, the zone is behind a network
+        // partition, which a new leader would have to detect again.
+        let zone_responsive = self.scheduler.hears_zone(now, &successor.zone);
+        let already_handed_over = self.handover.last_handover_successor.as_ref() == Some(&name);
+        if zone_responsive && !already_handed_over && self.has_better_candidate(now, &order) {
             log::info!(
-                "leader hands over reason=\"the node that workers try next is silent\" node={name}"
+                "leader hands over reason=\"next controller in the workers' retry order is \
+                 unresponsive\" node={name}"
             );
-            self.handover.handed_over_for = Some(name);
+            self.handover.last_handover_successor = Some(name);
             self.hand_over(now, effects);
         }
     }
 
-    /// All controllers in the order in which workers try them: as they are numbered.
-    /// The settings' list of peers may leave this node out.
+    /// Returns the names of all controllers in the order in which workers try them:
+    /// by the number in the name, so shorter names come first. The settings' list of
+    /// peers may leave this controller out.
     fn worker_retry_order(&self) -> Vec<&str> {
         let mut names: Vec<&str> = self.peers.iter().map(|peer| peer.name.as_str()).collect();
         names.push(&self.settings.node_name);
@@ -111,27 +121,28 @@
         names
     }
 
-    /// The controller after this one in that order, if it is a peer.
+    /// Returns the controller after `name` in the retry order, if it is a peer.
     fn successor(&self, order: &[&str], name: &str) -> Option<&Peer> {
         let position = order.iter().position(|node| *node == name)?;
         self.peers.find(order[(position + 1) % order.len()])
     }
 
-    /// Whether a peer could lead that is reachable and has no silent successor.
+    /// Returns whether some peer is able to lead, is reachable by workers, and has no
+    /// unresponsive successor.
     fn has_better_candidate(&self, now: Now, order: &[&str]) -> bool {
-        let silence_ms = self.peers.silence_ms();
+        let unresponsive_after_ms = self.peers.unresponsive_after_ms();
         let lease_ms = self.worker_lease_ms();
         self.peers
             .iter()
             .filter(|peer| {
-                peer.heard_within(now, silence_ms)
-                    && peer.responded_within(now, silence_ms)
-                    && peer.reached_store_within(now, silence_ms)
+                peer.sent_message_within(now, unresponsive_after_ms)
+                    && peer.responded_within(now, unresponsive_after_ms)
+                    && peer.reached_store_within(now, unresponsive_after_ms)
                     && !peer.unreachable_by_workers()
             })
             .any(|peer| {
                 let successor = self.successor(order, &peer.name);
-                successor.is_none_or(|peer| !peer.silent_for(now, lease_ms))
+                successor.is_none_or(|peer| !peer.unresponsive_for(now, lease_ms))
             })
     }
 }
--- a/src/node/heartbeat_forwarding.rs
+++ b/src/node/heartbeat_forwarding.rs
@@ -1,53 +1,53 @@
 //! The queue of worker heartbeats that a follower has responded to and forwards to the
-//! leader. A message costs both controllers far more than the heartbeats in it, so
-//! unchanged heartbeats wait for others to share a message.
+//! leader. Processing a message costs both controllers far more than processing the
+//! heartbeats in it, so unchanged heartbeats wait to be batched with others.
 
 use crate::http::MAX_PEER_BODY_BYTES;
 use crate::wire::workers::WorkerHeartbeat;
 use std::collections::HashMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// How long a changed heartbeat may wait for others, as a share of the workers'
-/// heartbeat interval.
+/// Maximum time for which a changed heartbeat waits to be batched, as a share of the
+/// workers' heartbeat interval.
 const CHANGED_WAIT_SHARE: f64 = 0.05;
-/// The same for an unchanged heartbeat: the delay that it adds to the detection of a
-/// silent machine stays small beside the time that the detection takes.
+/// Maximum time for which an unchanged heartbeat waits to be batched, as a share of the
+/// workers' heartbeat interval. The wait delays the detection of an unresponsive machine
+/// only slightly, compared with the time that the detection takes.
 const UNCHANGED_WAIT_SHARE: f64 = 0.25;
-/// After so many heartbeat intervals the content of a machine's last heartbeat is
-/// forgotten.
-const CONTENT_HEARTBEATS: f64 = 3.0;
-/// The bytes of heartbeats in a message. Half of what a peer accepts: one more
-/// heartbeat of any size still fits.
+/// Number of heartbeat intervals for which the fingerprint of a machine's last heartbeat
+/// is kept.
+const FINGERPRINT_RETENTION_HEARTBEATS: f64 = 3.0;
+/// Maximum size of the heartbeats in one message. It is half of what a peer accepts, so
+/// that a single heartbeat above this size still fits into a message.
 const MAX_MESSAGE_BYTES: usize = MAX_PEER_BODY_BYTES / 2;
 
-/// A queued heartbeat: the latest one of its machine.
+/// The latest heartbeat of a machine, waiting to be forwarded.
 #[derive(Debug)]
 struct QueuedHeartbeat {
     machine: String,
     body: Vec<u8>,
 }
 
-/// A machine's last heartbeat.
+/// The fingerprint of a machine's last heartbeat, used to detect changes.
 #[derive(Debug)]
 struct LastHeartbeat {
-    /// Fingerprint of its content.
     fingerprint: u64,
-    heard_ms: u64,
+    received_ms: u64,
 }
 
-/// Queues heartbeats towards the leader, at most one for each machine.
+/// Queues heartbeats for the leader, at most one for each machine.
 #[derive(Debug)]
 pub(super) struct HeartbeatForwarder {
     heartbeat_interval_ms: f64,
     queue: Vec<QueuedHeartbeat>,
-    /// When the next message is due. `None`: nothing is queued.
+    /// When the next message is due; `None` if the queue is empty.
     due_ms: Option<u64>,
     last_sent_ms: u64,
     last_heartbeats: HashMap<String, LastHeartbeat>,
 }
 
 impl HeartbeatForwarder {
-    /// For workers with this heartbeat interval.
+    /// Creates an empty queue for workers with this heartbeat interval.
     pub(super) fn new(heartbeat_interval_s: f64) -> HeartbeatForwarder {
         HeartbeatForwarder {
             heartbeat_interval_ms: heartbeat_interval_s * 1000.0,
@@ -58,12 +58,13 @@
         }
     }
 
-    /// Queues a heartbeat that was responded to here.
+    /// Queues a heartbeat that this controller responds to. It replaces a queued one of
+    /// the same machine.
     pub(super) fn enqueue(&mut self, now_ms: u64, heartbeat: &WorkerHeartbeat, body: &[u8]) {
         let fingerprint = content_fingerprint(heartbeat);
         let last = LastHeartbeat {
             fingerprint,
-            heard_ms: now_ms,
+            received_ms: now_ms,
         };
         let previous = self.last_heartbeats.insert(heartbeat.machine.clone(), last);
         let changed = previous.is_none_or(|previous| previous.fingerprint != fingerprint);
@@ -86,8 +87,8 @@
         }
     }
 
-    /// The heartbeats of the next message, once it is due. What doesn't fit goes with
-    /// the message after it.
+    /// Removes and returns the heartbeats of the next message if the message is due.
+    /// Heartbeats that don't fit stay queued for the following message.
     pub(super) fn take_due(&mut self, now_ms: u64) -> Vec<Vec<u8>> {
         if self.due_ms.is_none_or(|due| now_ms < due) {
             return Vec::new();
@@ -109,26 +110,27 @@
         self.last_sent_ms = now_ms;
         self.due_ms =
             (!self.queue.is_empty()).then(|| now_ms + self.interval_share_ms(CHANGED_WAIT_SHARE));
-        self.forget_silent(now_ms);
+        self.remove_stale_fingerprints(now_ms);
         bodies
     }
 
-    /// A message may have been lost: the next heartbeats count as changed.
-    pub(super) fn forget_content(&mut self) {
+    /// Treats all machines' next heartbeats as changed, because a message may have been
+    /// lost.
+    pub(super) fn clear_fingerprints(&mut self) {
         self.last_heartbeats.clear();
     }
 
-    /// When the next message is due. `None`: nothing is queued.
+    /// Returns when the next message is due, or `None` if the queue is empty.
     pub(super) fn due_ms(&self) -> Option<u64> {
         self.due_ms
     }
 
-    /// Heartbeats of machines that have reported elsewhere, or not at all, count as
-    /// changed when they come back.
-    fn forget_silent(&mut self, now_ms: u64) {
-        let silence_ms = self.interval_share_ms(CONTENT_HEARTBEATS);
+    /// Removes the fingerprints of machines that have sent no heartbeat to this
+    /// controller for a while. The next heartbeat of such a machine counts as changed.
+    fn remove_stale_fingerprints(&mut self, now_ms: u64) {
+        let retention_ms = self.interval_share_ms(FINGERPRINT_RETENTION_HEARTBEATS);
         self.last_heartbeats
-            .retain(|_, last| now_ms < last.heard_ms + silence_ms);
+            .retain(|_, last| now_ms < last.received_ms + retention_ms);
     }
 
     fn interval_share_ms(&self, share: f64) -> u64 {
@@ -136,9 +138,8 @@
     }
 }
 
-/// A fingerprint of a heartbeat's content without its sequence number. Different
-/// contents with the same fingerprint would only make the second one wait a little
-/// longer.
+/// Returns a fingerprint of a heartbeat's content without its sequence number. A
+/// collision only makes a changed heartbeat wait as long as an unchanged one.
 fn content_fingerprint(heartbeat: &WorkerHeartbeat) -> u64 {
     let mut hasher = DefaultHasher::new();
     heartbeat.address.hash(&mut hasher);
--- a/src/node/job_progress.rs
+++ b/src/node/job_progress.rs
@@ -1,5 +1,5 @@
-//! Jobs' progress in heartbeats to the peers: only changes are sent, and no more
-//! than a heartbeat may carry.
+//! Jobs' progress in heartbeats to the peers. Only changes are sent, and the size of the
+//! changes in one heartbeat is limited.
 
 use crate::http::MAX_PEER_BODY_BYTES;
 use crate::ids::JobId;
@@ -7,14 +7,14 @@
 use crate::wire::peers::JobProgress;
 use std::collections::HashMap;
 
-/// The bytes of a heartbeat that jobs' progress may take. A new leader has the
-/// progress of all jobs to send: in one message that was once more than a peer
-/// accepts, and the peer heard nothing of its leader.
+/// Maximum size of jobs' progress in one heartbeat. A new leader sends the progress of
+/// all jobs. When it once sent all of it in one message, the message exceeded the size
+/// that a peer accepts, and the peer received no heartbeats from its leader.
 const MAX_PROGRESS_BYTES: usize = MAX_PEER_BODY_BYTES / 4;
-/// An upper bound of what an entry takes beside its job's name.
-const ENTRY_BYTES: usize = 24;
+/// Upper bound of an entry's size without the job's id.
+const MAX_ENTRY_OVERHEAD_BYTES: usize = 24;
 
-/// The progress that the peers were last told.
+/// The progress of jobs that was last sent to the peers.
 #[derive(Debug, Default)]
 pub(super) struct SentProgress {
     jobs: HashMap<JobId, TaskProgress>,
@@ -25,9 +25,8 @@
         self.jobs.clear();
     }
 
-    /// Returns the jobs whose progress has changed, as many as fit into a heartbeat,
-    /// and remembers them as sent. `progress` has all jobs of the leader; others are
-    /// forgotten.
+    /// Returns the changed progress entries that fit into a heartbeat and records them as
+    /// sent. `progress` holds all jobs of the leader; records of other jobs are removed.
     pub(super) fn changes<'a>(
         &mut self,
         progress: impl Iterator<Item = (&'a JobId, TaskProgress)>,
@@ -40,7 +39,7 @@
             if previous == Some(current) {
                 sent.insert(id.clone(), current);
             } else if bytes < MAX_PROGRESS_BYTES {
-                bytes += id.as_str().len() + ENTRY_BYTES;
+                bytes += id.as_str().len() + MAX_ENTRY_OVERHEAD_BYTES;
                 changes.push(JobProgress {
                     job: id.to_string(),
                     done: current.done,
@@ -49,7 +48,7 @@
                 });
                 sent.insert(id.clone(), current);
             } else if let Some(previous) = previous {
-                // A later heartbeat has room for the change.
+                // The change is sent in a later heartbeat.
                 sent.insert(id.clone(), previous);
             }
         }
--- a/src/node/kv_responses.rs
+++ b/src/node/kv_responses.rs
@@ -1,4 +1,4 @@
-//! Dispatches responses of the key-value store to the actors whose calls they answer.
+//! Dispatches responses of the key-value store to the actors that made the calls.
 
 use super::Node;
 use crate::cancellations::CancellationsKvCall;
@@ -10,23 +10,24 @@
 use crate::scheduler::{SchedulerEffects, SchedulerKvCall};
 use crate::usage::Purpose;
 
-/// Who made a call of the key-value store.
+/// The actor and operation that a call of the key-value store belongs to.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum KvCallOwner {
     Election(ElectionKvCall),
     Gateway(RequestNumber),
-    /// With the term of the call: responses to an earlier term's calls are ignored.
+    /// A call that the scheduler made as leader of this term. Responses to calls of an
+    /// earlier term are ignored.
     Scheduler(Term, SchedulerKvCall),
     Cancellations(CancellationsKvCall),
     ReadCatalog,
     WriteCatalog,
     WriteLeaseProxies,
-    /// Stores that the announced limits apply.
+    /// The write which records that the announced limits apply.
     WriteLimits,
 }
 
 impl KvCallOwner {
-    /// What the response is processed for.
+    /// Returns the purpose under which processing the response is accounted.
     pub(super) fn purpose(&self) -> Purpose {
         match self {
             KvCallOwner::Election(_) => Purpose::Election,
@@ -65,8 +66,8 @@
                 self.on_cancellations_response(now, call, &response, effects);
             }
             KvCallOwner::ReadCatalog => self.on_stored_catalog(&response),
-            KvCallOwner::WriteCatalog => self.catalog.on_written(&response),
-            // They are written again periodically.
+            KvCallOwner::WriteCatalog => self.catalog.on_write_response(&response),
+            // The records are rewritten periodically, so a failed write is not retried.
             KvCallOwner::WriteLeaseProxies => {}
             KvCallOwner::WriteLimits => self.on_limits_written(&response),
         }
@@ -127,15 +128,15 @@
         self.submit_cancellation_calls(calls);
         if call == CancellationsKvCall::Poll {
             let succeeded = self.cancellations.last_read_ms() > last_read_ms;
-            self.answer_polled_requests(now, succeeded, effects);
+            self.complete_polled_requests(now, succeeded, effects);
         }
         let mut scheduler_effects = SchedulerEffects::default();
-        self.learn_cancelled(now, &cancelled, &mut scheduler_effects);
+        self.notify_scheduler_of_cancellations(now, &cancelled, &mut scheduler_effects);
         self.apply_scheduler_effects(now, scheduler_effects, effects);
     }
 
-    /// Answers the users' requests that had come when the poll was sent.
-    fn answer_polled_requests(&mut self, now: Now, succeeded: bool, effects: &mut Vec<Effect>) {
+    /// Completes the users' requests that were received before the poll was sent.
+    fn complete_polled_requests(&mut self, now: Now, succeeded: bool, effects: &mut Vec<Effect>) {
         let records = succeeded.then_some(&self.cancellations);
         let mut gateway_effects = GatewayEffects::default();
         self.gateway.on_poll_completed(
--- a/src/node/lease_proxy.rs
+++ b/src/node/lease_proxy.rs
@@ -1,5 +1,5 @@
-//! Lease proxying: a follower renews workers' leases while the leader isn't heard. It
-//! never starts anything.
+//! Lease proxying: a follower renews workers' leases while it receives no heartbeats
+//! from the leader. A lease proxy never starts tasks.
 
 use super::kv_responses::KvCallOwner;
 use super::peers::is_within;
@@ -13,30 +13,31 @@
 use crate::wire::workers::{Command, HeartbeatResponse, WorkerHeartbeat};
 use std::collections::HashMap;
 
-/// How long the write of a record is waited for.
+/// Timeout of the write of one lease proxy record.
 const WRITE_TIMEOUT_MS: u64 = 1000;
 
-/// A worker's lease that this controller has renewed.
+/// A worker's lease that this controller has renewed as the leader's proxy.
 #[derive(Clone, Copy, Debug)]
 struct ProxiedLease {
     renewed_ms: u64,
-    epoch: AgentEpoch,
+    agent_epoch: AgentEpoch,
 }
 
 /// The workers' leases that this controller renews as the leader's proxy.
 #[derive(Debug, Default)]
 pub(super) struct LeaseProxy {
     leases: HashMap<String, ProxiedLease>,
-    /// When the records of the leases are written next.
+    /// When the lease proxy records are next written.
     next_write_ms: u64,
-    /// How many records are stored.
-    records_stored: usize,
-    /// When this controller last responded to a worker, forwarding or as a proxy.
+    /// Number of lease proxy records in the key-value store, including writes in flight.
+    stored_record_count: usize,
+    /// When this controller last responded to a worker in place of the leader, either as
+    /// a forwarder of heartbeats or as a lease proxy.
     last_response_ms: Option<u64>,
 }
 
 impl LeaseProxy {
-    /// This controller responds to a worker in place of the leader.
+    /// Records that this controller responds to a worker in place of the leader.
     pub(super) fn record_response(&mut self, now: Now) {
         self.last_response_ms = Some(now.ms);
     }
@@ -44,14 +45,14 @@
     fn record_renewal(&mut self, now: Now, heartbeat: &WorkerHeartbeat) {
         let lease = ProxiedLease {
             renewed_ms: now.ms,
-            epoch: heartbeat.agent_epoch,
+            agent_epoch: heartbeat.agent_epoch,
         };
         self.leases.insert(heartbeat.machine.clone(), lease);
     }
 
-    /// The transactions that bring the stored records up to date, once in each period.
-    /// Leases that weren't renewed within the period are dropped.
-    fn record_writes(
+    /// Returns the transactions that update the stored records, at most once per period.
+    /// Removes leases that weren't renewed within the period.
+    fn take_due_writes(
         &mut self,
         now: Now,
         node: &str,
@@ -60,7 +61,7 @@
     ) -> Vec<Txn> {
         self.leases
             .retain(|_, lease| now.ms < lease.renewed_ms + period_ms);
-        let nothing_to_write = self.leases.is_empty() && self.records_stored == 0;
+        let nothing_to_write = self.leases.is_empty() && self.stored_record_count == 0;
         if now.ms < self.next_write_ms || nothing_to_write {
             return Vec::new();
         }
@@ -68,11 +69,11 @@
         let mut machines: Vec<(String, AgentEpoch)> = self
             .leases
             .iter()
-            .map(|(machine, lease)| (machine.clone(), lease.epoch))
+            .map(|(machine, lease)| (machine.clone(), lease.agent_epoch))
             .collect();
         machines.sort();
         let records = split_into_records(machines, max_value_bytes);
-        let previously_stored = std::mem::replace(&mut self.records_stored, records.len());
+        let previously_stored = std::mem::replace(&mut self.stored_record_count, records.len());
         let obsolete = records.len()..previously_stored;
         let puts = records.into_iter().enumerate().map(|(number, machines)| {
             let record = LeaseProxyRecord {
@@ -88,33 +89,41 @@
 }
 
 impl Node {
-    /// Whether this follower renews workers' leases as the leader's proxy, so that a
-    /// partition between zones, or a leader's failure during an outage of the
-    /// key-value store, doesn't end all their tasks. No start goes out that way, and
-    /// no lease is ever taken to have expired, so nothing can run twice because of it.
-    pub(super) fn proxies_leases(&mut self, now: Now) -> bool {
+    /// Decides whether this follower renews workers' leases as the leader's proxy. Lease
+    /// proxying keeps tasks running during a network partition between zones, and when
+    /// the leader fails during an outage of the key-value store. A lease proxy sends no
+    /// start commands and never treats a lease as expired, so lease proxying can't cause
+    /// a task to run twice.
+    pub(super) fn should_proxy_leases(&mut self, now: Now) -> bool {
         if self.peers.reporting_leaders(now).next().is_some() {
             return false;
         }
-        let silence_ms = self.peers.silence_ms();
-        let hears_peer = self
+        let unresponsive_after_ms = self.peers.unresponsive_after_ms();
+        let receives_from_peer = self
             .peers
             .iter()
-            .any(|peer| peer.heard_within(now, silence_ms));
+            .any(|peer| peer.sent_message_within(now, unresponsive_after_ms));
         let proxies = if self.kv.reachable() {
-            // The store has a leader's record, but this node can't hear the leader.
+            // The key-value store holds a leader's record, but no heartbeats arrive from
+            // that leader.
             self.election.follows_recorded_leader(now)
-        } else if hears_peer {
+        } else if receives_from_peer {
             !self
                 .peers
                 .iter()
-                .any(|peer| peer.reached_store_within(now, silence_ms))
+                .any(|peer| peer.reached_store_within(now, unresponsive_after_ms))
         } else {
-            // This node is isolated. If it responded to its zone's workers before, the
-            // zone is partitioned off with it and they have no other node; the
-            // watermark bounds how long that may last. If they reported elsewhere,
-            // the fault is here, and a response would only keep them from others.
-            is_within(self.lease_proxy.last_response_ms, now, silence_ms)
+            // This controller is isolated. If it recently responded to its zone's
+            // workers, the network partition separates the whole zone, and the workers
+            // reach no other controller; the cancellation watermark bounds how long
+            // this controller may renew their leases. If the workers reported to
+            // another controller, only this controller is isolated, and its response
+            // would keep the workers from reaching the others.
+            is_within(
+                self.lease_proxy.last_response_ms,
+                now,
+                unresponsive_after_ms,
+            )
         };
         if proxies {
             self.lease_proxy.record_response(now);
@@ -122,8 +131,9 @@
         proxies
     }
 
-    /// Renews a worker's lease as the leader's proxy.
-    pub(super) fn renew_by_proxy(
+    /// Renews a worker's lease as the leader's proxy. Returns `None` if the worker has
+    /// seen a later term than this controller.
+    pub(super) fn renew_lease_as_proxy(
         &mut self,
         now: Now,
         heartbeat: &WorkerHeartbeat,
@@ -131,7 +141,8 @@
     ) -> Option<Reply> {
         let term = match self.election.role() {
             Role::Follower(record) if self.kv.reachable() => record.term,
-            // In an outage that all controllers share, the worker's term is enough.
+            // In an outage of the key-value store that affects all controllers, the
+            // worker's own term is sufficient.
             _ => heartbeat.fencing_token.term(),
         };
         let reply = proxy_response(heartbeat, term, stops)?;
@@ -139,10 +150,11 @@
         Some(reply)
     }
 
-    /// Stores which workers' leases this controller renews, for the leader to read.
+    /// Stores which workers' leases this controller renews. The leader reads these
+    /// records.
     pub(super) fn store_proxied_leases(&mut self, now: Now) {
-        let period_ms = self.peers.silence_ms();
-        let txns = self.lease_proxy.record_writes(
+        let period_ms = self.peers.unresponsive_after_ms();
+        let txns = self.lease_proxy.take_due_writes(
             now,
             &self.settings.node_name,
             period_ms,
@@ -161,10 +173,11 @@
     }
 }
 
-/// A follower's response to a worker in place of the leader: the lease is renewed, the
-/// fencing token kept or raised to the term's first, and no commands are given but
-/// stops of cancelled jobs' tasks, which can do no harm. `None`: the worker has seen a
-/// later term than this controller.
+/// Builds a follower's response to a worker in place of the leader. The response renews
+/// the lease and keeps the fencing token, or raises it to the first token of the term.
+/// It contains no commands except stops of cancelled jobs' tasks, which are safe from
+/// any controller. Returns `None` if the worker has seen a later term than this
+/// controller.
 pub(super) fn proxy_response(
     heartbeat: &WorkerHeartbeat,
     term: Term,
--- a/src/node/limits.rs
+++ b/src/node/limits.rs
@@ -1,5 +1,6 @@
-//! Which limits of the key-value store apply: the signs from which this controller
-//! learns it, and who is informed.
+//! Tracks which limits of the key-value store apply, the present or the announced ones:
+//! collects the evidence, applies the limits to the actors, and stores the result for
+//! later leaders.
 
 use super::kv_responses::KvCallOwner;
 use super::{Node, VERSION};
@@ -9,14 +10,15 @@
 use crate::settings::StateLimits;
 use serde::Serialize;
 
-/// Time between attempts to store that the announced limits apply.
+/// Interval between attempts to store that the announced limits apply, and timeout of
+/// each attempt.
 const WRITE_INTERVAL_MS: u64 = 1000;
 
-/// Which limits of the key-value store apply, and when that is stored.
+/// The limits of the key-value store that apply, and the schedule for storing them.
 #[derive(Debug)]
 pub(super) struct LimitsTracker {
     effective: EffectiveLimits,
-    /// When it may next be stored that the announced limits apply.
+    /// Earliest time of the next attempt to store that the announced limits apply.
     next_write_ms: u64,
 }
 
@@ -28,12 +30,13 @@
         }
     }
 
-    /// Whether the announced limits apply, as far as this controller knows.
+    /// Returns whether this controller knows that the announced limits apply.
     pub(super) fn announced_apply(&self) -> bool {
         self.effective.announced_apply()
     }
 
-    /// The size of a value that the store will always take.
+    /// Returns the largest value size that the key-value store accepts under both the
+    /// present and the announced limits.
     pub(super) fn guaranteed_value_bytes(&self) -> usize {
         self.effective.guaranteed().value_bytes
     }
@@ -42,7 +45,7 @@
         self.effective.current()
     }
 
-    /// What operators may read of a controller that is ready.
+    /// Returns the body of the readiness response of a controller that is ready.
     pub(super) fn node_info(&self) -> NodeInfo {
         NodeInfo {
             ready: true,
@@ -56,20 +59,20 @@
     }
 }
 
-/// What operators may read of a controller.
+/// The body of the readiness response, for operators.
 #[derive(Debug, Serialize)]
 pub(super) struct NodeInfo {
-    /// It takes requests.
+    /// Whether the controller accepts requests.
     ready: bool,
-    /// The program's version.
     version: &'static str,
-    /// The store's limits as far as it knows: the present or the announced ones.
+    /// Limits of the key-value store that the controller applies: `present` or
+    /// `announced`.
     limits: &'static str,
 }
 
 impl Node {
-    /// There is evidence that the announced limits apply.
-    pub(super) fn learn_limits(&mut self, now: Now, evidence: LimitEvidence) {
+    /// Applies the announced limits because of this evidence, unless they apply already.
+    pub(super) fn apply_limit_evidence(&mut self, now: Now, evidence: LimitEvidence) {
         if self.limits.effective.apply_announced(evidence) {
             self.apply_limits(now);
         }
@@ -82,7 +85,9 @@
         self.set_rate_share(now);
     }
 
-    /// The store responded 400 to a transaction of the leader's.
+    /// Handles a 400 response of the key-value store to one of the leader's transactions:
+    /// applies the announced limits if they explain the rejection, and otherwise splits
+    /// the transaction.
     pub(super) fn on_transaction_rejected(&mut self, now: Now, size: RequestSize) {
         if self.limits.effective.on_rejection(size) {
             self.apply_limits(now);
@@ -91,13 +96,14 @@
         }
     }
 
-    /// The store responded 400 to a user's write.
+    /// Handles a 400 response of the key-value store to the write of a user's request:
+    /// applies the announced limits if they explain the rejection.
     pub(super) fn on_submission_rejected(&mut self, now: Now, size: RequestSize) {
         if self.limits.effective.on_rejection(size) {
             self.apply_limits(now);
         } else {
             log::error!(
-                "user's write rejected reason=\"announced limits don't explain it\" \
+                "user's write rejected reason=\"request exceeds no announced limit\" \
                  write_ops={} largest_value_bytes={}",
                 size.write_ops,
                 size.largest_value_bytes
@@ -105,11 +111,12 @@
         }
     }
 
-    /// Learns from what leaders have stored, and stores as leader that the announced
-    /// limits apply, so that the next leader needs no rejected transaction to learn it.
+    /// Applies the announced limits if a leader has stored that they apply. As leader,
+    /// stores that they apply, so that the next leader detects it without a rejected
+    /// transaction.
     pub(super) fn maintain_limits(&mut self, now: Now) {
         if self.election.limits_lowered() {
-            self.learn_limits(now, LimitEvidence::Stored);
+            self.apply_limit_evidence(now, LimitEvidence::Stored);
             return;
         }
         if !self.limits.announced_apply() || now.ms < self.limits.next_write_ms {
@@ -128,7 +135,7 @@
         ));
     }
 
-    /// The response to that write.
+    /// Handles the response to the write which records that the announced limits apply.
     pub(super) fn on_limits_written(&mut self, response: &KvResponse) {
         if response.committed().is_some() {
             self.election.on_limits_lowered_stored();
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -1,5 +1,6 @@
-//! One controller: it joins the actors, carrying out what each of them wants done.
-//! Messages and time in, messages out; the reactor does the I/O.
+//! One controller. The node connects the actors and executes the effects that they
+//! return. It receives messages with the time and returns messages; the reactor performs
+//! the I/O.
 
 mod catalog;
 mod effects;
@@ -40,27 +41,30 @@
 use peers::Peers;
 use std::rc::Rc;
 
-/// This program's version, as peers and operators see it.
+/// Version of this program, reported to peers in heartbeats and to operators in the
+/// readiness response.
 pub const VERSION: &str = env!("CARGO_PKG_VERSION");
 
-/// Bounds of the TTL of the leader key's lease.
+/// Lower bound of the TTL of the leader key's lease.
 const MIN_LEADER_LEASE_MS: u64 = 200;
+/// Upper bound of the TTL of the leader key's lease.
 const MAX_LEADER_LEASE_MS: u64 = 600_000;
-/// Heartbeats to the peers within the TTL of the leader key's lease.
+/// Number of heartbeats to the peers within the TTL of the leader key's lease.
 const HEARTBEATS_PER_LEASE: u64 = 4;
-/// Delays between the claims of successive candidates within that TTL.
+/// Number of staggered claims within the TTL of the leader key's lease. Candidates of
+/// adjacent ranks claim leadership one such fraction of the TTL apart.
 const STAGGERS_PER_LEASE: u64 = 30;
 
-/// One controller.
+/// One controller: its actors and the state that they share.
 pub struct Node {
     settings: Rc<Settings>,
-    /// The leader's share of the key-value store's rates.
+    /// The leader's share of the key-value store's request rates, from 0 to 1.
     leader_rate_share: f64,
     election: Election,
     handover: Handover,
     cancellations: Cancellations,
-    /// The last request of a user that had come when the poll of the job records in
-    /// flight was sent.
+    /// Number of the last user request that was received before the poll of the job
+    /// records in flight was sent.
     last_polled_request: RequestNumber,
     kv: KvClient<KvCallOwner>,
     limits: LimitsTracker,
@@ -71,23 +75,24 @@
     peers: Peers,
     outgoing_calls: OutgoingCalls,
     lease_proxy: LeaseProxy,
-    /// Worker heartbeats that this follower forwards.
+    /// Worker heartbeats that this controller, as follower, forwards to the leader.
     heartbeat_forwarder: HeartbeatForwarder,
-    /// As leader, the routes of the workers' heartbeats.
+    /// Routes of the workers' heartbeats, used while this controller leads.
     heartbeat_routes: HeartbeatRoutes,
-    /// When this process last handled an event, to detect that it was paused.
+    /// When this process last handled an event; used to detect that it was paused.
     last_event_ms: u64,
-    /// What the last event was processed for.
+    /// Purpose of the last event, for usage accounting.
     purpose: Purpose,
 }
 
-/// The TTL of the leader key's lease.
+/// Returns the TTL of the leader key's lease.
 fn leader_lease_ms(settings: &Settings, tuning: &Tuning) -> u64 {
     let lease_ms = settings.site.workers.lease_s * 1000.0 * tuning.lease_share;
     (lease_ms as u64).clamp(MIN_LEADER_LEASE_MS, MAX_LEADER_LEASE_MS)
 }
 
-/// Delays each candidate by its rank, so that not all claim at the same moment.
+/// Returns the delay of this candidate's claim of leadership. The delay grows with the
+/// rank of the controller's name, so that candidates don't claim at the same time.
 fn election_stagger_ms(settings: &Settings, lease_ms: u64) -> u64 {
     let mut names: Vec<&str> = settings
         .peers
@@ -100,14 +105,14 @@
     rank.unwrap_or(0) as u64 * lease_ms / STAGGERS_PER_LEASE
 }
 
-/// The lease of workers at their controller.
+/// Returns the duration of a worker's lease.
 fn worker_lease_ms(settings: &Settings) -> u64 {
     (settings.site.workers.lease_s * 1000.0) as u64
 }
 
 impl Node {
-    /// A controller that knows nothing yet. `incarnation` tells this process from
-    /// earlier ones of the same name.
+    /// Creates a controller without any known state. `incarnation` distinguishes this
+    /// process from earlier ones of the same name.
     pub fn new(settings: Settings, tuning: Tuning, incarnation: u64) -> Node {
         let settings = Rc::new(settings);
         let site = &settings.site;
@@ -134,7 +139,7 @@
             gateway: Gateway::new(
                 settings.clone(),
                 tuning.replica_classes.clone(),
-                peers.silence_ms(),
+                peers.unresponsive_after_ms(),
             ),
             cloud: CloudClient::new(site.cloud.rps, site.cloud.list_lag_s),
             catalog: CatalogCache::default(),
@@ -152,33 +157,34 @@
         node
     }
 
-    /// Whether it leads, as far as it knows.
+    /// Returns whether this controller considers itself the leader.
     pub fn is_leader(&self) -> bool {
         self.election.is_leader()
     }
 
-    /// The cost of its rounds so far, in entries examined.
+    /// Returns the number of entries that scheduling rounds have examined so far, a
+    /// measure of their cost.
     pub fn examined(&self) -> u64 {
         self.scheduler.examined()
     }
 
-    /// The most entries that one slice of a round has examined.
+    /// Returns the largest number of entries that one slice of a round has examined.
     pub fn longest_slice(&self) -> u64 {
         self.scheduler.longest_slice()
     }
 
-    /// How many machines it knows as leader.
+    /// Returns the number of machines that this controller, as leader, knows.
     pub fn machines(&self) -> usize {
         self.scheduler.machines()
     }
 
-    /// How many tasks are queued in the round under way.
+    /// Returns the number of items queued in the current round.
     pub fn queued_in_round(&self) -> usize {
         self.scheduler.queued_in_round()
     }
 
-    /// Recomputes what the leader maintains incrementally and compares; the error
-    /// names the difference. For tests.
+    /// Recomputes the state that the leader maintains incrementally and compares the two.
+    /// The error describes the difference. Used by tests.
     pub fn check_invariants(&mut self) -> Result<(), InvariantViolation> {
         self.scheduler.check_invariants()
     }
--- a/src/node/outgoing_calls.rs
+++ b/src/node/outgoing_calls.rs
@@ -1,4 +1,4 @@
-//! The calls of this controller that are in flight.
+//! This controller's calls that are in flight.
 
 use crate::cloud::CloudCall;
 use crate::ids::Term;
@@ -6,25 +6,25 @@
 use crate::scheduler::WorkerCommandCall;
 use std::collections::HashMap;
 
-/// Who made a call.
+/// The sender of a call within this controller, with the data needed to process the
+/// result.
 #[derive(Clone, Debug)]
 pub(super) enum OutgoingCall {
-    /// The key-value client, with its id of the call.
+    /// A call of the key-value client, under the client's own id of the call.
     KvStore(u64),
-    /// The cloud client.
+    /// A call of the cloud client.
     Cloud(CloudCall),
-    /// The scheduler as leader of this term: commands to a worker.
+    /// Commands to a worker, sent by the scheduler as leader of this term.
     Worker(Term, WorkerCommandCall),
-    /// The node: a heartbeat to a peer.
+    /// A heartbeat to a peer.
     Peer {
-        /// The peer's number.
+        /// The peer's index in [`Peers`](super::peers::Peers).
         index: usize,
-        /// When it was sent.
         sent_ms: u64,
     },
 }
 
-/// The calls in flight.
+/// The calls in flight, by id.
 #[derive(Debug, Default)]
 pub(super) struct OutgoingCalls {
     in_flight: HashMap<CallId, OutgoingCall>,
@@ -40,7 +40,8 @@
         id
     }
 
-    /// Removes a call that has a result. `None`: there is no such call.
+    /// Removes and returns a call that has a result. Returns `None` if no such call is in
+    /// flight.
     pub(super) fn finish(&mut self, id: CallId) -> Option<OutgoingCall> {
         self.in_flight.remove(&id)
     }
--- a/src/node/peer_heartbeats.rs
+++ b/src/node/peer_heartbeats.rs
@@ -1,6 +1,6 @@
-//! Heartbeats between controllers. They carry hints: who leads, how far jobs are,
-//! which jobs were just written; confirmed cancellations; and, to the leader, worker
-//! heartbeats that followers have answered.
+//! Heartbeats between controllers. They carry hints (the known leader, jobs' progress,
+//! jobs that were just written), confirmed cancellations and, to the leader, worker
+//! heartbeats that followers have responded to.
 
 use super::outgoing_calls::OutgoingCall;
 use super::{Node, VERSION};
@@ -29,7 +29,7 @@
         let sender = self.peers.index_of(&heartbeat.node);
         self.record_peer_status(now, sender, &heartbeat);
         if heartbeat.announced_limits_apply {
-            self.learn_limits(now, LimitEvidence::Peer);
+            self.apply_limit_evidence(now, LimitEvidence::Peer);
         }
         self.observe_reported_leader(now, &heartbeat, effects);
         self.record_leader_progress(now, &heartbeat);
@@ -39,11 +39,11 @@
                 .on_job_announced(now, &JobId::new(job), &mut scheduler_effects);
         }
         let response = self.exchange_confirmations(now, sender, &heartbeat, &mut scheduler_effects);
-        let reached_elsewhere =
-            self.receive_forwarded(now, sender, &heartbeat, &mut scheduler_effects);
+        let worker_reaches_sender_only =
+            self.receive_forwarded_heartbeats(now, sender, &heartbeat, &mut scheduler_effects);
         self.apply_scheduler_effects(now, scheduler_effects, effects);
-        if reached_elsewhere {
-            self.hand_over_if_unreached(now, &heartbeat.node, effects);
+        if worker_reaches_sender_only {
+            self.hand_over_because_unreachable(now, &heartbeat.node, effects);
         }
         Reply {
             status: 200,
@@ -60,7 +60,9 @@
         }
     }
 
-    /// A peer that reaches the key-value store may know of a later term.
+    /// Applies a later term that the heartbeat reports. The report counts only if the
+    /// sender reaches the key-value store, and if both the sender and the reported leader
+    /// are known peers.
     fn observe_reported_leader(
         &mut self,
         now: Now,
@@ -80,7 +82,7 @@
         }
     }
 
-    /// Takes in jobs' progress, if the heartbeat is the leader's.
+    /// Records jobs' progress if the sender of the heartbeat is the leader.
     fn record_leader_progress(&mut self, now: Now, heartbeat: &PeerHeartbeat) {
         if heartbeat.node != heartbeat.leader {
             return;
@@ -98,8 +100,8 @@
         }
     }
 
-    /// Takes in the cancellations that the sender has confirmed, and responds with
-    /// those of this node that it asks for.
+    /// Records the cancellations that the sender has confirmed, and returns a response
+    /// with this controller's confirmations after the sender's cursor.
     fn exchange_confirmations(
         &mut self,
         now: Now,
@@ -118,15 +120,15 @@
             let cancelled =
                 self.cancellations
                     .receive_confirmations(now, index, None, confirmations);
-            self.learn_cancelled(now, &cancelled, scheduler_effects);
+            self.notify_scheduler_of_cancellations(now, &cancelled, scheduler_effects);
         }
         response
     }
 
-    /// Takes in forwarded worker heartbeats. Returns whether a worker that should
-    /// report to this leader itself reaches the sender, while no worker reaches this
-    /// leader.
-    fn receive_forwarded(
+    /// Processes forwarded worker heartbeats. Returns whether no worker reaches this
+    /// leader while the sender is reached by a worker that should report to this leader
+    /// directly.
+    fn receive_forwarded_heartbeats(
         &mut self,
         now: Now,
         sender: Option<usize>,
@@ -137,14 +139,16 @@
             return false;
         }
         self.purpose = Purpose::ForwardedHeartbeats;
-        let unreached = self.unreached_by_workers(now);
-        let mut reached_elsewhere = false;
+        let unreachable = self.unreachable_by_workers(now);
+        let mut worker_reaches_sender_only = false;
         for body in &heartbeat.worker_heartbeats {
             let Ok(worker) = serde_json::from_slice::<WorkerHeartbeat>(body) else {
                 continue;
             };
-            // Workers that merely fail together reach no other node either.
-            reached_elsewhere |= unreached && self.forwarder_for(now, &worker.zone).is_none();
+            // This condition distinguishes an unreachable leader from workers that fail
+            // at the same time: failed workers reach no other controller either.
+            worker_reaches_sender_only |=
+                unreachable && self.forwarder_for(now, &worker.zone).is_none();
             if let Some(index) = sender {
                 self.heartbeat_routes
                     .record_forwarded(now.ms, &worker.machine, index);
@@ -152,7 +156,7 @@
             self.scheduler
                 .forwarded_heartbeat(now, &worker, scheduler_effects);
         }
-        reached_elsewhere
+        worker_reaches_sender_only
     }
 
     /// Processes the result of a heartbeat to a peer.
@@ -169,7 +173,7 @@
             Err(_) => {
                 let peer = self.peers.get(index);
                 if peer.is_some_and(|peer| peer.last_reported_leading()) {
-                    self.heartbeat_forwarder.forget_content();
+                    self.heartbeat_forwarder.clear_fingerprints();
                 }
                 return;
             }
@@ -184,31 +188,31 @@
         };
         let known_incarnation = self.cancellations.cursor(index).map(|c| c.incarnation);
         if known_incarnation != Some(confirmations.incarnation) {
-            // A new process of the peer knows no job's progress.
-            self.peers.forget_sent_progress();
+            // The peer restarted, and its new process knows no job's progress.
+            self.peers.clear_sent_progress();
         }
         let cancelled =
             self.cancellations
                 .receive_confirmations(now, index, Some(sent_ms), &confirmations);
         let mut scheduler_effects = SchedulerEffects::default();
-        self.learn_cancelled(now, &cancelled, &mut scheduler_effects);
+        self.notify_scheduler_of_cancellations(now, &cancelled, &mut scheduler_effects);
         self.apply_scheduler_effects(now, scheduler_effects, effects);
     }
 
     // ---- sending ----
 
-    /// Sends heartbeats when they are due, and at once when there is something that
-    /// can't wait.
+    /// Sends heartbeats to all peers when the next heartbeat is due, and immediately when
+    /// there are announcements for the leader or newly confirmed cancellations.
     pub(super) fn send_heartbeats(&mut self, now: Now, effects: &mut Vec<Effect>) {
         let due = now.ms >= self.peers.next_heartbeat_ms();
-        // Announcements are for the leader; cancellations are for all.
+        // Only the leader uses announcements; all controllers use cancellations.
         let announces = self.peers.has_announcements() && !self.election.is_leader();
         if !due && !announces && !self.peers.cancellations_pending() {
             return;
         }
         if due {
             self.peers.schedule_heartbeat(now);
-            self.share_writes(now);
+            self.update_write_share(now);
             self.heartbeat_routes.remove_expired(now.ms);
             self.check_successor(now, effects);
         }
@@ -220,7 +224,7 @@
         }
     }
 
-    /// The heartbeat but for what differs between its receivers.
+    /// Builds the next heartbeat, without the fields that differ between receivers.
     fn next_heartbeat(&mut self, now: Now) -> PeerHeartbeat {
         let leader = match self.election.role() {
             Role::Leader { .. } => self.settings.node_name.clone(),
@@ -233,7 +237,7 @@
             leader,
             term: self.election.known_term().0,
             kv_reachable: self.kv.reachable(),
-            unreachable: self.handover.reports_unreached() || self.unreached_by_workers(now),
+            unreachable: self.handover.reports_unreachable() || self.unreachable_by_workers(now),
             job_progress: self.changed_progress(now),
             announced: self.peers.take_announcements(),
             writes_per_s: self.kv.writes_per_s(now),
@@ -245,8 +249,8 @@
         }
     }
 
-    /// As leader, records jobs' progress for this node's own users, and returns what
-    /// the peers don't know of it.
+    /// As leader, records jobs' progress for this controller's own users, and returns the
+    /// changes that the peers haven't received.
     fn changed_progress(&mut self, now: Now) -> Vec<JobProgress> {
         let term = self.scheduler.term();
         if self.scheduler.leading() && !self.election.leadership_unconfirmed() {
@@ -262,7 +266,7 @@
         self.peers.changed_progress(progress)
     }
 
-    /// Sends a message to a peer.
+    /// Sends a heartbeat, or a message of forwarded worker heartbeats, to a peer.
     pub(super) fn send_to_peer(
         &mut self,
         now: Now,
--- a/src/node/peers.rs
+++ b/src/node/peers.rs
@@ -1,4 +1,5 @@
-//! The other controllers: what they last reported, and what they are told next.
+//! The peers: what each peer last reported, and the contents of the next heartbeat to
+//! them.
 
 use super::job_progress::SentProgress;
 use crate::ids::{JobId, Term};
@@ -6,33 +7,37 @@
 use crate::settings::{PeerSettings, Settings};
 use crate::wire::peers::{JobProgress, PeerHeartbeat};
 
-/// A peer counts as silent after so many heartbeat intervals without a heartbeat.
-const SILENCE_HEARTBEATS: u64 = 3;
-/// A heartbeat's response is waited for so many heartbeat intervals.
+/// Number of heartbeat intervals without a message after which a peer counts as
+/// unresponsive.
+const UNRESPONSIVE_AFTER_HEARTBEATS: u64 = 3;
+/// Timeout for the response to a heartbeat, in heartbeat intervals.
 const CALL_TIMEOUT_HEARTBEATS: u64 = 2;
 
-/// Another controller. Its times are those at which something last happened.
+/// A peer and what it last reported. All times are on the monotonic clock.
 #[derive(Debug)]
 pub(super) struct Peer {
     pub(super) name: String,
     pub(super) zone: String,
     pub(super) address: String,
-    /// It sent a message.
-    heard_ms: Option<u64>,
-    /// It responded to a heartbeat of this node.
-    responded_ms: Option<u64>,
-    /// It reported that it reaches the key-value store.
-    store_reached_ms: Option<u64>,
-    /// It reported that it leads; `None`: its last heartbeat named no or another leader.
-    led_ms: Option<u64>,
-    /// It named this node as its leader; `None`: its last heartbeat didn't.
-    followed_us_ms: Option<u64>,
+    /// When the last message of the peer was received.
+    last_message_ms: Option<u64>,
+    /// When the peer last responded to a heartbeat of this controller.
+    last_response_ms: Option<u64>,
+    /// When the peer last reported that it reaches the key-value store.
+    last_store_access_ms: Option<u64>,
+    /// When the peer last reported that it leads. `None` if its last heartbeat named
+    /// another leader or none.
+    reported_leading_ms: Option<u64>,
+    /// When the peer last reported this controller as its leader. `None` if its last
+    /// heartbeat didn't.
+    reported_us_leader_ms: Option<u64>,
     reported_term: Term,
-    /// It reported that no worker reaches it.
+    /// Whether the peer's last heartbeat reported that no worker reaches it.
     unreachable_by_workers: bool,
-    /// Its rate of writes to the key-value store.
+    /// The peer's rate of writes to the key-value store, as last reported.
     writes_per_s: f64,
-    /// The version that it last reported; empty before 0.2, which reports none.
+    /// The version that the peer last reported. Empty for versions before 0.2, which
+    /// report none.
     version: String,
 }
 
@@ -42,11 +47,11 @@
             name: settings.name.clone(),
             zone: settings.zone.clone(),
             address: settings.addr.to_string(),
-            heard_ms: None,
-            responded_ms: None,
-            store_reached_ms: None,
-            led_ms: None,
-            followed_us_ms: None,
+            last_message_ms: None,
+            last_response_ms: None,
+            last_store_access_ms: None,
+            reported_leading_ms: None,
+            reported_us_leader_ms: None,
             reported_term: Term(0),
             unreachable_by_workers: false,
             writes_per_s: 0.0,
@@ -54,82 +59,88 @@
         }
     }
 
-    /// Whether a message of this peer came within this period.
-    pub(super) fn heard_within(&self, now: Now, period_ms: u64) -> bool {
-        is_within(self.heard_ms, now, period_ms)
+    /// Returns whether a message of this peer was received within this period.
+    pub(super) fn sent_message_within(&self, now: Now, period_ms: u64) -> bool {
+        is_within(self.last_message_ms, now, period_ms)
     }
 
-    /// Whether a message of this peer has come, but none for longer than this period.
-    pub(super) fn silent_for(&self, now: Now, period_ms: u64) -> bool {
-        self.heard_ms.is_some_and(|at| now.ms > at + period_ms)
+    /// Returns whether messages of this peer have been received, but none for longer than
+    /// this period.
+    pub(super) fn unresponsive_for(&self, now: Now, period_ms: u64) -> bool {
+        self.last_message_ms
+            .is_some_and(|at| now.ms > at + period_ms)
     }
 
-    /// Whether it responded to a heartbeat of this node within this period.
+    /// Returns whether the peer responded to a heartbeat of this controller within this
+    /// period.
     pub(super) fn responded_within(&self, now: Now, period_ms: u64) -> bool {
-        is_within(self.responded_ms, now, period_ms)
+        is_within(self.last_response_ms, now, period_ms)
     }
 
-    /// Whether it reported within this period that it reaches the key-value store.
+    /// Returns whether the peer reported within this period that it reaches the key-value
+    /// store.
     pub(super) fn reached_store_within(&self, now: Now, period_ms: u64) -> bool {
-        is_within(self.store_reached_ms, now, period_ms)
+        is_within(self.last_store_access_ms, now, period_ms)
     }
 
-    /// Whether it reported within this period that it leads.
-    pub(super) fn led_within(&self, now: Now, period_ms: u64) -> bool {
-        is_within(self.led_ms, now, period_ms)
+    /// Returns whether the peer reported within this period that it leads.
+    pub(super) fn reported_leading_within(&self, now: Now, period_ms: u64) -> bool {
+        is_within(self.reported_leading_ms, now, period_ms)
     }
 
-    /// Whether it named this node as its leader within this period.
-    pub(super) fn followed_us_within(&self, now: Now, period_ms: u64) -> bool {
-        is_within(self.followed_us_ms, now, period_ms)
+    /// Returns whether the peer reported this controller as its leader within this
+    /// period.
+    pub(super) fn reported_us_leader_within(&self, now: Now, period_ms: u64) -> bool {
+        is_within(self.reported_us_leader_ms, now, period_ms)
     }
 
-    /// Whether it named itself as leader in its last heartbeat, however old.
+    /// Returns whether the peer's last heartbeat, however old, reported the peer itself
+    /// as leader.
     pub(super) fn last_reported_leading(&self) -> bool {
-        self.led_ms.is_some()
+        self.reported_leading_ms.is_some()
     }
 
-    /// The latest term that it reported.
+    /// Returns the term that the peer last reported.
     pub(super) fn reported_term(&self) -> Term {
         self.reported_term
     }
 
-    /// Whether it reported that no worker reaches it.
+    /// Returns whether the peer's last heartbeat reported that no worker reaches it.
     pub(super) fn unreachable_by_workers(&self) -> bool {
         self.unreachable_by_workers
     }
 
-    /// It responded to a heartbeat of this node.
+    /// Records that the peer responded to a heartbeat of this controller.
     pub(super) fn record_response(&mut self, now: Now) {
-        self.responded_ms = Some(now.ms);
+        self.last_response_ms = Some(now.ms);
     }
 
-    /// Takes in what a heartbeat reports of its sender.
+    /// Records what a heartbeat reports about this peer, its sender.
     pub(super) fn record_heartbeat(
         &mut self,
         now: Now,
         heartbeat: &PeerHeartbeat,
         names_us_leader: bool,
     ) {
-        self.heard_ms = Some(now.ms);
+        self.last_message_ms = Some(now.ms);
         if heartbeat.kv_reachable {
-            self.store_reached_ms = Some(now.ms);
+            self.last_store_access_ms = Some(now.ms);
         }
-        // A message that forwards worker heartbeats reports nothing else.
+        // A message that forwards worker heartbeats carries no other reports.
         if !heartbeat.worker_heartbeats.is_empty() {
             return;
         }
         self.writes_per_s = Some(heartbeat.writes_per_s)
             .filter(|rate| rate.is_finite() && *rate >= 0.0)
             .unwrap_or(0.0);
-        self.led_ms = (heartbeat.node == heartbeat.leader).then_some(now.ms);
+        self.reported_leading_ms = (heartbeat.node == heartbeat.leader).then_some(now.ms);
         self.reported_term = Term(heartbeat.term);
         self.unreachable_by_workers = heartbeat.unreachable;
-        self.followed_us_ms = names_us_leader.then_some(now.ms);
+        self.reported_us_leader_ms = names_us_leader.then_some(now.ms);
         self.record_version(&heartbeat.version);
     }
 
-    /// Logs a change of version, for operators.
+    /// Records the peer's version and logs a change.
     fn record_version(&mut self, version: &str) {
         if self.version != version {
             log::info!("peer version changed node={} version={version}", self.name);
@@ -138,24 +149,24 @@
     }
 }
 
-/// Whether a time is known and less than `period_ms` ago.
+/// Returns whether a time is known and less than `period_ms` ago.
 pub(super) fn is_within(at_ms: Option<u64>, now: Now, period_ms: u64) -> bool {
     at_ms.is_some_and(|at| now.ms < at + period_ms)
 }
 
-/// The other controllers, and the heartbeats to them.
+/// All peers, and the state of the heartbeats to them.
 #[derive(Debug)]
 pub(super) struct Peers {
-    /// In the order of the settings, by which they are numbered.
+    /// In the order of the settings. A peer's index is its position here.
     peers: Vec<Peer>,
     heartbeat_interval_ms: u64,
     next_heartbeat_ms: u64,
-    /// What they were last told of jobs' progress.
+    /// The progress of jobs that was last sent to the peers.
     sent_progress: SentProgress,
-    /// Jobs that were written here and are to be announced.
+    /// Jobs that this controller has written and not yet announced.
     announcements: Vec<JobId>,
-    /// Cancellations were confirmed here, of which the peers should learn before the
-    /// next regular heartbeat.
+    /// Whether this controller has confirmed cancellations that the peers should receive
+    /// before the next regular heartbeat.
     cancellations_pending: bool,
 }
 
@@ -210,15 +221,17 @@
         self.peers.iter().position(condition)
     }
 
-    /// The peers that reported within the silence period that they lead.
+    /// Returns the peers whose last heartbeat reported that they lead and was received
+    /// within [`Peers::unresponsive_after_ms`].
     pub(super) fn reporting_leaders(&self, now: Now) -> impl Iterator<Item = &Peer> {
-        let silence_ms = self.silence_ms();
+        let unresponsive_after_ms = self.unresponsive_after_ms();
         self.peers
             .iter()
-            .filter(move |peer| peer.led_within(now, silence_ms))
+            .filter(move |peer| peer.reported_leading_within(now, unresponsive_after_ms))
     }
 
-    /// The number of the peer that last reported to lead, by the latest term.
+    /// Returns the index of the peer whose last heartbeat, however old, reported that it
+    /// leads. If there are several, the one with the latest term is returned.
     pub(super) fn last_leader_index(&self) -> Option<usize> {
         self.peers
             .iter()
@@ -228,12 +241,12 @@
             .map(|(index, _)| index)
     }
 
-    /// The rate of writes that the peers reported within the silence period.
+    /// Returns the sum of the write rates that the responsive peers last reported.
     pub(super) fn writes_per_s(&self, now: Now) -> f64 {
-        let silence_ms = self.silence_ms();
+        let unresponsive_after_ms = self.unresponsive_after_ms();
         self.peers
             .iter()
-            .filter(|peer| peer.heard_within(now, silence_ms))
+            .filter(|peer| peer.sent_message_within(now, unresponsive_after_ms))
             .map(|peer| peer.writes_per_s)
             .sum()
     }
@@ -244,12 +257,12 @@
         self.heartbeat_interval_ms
     }
 
-    /// A peer that wasn't heard for so long counts as silent.
-    pub(super) fn silence_ms(&self) -> u64 {
-        self.heartbeat_interval_ms * SILENCE_HEARTBEATS
+    /// Returns the time without a message after which a peer counts as unresponsive.
+    pub(super) fn unresponsive_after_ms(&self) -> u64 {
+        self.heartbeat_interval_ms * UNRESPONSIVE_AFTER_HEARTBEATS
     }
 
-    /// How long the response to a heartbeat is waited for.
+    /// Returns the timeout for the response to a heartbeat.
     pub(super) fn call_timeout_ms(&self) -> u64 {
         self.heartbeat_interval_ms * CALL_TIMEOUT_HEARTBEATS
     }
@@ -260,7 +273,7 @@
         self.next_heartbeat_ms
     }
 
-    /// Has the next heartbeat sent at once.
+    /// Makes the next heartbeat due immediately.
     pub(super) fn expedite_heartbeat(&mut self, now: Now) {
         self.next_heartbeat_ms = now.ms;
     }
@@ -269,7 +282,8 @@
         self.next_heartbeat_ms = now.ms + self.heartbeat_interval_ms;
     }
 
-    /// Adds jobs that were written here to the next heartbeat.
+    /// Adds jobs that this controller has written to the announcements in the next
+    /// heartbeat.
     pub(super) fn announce(&mut self, jobs: Vec<JobId>) {
         self.announcements.extend(jobs);
     }
@@ -285,7 +299,7 @@
             .collect()
     }
 
-    /// Has the peers told of cancellations that were just confirmed.
+    /// Requests an immediate heartbeat because cancellations were just confirmed.
     pub(super) fn announce_cancellations(&mut self) {
         self.cancellations_pending = true;
     }
@@ -294,12 +308,12 @@
         self.cancellations_pending
     }
 
-    /// The heartbeat that tells of them is being sent.
+    /// Clears the request for an immediate heartbeat, which is being sent.
     pub(super) fn clear_pending_cancellations(&mut self) {
         self.cancellations_pending = false;
     }
 
-    /// The jobs whose progress the peers don't know yet, for the next heartbeat.
+    /// Returns the changes of jobs' progress to send in the next heartbeat.
     pub(super) fn changed_progress<'a>(
         &mut self,
         progress: impl Iterator<Item = (&'a JobId, TaskProgress)>,
@@ -307,8 +321,8 @@
         self.sent_progress.changes(progress)
     }
 
-    /// A peer knows no progress: all jobs' is sent again.
-    pub(super) fn forget_sent_progress(&mut self) {
+    /// Has the progress of all jobs sent again, because a peer may not have any of it.
+    pub(super) fn clear_sent_progress(&mut self) {
         self.sent_progress.clear();
     }
 }
--- a/src/node/rate_shares.rs
+++ b/src/node/rate_shares.rs
@@ -1,22 +1,24 @@
-//! This controller's share of the key-value store's rates. The shares of all
-//! controllers together stay near what the store takes; a 429 corrects an excess.
+//! This controller's share of the key-value store's request rates. The shares of all
+//! controllers add up to roughly the key-value store's limit; a 429 response corrects an
+//! excess.
 
 use super::Node;
 use crate::messages::Now;
 
-/// For so many seconds a leader saves up unused write tokens.
+/// Seconds for which a leader accumulates unused write tokens.
 const LEADER_WRITE_BURST_S: f64 = 1.0;
-/// The same for a follower: submissions come in bursts, which a small share would
-/// stretch.
+/// Seconds for which a follower accumulates unused write tokens. Submissions arrive in
+/// bursts, and the small share of a follower alone would delay them.
 const FOLLOWER_WRITE_BURST_S: f64 = 2.5;
-/// A follower's share, relative to an even part of what the leader leaves: not all
-/// followers are busy at once.
+/// A follower's share, relative to an even division of the rates that the leader leaves.
+/// It exceeds 1 because not all followers are busy at the same time.
 const FOLLOWER_OVERCOMMIT: f64 = 1.5;
-/// By how much the followers' rate of writes may grow before the leader is informed.
+/// Factor by which the followers' write rate may grow before the leader receives the new
+/// rate.
 const FOLLOWER_WRITE_GROWTH: f64 = 1.5;
 
 impl Node {
-    /// Sets the share that follows from this controller's role.
+    /// Sets this controller's share of the key-value store's rates by its role.
     pub(super) fn set_rate_share(&mut self, now: Now) {
         let leads = self.election.is_leader();
         let peers = self.peers.len().max(1) as f64;
@@ -35,8 +37,8 @@
         self.kv.set_share(now, share, write_burst_s);
     }
 
-    /// As leader, takes the writes that the followers leave.
-    pub(super) fn share_writes(&mut self, now: Now) {
+    /// As leader, sets the write rate to the rate that the followers leave unused.
+    pub(super) fn update_write_share(&mut self, now: Now) {
         if !self.election.is_leader() || self.peers.is_empty() {
             return;
         }
--- a/src/node/requests.rs
+++ b/src/node/requests.rs
@@ -1,5 +1,5 @@
-//! Routing of requests: users, workers and the load balancer on the client listener,
-//! the other controllers on the peer listener.
+//! Routing of incoming requests: users, workers and the load balancer use the client
+//! listener; peers use the peer listener.
 
 use super::Node;
 use crate::gateway::GatewayEffects;
@@ -9,11 +9,11 @@
 use crate::wire::users::{READY_PATH, USER_JOBS_PATH};
 use crate::wire::workers::WORKER_HEARTBEAT_PATH;
 
-/// A node that hasn't reached the key-value store for so many heartbeat intervals,
-/// while a peer has, isn't ready.
+/// Number of heartbeat intervals without access to the key-value store after which a
+/// controller isn't ready, provided that a peer has had access within that time.
 const UNREADY_HEARTBEATS: u64 = 4;
 
-/// What a path on the client listener serves.
+/// An endpoint of the client listener.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum ClientRoute<'a> {
     Ready,
@@ -127,15 +127,16 @@
         self.apply_gateway_effects(now, gateway_effects, effects);
     }
 
-    /// Whether requests can be taken. While no controller reaches the key-value store
-    /// the node stays ready: an immediate 503 serves users better than a node that
-    /// load balancers return to slowly. A node that alone doesn't reach it is not.
+    /// Returns the readiness response for the load balancer. While no controller reaches
+    /// the key-value store, all controllers stay ready: an immediate 503 response serves
+    /// users better than controllers that load balancers add back slowly. A controller is
+    /// not ready if it can't reach the key-value store while a peer can.
     fn ready(&self, now: Now) -> Reply {
         if !self.gateway.has_catalog() {
             return Reply::retry_later(503, "machine types unknown yet", 1);
         }
         let unready_ms = self.peers.heartbeat_interval_ms() * UNREADY_HEARTBEATS;
-        let store_unreached = !self.kv.reachable()
+        let store_unreachable = !self.kv.reachable()
             && self
                 .kv
                 .last_success_ms()
@@ -144,7 +145,7 @@
             .peers
             .iter()
             .any(|peer| peer.reached_store_within(now, unready_ms));
-        if store_unreached && peer_reaches_store {
+        if store_unreachable && peer_reaches_store {
             return Reply::retry_later(503, "the state service can't be reached from here", 1);
         }
         Reply::json(200, &self.limits.node_info())
--- a/src/node/turn.rs
+++ b/src/node/turn.rs
@@ -1,4 +1,5 @@
-//! One turn of the node: every actor acts on what is due, and their calls are sent.
+//! One turn of the node: every actor performs its due work, and the resulting calls are
+//! sent.
 
 use super::outgoing_calls::OutgoingCall;
 use super::Node;
@@ -7,14 +8,14 @@
 use crate::messages::{Effect, Now};
 use crate::scheduler::SchedulerEffects;
 
-/// Pause before the next turn while calls of the key-value store are queued.
-const QUEUED_CALLS_PAUSE_MS: u64 = 10;
+/// Delay until the next turn while calls of the key-value store are queued.
+const QUEUED_CALLS_RETRY_MS: u64 = 10;
 
-/// An actor that waits for nothing but messages.
+/// Due time of an actor that only waits for messages.
 const NOT_DUE_MS: u64 = u64::MAX;
 
 impl Node {
-    /// Carries out a turn, and returns when the next one is due.
+    /// Runs one turn and returns when the next turn is due.
     pub(super) fn run_turn(&mut self, now: Now, effects: &mut Vec<Effect>) -> u64 {
         let mut due_ms = self.tick_election(now);
         due_ms = due_ms.min(self.tick_scheduler(now, effects));
@@ -77,7 +78,8 @@
         self.cloud.due_ms(now)
     }
 
-    /// Sends what the rates allow, and informs the callers of expired calls.
+    /// Sends the queued calls that the rates allow, and reports expired calls to their
+    /// owners as not executed.
     fn send_kv_calls(&mut self, now: Now, effects: &mut Vec<Effect>) -> u64 {
         let mut calls = Vec::new();
         let mut expired = Vec::new();
@@ -91,7 +93,7 @@
             self.on_kv_response(now, owner, KvResponse::NotExecuted, effects);
         }
         if any_expired || self.kv.has_queued() {
-            now.ms + QUEUED_CALLS_PAUSE_MS
+            now.ms + QUEUED_CALLS_RETRY_MS
         } else {
             NOT_DUE_MS
         }
--- a/src/node/worker_heartbeats.rs
+++ b/src/node/worker_heartbeats.rs
@@ -1,6 +1,6 @@
-//! Worker heartbeats: who responds to them. The leader does, or redirects the worker
-//! to a follower in the worker's zone, which responds and forwards the heartbeats to
-//! the leader.
+//! Responses to worker heartbeats. The leader responds to a worker directly, or redirects
+//! the worker to a follower in the worker's zone, which responds and forwards the
+//! heartbeats to the leader.
 
 use super::lease_proxy::proxy_response;
 use super::Node;
@@ -10,8 +10,9 @@
 use crate::wire::peers::PeerHeartbeat;
 use crate::wire::workers::{Command, RedirectTo, WorkerHeartbeat};
 
-/// A follower that forwards heartbeats was heard within so many heartbeat intervals.
-const FORWARDER_HEARTBEATS: u64 = 2;
+/// Number of heartbeat intervals within which a follower must have sent a heartbeat to be
+/// used as a forwarder.
+const FORWARDER_RECENCY_HEARTBEATS: u64 = 2;
 
 impl Node {
     pub(super) fn on_worker_heartbeat(
@@ -31,7 +32,7 @@
         self.handover.on_worker_heartbeat();
         let stops = self.cancellations.stop_commands(&heartbeat);
         if self.scheduler.leading() {
-            self.process_as_leader(now, conn, &heartbeat, stops, effects);
+            self.respond_as_leader(now, conn, &heartbeat, stops, effects);
         } else {
             let reply = self
                 .respond_as_follower(now, &heartbeat, body, &stops)
@@ -40,7 +41,7 @@
         }
     }
 
-    fn process_as_leader(
+    fn respond_as_leader(
         &mut self,
         now: Now,
         conn: ConnectionId,
@@ -68,7 +69,8 @@
         self.apply_scheduler_effects(now, scheduler_effects, effects);
     }
 
-    /// The response of a follower that forwards the heartbeat or proxies the lease.
+    /// Returns the response of a follower that forwards the heartbeat or proxies the
+    /// lease, or `None` if the follower does neither.
     fn respond_as_follower(
         &mut self,
         now: Now,
@@ -76,50 +78,53 @@
         body: &[u8],
         stops: &[Command],
     ) -> Option<Reply> {
-        // A controller that may have missed cancellations for long renews no lease,
-        // whatever its role; nor may a response keep a worker at a node that has to
-        // reject its heartbeats.
+        // A controller that may have missed cancellations for too long renews no leases
+        // in any role. It must not respond either: a response would keep the worker at a
+        // controller that has to reject its heartbeats.
         if !self.cancellations.may_renew(now) {
             return None;
         }
-        if let Some(term) = self.forwards_for_leader_of(now, &heartbeat.zone) {
+        if let Some(term) = self.forwarding_term(now, &heartbeat.zone) {
             self.lease_proxy.record_response(now);
             self.heartbeat_forwarder.enqueue(now.ms, heartbeat, body);
             return proxy_response(heartbeat, term, stops);
         }
-        if self.proxies_leases(now) {
-            return self.renew_by_proxy(now, heartbeat, stops);
+        if self.should_proxy_leases(now) {
+            return self.renew_lease_as_proxy(now, heartbeat, stops);
         }
         None
     }
 
-    /// The number of the follower that responds to this zone's workers for this
-    /// leader: one in the zone itself, so that a partition between zones separates no
-    /// worker from its node.
+    /// Returns the index of the follower that responds to this zone's workers for this
+    /// leader. The follower is in the same zone, so that a network partition between
+    /// zones doesn't separate a worker from the controller that responds to it.
     pub(super) fn forwarder_for(&self, now: Now, zone: &str) -> Option<usize> {
         if zone == self.settings.zone {
             return None;
         }
-        let recent_ms = self.peers.heartbeat_interval_ms() * FORWARDER_HEARTBEATS;
+        let recent_ms = self.peers.heartbeat_interval_ms() * FORWARDER_RECENCY_HEARTBEATS;
         self.peers.position(|peer| {
-            // A peer that reaches neither this leader nor the store would redirect
-            // the worker back here, in an endless loop.
+            // A peer that reaches neither this leader nor the key-value store would
+            // redirect the worker back to this leader, in an endless loop.
             peer.zone == zone
                 && !peer.unreachable_by_workers()
-                && peer.followed_us_within(now, recent_ms)
+                && peer.reported_us_leader_within(now, recent_ms)
                 && peer.reached_store_within(now, recent_ms)
         })
     }
 
-    /// The term of the leader for which this follower responds to a zone's workers and
-    /// forwards their heartbeats: the workers of its own zone for a leader in another
-    /// zone, and all workers for a leader that reports that no worker reaches it.
-    fn forwards_for_leader_of(&self, now: Now, zone: &str) -> Option<Term> {
-        // To hear the leader isn't enough: heartbeats that don't reach it are lost.
-        // Its heartbeats and its responses to ours are up to an interval apart. When
-        // both end in a partition, heartbeats were once neither forwarded nor
-        // responded to by a proxy in between, and the workers went elsewhere.
-        let response_ms = self.peers.silence_ms() + self.peers.heartbeat_interval_ms();
+    /// Returns the term of the leader for which this follower responds to a zone's workers
+    /// and forwards their heartbeats, or `None` if it doesn't. A follower forwards the
+    /// heartbeats of its own zone's workers to a leader in another zone, and those of all
+    /// workers to a leader that reports that no worker reaches it.
+    fn forwarding_term(&self, now: Now, zone: &str) -> Option<Term> {
+        // Receiving the leader's heartbeats isn't enough: the leader must also respond,
+        // or forwarded heartbeats may be lost. The leader's last heartbeat and its last
+        // response before a network partition are up to one heartbeat interval apart,
+        // so the response period is one interval longer. Without that interval, worker
+        // heartbeats were once neither forwarded nor answered by a lease proxy in
+        // between, and the workers moved to other controllers.
+        let response_ms = self.peers.unresponsive_after_ms() + self.peers.heartbeat_interval_ms();
         let in_own_zone = zone == self.settings.zone;
         self.peers
             .reporting_leaders(now)
@@ -131,7 +136,7 @@
             .map(|leader| leader.reported_term())
     }
 
-    /// Forwards queued worker heartbeats to the leader, several in one message.
+    /// Forwards queued worker heartbeats to the leader, batched into one message.
     pub(super) fn forward_worker_heartbeats(&mut self, now: Now, effects: &mut Vec<Effect>) {
         let worker_heartbeats = self.heartbeat_forwarder.take_due(now.ms);
         if worker_heartbeats.is_empty() {
@@ -149,9 +154,10 @@
         self.send_to_peer(now, leader, &message, effects);
     }
 
-    /// Redirects a worker to the leader of the latest term: a peer that reports to
-    /// lead may be ahead of the record that this node last read. A worker redirected
-    /// to a leader that has just handed over, unreached, would lose its lease there.
+    /// Redirects a worker to the leader of the latest known term. A peer that reports
+    /// that it leads may have a later term than the leader record that this controller
+    /// last read. A worker redirected to a leader that has just handed over because
+    /// workers can't reach it would lose its lease.
     fn redirect_to_leader(&self, now: Now) -> Reply {
         let recorded = self
             .election
