--- a/src/cancellations/actor.rs
+++ b/src/cancellations/actor.rs
@@ -92,8 +92,8 @@
     }
 
     /// When the last complete read was requested.
-    pub fn last_read_ms(&self) -> Option<u64> {
-        self.records.read_ms()
+    pub fn last_read_requested_ms(&self) -> Option<u64> {
+        self.records.last_read_requested_ms()
     }
 
     /// Up to when every confirmed cancellation is known here.
@@ -104,7 +104,7 @@
     /// Whether leases may be renewed here. Any cancellation that is unknown here was
     /// confirmed after the watermark, and a lease renewed at the end of the bound ends
     /// within `cancel_s` of that.
-    pub fn may_renew(&self, now: Now) -> bool {
+    pub fn may_renew_leases(&self, now: Now) -> bool {
         self.watermark_ms
             .is_some_and(|watermark_ms| now.ms <= watermark_ms + self.max_lag_ms)
     }
@@ -246,8 +246,8 @@
         peer_log.advance(now, requested_ms, message, last);
         if let Some(attested_ms) = self
             .records
-            .read_ms()
-            .and_then(|read_ms| self.peer_logs.attested_ms(read_ms))
+            .last_read_requested_ms()
+            .and_then(|read_requested_ms| self.peer_logs.attested_ms(read_requested_ms))
         {
             self.advance_watermark(attested_ms);
         }
@@ -262,7 +262,7 @@
     /// Before the first complete read there is no watermark: peers don't know what was
     /// confirmed before their processes started.
     fn advance_watermark(&mut self, to_ms: u64) {
-        if self.records.read_ms().is_some() {
+        if self.records.last_read_requested_ms().is_some() {
             self.watermark_ms = self.watermark_ms.max(Some(to_ms));
         }
     }
--- a/src/cancellations/confirmation_log.rs
+++ b/src/cancellations/confirmation_log.rs
@@ -19,7 +19,7 @@
     /// Tells this process from earlier ones of the same name.
     incarnation: u64,
     /// How many entries have been removed at the front.
-    dropped: u64,
+    removed_count: u64,
     entries: VecDeque<JobId>,
 }
 
@@ -29,7 +29,7 @@
         ConfirmationLog {
             node: node.to_string(),
             incarnation,
-            dropped: 0,
+            removed_count: 0,
             entries: VecDeque::new(),
         }
     }
@@ -39,12 +39,12 @@
         self.entries.push_back(id);
         while self.entries.len() > MAX_LOG_ENTRIES {
             self.entries.pop_front();
-            self.dropped += 1;
+            self.removed_count += 1;
         }
     }
 
     fn total(&self) -> u64 {
-        self.dropped + self.entries.len() as u64
+        self.removed_count + self.entries.len() as u64
     }
 
     /// The message to a peer whose knowledge of this log is `cursor`.
@@ -52,14 +52,14 @@
         let total = self.total();
         // A peer that followed an earlier process, or none, begins with what comes
         // next: what came before is stored, and it reads that.
-        let have = if cursor.incarnation == self.incarnation {
+        let known_up_to = if cursor.incarnation == self.incarnation {
             cursor.up_to
         } else {
             total
         };
         // Entries that the peer lacks but that are gone here leave a gap that it sees
         // by the number of the first one.
-        let skipped = have.saturating_sub(self.dropped).min(total);
+        let skipped = known_up_to.saturating_sub(self.removed_count).min(total);
         let jobs = self
             .entries
             .iter()
@@ -70,7 +70,7 @@
         ConfirmedCancellations {
             node: self.node.clone(),
             incarnation: self.incarnation,
-            first: self.dropped + skipped + 1,
+            first: self.removed_count + skipped + 1,
             jobs,
             total,
         }
--- a/src/cancellations/peer_logs.rs
+++ b/src/cancellations/peer_logs.rs
@@ -13,7 +13,7 @@
     incarnation: u64,
     /// All its entries up to this number are known, or were stored before
     /// `complete_since_ms`.
-    have: u64,
+    known_up_to: u64,
     complete_since_ms: u64,
     /// When the last request was sent whose response left nothing out.
     attested_ms: u64,
@@ -55,27 +55,27 @@
         last: u64,
     ) {
         let same_process = self.incarnation == message.incarnation;
-        if same_process && message.first <= self.have.saturating_add(1) {
-            self.have = self.have.max(last);
+        if same_process && message.first <= self.known_up_to.saturating_add(1) {
+            self.known_up_to = self.known_up_to.max(last);
         } else if requested_ms.is_some() {
             // Another process, or a gap: only a read of the key-value store from now on
             // shows what is missing here.
             self.incarnation = message.incarnation;
-            self.have = message.total;
+            self.known_up_to = message.total;
             self.complete_since_ms = now.ms;
         }
         if let Some(requested_ms) = requested_ms {
-            if self.have >= message.total {
+            if self.known_up_to >= message.total {
                 self.attested_ms = self.attested_ms.max(requested_ms);
             }
         }
     }
 
     /// Up to when the peer's confirmations are known here, given a complete read of the
-    /// key-value store that was requested at `read_ms`; 0: not known. A peer that
+    /// key-value store that was requested at `read_requested_ms`; 0: not known. A peer that
     /// restarted after that read can't attest what its earlier process confirmed.
-    fn complete_until_ms(&self, read_ms: u64) -> u64 {
-        if self.incarnation != 0 && self.complete_since_ms < read_ms {
+    fn complete_until_ms(&self, read_requested_ms: u64) -> u64 {
+        if self.incarnation != 0 && self.complete_since_ms < read_requested_ms {
             self.attested_ms
         } else {
             0
@@ -109,7 +109,7 @@
     pub(super) fn cursor(&self, index: usize) -> Option<ConfirmationCursor> {
         self.peers.get(index).map(|peer| ConfirmationCursor {
             incarnation: peer.incarnation,
-            up_to: peer.have,
+            up_to: peer.known_up_to,
         })
     }
 
@@ -126,10 +126,10 @@
     }
 
     /// Up to when all peers together attest that their confirmations are known here.
-    pub(super) fn attested_ms(&self, read_ms: u64) -> Option<u64> {
+    pub(super) fn attested_ms(&self, read_requested_ms: u64) -> Option<u64> {
         self.peers
             .iter()
-            .map(|peer| peer.complete_until_ms(read_ms))
+            .map(|peer| peer.complete_until_ms(read_requested_ms))
             .min()
             .filter(|attested_ms| *attested_ms > 0)
     }
--- a/src/cancellations/record_reader.rs
+++ b/src/cancellations/record_reader.rs
@@ -4,7 +4,7 @@
 use crate::ids::{JobId, Revision};
 use crate::kv_client::{self, CallPriority, KvCall, KvResponse};
 use crate::messages::{Call, Now};
-use crate::records::jobs::{dependencies_in, is_cancelled, job_of_key, JOB_PREFIX};
+use crate::records::jobs::{dependencies_in, is_cancelled, parse_job_key, JOB_PREFIX};
 use crate::wire::kv::{KeyPage, WatchEvent, WatchResponse};
 use std::collections::{HashMap, HashSet};
 
@@ -81,11 +81,11 @@
     /// The changes since then aren't read yet; `None`: nothing is.
     read_up_to: Option<Revision>,
     /// When the last complete read was requested.
-    read_ms: Option<u64>,
+    last_read_requested_ms: Option<u64>,
     /// The read whose call has no response yet.
     in_progress: Option<ReadInProgress>,
-    due_ms: u64,
-    requested_ms: u64,
+    next_read_due_ms: u64,
+    last_requested_ms: u64,
 }
 
 impl RecordReader {
@@ -95,10 +95,10 @@
             heartbeat_interval_ms,
             unfinished: HashMap::new(),
             read_up_to: None,
-            read_ms: None,
+            last_read_requested_ms: None,
             in_progress: None,
-            due_ms: 0,
-            requested_ms: 0,
+            next_read_due_ms: 0,
+            last_requested_ms: 0,
         }
     }
 
@@ -108,8 +108,8 @@
     }
 
     /// When the last complete read was requested.
-    pub(super) fn read_ms(&self) -> Option<u64> {
-        self.read_ms
+    pub(super) fn last_read_requested_ms(&self) -> Option<u64> {
+        self.last_read_requested_ms
     }
 
     /// Whether the job had a record at the last complete read.
@@ -127,7 +127,9 @@
     /// A request waits for the next poll.
     pub(super) fn request_poll(&mut self) {
         let interval_ms = (self.heartbeat_interval_ms / BUSY_POLLS_PER_HEARTBEAT).max(1);
-        self.due_ms = self.due_ms.min(self.requested_ms + interval_ms);
+        self.next_read_due_ms = self
+            .next_read_due_ms
+            .min(self.last_requested_ms + interval_ms);
     }
 
     /// Starts a read when one is due. Returns when it wants to be called again.
@@ -135,11 +137,11 @@
         if self.in_progress.is_some() {
             return u64::MAX;
         }
-        if now.ms < self.due_ms {
-            return self.due_ms;
+        if now.ms < self.next_read_due_ms {
+            return self.next_read_due_ms;
         }
-        self.due_ms = now.ms + self.heartbeat_interval_ms.max(1);
-        self.requested_ms = now.ms;
+        self.next_read_due_ms = now.ms + self.heartbeat_interval_ms.max(1);
+        self.last_requested_ms = now.ms;
         self.in_progress = Some(ReadInProgress {
             requested_ms: now.ms,
             ..ReadInProgress::default()
@@ -165,7 +167,7 @@
             CancellationsKvCall::List => self.on_page(now, read, response, calls)?,
             CancellationsKvCall::Poll => self.on_changes(now, response)?,
         };
-        self.read_ms = self.read_ms.max(Some(requested_ms));
+        self.last_read_requested_ms = self.last_read_requested_ms.max(Some(requested_ms));
         Some(CompletedRead {
             requested_ms,
             update,
@@ -184,7 +186,7 @@
         read.revision.get_or_insert(Revision(page.revision));
         let last_key = page.items.last().map(|item| item.key.clone());
         for item in page.items {
-            let Some(id) = job_of_key(&item.key) else {
+            let Some(id) = parse_job_key(&item.key) else {
                 continue;
             };
             if is_cancelled(&item.value) {
@@ -207,7 +209,7 @@
             if response.status() == Some(410) {
                 // Too far behind for the changes: everything is read anew.
                 self.read_up_to = None;
-                self.due_ms = now.ms;
+                self.next_read_due_ms = now.ms;
             }
             return None;
         };
@@ -221,11 +223,11 @@
     }
 
     fn apply_event(&mut self, event: &WatchEvent) -> Option<RecordChange> {
-        if let Some(id) = event.delete.as_deref().and_then(job_of_key) {
+        if let Some(id) = event.delete.as_deref().and_then(parse_job_key) {
             self.unfinished.remove(&id);
             return Some(RecordChange::Removed(id));
         }
-        let id = event.put.as_deref().and_then(job_of_key)?;
+        let id = event.put.as_deref().and_then(parse_job_key)?;
         self.unfinished
             .insert(id.clone(), dependencies_in(&event.value));
         is_cancelled(&event.value).then_some(RecordChange::Cancelled(id))
--- a/src/gateway/admission.rs
+++ b/src/gateway/admission.rs
@@ -76,11 +76,11 @@
 }
 
 impl Submission {
-    fn record(&self, submitted: u64) -> JobRecord {
+    fn record(&self, submitted_wall_ms: u64) -> JobRecord {
         JobRecord {
             spec: self.spec.clone(),
-            submitted,
-            cancelled: None,
+            submitted_wall_ms,
+            cancelled_wall_ms: None,
             replica_parts: self.shape.map(|shape| shape.parts()),
         }
     }
@@ -97,7 +97,7 @@
             state: FinalState::Cancelled,
             tasks: self.spec.tasks,
             write_id: 0,
-            ended_at: now.wall,
+            ended_wall_ms: now.wall,
         };
         let value = serde_json::to_value(record).unwrap_or_default();
         self.compare_absent().put(final_key(&self.spec.id), value)
@@ -163,7 +163,7 @@
     /// Its record has to be written whole, and again when it is cancelled.
     fn check_size(&self, submission: &Submission) -> Result<(), Rejection> {
         let mut record = submission.record(u64::MAX);
-        record.cancelled = Some(u64::MAX);
+        record.cancelled_wall_ms = Some(u64::MAX);
         let bytes = serde_json::to_vec(&record).map_or(usize::MAX, |text| text.len());
         if bytes > self.max_value_bytes {
             return Err(Rejection::RecordTooLarge {
--- a/src/gateway/dependencies.rs
+++ b/src/gateway/dependencies.rs
@@ -86,7 +86,7 @@
         effects: &mut GatewayEffects,
     ) {
         let RequestKind::Submit(submission) = &request.kind else {
-            self.give_up(&request, effects);
+            self.reply_unavailable(&request, effects);
             return;
         };
         let dependencies = &submission.spec.dependencies;
@@ -119,7 +119,7 @@
         effects: &mut GatewayEffects,
     ) {
         if request.dependency_rounds >= MAX_RETRIES {
-            self.give_up(&request, effects);
+            self.reply_unavailable(&request, effects);
             return;
         }
         request.step = RequestStep::ReadDependencies;
@@ -148,15 +148,15 @@
         effects: &mut GatewayEffects,
     ) {
         let lookup = read_final(response);
-        if let Some(JobLookup::Over(record)) = &lookup {
+        if let Some(JobLookup::Ended(record)) = &lookup {
             self.memory
-                .set_over(&read.dependency, record.state, record.tasks);
+                .set_ended(&read.dependency, record.state, record.tasks);
         }
         let Some(mut request) = self.requests.remove(&read.request) else {
             return;
         };
         match lookup {
-            None => self.give_up(&request, effects),
+            None => self.reply_unavailable(&request, effects),
             // It had no record when all were read, and is not over: it was never accepted.
             // A submission that was itself accepted before gets its answer all the same.
             Some(JobLookup::Absent) if request.depends_on(&read.dependency) => {
@@ -167,7 +167,7 @@
             Some(_) => {
                 self.requests.insert(read.request, request);
                 if !self.has_dependency_reads(read.request) {
-                    self.dependencies_read.push(read.request);
+                    self.resumable_requests.push(read.request);
                 }
             }
         }
@@ -187,7 +187,7 @@
         records: &Cancellations,
         effects: &mut GatewayEffects,
     ) {
-        for number in std::mem::take(&mut self.dependencies_read) {
+        for number in std::mem::take(&mut self.resumable_requests) {
             if let Some(request) = self.requests.remove(&number) {
                 self.evaluate(now, request, records, effects);
             }
--- a/src/gateway/job_lookup.rs
+++ b/src/gateway/job_lookup.rs
@@ -20,13 +20,13 @@
 impl StoredJob {
     /// Whether the job's state also depends on the records of its dependencies.
     pub(super) fn has_open_dependencies(&self) -> bool {
-        self.record.cancelled.is_none() && !self.record.spec.dependencies.is_empty()
+        self.record.cancelled_wall_ms.is_none() && !self.record.spec.dependencies.is_empty()
     }
 
     /// The same record, cancelled at this time of day. It has no dependencies any more;
     /// and one that was accepted under larger limits must not be too large to be
     /// cancelled.
-    pub(super) fn cancelled(mut self, wall_ms: u64, max_value_bytes: usize) -> Value {
+    pub(super) fn into_cancelled(mut self, wall_ms: u64, max_value_bytes: usize) -> Value {
         self.value["c"] = json!(wall_ms);
         if let Some(spec) = self.value["spec"].as_object_mut() {
             spec.remove("attend");
@@ -52,7 +52,7 @@
     /// Cancelled, by a poll.
     Cancelled,
     /// The record of a job that is over.
-    Over(FinalRecord),
+    Ended(FinalRecord),
 }
 
 impl JobLookup {
@@ -60,7 +60,7 @@
     pub(super) fn may_change(&self) -> bool {
         match self {
             JobLookup::Absent | JobLookup::Live(_) | JobLookup::Unfinished => true,
-            JobLookup::Cancelled | JobLookup::Over(_) => false,
+            JobLookup::Cancelled | JobLookup::Ended(_) => false,
         }
     }
 }
@@ -91,5 +91,5 @@
         return Some(JobLookup::Absent);
     }
     let item = response.read::<KeyValue>(200)?;
-    Some(JobLookup::Over(serde_json::from_value(item.value).ok()?))
+    Some(JobLookup::Ended(serde_json::from_value(item.value).ok()?))
 }
--- a/src/gateway/job_memory.rs
+++ b/src/gateway/job_memory.rs
@@ -13,11 +13,11 @@
 
 /// A fact that can't change any more, so that it may be used without a read.
 #[derive(Clone, Copy, Debug)]
-pub(super) enum SettledFact {
+pub(super) enum ImmutableFact {
     /// The job is stored: its submission need not be tried again.
     Accepted,
     /// The job is over.
-    Over { state: FinalState, tasks: u32 },
+    Ended { state: FinalState, tasks: u32 },
 }
 
 /// What a leader reported of a job.
@@ -29,17 +29,17 @@
 
 /// The leader that was last heard.
 #[derive(Clone, Copy, Debug)]
-struct LastLeader {
+struct ConfirmedLeader {
     term: Term,
-    heard_ms: u64,
+    confirmed_ms: u64,
 }
 
 /// What is remembered of jobs.
 pub(super) struct JobMemory {
-    facts: BoundedMap<JobId, SettledFact>,
+    facts: BoundedMap<JobId, ImmutableFact>,
     /// Hints from the leader, for display.
     progress: BoundedMap<JobId, ReportedProgress>,
-    leader: Option<LastLeader>,
+    leader: Option<ConfirmedLeader>,
     /// A leader that hasn't been heard for so long may no longer lead.
     leader_timeout_ms: u64,
 }
@@ -57,37 +57,37 @@
     }
 
     /// What is known of a job for good.
-    pub(super) fn fact(&self, id: &JobId) -> Option<SettledFact> {
+    pub(super) fn fact(&self, id: &JobId) -> Option<ImmutableFact> {
         self.facts.get(id).copied()
     }
 
     /// How a job ended, if it is known to be over.
     pub(super) fn final_state(&self, id: &JobId) -> Option<FinalState> {
         match self.facts.get(id)? {
-            SettledFact::Over { state, .. } => Some(*state),
-            SettledFact::Accepted => None,
+            ImmutableFact::Ended { state, .. } => Some(*state),
+            ImmutableFact::Accepted => None,
         }
     }
 
     /// The job is stored.
     pub(super) fn set_accepted(&mut self, id: &JobId) {
         if self.facts.get(id).is_none() {
-            self.facts.insert(id.clone(), SettledFact::Accepted);
+            self.facts.insert(id.clone(), ImmutableFact::Accepted);
         }
     }
 
     /// The job is over.
-    pub(super) fn set_over(&mut self, id: &JobId, state: FinalState, tasks: u32) {
+    pub(super) fn set_ended(&mut self, id: &JobId, state: FinalState, tasks: u32) {
         self.progress.remove(id);
         self.facts
-            .insert(id.clone(), SettledFact::Over { state, tasks });
+            .insert(id.clone(), ImmutableFact::Ended { state, tasks });
     }
 
     /// The leader of this term is heard, and stands by what it has reported.
-    pub(super) fn leader_heard(&mut self, now: Now, term: Term) {
-        self.leader = Some(LastLeader {
+    pub(super) fn confirm_leader(&mut self, now: Now, term: Term) {
+        self.leader = Some(ConfirmedLeader {
             term,
-            heard_ms: now.ms,
+            confirmed_ms: now.ms,
         });
     }
 
@@ -101,7 +101,7 @@
 
     /// The progress of a job to be shown to users now. That a replica which spans
     /// machines is running is shown only as long as the leader that reported it leads.
-    pub(super) fn progress_to_show(&self, now: Now, id: &JobId) -> TaskProgress {
+    pub(super) fn displayed_progress(&self, now: Now, id: &JobId) -> TaskProgress {
         let Some(reported) = self.progress.get(id) else {
             return TaskProgress::default();
         };
@@ -114,7 +114,7 @@
 
     fn is_leading(&self, now: Now, term: Term) -> bool {
         self.leader.is_some_and(|leader| {
-            leader.term == term && now.ms < leader.heard_ms + self.leader_timeout_ms
+            leader.term == term && now.ms < leader.confirmed_ms + self.leader_timeout_ms
         })
     }
 }
--- a/src/gateway/lookups.rs
+++ b/src/gateway/lookups.rs
@@ -2,7 +2,7 @@
 //! response that follows from what was found.
 
 use super::job_lookup::{read_final, read_live, JobLookup, StoredJob};
-use super::job_memory::SettledFact;
+use super::job_memory::ImmutableFact;
 use super::pending_request::{PendingRequest, RequestKind, RequestNumber, RequestStep};
 use super::replies::{final_reply, not_found_reply, outcome_unknown_reply, unfinished_reply};
 use super::{Gateway, GatewayEffects};
@@ -21,7 +21,7 @@
     /// Has the request wait for a poll that is sent from now on.
     pub(super) fn await_poll(&mut self, mut request: PendingRequest, effects: &mut GatewayEffects) {
         request.step = RequestStep::Poll;
-        effects.poll_wanted = true;
+        effects.poll_requested = true;
         self.awaiting_poll.push_back(request.number);
         self.requests.insert(request.number, request);
     }
@@ -57,10 +57,10 @@
             };
             match records {
                 Some(records) => self.evaluate(now, request, records, effects),
-                None => self.give_up(&request, effects),
+                None => self.reply_unavailable(&request, effects),
             }
         }
-        effects.poll_wanted |= !self.awaiting_poll.is_empty();
+        effects.poll_requested |= !self.awaiting_poll.is_empty();
     }
 
     /// Continues a request by the records, which were read since it arrived.
@@ -97,7 +97,7 @@
         match read_live(response) {
             Some(JobLookup::Absent) => self.read(now, request, RequestStep::ReadFinal, effects),
             Some(lookup) => self.on_lookup(now, request, lookup, effects),
-            None => self.give_up(&request, effects),
+            None => self.reply_unavailable(&request, effects),
         }
     }
 
@@ -111,7 +111,7 @@
     ) {
         match read_final(response) {
             Some(lookup) => self.on_lookup(now, request, lookup, effects),
-            None => self.give_up(&request, effects),
+            None => self.reply_unavailable(&request, effects),
         }
     }
 
@@ -126,13 +126,13 @@
         // What isn't final may have changed since it was read, if that took so long that
         // other requests have been answered meanwhile.
         if lookup.may_change() && now.ms >= request.deadline_ms {
-            self.give_up(&request, effects);
+            self.reply_unavailable(&request, effects);
             return;
         }
         let reply = match lookup {
-            JobLookup::Over(record) => {
+            JobLookup::Ended(record) => {
                 self.memory
-                    .set_over(&request.id, record.state, record.tasks);
+                    .set_ended(&request.id, record.state, record.tasks);
                 final_reply(200, &request.id, record.state, record.tasks)
             }
             JobLookup::Cancelled => self.confirm_cancelled(&request.id, 200, effects),
@@ -160,11 +160,11 @@
             if self.polls_complete {
                 self.await_poll(request, effects);
             } else {
-                self.give_up(&request, effects);
+                self.reply_unavailable(&request, effects);
             }
             return;
         }
-        let reply = if job.record.cancelled.is_some() {
+        let reply = if job.record.cancelled_wall_ms.is_some() {
             self.confirm_cancelled(&request.id, 200, effects)
         } else if is_cancellation {
             self.write_cancellation(now, request, job, effects);
@@ -179,7 +179,7 @@
     fn unfinished_job_reply(&mut self, now: Now, id: &JobId) -> Reply {
         // Another request may have found that it is over meanwhile.
         match self.memory.fact(id) {
-            Some(SettledFact::Over { state, tasks }) => final_reply(200, id, state, tasks),
+            Some(ImmutableFact::Ended { state, tasks }) => final_reply(200, id, state, tasks),
             _ => self.accepted_reply(now, id, 200),
         }
     }
@@ -187,7 +187,7 @@
     /// The reply for a job that is stored and unfinished.
     pub(super) fn accepted_reply(&mut self, now: Now, id: &JobId, status: u16) -> Reply {
         self.memory.set_accepted(id);
-        unfinished_reply(status, id, self.memory.progress_to_show(now, id))
+        unfinished_reply(status, id, self.memory.displayed_progress(now, id))
     }
 
     /// The reply that a job is cancelled, with the effect that records in the same turn what
@@ -198,7 +198,7 @@
         status: u16,
         effects: &mut GatewayEffects,
     ) -> Reply {
-        self.memory.set_over(id, FinalState::Cancelled, 0);
+        self.memory.set_ended(id, FinalState::Cancelled, 0);
         effects.confirmed_cancellations.push(id.clone());
         final_reply(status, id, FinalState::Cancelled, 0)
     }
@@ -209,6 +209,6 @@
     match kind {
         RequestKind::Reject(reply) => reply.clone(),
         RequestKind::Submit(_) => outcome_unknown_reply(),
-        RequestKind::Show | RequestKind::Cancel => not_found_reply(),
+        RequestKind::Query | RequestKind::Cancel => not_found_reply(),
     }
 }
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -24,7 +24,7 @@
 use crate::wire::users::{peek_job_id, valid_job_id};
 use admission::Admission;
 use dependencies::DependencyRead;
-use job_memory::{JobMemory, SettledFact};
+use job_memory::{ImmutableFact, JobMemory};
 use lilacfork_replica_groups::classes::ReplicaClasses;
 use pending_request::{PendingRequest, RequestKind, RequestStep};
 use replies::{final_reply, not_found_reply, unavailable_reply};
@@ -47,7 +47,7 @@
     /// Reads of other jobs' dependencies that have no response yet.
     dependency_reads: HashMap<RequestNumber, DependencyRead>,
     /// The requests whose dependencies have all been read.
-    dependencies_read: Vec<RequestNumber>,
+    resumable_requests: Vec<RequestNumber>,
     /// Whether a poll shows the state of every job.
     polls_complete: bool,
     last_number: RequestNumber,
@@ -70,7 +70,7 @@
             requests: HashMap::new(),
             awaiting_poll: VecDeque::new(),
             dependency_reads: HashMap::new(),
-            dependencies_read: Vec::new(),
+            resumable_requests: Vec::new(),
             polls_complete: false,
             last_number: 0,
         }
@@ -87,8 +87,8 @@
     }
 
     /// The leader of this term is heard, and stands by what it has reported.
-    pub fn leader_heard(&mut self, now: Now, term: Term) {
-        self.memory.leader_heard(now, term);
+    pub fn confirm_leader(&mut self, now: Now, term: Term) {
+        self.memory.confirm_leader(now, term);
     }
 
     /// The progress of a job as the leader of this term reports it.
@@ -129,8 +129,8 @@
     }
 
     /// A query for a job's state.
-    pub fn show(&mut self, now: Now, conn: ConnectionId, id: &str, effects: &mut GatewayEffects) {
-        self.begin_by_name(now, conn, id, RequestKind::Show, effects);
+    pub fn query(&mut self, now: Now, conn: ConnectionId, id: &str, effects: &mut GatewayEffects) {
+        self.begin_by_name(now, conn, id, RequestKind::Query, effects);
     }
 
     /// A cancellation.
@@ -163,7 +163,7 @@
     ) {
         let fact = self.memory.fact(&id);
         // A job that is over stays as it is, so no read is needed.
-        if let Some(SettledFact::Over { state, tasks }) = fact {
+        if let Some(ImmutableFact::Ended { state, tasks }) = fact {
             let reply = final_reply(200, &id, state, tasks);
             effects.replies.push((conn, reply));
             return;
@@ -214,7 +214,9 @@
             RequestStep::ReadLive => self.on_live_response(now, request, &response, effects),
             RequestStep::ReadFinal => self.on_final_response(now, request, &response, effects),
             // Its own number belongs to no call.
-            RequestStep::Poll | RequestStep::ReadDependencies => self.give_up(&request, effects),
+            RequestStep::Poll | RequestStep::ReadDependencies => {
+                self.reply_unavailable(&request, effects)
+            }
             RequestStep::Write => self.on_write_response(now, request, &response, effects),
         }
     }
@@ -231,7 +233,7 @@
                 return deadline_ms;
             }
             if let Some(request) = self.requests.remove(number) {
-                self.give_up(&request, effects);
+                self.reply_unavailable(&request, effects);
             }
             self.awaiting_poll.pop_front();
         }
@@ -243,13 +245,13 @@
     pub fn abort_after_pause(&mut self, effects: &mut GatewayEffects) {
         self.awaiting_poll.clear();
         self.dependency_reads.clear();
-        self.dependencies_read.clear();
+        self.resumable_requests.clear();
         for request in std::mem::take(&mut self.requests).into_values() {
-            self.give_up(&request, effects);
+            self.reply_unavailable(&request, effects);
         }
     }
 
-    fn give_up(&self, request: &PendingRequest, effects: &mut GatewayEffects) {
+    fn reply_unavailable(&self, request: &PendingRequest, effects: &mut GatewayEffects) {
         effects.replies.push((request.conn, unavailable_reply()));
     }
 }
--- a/src/gateway/pending_request.rs
+++ b/src/gateway/pending_request.rs
@@ -24,7 +24,7 @@
     /// A submission that is rejected with this reply unless the job is known already:
     /// a submission is an idempotent request.
     Reject(Reply),
-    Show,
+    Query,
     Cancel,
 }
 
@@ -32,7 +32,7 @@
     /// How long it may take until the user has a response.
     pub(super) fn timeout_ms(&self) -> u64 {
         match self {
-            RequestKind::Show => READ_TIMEOUT_MS,
+            RequestKind::Query => READ_TIMEOUT_MS,
             RequestKind::Submit(_) | RequestKind::Reject(_) | RequestKind::Cancel => {
                 WRITE_TIMEOUT_MS
             }
@@ -41,7 +41,7 @@
 
     fn read_priority(&self) -> CallPriority {
         match self {
-            RequestKind::Show => CallPriority::Background,
+            RequestKind::Query => CallPriority::Background,
             RequestKind::Cancel => CallPriority::Cancel,
             RequestKind::Submit(_) | RequestKind::Reject(_) => CallPriority::Submission,
         }
@@ -119,7 +119,7 @@
             RequestKind::Submit(submission) => {
                 self.retries == 0 && submission.spec.dependencies.contains(dependency)
             }
-            RequestKind::Reject(_) | RequestKind::Show | RequestKind::Cancel => false,
+            RequestKind::Reject(_) | RequestKind::Query | RequestKind::Cancel => false,
         }
     }
 
--- a/src/gateway/writes.rs
+++ b/src/gateway/writes.rs
@@ -18,7 +18,7 @@
         effects: &mut GatewayEffects,
     ) {
         let RequestKind::Submit(submission) = &request.kind else {
-            self.give_up(&request, effects);
+            self.reply_unavailable(&request, effects);
             return;
         };
         let txn = if request.cancelled_by_dependency {
@@ -38,9 +38,10 @@
         effects: &mut GatewayEffects,
     ) {
         let key = job_key(&request.id);
-        let txn = Txn::default()
-            .compare(key.clone(), job.mod_revision)
-            .put(key, job.cancelled(now.wall, self.guaranteed_value_bytes));
+        let txn = Txn::default().compare(key.clone(), job.mod_revision).put(
+            key,
+            job.into_cancelled(now.wall, self.guaranteed_value_bytes),
+        );
         self.write(now, request, CallPriority::Cancel, &txn, effects);
     }
 
@@ -79,9 +80,9 @@
             }
             KvResponse::Status(400, _) => {
                 effects.rejected_write = Some(request.write_size);
-                self.give_up(&request, effects);
+                self.reply_unavailable(&request, effects);
             }
-            _ => self.give_up(&request, effects),
+            _ => self.reply_unavailable(&request, effects),
         }
     }
 
@@ -94,7 +95,7 @@
             self.on_accepted(now, &request, effects)
         };
         if !is_cancellation && !request.cancelled_by_dependency {
-            effects.announced.push(request.id);
+            effects.jobs_to_announce.push(request.id);
         }
         effects.replies.push((request.conn, reply));
     }
--- a/src/node/effects.rs
+++ b/src/node/effects.rs
@@ -27,11 +27,11 @@
         for call in gateway_effects.calls {
             self.kv.submit(call.map_tag(KvCallOwner::Gateway));
         }
-        self.peers.announce(gateway_effects.announced);
+        self.peers.announce(gateway_effects.jobs_to_announce);
         if let Some(size) = gateway_effects.rejected_write {
             self.on_submission_rejected(now, size);
         }
-        if gateway_effects.poll_wanted {
+        if gateway_effects.poll_requested {
             self.cancellations.request_poll();
         }
         // Before the reply to the user is sent, so before anybody can ask about it.
--- a/src/node/peer_heartbeats.rs
+++ b/src/node/peer_heartbeats.rs
@@ -86,7 +86,7 @@
             return;
         }
         let term = Term(heartbeat.term);
-        self.gateway.leader_heard(now, term);
+        self.gateway.confirm_leader(now, term);
         for job in &heartbeat.job_progress {
             let progress = TaskProgress {
                 done: job.done,
@@ -250,7 +250,7 @@
     fn changed_progress(&mut self, now: Now) -> Vec<JobProgress> {
         let term = self.scheduler.term();
         if self.scheduler.leading() && !self.election.leadership_unconfirmed() {
-            self.gateway.leader_heard(now, term);
+            self.gateway.confirm_leader(now, term);
         }
         if !self.scheduler.active() {
             return Vec::new();
--- a/src/node/requests.rs
+++ b/src/node/requests.rs
@@ -117,7 +117,7 @@
                         .submit(now, conn, &request.body, &mut gateway_effects);
                 }
                 ClientRoute::ShowJob(id) => {
-                    self.gateway.show(now, conn, id, &mut gateway_effects);
+                    self.gateway.query(now, conn, id, &mut gateway_effects);
                 }
                 ClientRoute::CancelJob(id) => {
                     self.gateway.cancel(now, conn, id, &mut gateway_effects);
--- a/src/node/worker_heartbeats.rs
+++ b/src/node/worker_heartbeats.rs
@@ -48,7 +48,7 @@
         stops: Vec<Command>,
         effects: &mut Vec<Effect>,
     ) {
-        if !self.cancellations.may_renew(now) || self.election.leadership_unconfirmed() {
+        if !self.cancellations.may_renew_leases(now) || self.election.leadership_unconfirmed() {
             effects.push(Effect::Reply(conn, Reply::retry_later(503, "cut off", 1)));
             return;
         }
@@ -79,7 +79,7 @@
         // A controller that may have missed cancellations for long renews no lease,
         // whatever its role; nor may a response keep a worker at a node that has to
         // reject its heartbeats.
-        if !self.cancellations.may_renew(now) {
+        if !self.cancellations.may_renew_leases(now) {
             return None;
         }
         if let Some(term) = self.forwards_for_leader_of(now, &heartbeat.zone) {
--- a/src/records/estimates.rs
+++ b/src/records/estimates.rs
@@ -8,7 +8,7 @@
 
 /// The largest plausible ratio of a stored value to its start value, or of the start
 /// value to it.
-const MAX_FACTOR: f64 = 100.0;
+const MAX_PLAUSIBLE_RATIO: f64 = 100.0;
 
 /// One online estimate.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
@@ -18,7 +18,7 @@
     pub name: String,
     /// The estimate before any observation.
     #[serde(rename = "s")]
-    pub start: f64,
+    pub initial: f64,
     /// The current estimate.
     #[serde(rename = "v")]
     pub value: f64,
@@ -27,10 +27,10 @@
 impl EstimateValue {
     /// Whether the value may be right.
     pub fn is_plausible(&self) -> bool {
-        let factor = self.value / self.start;
-        self.start > 0.0
-            && self.start.is_finite()
-            && (1.0 / MAX_FACTOR..=MAX_FACTOR).contains(&factor)
+        let ratio = self.value / self.initial;
+        self.initial > 0.0
+            && self.initial.is_finite()
+            && (1.0 / MAX_PLAUSIBLE_RATIO..=MAX_PLAUSIBLE_RATIO).contains(&ratio)
     }
 }
 
@@ -39,13 +39,13 @@
 pub struct EstimateRecord {
     /// Time of day at which it was written, milliseconds.
     #[serde(rename = "t")]
-    pub written_at: u64,
+    pub written_wall_ms: u64,
     /// Boot times in seconds, by machine type.
     #[serde(rename = "b", default)]
-    pub boots: Vec<EstimateValue>,
+    pub boot_times_s: Vec<EstimateValue>,
     /// Run time as a multiple of the user's estimate, by class.
     #[serde(rename = "e", default)]
-    pub estimates: Vec<EstimateValue>,
+    pub run_time_factors: Vec<EstimateValue>,
 }
 
 impl EstimateRecord {
--- a/src/records/jobs.rs
+++ b/src/records/jobs.rs
@@ -27,10 +27,10 @@
     pub spec: JobSpec,
     /// Time of day of the submission, milliseconds.
     #[serde(rename = "t")]
-    pub submitted: u64,
+    pub submitted_wall_ms: u64,
     /// Time of day of the cancellation.
     #[serde(rename = "c", default, skip_serializing_if = "Option::is_none")]
-    pub cancelled: Option<u64>,
+    pub cancelled_wall_ms: Option<u64>,
     /// Parts of a replica, if its replicas span machines. It was decided when the job
     /// was accepted, and is never decided again.
     #[serde(rename = "g", default, skip_serializing_if = "Option::is_none")]
@@ -73,11 +73,11 @@
     /// Time of day of its end, milliseconds; 0: unknown, as versions before 0.2
     /// leave it out.
     #[serde(rename = "t", default, skip_serializing_if = "super::is_default")]
-    pub ended_at: u64,
+    pub ended_wall_ms: u64,
 }
 
 /// The job that an unfinished job's key names.
-pub fn job_of_key(key: &str) -> Option<JobId> {
+pub fn parse_job_key(key: &str) -> Option<JobId> {
     key.strip_prefix(JOB_PREFIX).map(JobId::new)
 }
 
--- a/src/records/lease_proxies.rs
+++ b/src/records/lease_proxies.rs
@@ -5,9 +5,9 @@
 use serde::{Deserialize, Serialize};
 
 /// Bytes of a record beside its rows, generously.
-const HEAD_BYTES: usize = 128;
+const MAX_RECORD_OVERHEAD_BYTES: usize = 128;
 /// Bytes of a row beside the machine's name, generously.
-const ROW_BYTES: usize = 28;
+const MAX_ROW_OVERHEAD_BYTES: usize = 28;
 
 /// Prefix of the records of lease proxying.
 pub const LEASE_PROXY_PREFIX: &str = "h/";
@@ -17,7 +17,7 @@
 pub struct LeaseProxyRecord {
     /// Time of day at which it was written, milliseconds.
     #[serde(rename = "t")]
-    pub at: u64,
+    pub written_wall_ms: u64,
     /// Each machine with the epoch of its agent.
     #[serde(rename = "m")]
     pub machines: Vec<(String, AgentEpoch)>,
@@ -32,16 +32,16 @@
 /// a truncated list the leader would declare machines failed whose leases are renewed.
 pub fn split_into_records(
     machines: Vec<(String, AgentEpoch)>,
-    value_bytes: usize,
+    max_value_bytes: usize,
 ) -> Vec<Vec<(String, AgentEpoch)>> {
-    let max_bytes = value_bytes.saturating_sub(HEAD_BYTES);
+    let max_bytes = max_value_bytes.saturating_sub(MAX_RECORD_OVERHEAD_BYTES);
     let mut records: Vec<Vec<(String, AgentEpoch)>> = Vec::new();
     let mut bytes = max_bytes;
     for (name, epoch) in machines {
-        bytes += name.len() + ROW_BYTES;
+        bytes += name.len() + MAX_ROW_OVERHEAD_BYTES;
         if bytes > max_bytes {
             records.push(Vec::new());
-            bytes = name.len() + ROW_BYTES;
+            bytes = name.len() + MAX_ROW_OVERHEAD_BYTES;
         }
         if let Some(record) = records.last_mut() {
             record.push((name, epoch));
--- a/src/records/placements.rs
+++ b/src/records/placements.rs
@@ -9,23 +9,23 @@
 pub const PLACEMENT_PREFIX: &str = "p/";
 
 /// Bytes that one assignment may take in a stored record, generously.
-const ROW_BYTES: usize = 80;
+const MAX_ASSIGNMENT_BYTES: usize = 80;
 /// Bytes of a record beside its assignments and its finished tasks, generously.
-const HEAD_BYTES: usize = 200;
+const MAX_RECORD_OVERHEAD_BYTES: usize = 200;
 /// Bytes of a migration's target in a stored record, generously.
-const TARGET_BYTES: usize = 60;
+const MAX_MIGRATION_TARGET_BYTES: usize = 60;
 /// The share of the limit that a record keeps free after a split: attempts, agent
 /// epochs and names of machines get longer.
-const HEADROOM_SHARE: f64 = 0.25;
+const RECORD_HEADROOM_SHARE: f64 = 0.25;
 
 /// Tasks per stored record, so that a full one stays under `value_kb`.
 pub fn tasks_per_record(value_kb: f64) -> u32 {
-    ((value_kb * 1024.0 / ROW_BYTES as f64) as u32).clamp(16, 4096)
+    ((value_kb * 1024.0 / MAX_ASSIGNMENT_BYTES as f64) as u32).clamp(16, 4096)
 }
 
 /// The most bytes of a record for this many tasks, with all of them assigned.
 pub fn max_record_bytes(tasks: u32) -> usize {
-    HEAD_BYTES + ROW_BYTES * tasks as usize
+    MAX_RECORD_OVERHEAD_BYTES + MAX_ASSIGNMENT_BYTES * tasks as usize
 }
 
 /// Which tasks a record is for.
@@ -142,14 +142,14 @@
     pub fn max_bytes(&self) -> usize {
         let intents = self.groups.iter().flat_map(|group| &group.intent);
         let targets: usize = intents.map(|intent| intent.targets.len()).sum();
-        let rows = ROW_BYTES * self.assigned.len();
-        let groups = TARGET_BYTES * (self.groups.len() + targets);
-        HEAD_BYTES + self.done.len() + rows + groups
+        let rows = MAX_ASSIGNMENT_BYTES * self.assigned.len();
+        let groups = MAX_MIGRATION_TARGET_BYTES * (self.groups.len() + targets);
+        MAX_RECORD_OVERHEAD_BYTES + self.done.len() + rows + groups
     }
 
     /// Whether its size when stored is within the limit.
-    pub fn fits(&self, value_bytes: usize) -> bool {
-        self.max_bytes() <= value_bytes || self.bytes() <= value_bytes
+    pub fn fits(&self, max_value_bytes: usize) -> bool {
+        self.max_bytes() <= max_value_bytes || self.bytes() <= max_value_bytes
     }
 
     /// Its size when stored.
@@ -159,11 +159,11 @@
 
     /// How many tasks a record should have to stay below the limit, if they are like
     /// these.
-    pub fn tasks_that_fit(&self, value_bytes: usize) -> u32 {
+    pub fn tasks_that_fit(&self, max_value_bytes: usize) -> u32 {
         let rows = self.assigned.len().max(1);
         let per_row = self.bytes().div_ceil(rows).max(1);
-        let usable = (value_bytes as f64 * (1.0 - HEADROOM_SHARE)) as usize;
-        (usable.saturating_sub(HEAD_BYTES) / per_row) as u32
+        let usable = (max_value_bytes as f64 * (1.0 - RECORD_HEADROOM_SHARE)) as usize;
+        (usable.saturating_sub(MAX_RECORD_OVERHEAD_BYTES) / per_row) as u32
     }
 }
 
--- a/src/scheduler/dependencies/mod.rs
+++ b/src/scheduler/dependencies/mod.rs
@@ -216,7 +216,9 @@
         let item = response.read::<KeyValue>(200);
         let record = item.and_then(|item| serde_json::from_value::<FinalRecord>(item.value).ok());
         match record {
-            Some(record) => self.on_dependency_finished(now, id, record.state, record.ended_at),
+            Some(record) => {
+                self.on_dependency_finished(now, id, record.state, record.ended_wall_ms)
+            }
             // Its job record has come meanwhile, or comes with the watch's next changes.
             None if self.jobs.contains(id) => {
                 self.dependencies.unresolved.remove(id);
--- a/src/scheduler/provisioning/estimate_store.rs
+++ b/src/scheduler/provisioning/estimate_store.rs
@@ -65,7 +65,7 @@
                 return;
             }
         };
-        let age_ms = now.wall.saturating_sub(record.written_at);
+        let age_ms = now.wall.saturating_sub(record.written_wall_ms);
         if age_ms > self.lease_ms() * MAX_AGE_LEASES {
             log::info!("estimates ignored key={ESTIMATES_KEY} reason=\"outdated\" age_ms={age_ms}");
             return;
@@ -106,8 +106,12 @@
 /// Halves the record until the store takes it: half of the estimates are better
 /// than a record that is rejected.
 fn truncate_to(record: &mut EstimateRecord, max_bytes: usize) {
-    while record.bytes() > max_bytes && record.boots.len() + record.estimates.len() > 0 {
-        record.boots.truncate(record.boots.len() / 2);
-        record.estimates.truncate(record.estimates.len() / 2);
+    while record.bytes() > max_bytes
+        && record.boot_times_s.len() + record.run_time_factors.len() > 0
+    {
+        record.boot_times_s.truncate(record.boot_times_s.len() / 2);
+        record
+            .run_time_factors
+            .truncate(record.run_time_factors.len() / 2);
     }
 }
--- a/src/scheduler/provisioning/moving_average.rs
+++ b/src/scheduler/provisioning/moving_average.rs
@@ -43,7 +43,7 @@
     pub(super) fn to_record(self, name: &str) -> EstimateValue {
         EstimateValue {
             name: name.to_string(),
-            start: self.initial,
+            initial: self.initial,
             value: self.value,
         }
     }
@@ -52,7 +52,7 @@
     pub(super) fn from_record(stored: &EstimateValue, weight: f64) -> Self {
         MovingAverage {
             value: stored.value,
-            initial: stored.start,
+            initial: stored.initial,
             weight,
         }
     }
--- a/src/scheduler/provisioning/online_estimates.rs
+++ b/src/scheduler/provisioning/online_estimates.rs
@@ -175,17 +175,21 @@
         let boots = self.boots.iter().take(max_values);
         let run_bias = self.run_bias.iter().take(max_values);
         EstimateRecord {
-            written_at,
-            boots: boots
+            written_wall_ms: written_at,
+            boot_times_s: boots
                 .map(|(name, boot)| boot.took_s.to_record(name))
                 .collect(),
-            estimates: run_bias.map(|(name, bias)| bias.to_record(name)).collect(),
+            run_time_factors: run_bias.map(|(name, bias)| bias.to_record(name)).collect(),
         }
     }
 
     /// Restores the plausible estimates of an earlier leader.
     pub(super) fn restore(&mut self, record: &EstimateRecord) {
-        for stored in record.boots.iter().filter(|value| value.is_plausible()) {
+        for stored in record
+            .boot_times_s
+            .iter()
+            .filter(|value| value.is_plausible())
+        {
             let boots = BootEstimate {
                 took_s: MovingAverage::from_record(stored, self.learning_rate),
                 latest_up_provisioned_ms: 0,
@@ -193,7 +197,11 @@
             self.boots.insert(Rc::from(stored.name.as_str()), boots);
         }
         let rate = self.run_learning_rate();
-        for stored in record.estimates.iter().filter(|value| value.is_plausible()) {
+        for stored in record
+            .run_time_factors
+            .iter()
+            .filter(|value| value.is_plausible())
+        {
             let bias = MovingAverage::from_record(stored, rate);
             self.run_bias.insert(Rc::from(stored.name.as_str()), bias);
         }
--- a/src/scheduler/state/commit_outcome.rs
+++ b/src/scheduler/state/commit_outcome.rs
@@ -3,7 +3,7 @@
 
 use crate::kv_client::{self, CallPriority, KvResponse};
 use crate::messages::Now;
-use crate::records::jobs::job_of_key;
+use crate::records::jobs::parse_job_key;
 use crate::records::write_id_of;
 use crate::scheduler::state::transaction::FinishedJob;
 use crate::scheduler::{
@@ -209,7 +209,7 @@
         };
         self.requeue_transaction(now);
         for key in failed_compares {
-            match job_of_key(&key) {
+            match parse_job_key(&key) {
                 Some(id) => {
                     if let Some(job) = self.jobs.get_mut(&id) {
                         job.stale = true;
--- a/src/scheduler/state/job_watch.rs
+++ b/src/scheduler/state/job_watch.rs
@@ -69,7 +69,7 @@
                 job.revision = revision;
                 job.stale = false;
                 if job.cancelled.is_none() {
-                    job.cancelled = record.cancelled;
+                    job.cancelled = record.cancelled_wall_ms;
                 }
             }
             None => self.add_job(now, record, revision, source),
--- a/src/scheduler/state/transaction.rs
+++ b/src/scheduler/state/transaction.rs
@@ -115,7 +115,7 @@
             state,
             tasks: job.spec.tasks,
             write_id: self.write_id,
-            ended_at: now.wall,
+            ended_wall_ms: now.wall,
         };
         let value = serde_json::to_value(record).unwrap_or_default();
         self.txn = std::mem::take(&mut self.txn)
--- a/tests/integration/cancellations.rs
+++ b/tests/integration/cancellations.rs
@@ -289,13 +289,13 @@
     #[test]
     fn a_new_process_has_no_watermark_until_it_has_read() {
         let mut n = node("n-0", 1);
-        assert!(!n.may_renew(at(10)));
+        assert!(!n.may_renew_leases(at(10)));
         pull(&mut n, 0, &node("n-1", 2), 20);
         pull(&mut n, 1, &node("n-2", 3), 20);
         assert_eq!(n.watermark_ms(), None, "peers alone don't tell the past");
         read(&mut n, 100, 900);
         assert_eq!(n.watermark_ms(), Some(100), "dated by the question");
-        assert!(n.may_renew(at(18_600)) && !n.may_renew(at(18_601)));
+        assert!(n.may_renew_leases(at(18_600)) && !n.may_renew_leases(at(18_601)));
     }
 
     #[test]
--- a/tests/integration/resource_limits.rs
+++ b/tests/integration/resource_limits.rs
@@ -75,7 +75,7 @@
     }
     let now = Now::default();
     let mut out = GatewayEffects::default();
-    gateway.show(now, ConnectionId(1), "run-0", &mut out);
+    gateway.query(now, ConnectionId(1), "run-0", &mut out);
     let call = out.calls.pop().expect("its record is read");
     let record = json!({"k": "j/run-0", "v": {"spec": service("run-0", 1), "t": 0}, "retouche": 7});
     let answer = KvResponse::Status(200, record.to_string().into_bytes());
