--- a/src/cancellations/actor.rs
+++ b/src/cancellations/actor.rs
@@ -13,19 +13,20 @@
 use crate::wire::peers::{ConfirmationCursor, ConfirmedCancellations};
 use crate::wire::workers::{Command, TaskPhase, WorkerHeartbeat};
 
-/// Times from the settings.
+/// Time limits of cancellations, derived from the settings.
 #[derive(Clone, Copy, Debug)]
 pub struct CancellationBounds {
-    /// The workers' heartbeat interval.
+    /// The interval at which each worker sends heartbeats.
     pub heartbeat_interval_ms: u64,
-    /// The time within which a cancelled job's tasks are gone.
+    /// The time from the confirmation of a cancellation within which all tasks of the job
+    /// must have stopped.
     pub cancel_ms: u64,
-    /// For how long after the watermark leases may still be renewed.
+    /// How long after the watermark this controller may still renew leases.
     pub max_lag_ms: u64,
 }
 
 impl CancellationBounds {
-    /// The bounds that follow from the settings.
+    /// Derives the bounds from the settings.
     pub fn new(settings: &Settings) -> CancellationBounds {
         let workers = &settings.site.workers;
         CancellationBounds {
@@ -36,19 +37,21 @@
     }
 }
 
-/// What a controller knows of cancellations, and up to when it knows all of them.
+/// The cancellations that this controller knows, and the watermark: the time up to which
+/// it knows all of them.
 pub struct Cancellations {
     max_lag_ms: u64,
     known: KnownCancellations,
     records: RecordReader,
-    /// The cancellations that this process has confirmed.
+    /// The cancellations that this process has confirmed to users.
     log: ConfirmationLog,
     peer_logs: PeerLogs,
     watermark_ms: Option<u64>,
 }
 
 impl Cancellations {
-    /// Knows nothing yet; `peers` in the order in which they are numbered.
+    /// Creates an actor that knows no cancellations and has no watermark. `peers` are the
+    /// node names of the peers, in the order of their indexes.
     pub fn new<'a>(
         node: &str,
         incarnation: u64,
@@ -65,17 +68,19 @@
         }
     }
 
-    /// Whether the next poll will show the state of every job.
+    /// Returns whether the initial list is complete, so that the next poll brings the
+    /// state of every job up to date.
     pub fn is_caught_up(&self) -> bool {
         self.records.is_caught_up()
     }
 
-    /// A request waits for the next poll.
+    /// Schedules the next poll earlier, because a request waits for it.
     pub fn request_poll(&mut self) {
         self.records.request_poll();
     }
 
-    /// The status of a job by the latest read or what was learned since.
+    /// Returns the status of a job according to the latest complete read and the
+    /// cancellations learned since.
     pub fn record_status(&self, id: &JobId) -> RecordStatus {
         if !self.records.is_unfinished(id) {
             RecordStatus::None
@@ -86,42 +91,44 @@
         }
     }
 
-    /// The dependencies of an unfinished job, by its record.
+    /// Returns the dependencies in the record of an unfinished job.
     pub fn dependencies(&self, id: &JobId) -> &[JobId] {
         self.records.dependencies(id)
     }
 
-    /// When the last complete read was requested.
+    /// Returns when the last complete read was requested, on the monotonic clock; `None`
+    /// before the first complete read.
     pub fn last_read_requested_ms(&self) -> Option<u64> {
         self.records.last_read_requested_ms()
     }
 
-    /// Up to when every confirmed cancellation is known here.
+    /// Returns the time, on the monotonic clock, up to which this controller knows every
+    /// confirmed cancellation; `None` before the first complete read.
     pub fn watermark_ms(&self) -> Option<u64> {
         self.watermark_ms
     }
 
-    /// Whether leases may be renewed here. Any cancellation that is unknown here was
-    /// confirmed after the watermark, and a lease renewed at the end of the bound ends
-    /// within `cancel_s` of that.
+    /// Returns whether this controller may renew leases. Any cancellation that this
+    /// controller doesn't know was confirmed after the watermark, and a lease renewed at
+    /// the last permitted moment expires within `cancel_s` of the watermark.
     pub fn may_renew_leases(&self, now: Now) -> bool {
         self.watermark_ms
             .is_some_and(|watermark_ms| now.ms <= watermark_ms + self.max_lag_ms)
     }
 
-    /// Whether the job is known to be cancelled.
+    /// Returns whether this controller knows that the job is cancelled.
     pub fn is_cancelled(&self, id: &JobId) -> bool {
         self.known.contains(id)
     }
 
-    /// A user is about to be told here that this job is cancelled.
+    /// Records a cancellation that this controller is about to confirm to a user.
     pub fn confirm(&mut self, now: Now, id: &JobId) {
         self.known.insert(now, id, CancellationSource::Confirmation);
         self.log.push(id.clone());
     }
 
-    /// Stop commands for the tasks of cancelled jobs that a worker still has. They do no
-    /// harm, whichever controller sends them.
+    /// Returns stop commands for the tasks of cancelled jobs that a worker still reports.
+    /// Any controller may send these commands, not only the leader.
     pub fn stop_commands(&self, heartbeat: &WorkerHeartbeat) -> Vec<Command> {
         if self.known.is_empty() {
             return Vec::new();
@@ -142,19 +149,19 @@
 
     // ---- the key-value store ----
 
-    /// Reads what is new in the key-value store when that is due. Returns when it wants
-    /// to be called again.
+    /// Starts a read of the job records when one is due. Returns when to call `tick`
+    /// again.
     pub fn tick(&mut self, now: Now, calls: &mut Vec<KvCall<CancellationsKvCall>>) -> u64 {
         if self.peer_logs.is_empty() {
-            // Every cancellation is confirmed here.
+            // Without peers, this controller confirms every cancellation itself.
             self.advance_watermark(now.ms);
         }
         self.known.purge(now);
         self.records.tick(now, calls)
     }
 
-    /// A response of the key-value store. Returns jobs that were not known to be
-    /// cancelled.
+    /// Processes a response of the key-value store. Returns the jobs that are newly known
+    /// to be cancelled.
     pub fn on_kv_response(
         &mut self,
         now: Now,
@@ -205,30 +212,33 @@
 
     // ---- peers ----
 
-    /// The position that peer number `index` is asked to continue from.
+    /// Returns the position from which peer number `index` should continue to send its
+    /// log.
     pub fn cursor(&self, index: usize) -> Option<ConfirmationCursor> {
         self.peer_logs.cursor(index)
     }
 
-    /// The response to such a request.
+    /// Returns this controller's confirmations after the cursor that a peer sent.
     pub fn confirmations_after(&self, cursor: &ConfirmationCursor) -> ConfirmedCancellations {
         self.log.after(cursor)
     }
 
-    /// A peer has said how far it knows this controller's log.
+    /// Records the position up to which a peer has received this controller's log.
     pub fn on_acknowledgement(&mut self, index: usize, cursor: ConfirmationCursor) {
         self.peer_logs.set_acknowledged(index, cursor);
     }
 
-    /// The confirmations that peer number `index` hasn't acknowledged yet.
+    /// Returns the confirmations that peer number `index` hasn't acknowledged yet; `None`
+    /// if there are none.
     pub fn unacknowledged(&self, index: usize) -> Option<ConfirmedCancellations> {
         let acknowledged = self.peer_logs.acknowledged(index)?;
         let message = self.confirmations_after(acknowledged);
         (!message.jobs.is_empty()).then_some(message)
     }
 
-    /// A peer's confirmations: the response to a request sent at `requested_ms`, or a
-    /// message that wasn't requested. Returns jobs that were not known to be cancelled.
+    /// Processes a peer's confirmations. `requested_ms` is when the request was sent that
+    /// the message responds to; `None` means that the peer sent the message unrequested.
+    /// Returns the jobs that are newly known to be cancelled.
     pub fn receive_confirmations(
         &mut self,
         now: Now,
@@ -259,8 +269,9 @@
             .collect()
     }
 
-    /// Before the first complete read there is no watermark: peers don't know what was
-    /// confirmed before their processes started.
+    /// Advances the watermark to `to_ms`. Before the first complete read the watermark
+    /// stays unset, because peers don't know what was confirmed before their processes
+    /// started.
     fn advance_watermark(&mut self, to_ms: u64) {
         if self.records.last_read_requested_ms().is_some() {
             self.watermark_ms = self.watermark_ms.max(Some(to_ms));
--- a/src/cancellations/confirmation_log.rs
+++ b/src/cancellations/confirmation_log.rs
@@ -1,30 +1,30 @@
-//! The cancellations that this process has confirmed to users, in order and numbered
-//! from 1.
+//! The log of the cancellations that this process has confirmed to users. Entries are in
+//! the order of confirmation and numbered from 1.
 
 use crate::ids::JobId;
 use crate::wire::peers::{ConfirmationCursor, ConfirmedCancellations};
 use std::collections::VecDeque;
 
-/// Entries kept for peers. A peer that has fallen further behind has to read the
+/// How many entries are kept for peers. A peer that is further behind has to read the
 /// key-value store first.
 const MAX_LOG_ENTRIES: usize = 4096;
 
-/// Entries sent in one message.
+/// The most entries sent in one message.
 const MAX_MESSAGE_ENTRIES: usize = 500;
 
-/// The log of one process; peers follow it by its numbers.
+/// The confirmation log of one process. Peers track their position in it by entry number.
 #[derive(Debug)]
 pub(super) struct ConfirmationLog {
     node: String,
-    /// Tells this process from earlier ones of the same name.
+    /// Distinguishes this process from earlier ones of the same name.
     incarnation: u64,
-    /// How many entries have been removed at the front.
+    /// How many entries have been removed from the front of the log.
     removed_count: u64,
     entries: VecDeque<JobId>,
 }
 
 impl ConfirmationLog {
-    /// An empty log.
+    /// Creates an empty log for the process `incarnation` of this node.
     pub(super) fn new(node: &str, incarnation: u64) -> Self {
         ConfirmationLog {
             node: node.to_string(),
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Appends a confirmed cancellation.
+    /// Appends a confirmed cancellation and removes the oldest entries above the limit.
     pub(super) fn push(&mut self, id: JobId) {
         self.entries.push_back(id);
         while self.entries.len() > MAX_LOG_ENTRIES {
@@ -47,18 +47,18 @@
         self.removed_count + self.entries.len() as u64
     }
 
-    /// The message to a peer whose knowledge of this log is `cursor`.
+    /// Builds the message for a peer that knows this log up to `cursor`.
     pub(super) fn after(&self, cursor: &ConfirmationCursor) -> ConfirmedCancellations {
         let total = self.total();
-        // A peer that followed an earlier process, or none, begins with what comes
-        // next: what came before is stored, and it reads that.
+        // A peer whose cursor is from an earlier process, or from none, starts at the end
+        // of the log: the earlier entries are in the key-value store, where it reads them.
         let known_up_to = if cursor.incarnation == self.incarnation {
             cursor.up_to
         } else {
             total
         };
-        // Entries that the peer lacks but that are gone here leave a gap that it sees
-        // by the number of the first one.
+        // If entries that the peer lacks have been removed here, it detects the gap by the
+        // number of the first entry in the message.
         let skipped = known_up_to.saturating_sub(self.removed_count).min(total);
         let jobs = self
             .entries
--- a/src/cancellations/known_cancellations.rs
+++ b/src/cancellations/known_cancellations.rs
@@ -1,30 +1,31 @@
-//! The set of jobs that are known to be cancelled.
+//! The set of jobs that this controller knows to be cancelled.
 
 use crate::ids::JobId;
 use crate::messages::Now;
 use std::collections::{HashMap, HashSet};
 
-/// A job that a peer confirmed as cancelled and that no record shows is kept
-/// for so many times `cancel_s`: by then none of its tasks can be left.
+/// How long a job is retained whose cancellation was confirmed but is in no record that
+/// was read, as a multiple of `cancel_s`. After that time none of its tasks can be left.
 const RETENTION_CANCEL_TIMES: u64 = 4;
 
 #[derive(Clone, Copy, Debug)]
 struct KnownCancellation {
     learned_ms: u64,
-    /// The job's record says so; the entry is removed along with the record.
+    /// Whether the job's record shows the cancellation. Such an entry is removed along
+    /// with the record.
     stored: bool,
 }
 
-/// Where a cancellation was learned from.
+/// The source from which a cancellation was learned.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(super) enum CancellationSource {
-    /// The job's record.
+    /// The job's record in the key-value store.
     Record,
-    /// A controller that confirmed it to a user: this one or a peer.
+    /// A controller that confirmed the cancellation to a user: this controller or a peer.
     Confirmation,
 }
 
-/// The jobs that are known to be cancelled.
+/// The jobs that this controller knows to be cancelled, each with its source.
 #[derive(Debug)]
 pub(super) struct KnownCancellations {
     cancel_ms: u64,
@@ -33,8 +34,8 @@
 }
 
 impl KnownCancellations {
-    /// An empty set; `cancel_ms` is the time within which a cancelled job's tasks are
-    /// gone.
+    /// Creates an empty set. `cancel_ms` is the time within which all tasks of a cancelled
+    /// job must have stopped.
     pub(super) fn new(cancel_ms: u64) -> Self {
         KnownCancellations {
             cancel_ms,
@@ -51,12 +52,12 @@
         self.jobs.contains_key(id)
     }
 
-    /// Whether the job's record says that it is cancelled.
+    /// Returns whether the job's record shows the cancellation.
     pub(super) fn is_stored(&self, id: &JobId) -> bool {
         self.jobs.get(id).is_some_and(|known| known.stored)
     }
 
-    /// Adds a job and says whether it is new to the set.
+    /// Adds a job. Returns whether the job is new to the set.
     pub(super) fn insert(&mut self, now: Now, id: &JobId, source: CancellationSource) -> bool {
         let stored = source == CancellationSource::Record;
         if let Some(known) = self.jobs.get_mut(id) {
@@ -69,18 +70,20 @@
         true
     }
 
-    /// The job is over: none of its tasks is on a machine.
+    /// Removes a job that has ended: none of its tasks is on a machine.
     pub(super) fn remove(&mut self, id: &JobId) {
         self.jobs.remove(id);
     }
 
-    /// Removes the jobs known by their records, except those whose records still say so.
+    /// Removes the jobs that were learned from records and aren't in `cancelled`, the set
+    /// of jobs whose records still show the cancellation.
     pub(super) fn retain_stored(&mut self, cancelled: &HashSet<JobId>) {
         self.jobs
             .retain(|id, known| !known.stored || cancelled.contains(id));
     }
 
-    /// Removes jobs that no record has shown for long, once per `cancel_s`.
+    /// Removes the jobs that have been in no record for the retention time. Runs once per
+    /// `cancel_s`.
     pub(super) fn purge(&mut self, now: Now) {
         if now.ms < self.purge_due_ms {
             return;
--- a/src/cancellations/mod.rs
+++ b/src/cancellations/mod.rs
@@ -1,24 +1,23 @@
-//! What this controller knows of the job records: which jobs are unfinished,
-//! which of these are cancelled, and up to which time it is sure to know all
-//! cancellations.
+//! Tracks job cancellations: which jobs are unfinished, which of these are cancelled, and
+//! up to which time this controller knows all cancellations.
 //!
-//! One poll of the changes serves every request that asks about jobs: the
-//! response is at least as new as any request that arrived before the poll was
-//! sent. So requests cost no calls of their own, however many arrive.
+//! One poll of the changes serves all pending requests about jobs: its response is at
+//! least as new as any request that arrived before the poll was sent. The number of calls
+//! therefore doesn't grow with the number of requests.
 //!
-//! A worker's lease may be renewed only by a controller that knows what is
-//! cancelled, or that is sure that whatever it misses will end in time all the
-//! same. One actor owns that knowledge: the set of cancelled jobs, and the
-//! **watermark**, the time up to which every cancellation that any controller
-//! confirmed to a user is in the set. The watermark moves in two ways only,
-//! each dated by when the request was sent:
+//! A controller may renew a worker's lease only if it knows which jobs are cancelled, or
+//! if any task of a cancelled job that it doesn't know of will still stop in time. One
+//! actor owns the set of cancelled jobs and the **watermark**: the time up to which every
+//! cancellation that any controller confirmed to a user is in the set. Two events advance
+//! the watermark, each to the time at which the request was sent:
 //!
 //! - a complete read of the key-value store (a list, then the changes since);
-//! - a response from every peer, each holding all that its present process has
-//!   confirmed since before the last such read, numbered without a gap.
+//! - a response from every peer, where each response holds all cancellations that the
+//!   peer's current process has confirmed since before the last complete read, numbered
+//!   without a gap.
 //!
-//! That no controller reaches the key-value store now says nothing of what one
-//! of them confirmed a second ago, so it doesn't move the watermark.
+//! The watermark doesn't advance when no controller can reach the key-value store: one of
+//! them may have confirmed a cancellation just before it lost the connection.
 
 mod actor;
 mod confirmation_log;
--- a/src/cancellations/peer_logs.rs
+++ b/src/cancellations/peer_logs.rs
@@ -1,23 +1,26 @@
-//! How far the peers' confirmation logs are known here, and how far the peers know
-//! this controller's.
+//! Tracks the position up to which this controller knows each peer's confirmation log,
+//! and the position up to which each peer knows this controller's log.
 
 use crate::messages::Now;
 use crate::wire::peers::{ConfirmationCursor, ConfirmedCancellations};
 use crate::wire::users::valid_job_id;
 
-/// The known part of one peer's log.
+/// The state of replication between this controller's log and one peer's log.
 #[derive(Debug, Default)]
 pub(super) struct PeerLog {
     name: String,
-    /// The process that was last heard; 0: none yet.
+    /// The incarnation of the peer's process that last sent a message; 0 before the first
+    /// message.
     incarnation: u64,
-    /// All its entries up to this number are known, or were stored before
-    /// `complete_since_ms`.
+    /// Every entry of the peer's log up to this number is known here, or was in the
+    /// key-value store before `complete_since_ms`.
     known_up_to: u64,
     complete_since_ms: u64,
-    /// When the last request was sent whose response left nothing out.
+    /// When the last request was sent whose response left no entry of the peer's log
+    /// unknown here.
     attested_ms: u64,
-    /// How far it has said that it knows this controller's log.
+    /// The position up to which the peer has reported that it knows this controller's
+    /// log.
     acknowledged: ConfirmationCursor,
 }
 
@@ -33,8 +36,8 @@
         &self.name
     }
 
-    /// The number of the message's last entry; `None` if the message is malformed or not
-    /// this peer's.
+    /// Returns the number of the message's last entry; `None` if the message is malformed
+    /// or from another peer.
     pub(super) fn last_entry(&self, message: &ConfirmedCancellations) -> Option<u64> {
         let count = message.jobs.len() as u64;
         let last = message.first.checked_sub(1)?.checked_add(count)?;
@@ -45,8 +48,8 @@
         well_formed.then_some(last)
     }
 
-    /// Takes a message that ends with entry number `last`; `requested_ms` is when its
-    /// request was sent, if it is a response to one.
+    /// Processes a message that ends with entry number `last`. `requested_ms` is when the
+    /// request was sent that the message responds to, if there was one.
     pub(super) fn advance(
         &mut self,
         now: Now,
@@ -58,8 +61,8 @@
         if same_process && message.first <= self.known_up_to.saturating_add(1) {
             self.known_up_to = self.known_up_to.max(last);
         } else if requested_ms.is_some() {
-            // Another process, or a gap: only a read of the key-value store from now on
-            // shows what is missing here.
+            // The peer has restarted, or entries are missing: only a read of the key-value
+            // store that starts after this moment covers the missing entries.
             self.incarnation = message.incarnation;
             self.known_up_to = message.total;
             self.complete_since_ms = now.ms;
@@ -71,9 +74,10 @@
         }
     }
 
-    /// Up to when the peer's confirmations are known here, given a complete read of the
-    /// key-value store that was requested at `read_requested_ms`; 0: not known. A peer that
-    /// restarted after that read can't attest what its earlier process confirmed.
+    /// Returns the time up to which the peer's confirmations are known here, given a
+    /// complete read of the key-value store that was requested at `read_requested_ms`; 0
+    /// if there is no such time. A peer that restarted after that read can't attest what
+    /// its earlier process confirmed.
     fn complete_until_ms(&self, read_requested_ms: u64) -> u64 {
         if self.incarnation != 0 && self.complete_since_ms < read_requested_ms {
             self.attested_ms
@@ -83,14 +87,14 @@
     }
 }
 
-/// The logs of all peers, in the order in which peers are numbered.
+/// The logs of all peers, in the order of the peers' indexes.
 #[derive(Debug)]
 pub(super) struct PeerLogs {
     peers: Vec<PeerLog>,
 }
 
 impl PeerLogs {
-    /// Nothing is known of any log yet.
+    /// Creates the state for these peers, with no log entries known.
     pub(super) fn new<'a>(names: impl Iterator<Item = &'a str>) -> Self {
         PeerLogs {
             peers: names.map(PeerLog::new).collect(),
@@ -105,7 +109,7 @@
         self.peers.get_mut(index)
     }
 
-    /// Up to where the peer's log is known here.
+    /// Returns the position up to which the peer's log is known here.
     pub(super) fn cursor(&self, index: usize) -> Option<ConfirmationCursor> {
         self.peers.get(index).map(|peer| ConfirmationCursor {
             incarnation: peer.incarnation,
@@ -113,19 +117,22 @@
         })
     }
 
-    /// Up to where the peer has said that it knows this controller's log.
+    /// Returns the position up to which the peer has reported that it knows this
+    /// controller's log.
     pub(super) fn acknowledged(&self, index: usize) -> Option<&ConfirmationCursor> {
         self.peers.get(index).map(|peer| &peer.acknowledged)
     }
 
-    /// The peer has said up to where it knows this controller's log.
+    /// Sets the position up to which the peer reports that it knows this controller's
+    /// log.
     pub(super) fn set_acknowledged(&mut self, index: usize, cursor: ConfirmationCursor) {
         if let Some(peer) = self.peers.get_mut(index) {
             peer.acknowledged = cursor;
         }
     }
 
-    /// Up to when all peers together attest that their confirmations are known here.
+    /// Returns the time up to which the confirmations of all peers are known here; `None`
+    /// if those of any peer aren't.
     pub(super) fn attested_ms(&self, read_requested_ms: u64) -> Option<u64> {
         self.peers
             .iter()
--- a/src/cancellations/record_reader.rs
+++ b/src/cancellations/record_reader.rs
@@ -1,5 +1,5 @@
-//! Reads the job records: all of them once, page by page, and from then on what
-//! changed.
+//! Reads the job records: lists all of them once, page by page, and then polls for
+//! changes.
 
 use crate::ids::{JobId, Revision};
 use crate::kv_client::{self, CallPriority, KvCall, KvResponse};
@@ -8,60 +8,60 @@
 use crate::wire::kv::{KeyPage, WatchEvent, WatchResponse};
 use std::collections::{HashMap, HashSet};
 
-/// While a request waits for a response, polls follow each other this many times per
-/// heartbeat interval of the workers; else once.
+/// Polls per heartbeat interval of the workers while a request waits for one. Otherwise
+/// there is one poll per interval.
 const BUSY_POLLS_PER_HEARTBEAT: u64 = 5;
 
-/// A list or poll without a response by then is sent again.
+/// The timeout of a list or poll, after which the read is retried.
 const TIMEOUT_MS: u64 = 1500;
 
-/// Which call of the key-value store a response belongs to.
+/// The kinds of calls that read the job records.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum CancellationsKvCall {
-    /// All job records, page by page.
+    /// Reads a page of the list of all job records.
     List,
-    /// What changed since the last read.
+    /// Reads the changes since the last read.
     Poll,
 }
 
-/// What the records said of a job at the last complete read.
+/// The status of a job according to the records at the last complete read.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum RecordStatus {
-    /// No record: never accepted, or over.
+    /// The job has no record: it was never accepted, or it has ended.
     None,
-    /// Neither done nor cancelled.
+    /// The job is neither done nor cancelled.
     Unfinished,
-    /// Cancelled by its user.
+    /// The job was cancelled by its user, and its tasks may not all have stopped.
     Cancelled,
 }
 
 /// A complete read of the records.
 #[derive(Debug)]
 pub(super) struct CompletedRead {
-    /// When it was requested: a list when its first page was.
+    /// When the read was requested; for a list, when its first page was requested.
     pub(super) requested_ms: u64,
     pub(super) update: RecordUpdate,
 }
 
-/// What a complete read showed of cancellations.
+/// The cancellations that a complete read found.
 #[derive(Debug)]
 pub(super) enum RecordUpdate {
-    /// All jobs whose records say that they are cancelled.
+    /// All jobs whose records show a cancellation.
     List(HashSet<JobId>),
-    /// What changed since the read before, in order.
+    /// The changes since the previous read, in order.
     Changes(Vec<RecordChange>),
 }
 
 /// A change of a job's record.
 #[derive(Debug)]
 pub(super) enum RecordChange {
-    /// The record is gone: the job is over.
+    /// The record was deleted because the job has ended.
     Removed(JobId),
-    /// The record says that the job is cancelled.
+    /// The record shows that the job is cancelled.
     Cancelled(JobId),
 }
 
-/// A read under way.
+/// A read that isn't complete yet.
 #[derive(Debug, Default)]
 struct ReadInProgress {
     requested_ms: u64,
@@ -71,25 +71,25 @@
     cancelled: HashSet<JobId>,
 }
 
-/// Reads the records, one call at a time.
+/// Reads the job records, with at most one call in flight.
 #[derive(Debug)]
 pub(super) struct RecordReader {
     heartbeat_interval_ms: u64,
-    /// Jobs that have records, as of the last complete read, and the dependencies of
-    /// each.
+    /// The jobs that had records at the last complete read, each with its dependencies.
     unfinished: HashMap<JobId, Box<[JobId]>>,
-    /// The changes since then aren't read yet; `None`: nothing is.
+    /// The revision from which the next poll reads changes. `None` means that the next
+    /// read must be a list.
     read_up_to: Option<Revision>,
-    /// When the last complete read was requested.
+    /// When the last complete read was requested; `None` before the first one.
     last_read_requested_ms: Option<u64>,
-    /// The read whose call has no response yet.
+    /// The read whose call is in flight.
     in_progress: Option<ReadInProgress>,
     next_read_due_ms: u64,
     last_requested_ms: u64,
 }
 
 impl RecordReader {
-    /// Has read nothing yet.
+    /// Creates a reader whose first read is a list.
     pub(super) fn new(heartbeat_interval_ms: u64) -> Self {
         RecordReader {
             heartbeat_interval_ms,
@@ -102,29 +102,30 @@
         }
     }
 
-    /// Whether the next read is a poll of the changes.
+    /// Returns whether the initial list is complete, so that the next read is a poll.
     pub(super) fn is_caught_up(&self) -> bool {
         self.read_up_to.is_some()
     }
 
-    /// When the last complete read was requested.
+    /// Returns when the last complete read was requested, on the monotonic clock; `None`
+    /// before the first complete read.
     pub(super) fn last_read_requested_ms(&self) -> Option<u64> {
         self.last_read_requested_ms
     }
 
-    /// Whether the job had a record at the last complete read.
+    /// Returns whether the job had a record at the last complete read.
     pub(super) fn is_unfinished(&self, id: &JobId) -> bool {
         self.unfinished.contains_key(id)
     }
 
-    /// The dependencies of an unfinished job.
+    /// Returns the dependencies of an unfinished job; empty for any other job.
     pub(super) fn dependencies(&self, id: &JobId) -> &[JobId] {
         self.unfinished
             .get(id)
             .map_or(&[], |dependencies| dependencies)
     }
 
-    /// A request waits for the next poll.
+    /// Schedules the next poll earlier, because a request waits for it.
     pub(super) fn request_poll(&mut self) {
         let interval_ms = (self.heartbeat_interval_ms / BUSY_POLLS_PER_HEARTBEAT).max(1);
         self.next_read_due_ms = self
@@ -132,7 +133,7 @@
             .min(self.last_requested_ms + interval_ms);
     }
 
-    /// Starts a read when one is due. Returns when it wants to be called again.
+    /// Starts a read when one is due. Returns when to call `tick` again.
     pub(super) fn tick(&mut self, now: Now, calls: &mut Vec<KvCall<CancellationsKvCall>>) -> u64 {
         if self.in_progress.is_some() {
             return u64::MAX;
@@ -153,7 +154,7 @@
         u64::MAX
     }
 
-    /// Takes a response; returns the read if that completes it.
+    /// Processes a response. Returns the read if the response completes it.
     pub(super) fn on_response(
         &mut self,
         now: Now,
@@ -182,7 +183,8 @@
         calls: &mut Vec<KvCall<CancellationsKvCall>>,
     ) -> Option<RecordUpdate> {
         let page = response.read::<KeyPage>(200)?;
-        // What changes while further pages are read is read again afterwards.
+        // The first poll starts at the first page's revision, so it also covers changes
+        // made while the further pages were read.
         read.revision.get_or_insert(Revision(page.revision));
         let last_key = page.items.last().map(|item| item.key.clone());
         for item in page.items {
@@ -207,7 +209,8 @@
     fn on_changes(&mut self, now: Now, response: &KvResponse) -> Option<RecordUpdate> {
         let Some(watch) = response.read::<WatchResponse>(200) else {
             if response.status() == Some(410) {
-                // Too far behind for the changes: everything is read anew.
+                // The store no longer has all changes since that revision: list all
+                // records again.
                 self.read_up_to = None;
                 self.next_read_due_ms = now.ms;
             }
@@ -246,7 +249,8 @@
 
 fn read_call(now: Now, call: Call, tag: CancellationsKvCall) -> KvCall<CancellationsKvCall> {
     KvCall {
-        // Few and at a steady rate, and every worker's lease depends on them.
+        // These reads are few and at a steady rate, and the renewal of every worker's
+        // lease depends on them.
         priority: CallPriority::Leadership,
         call,
         writes: 0,
--- a/src/election/mod.rs
+++ b/src/election/mod.rs
@@ -1,7 +1,7 @@
-//! Leader election: the leader holds a key under a lease, and each new leader raises
-//! a durable term in the transaction that claims the key. Every write of a leader
-//! compares the revision of its leader key, so no write of a deposed leader can be
-//! applied, however late it arrives.
+//! Leader election through the key-value store. The leader holds a key under a lease, and
+//! each new leader increments a persistent term in the transaction that claims the key.
+//! Every write of a leader compares the revision of its leader key, so the store rejects
+//! any write of a deposed leader, however late the write arrives.
 
 mod responses;
 
@@ -11,47 +11,48 @@
 use crate::records::leadership::{LeaderRecord, TermRecord, LEADER_KEY, LEADER_PREFIX, TERM_KEY};
 use crate::wire::kv::Txn;
 
-/// Call timeouts within a TTL.
+/// How many call timeouts fit into a lease TTL.
 const TIMEOUTS_PER_TTL: u64 = 3;
 const MIN_TIMEOUT_MS: u64 = 200;
-/// How long a watch waits for changes, in TTLs.
+/// How long a watch waits for changes, in lease TTLs.
 const WATCH_TTLS: u64 = 3;
-/// How long others may claim first after this node handed leadership over, in TTLs.
+/// How long this controller doesn't claim leadership after it has handed leadership over,
+/// so that others can, in lease TTLs.
 const YIELD_TTLS: u64 = 2;
-/// For how long a read of the leader's record counts as recent, in TTLs.
+/// How long a read of the leader record counts as recent, in lease TTLs.
 const RECENT_READ_TTLS: u64 = 4;
-/// The pause before the records are read after stepping down.
+/// The delay between stepping down and the next read of the records.
 const STEP_DOWN_PAUSE_MS: u64 = 50;
 
-/// The election's calls of the key-value store.
+/// The calls that the election makes to the key-value store.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum ElectionKvCall {
     /// Reads the leader record and the term record.
     ReadRecords,
-    /// Requests a lease.
+    /// Requests a lease for a claim.
     GrantLease,
-    /// Claims the leader key under that lease.
+    /// Claims the leader key under the granted lease.
     ClaimLeadership,
-    /// Renews the lease.
+    /// Renews the lease of the leader key.
     RenewLease,
-    /// Waits for a change of the records.
+    /// Watches the records for changes.
     WatchRecords,
-    /// Revokes the lease.
+    /// Revokes the lease when the controller steps down.
     RevokeLease,
 }
 
-/// A controller's role.
+/// A controller's role in the election.
 #[derive(Clone, PartialEq, Debug)]
 pub enum Role {
-    /// The leader isn't known, or not any more.
+    /// The controller doesn't lead, and doesn't know which controller does.
     Unknown,
     /// Another controller leads.
     Follower(LeaderRecord),
     /// This controller leads.
     Leader {
-        /// Its term.
+        /// The term in which this controller leads.
         term: Term,
-        /// The revision of the leader key, which every write compares.
+        /// The revision of the leader key, which every write of the leader compares.
         leader_key_revision: Revision,
     },
 }
@@ -59,62 +60,65 @@
 /// A change of this controller's leadership.
 #[derive(Clone, PartialEq, Debug)]
 pub enum LeadershipChange {
-    /// It leads from now on.
+    /// The controller has become the leader.
     Elected {
-        /// Its term.
+        /// The term in which the controller leads.
         term: Term,
-        /// The revision of the leader key, which every write compares.
+        /// The revision of the leader key, which every write of the leader compares.
         leader_key_revision: Revision,
     },
-    /// It leads no longer.
+    /// The controller has lost or given up leadership.
     Deposed,
 }
 
-/// The calls that the election wants made.
+/// The calls to submit to the key-value store on behalf of the election.
 pub type ElectionEffects = Vec<KvCall<ElectionKvCall>>;
 
-/// Whether a leader can rely on its lease.
+/// Whether a leader can rely on still holding its lease.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum LeaseConfirmation {
-    /// There is no sign that the lease has expired.
+    /// Nothing indicates that the lease has expired.
     Confirmed,
-    /// There is a sign that another controller may lead: the leader doesn't act until
-    /// a renewal has been sent and has succeeded.
+    /// Something indicates that another controller may lead. The leader doesn't act until
+    /// a newly sent renewal has succeeded.
     RenewalRequired,
-    /// As before, while a renewal is in flight that was sent before the sign. Its
-    /// success proves nothing: it may have been granted before the process paused.
+    /// As [`RenewalRequired`](Self::RenewalRequired), while a renewal is in flight that was
+    /// sent before the indication. The success of that renewal proves nothing: the store
+    /// may have granted it before the process paused.
     StaleRenewalInFlight,
 }
 
-/// One controller's part in the election.
+/// The election as seen by one controller.
 pub struct Election {
     node: String,
-    /// Tells this process from earlier ones of the same name.
+    /// Distinguishes this process from earlier ones of the same name.
     incarnation: u64,
     lease_ttl_ms: u64,
-    /// Delays this candidate, so that not all claim at the same moment.
+    /// Delays this candidate's claims and retries, so that the candidates don't all claim
+    /// at the same moment.
     stagger_ms: u64,
     role: Role,
-    /// The leader key's revision as last read; 0: the key is absent.
+    /// The leader key's revision as last read; 0 if the key is absent.
     leader_key_revision: u64,
     term_record: TermRecord,
     term_key_revision: u64,
-    /// The store's revision as last read, from which changes are watched.
+    /// The store's revision as last read, from which the next watch starts.
     store_revision: Revision,
     lease: Option<u64>,
     lease_confirmation: LeaseConfirmation,
-    /// The call whose response the next step depends on.
+    /// The call in flight whose response decides the next step.
     in_flight: Option<ElectionKvCall>,
     watch_in_flight: bool,
     next_step_ms: u64,
     last_read_ms: u64,
-    /// This node handed leadership over: others may claim first until then.
+    /// Until when this controller doesn't claim leadership after it has handed leadership
+    /// over; 0 if it hasn't.
     yielding_until_ms: u64,
 }
 
 impl Election {
-    /// A controller that doesn't know the leader. `stagger_ms` differs between
-    /// controllers.
+    /// Creates the state of a controller that doesn't know the leader. `stagger_ms` should
+    /// differ between controllers.
     pub fn new(node: &str, incarnation: u64, lease_ttl_ms: u64, stagger_ms: u64) -> Self {
         Election {
             node: node.to_string(),
@@ -139,25 +143,25 @@
         }
     }
 
-    /// This controller's role, as far as it knows.
+    /// Returns this controller's role, as far as the controller knows.
     pub fn role(&self) -> &Role {
         &self.role
     }
 
-    /// Whether this controller leads, as far as it knows.
+    /// Returns whether this controller leads, as far as the controller knows.
     pub fn is_leader(&self) -> bool {
         matches!(self.role, Role::Leader { .. })
     }
 
-    /// Whether this controller leads as far as it knows, but may have lost the lead
-    /// unnoticed.
+    /// Returns whether this controller holds the leader role but may have lost leadership
+    /// without noticing.
     pub fn leadership_unconfirmed(&self) -> bool {
         self.is_leader() && self.lease_confirmation != LeaseConfirmation::Confirmed
     }
 
-    /// Requires a renewal of the lease before this controller acts as leader again:
-    /// the process paused, or a worker reports a later term, so the lease may have
-    /// expired.
+    /// Requires a renewal of the lease before this controller acts as leader again. Called
+    /// when the lease may have expired: the process was paused, or a worker reported a
+    /// later term.
     pub fn require_renewal(&mut self, now: Now) {
         self.lease_confirmation = if self.in_flight == Some(ElectionKvCall::RenewLease) {
             LeaseConfirmation::StaleRenewalInFlight
@@ -167,7 +171,8 @@
         self.next_step_ms = now.ms;
     }
 
-    /// The other controller that leads, as far as this one knows.
+    /// Returns the peer that leads, as far as this controller knows; `None` if the leader
+    /// is unknown or is this controller.
     pub fn other_leader(&self) -> Option<&str> {
         match &self.role {
             Role::Follower(record) => Some(&record.node),
@@ -175,19 +180,20 @@
         }
     }
 
-    /// Whether this controller follows a leader whose record it read recently.
+    /// Returns whether this controller follows a leader whose record it has read recently.
     pub fn follows_recorded_leader(&self, now: Now) -> bool {
         let recent_until_ms = self.last_read_ms + self.lease_ttl_ms * RECENT_READ_TTLS;
         matches!(self.role, Role::Follower(_)) && now.ms < recent_until_ms
     }
 
-    /// Whether a leader has stored that the store's announced limits apply.
+    /// Returns whether, according to the term record, a leader has found that the store's
+    /// announced limits are in effect.
     pub fn limits_lowered(&self) -> bool {
         self.term_record.limits_lowered
     }
 
-    /// The transaction that stores, as leader, that the announced limits apply.
-    /// `None`: this controller doesn't lead.
+    /// Builds the transaction by which the leader stores that the announced limits are in
+    /// effect. Returns `None` if this controller doesn't lead.
     pub fn limits_lowered_txn(&self) -> Option<Txn> {
         let Role::Leader {
             term,
@@ -207,17 +213,19 @@
         )
     }
 
-    /// That transaction was committed.
+    /// Records that the transaction of [`limits_lowered_txn`](Self::limits_lowered_txn) was
+    /// committed.
     pub fn on_limits_lowered_stored(&mut self) {
         self.term_record.limits_lowered = true;
     }
 
-    /// The latest term known from the key-value store.
+    /// Returns the latest term that this controller has read from or written to the
+    /// key-value store.
     pub fn known_term(&self) -> Term {
         self.term_record.term
     }
 
-    /// Makes the calls that are due, and returns when to be called again.
+    /// Makes the calls that are due. Returns when to call `tick` again.
     pub fn tick(&mut self, now: Now, effects: &mut ElectionEffects) -> u64 {
         if self.in_flight.is_none() && now.ms >= self.next_step_ms {
             if self.is_leader() {
@@ -243,7 +251,8 @@
         }
     }
 
-    /// Steps down, so that the next leader reads the stored state afresh.
+    /// Gives up leadership and revokes the lease, so that a new leader is elected and
+    /// reloads the stored state.
     pub fn step_down(
         &mut self,
         now: Now,
@@ -259,8 +268,8 @@
         was_leader.then_some(LeadershipChange::Deposed)
     }
 
-    /// Hands leadership over to a controller in a better position: steps down, and
-    /// claims leadership again only if no other controller does.
+    /// Hands leadership over to a better candidate: steps down, and claims leadership
+    /// again only if no other controller does so in the meantime.
     pub fn yield_leadership(
         &mut self,
         now: Now,
@@ -270,7 +279,8 @@
         self.step_down(now, effects)
     }
 
-    /// A peer that reaches the key-value store reports another leader of a later term.
+    /// Deposes this leader if a peer that reaches the key-value store reports another
+    /// leader of a later term.
     pub fn observe_later_term(
         &mut self,
         now: Now,
--- a/src/election/responses.rs
+++ b/src/election/responses.rs
@@ -1,4 +1,4 @@
-//! How responses of the key-value store change this controller's role.
+//! Processes responses of the key-value store, which change this controller's role.
 
 use super::{Election, ElectionEffects, ElectionKvCall, LeadershipChange, LeaseConfirmation, Role};
 use crate::ids::{Revision, Term};
@@ -7,17 +7,18 @@
 use crate::records::leadership::{LeaderRecord, TermRecord, LEADER_KEY, TERM_KEY};
 use crate::wire::kv::{KeyPage, LeaseGranted, Txn, TxnResponse, WatchResponse};
 
-/// Renewals of the leader's lease within its TTL.
+/// Renewals of the leader's lease per lease TTL.
 const RENEWALS_PER_TTL: u64 = 4;
-/// Reads of the records by a follower within a TTL. The watch reports changes; the
-/// reads are for the case that it hangs, and tell a follower of an idle store that
-/// its knowledge is current.
+/// Reads of the records by a follower per lease TTL. The watch reports changes; the reads
+/// cover a watch that hangs, and confirm to the follower that its state is current while
+/// the store is idle.
 const FOLLOWER_READS_PER_TTL: u64 = 2;
-/// Attempts within a TTL after a call failed.
+/// Retries of a failed call per lease TTL.
 const RETRIES_PER_TTL: u64 = 10;
 
 impl Election {
-    /// Processes the response to a call.
+    /// Processes the response to a call. Returns the resulting change of leadership, if
+    /// any.
     pub fn on_response(
         &mut self,
         now: Now,
@@ -29,7 +30,7 @@
             ElectionKvCall::WatchRecords => self.watch_in_flight = false,
             ElectionKvCall::RevokeLease => {}
             _ if self.in_flight == Some(kv_call) => self.in_flight = None,
-            // The next step depends on another call.
+            // The response is outdated: the next step depends on another call.
             _ => return None,
         }
         match kv_call {
@@ -85,8 +86,8 @@
         self.follow_or_claim(now, leader, effects)
     }
 
-    /// Follows the leader, starts a claim, or finds that a claim whose result was
-    /// unknown has succeeded.
+    /// Follows the recorded leader, starts a claim, or becomes leader if the record shows
+    /// that a claim of indeterminate outcome has succeeded.
     fn follow_or_claim(
         &mut self,
         now: Now,
@@ -96,7 +97,7 @@
         match leader {
             Some(record) if record.node != self.node => {
                 self.role = Role::Follower(record);
-                // Another controller has claimed leadership: nothing is left to yield.
+                // Another controller has claimed leadership, so the handover is complete.
                 self.yielding_until_ms = 0;
                 self.next_step_ms = now.ms + self.lease_ttl_ms / FOLLOWER_READS_PER_TTL;
                 None
@@ -112,8 +113,8 @@
                 self.schedule_retry(now);
                 None
             }
-            // There is no leader, or it is an earlier process of this node, which is
-            // dead.
+            // There is no leader, or the record is from an earlier process of this node,
+            // which has ended.
             _ => {
                 self.role = Role::Unknown;
                 let call = kv_client::lease_grant(self.lease_ttl_ms, self.timeout_ms());
@@ -162,8 +163,8 @@
         self.submit(call, effects);
     }
 
-    /// The transaction that claims the leader key under this lease and raises the
-    /// term, provided that neither record has changed since it was read.
+    /// Builds the transaction that claims the leader key under this lease and increments
+    /// the term, provided that neither record has changed since it was read.
     fn claim_txn(&self, lease: u64) -> Txn {
         let term = self.next_term();
         let leader_record = LeaderRecord {
@@ -190,8 +191,8 @@
             let leader_key_revision = Revision(committed.revision);
             return Some(self.become_leader(now, self.next_term(), leader_key_revision));
         }
-        // The claim was lost, or its result is unknown: the next read tells. A lease
-        // that holds no key is left to expire.
+        // The claim failed, or its outcome is indeterminate: the next read of the records
+        // shows which. A lease that holds no key is left to expire.
         if response.status().is_some() {
             self.lease = None;
         }
@@ -217,8 +218,8 @@
                 self.next_step_ms = now.ms;
                 Some(LeadershipChange::Deposed)
             }
-            // The store is unavailable or the result unknown: this controller leads
-            // until the store says otherwise.
+            // The store is unavailable or the outcome indeterminate: this controller stays
+            // leader until the store reports that the lease has expired.
             _ => {
                 self.next_step_ms = now.ms + self.retry_interval_ms();
                 None
@@ -232,7 +233,8 @@
                 self.store_revision = Revision(changes.revision.max(self.store_revision.0));
             }
             _ if self.is_leader() => {}
-            // A record has changed, or the watch failed: read the records.
+            // A record has changed, or the watch has failed: schedule a read of the
+            // records.
             _ => {
                 let pause_ms = if response.status() == Some(200) {
                     self.stagger_ms
