--- a/src/gateway/admission.rs
+++ b/src/gateway/admission.rs
@@ -1,4 +1,5 @@
-//! Which submissions are accepted, and what is stored of them.
+//! Admission of submissions: decides which are accepted and builds the records that are
+//! stored for them.
 
 use crate::messages::{Now, Reply};
 use crate::placement::fits_machine_type;
@@ -13,46 +14,47 @@
 use std::rc::Rc;
 use thiserror::Error;
 
-/// What the record of a job takes beside what its user sends: times, names of
-/// fields, decimal points.
+/// An upper bound of the bytes that a job's record takes in addition to the user's
+/// request body: times, field names, decimal points.
 const RECORD_OVERHEAD_BYTES: usize = 400;
 
 /// Tolerance for rounding when amounts are compared with a limit.
 const AMOUNT_TOLERANCE: f64 = 1e-9;
 
-/// Why a submission isn't accepted. The text is sent to the user.
+/// The reason why a submission is rejected. Its text is sent to the user.
 #[derive(Debug, Error)]
 pub(super) enum Rejection {
-    /// It can't be read as a job.
+    /// The request body isn't a valid job.
     #[error(transparent)]
     Malformed(#[from] JobSpecError),
-    /// No team has this name.
+    /// The settings have no team with the name that the job gives.
     #[error("unknown team")]
     UnknownTeam,
-    /// The job alone asks for more than its team may ever use.
+    /// The job alone requests more than its team's limit.
     #[error("more than the team's limit")]
     OverTeamLimit,
-    /// No machine type that it allows could hold one of its tasks.
+    /// None of the machine types that the job allows is large enough for one of its tasks.
     #[error("a task fits no allowed machine type")]
     FitsNoMachineType,
-    /// Its tasks can't be grouped as the class asks for.
+    /// The job's tasks can't be grouped into replicas as its class requires.
     #[error(transparent)]
     Grouping(#[from] ShapeError),
-    /// Its record can't be stored whole.
+    /// The job's record is larger than a value in the key-value store may be.
     #[error("its record takes {bytes} bytes, {max_bytes} can be stored")]
     RecordTooLarge {
-        /// What its record takes.
+        /// The size of the record.
         bytes: usize,
-        /// What a value may take.
+        /// The maximum size of a value.
         max_bytes: usize,
     },
-    /// The machine types are unknown, so it is unknown whether it could ever run.
+    /// The machine types aren't known yet, so this controller can't decide whether the job
+    /// could ever run.
     #[error("machine types unknown yet")]
     CatalogUnknown,
 }
 
 impl Rejection {
-    /// The reply to its user.
+    /// Returns the reply to the user who submitted the job.
     pub(super) fn reply(&self) -> Reply {
         let reason = self.to_string();
         match self {
@@ -67,11 +69,11 @@
     }
 }
 
-/// A job that is to be accepted.
+/// A submission that has passed admission.
 #[derive(Debug)]
 pub(super) struct Submission {
     pub(super) spec: JobSpec,
-    /// How its tasks form replicas that span machines.
+    /// How the job's tasks form replicas that span machines; `None` if they don't.
     shape: Option<Shape>,
 }
 
@@ -85,13 +87,14 @@
         }
     }
 
-    /// The transaction that accepts it.
+    /// Builds the transaction that stores the job's record.
     pub(super) fn accept(&self, now: Now) -> Txn {
         let value = serde_json::to_value(self.record(now.wall)).unwrap_or_default();
         self.compare_absent().put(job_key(&self.spec.id), value)
     }
 
-    /// The transaction that accepts it when one of its dependencies is cancelled.
+    /// Builds the transaction that accepts a job one of whose dependencies is cancelled:
+    /// it stores only the final record of a cancelled job.
     pub(super) fn accept_cancelled(&self, now: Now) -> Txn {
         let record = FinalRecord {
             state: FinalState::Cancelled,
@@ -103,7 +106,7 @@
         self.compare_absent().put(final_key(&self.spec.id), value)
     }
 
-    /// A transaction that fails if the job has a record.
+    /// Returns an empty transaction that fails if the job has a record.
     fn compare_absent(&self) -> Txn {
         let id = &self.spec.id;
         Txn::default()
@@ -115,15 +118,17 @@
 /// Decides which submissions are accepted.
 pub(super) struct Admission {
     settings: Rc<Settings>,
-    /// Which new jobs span machines.
+    /// Determines which new jobs have replicas that span machines.
     replica_classes: ReplicaClasses,
-    /// The size of a value that the key-value store will always take.
+    /// The size up to which the key-value store accepts a value now and after its
+    /// announced limits have taken effect.
     max_value_bytes: usize,
     catalog: Option<Rc<Catalog>>,
 }
 
 impl Admission {
-    /// The machine types are unknown yet.
+    /// Creates an admission check without machine types. Until the machine types are set,
+    /// no submission is admitted.
     pub(super) fn new(
         settings: Rc<Settings>,
         replica_classes: ReplicaClasses,
@@ -137,18 +142,18 @@
         }
     }
 
-    /// The machine types are known.
+    /// Sets the machine types.
     pub(super) fn set_catalog(&mut self, catalog: Rc<Catalog>) {
         self.catalog = Some(catalog);
     }
 
-    /// Whether the machine types are known.
+    /// Returns whether the machine types are known.
     pub(super) fn has_catalog(&self) -> bool {
         self.catalog.is_some()
     }
 
-    /// Reads and checks a submission. A job that is known already isn't rejected, whatever
-    /// this says of its submission.
+    /// Parses and checks a submission. The caller doesn't apply a rejection to a job that
+    /// is already stored.
     pub(super) fn admit(&self, body: &[u8]) -> Result<Submission, Rejection> {
         let spec = JobSpec::parse(body)?;
         self.check_feasible(&spec)?;
@@ -160,7 +165,8 @@
         Ok(submission)
     }
 
-    /// Its record has to be written whole, and again when it is cancelled.
+    /// Checks that the job's record fits into one value, also after its cancellation has
+    /// been added.
     fn check_size(&self, submission: &Submission) -> Result<(), Rejection> {
         let mut record = submission.record(u64::MAX);
         record.cancelled_wall_ms = Some(u64::MAX);
@@ -174,7 +180,7 @@
         Ok(())
     }
 
-    /// Whether the job could ever run.
+    /// Checks that the job could ever run.
     fn check_feasible(&self, spec: &JobSpec) -> Result<(), Rejection> {
         let team = self
             .settings
@@ -194,7 +200,8 @@
         Ok(())
     }
 
-    /// How a new job's tasks form replicas that span machines.
+    /// Returns how a new job's tasks form replicas that span machines; `None` if they
+    /// don't.
     fn shape_of(&self, spec: &JobSpec) -> Result<Option<Shape>, Rejection> {
         let request = GroupingRequest {
             class: &spec.class,
@@ -207,8 +214,8 @@
     }
 }
 
-/// Whether the job can never run within its team's limit: the tasks of an array may run
-/// one after another, all others have to run at once.
+/// Returns whether the job can never run within its team's limit. The tasks of an array may
+/// run one after another; the tasks of other jobs have to run at the same time.
 fn exceeds_team_limit(spec: &JobSpec, team: &Team) -> bool {
     let concurrent_tasks = match spec.kind {
         JobKind::Array => 1.0,
--- a/src/gateway/dependencies.rs
+++ b/src/gateway/dependencies.rs
@@ -1,5 +1,5 @@
-//! Jobs with dependencies: whether a submission may name them, and whether an unfinished
-//! job is cancelled because one of its dependencies is.
+//! Jobs with dependencies: decides whether a submission may name its dependencies, and
+//! whether an unfinished job is cancelled because one of its dependencies is.
 
 use super::job_lookup::{read_final, JobLookup};
 use super::pending_request::{PendingRequest, RequestKind, RequestNumber, RequestStep};
@@ -11,16 +11,16 @@
 use crate::records::jobs::FinalState;
 use lilacfork_dependencies::status::{dependency_status, DependencyState, DependencyStatus};
 
-/// A read of how a dependency has ended.
+/// A read of a dependency's final record.
 #[derive(Debug)]
 pub(super) struct DependencyRead {
-    /// The request that waits for it.
+    /// The request that waits for the read.
     request: RequestNumber,
     dependency: JobId,
 }
 
 impl Gateway {
-    /// What the records, and what can't change any more, say of a dependency.
+    /// Returns the state of a dependency according to the job memory and the records.
     fn dependency_state<'a>(
         &self,
         dependency: &JobId,
@@ -56,7 +56,7 @@
         })
     }
 
-    /// Continues a request whose job has a record that doesn't say that it is cancelled.
+    /// Continues a request whose job has a record that shows no cancellation.
     pub(super) fn evaluate_unfinished(
         &mut self,
         now: Now,
@@ -76,8 +76,8 @@
         self.on_lookup(now, request, lookup, effects);
     }
 
-    /// Continues a submission with dependencies: the records, which were read since it
-    /// arrived, show whether these were accepted, and their state.
+    /// Continues a submission with dependencies. The records, which were read after the
+    /// submission arrived, show whether the dependencies were accepted, and their state.
     pub(super) fn evaluate_submission(
         &mut self,
         now: Now,
@@ -90,7 +90,8 @@
             return;
         };
         let dependencies = &submission.spec.dependencies;
-        // That one of them is cancelled doesn't show that the others were ever accepted.
+        // Every dependency must have been accepted, so all of them are read even if one is
+        // known to be cancelled.
         let unread: Vec<JobId> = dependencies
             .iter()
             .filter(|dependency| self.is_unread(dependency, records))
@@ -139,7 +140,7 @@
         self.requests.insert(request.number, request);
     }
 
-    /// How a dependency has ended was read, or couldn't be.
+    /// Processes the response to the read of a dependency's final record.
     pub(super) fn on_dependency_response(
         &mut self,
         now: Now,
@@ -157,8 +158,9 @@
         };
         match lookup {
             None => self.reply_unavailable(&request, effects),
-            // It had no record when all were read, and is not over: it was never accepted.
-            // A submission that was itself accepted before gets its answer all the same.
+            // The dependency had no record when all records were read, and it has no final
+            // record: it was never accepted. The rejection doesn't apply if the submission
+            // itself is a retry of one that was accepted.
             Some(JobLookup::Absent) if request.depends_on(&read.dependency) => {
                 let reason = format!("attend: no such job {}", read.dependency);
                 request.kind = RequestKind::Reject(Reply::error(422, &reason));
@@ -173,14 +175,14 @@
         }
     }
 
-    /// Whether the request waits for further reads of its dependencies.
+    /// Returns whether the request waits for further reads of its dependencies.
     fn has_dependency_reads(&self, request: RequestNumber) -> bool {
         self.dependency_reads
             .values()
             .any(|read| read.request == request)
     }
 
-    /// Continues the requests whose dependencies have all been read.
+    /// Continues the requests for which the reads of all dependencies have completed.
     pub fn resume_after_dependency_reads(
         &mut self,
         now: Now,
--- a/src/gateway/effects.rs
+++ b/src/gateway/effects.rs
@@ -1,4 +1,4 @@
-//! What the gateway wants done.
+//! The effects that the gateway requests from its controller.
 
 use super::pending_request::RequestNumber;
 use crate::ids::JobId;
@@ -6,19 +6,19 @@
 use crate::limits::RequestSize;
 use crate::messages::{ConnectionId, Reply};
 
-/// What the gateway wants done.
+/// The effects of a call of the gateway. The caller carries them out.
 #[derive(Default)]
 pub struct GatewayEffects {
-    /// A request waits for the next poll of the records.
+    /// Whether a request waits for the next poll of the records.
     pub poll_requested: bool,
-    /// Responses to users.
+    /// The replies to users' requests, by connection.
     pub replies: Vec<(ConnectionId, Reply)>,
-    /// Calls of the key-value store.
+    /// The calls to submit to the key-value store.
     pub calls: Vec<KvCall<RequestNumber>>,
-    /// Jobs whose records were just written, to be announced to the leader.
+    /// The jobs whose records were just written, which are to be announced to the leader.
     pub jobs_to_announce: Vec<JobId>,
-    /// Jobs of which a user is told here for the first time that they are cancelled.
+    /// The jobs whose cancellation one of the replies confirms.
     pub confirmed_cancellations: Vec<JobId>,
-    /// The key-value store rejected a write of this size as malformed.
+    /// The size of a write that the key-value store rejected as malformed.
     pub rejected_write: Option<RequestSize>,
 }
--- a/src/gateway/job_lookup.rs
+++ b/src/gateway/job_lookup.rs
@@ -1,4 +1,4 @@
-//! What the key-value store says of a job: its record as it was read.
+//! Job records as read from the key-value store.
 
 use crate::kv_client::KvResponse;
 use crate::records::jobs::{FinalRecord, JobRecord};
@@ -9,23 +9,24 @@
 /// An unfinished job's record as it was read.
 #[derive(Debug)]
 pub(super) struct StoredJob {
-    /// What this version knows of it.
+    /// The fields of the record that this version knows.
     pub(super) record: JobRecord,
-    /// All of it: what a later version wrote has to survive a change by this one.
+    /// The whole record: fields that a later version wrote have to survive a change by
+    /// this version.
     value: Value,
-    /// The revision of its last change.
+    /// The revision of the record's last change.
     pub(super) mod_revision: u64,
 }
 
 impl StoredJob {
-    /// Whether the job's state also depends on the records of its dependencies.
+    /// Returns whether the job's state also depends on the records of its dependencies.
     pub(super) fn has_open_dependencies(&self) -> bool {
         self.record.cancelled_wall_ms.is_none() && !self.record.spec.dependencies.is_empty()
     }
 
-    /// The same record, cancelled at this time of day. It has no dependencies any more;
-    /// and one that was accepted under larger limits must not be too large to be
-    /// cancelled.
+    /// Returns the record with a cancellation at the time of day `wall_ms` and without
+    /// dependencies. A record that was accepted under larger limits and exceeds
+    /// `max_value_bytes` also loses its machine types, so that the job can be cancelled.
     pub(super) fn into_cancelled(mut self, wall_ms: u64, max_value_bytes: usize) -> Value {
         self.value["c"] = json!(wall_ms);
         if let Some(spec) = self.value["spec"].as_object_mut() {
@@ -33,30 +34,30 @@
         }
         let bytes = serde_json::to_vec(&self.value).map_or(0, |text| text.len());
         if bytes > max_value_bytes {
-            // None of its tasks will be placed again, so the machine types can go.
+            // No task of a cancelled job is placed again, so the machine types aren't needed.
             self.value["spec"]["gammes"] = json!([]);
         }
         self.value
     }
 }
 
-/// What the key-value store says of a job.
+/// The result of looking up a job in the key-value store.
 #[derive(Debug)]
 pub(super) enum JobLookup {
-    /// There is no record.
+    /// The job has no record.
     Absent,
-    /// The record of an unfinished or cancelled job.
+    /// The record of a job that hasn't ended, read for this request.
     Live(Box<StoredJob>),
-    /// Unfinished, by a poll, which doesn't keep the records.
+    /// A poll, which doesn't keep the records, has shown that the job is unfinished.
     Unfinished,
-    /// Cancelled, by a poll.
+    /// A poll has shown that the job is cancelled.
     Cancelled,
-    /// The record of a job that is over.
+    /// The final record of a job that has ended.
     Ended(FinalRecord),
 }
 
 impl JobLookup {
-    /// Whether it may be outdated by now.
+    /// Returns whether the job's state may have changed since the lookup.
     pub(super) fn may_change(&self) -> bool {
         match self {
             JobLookup::Absent | JobLookup::Live(_) | JobLookup::Unfinished => true,
@@ -65,13 +66,15 @@
     }
 }
 
-/// A 404 from the key-value store itself names its revision; any other may come from a
-/// server that knows no jobs.
+/// Returns whether the key-value store reports that the key is absent. A 404 from the store
+/// itself includes its revision; any other 404 may come from a server that doesn't hold the
+/// records.
 fn is_absent(response: &KvResponse) -> bool {
     response.read::<TxnResponse>(404).is_some()
 }
 
-/// Reads the record of an unfinished job; `None`: the response isn't usable.
+/// Parses the response to a read of an unfinished job's record. Returns `None` if the
+/// response isn't usable.
 pub(super) fn read_live(response: &KvResponse) -> Option<JobLookup> {
     if is_absent(response) {
         return Some(JobLookup::Absent);
@@ -85,7 +88,8 @@
     })))
 }
 
-/// Reads the record of a job that is over; `None`: the response isn't usable.
+/// Parses the response to a read of a job's final record. Returns `None` if the response
+/// isn't usable.
 pub(super) fn read_final(response: &KvResponse) -> Option<JobLookup> {
     if is_absent(response) {
         return Some(JobLookup::Absent);
--- a/src/gateway/lookups.rs
+++ b/src/gateway/lookups.rs
@@ -1,5 +1,5 @@
-//! Looking up a request's job, by a poll of all records or by reads of its own, and the
-//! response that follows from what was found.
+//! Looks up a request's job, by a poll of all records or by reads of the job's own
+//! records, and replies according to the result.
 
 use super::job_lookup::{read_final, read_live, JobLookup, StoredJob};
 use super::job_memory::ImmutableFact;
@@ -13,12 +13,13 @@
 use crate::records::jobs::FinalState;
 
 impl Gateway {
-    /// Requests up to this number may be answered by a poll that is sent from now on.
+    /// Returns the number of the latest request. A poll that is sent after this call covers
+    /// all requests up to this number.
     pub fn last_request_number(&self) -> RequestNumber {
         self.last_number
     }
 
-    /// Has the request wait for a poll that is sent from now on.
+    /// Queues the request for a poll that is sent after this call.
     pub(super) fn await_poll(&mut self, mut request: PendingRequest, effects: &mut GatewayEffects) {
         request.step = RequestStep::Poll;
         effects.poll_requested = true;
@@ -26,7 +27,7 @@
         self.requests.insert(request.number, request);
     }
 
-    /// Reads a record for the request.
+    /// Sends the read of one record for the request.
     pub(super) fn read(
         &mut self,
         now: Now,
@@ -39,8 +40,8 @@
         self.requests.insert(request.number, request);
     }
 
-    /// A poll of all records, sent when the requests up to `last_number` had arrived, has
-    /// completed; `None`: it failed.
+    /// Continues the requests up to `last_number`, which had arrived when the completed
+    /// poll was sent. `records` is `None` if the poll failed.
     pub fn on_poll_completed(
         &mut self,
         now: Now,
@@ -63,7 +64,8 @@
         effects.poll_requested |= !self.awaiting_poll.is_empty();
     }
 
-    /// Continues a request by the records, which were read since it arrived.
+    /// Continues a request according to the records, which were read after the request
+    /// arrived.
     pub(super) fn evaluate(
         &mut self,
         now: Now,
@@ -71,8 +73,8 @@
         records: &Cancellations,
         effects: &mut GatewayEffects,
     ) {
-        // What is known to be accepted isn't written again: that would only cost a write
-        // that fails.
+        // A job that is known to be accepted isn't written again, because the write would
+        // only fail.
         let is_new = request.retries == 0 && self.memory.fact(&request.id).is_none();
         match records.record_status(&request.id) {
             RecordStatus::Cancelled => {
@@ -86,7 +88,7 @@
         }
     }
 
-    /// The record of the unfinished job was read, or couldn't be.
+    /// Processes the response to the read of the unfinished job's record.
     pub(super) fn on_live_response(
         &mut self,
         now: Now,
@@ -101,7 +103,7 @@
         }
     }
 
-    /// The record of the job that is over was read, or couldn't be.
+    /// Processes the response to the read of the job's final record.
     pub(super) fn on_final_response(
         &mut self,
         now: Now,
@@ -115,7 +117,7 @@
         }
     }
 
-    /// A read made for this request, or a poll, has shown the state of its job.
+    /// Replies to or continues a request whose job was looked up by a read or a poll.
     pub(super) fn on_lookup(
         &mut self,
         now: Now,
@@ -123,8 +125,8 @@
         lookup: JobLookup,
         effects: &mut GatewayEffects,
     ) {
-        // What isn't final may have changed since it was read, if that took so long that
-        // other requests have been answered meanwhile.
+        // A state that isn't final may have changed if the read took so long that other
+        // requests have received replies in the meantime.
         if lookup.may_change() && now.ms >= request.deadline_ms {
             self.reply_unavailable(&request, effects);
             return;
@@ -146,7 +148,7 @@
         effects.replies.push((request.conn, reply));
     }
 
-    /// The unfinished job's record was read.
+    /// Replies to or continues a request whose job has a record and hasn't ended.
     fn on_live_job(
         &mut self,
         now: Now,
@@ -156,7 +158,8 @@
     ) {
         let is_cancellation = matches!(request.kind, RequestKind::Cancel);
         if !is_cancellation && job.has_open_dependencies() {
-            // Its own record doesn't say whether one of its dependencies is cancelled.
+            // The job's own record doesn't show whether one of its dependencies is
+            // cancelled.
             if self.polls_complete {
                 self.await_poll(request, effects);
             } else {
@@ -175,23 +178,24 @@
         effects.replies.push((request.conn, reply));
     }
 
-    /// The reply to a request whose job was unfinished when it was read.
+    /// Returns the reply to a request whose job was unfinished when it was read.
     fn unfinished_job_reply(&mut self, now: Now, id: &JobId) -> Reply {
-        // Another request may have found that it is over meanwhile.
+        // Another request may have found in the meantime that the job has ended.
         match self.memory.fact(id) {
             Some(ImmutableFact::Ended { state, tasks }) => final_reply(200, id, state, tasks),
             _ => self.accepted_reply(now, id, 200),
         }
     }
 
-    /// The reply for a job that is stored and unfinished.
+    /// Returns the reply for a job that is stored and unfinished, and records that the job
+    /// is accepted.
     pub(super) fn accepted_reply(&mut self, now: Now, id: &JobId, status: u16) -> Reply {
         self.memory.set_accepted(id);
         unfinished_reply(status, id, self.memory.displayed_progress(now, id))
     }
 
-    /// The reply that a job is cancelled, with the effect that records in the same turn what
-    /// the user is told.
+    /// Returns the reply that confirms a cancellation, and adds the effect by which the
+    /// controller records this confirmation in the same turn.
     pub(super) fn confirm_cancelled(
         &mut self,
         id: &JobId,
@@ -204,7 +208,7 @@
     }
 }
 
-/// The reply to a request whose job has no record.
+/// Returns the reply to a request whose job has no record.
 fn absent_reply(kind: &RequestKind) -> Reply {
     match kind {
         RequestKind::Reject(reply) => reply.clone(),
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -1,6 +1,6 @@
-//! Users' requests, on any controller. The controller that receives a request writes
-//! the job or the cancellation itself and then responds; the leader learns of it from
-//! the key-value store.
+//! Handles users' requests on any controller. The controller that receives a request writes
+//! the job or the cancellation itself and then replies; the leader learns of the change
+//! from the key-value store.
 
 mod admission;
 mod dependencies;
@@ -31,31 +31,32 @@
 use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
 
-/// How often a request reads anew: its job after a write that failed, or the job's
-/// dependencies.
+/// How often a request repeats a read: that of its job after a failed write, or that of the
+/// job's dependencies.
 const MAX_RETRIES: u32 = 5;
 
-/// Users' requests that have no response yet, and what is known of jobs for good.
+/// The state of users' requests that have no reply yet, and the cache of jobs.
 pub struct Gateway {
     admission: Admission,
-    /// The size of a value that the key-value store will always take.
+    /// The size up to which the key-value store accepts a value now and after its
+    /// announced limits have taken effect.
     guaranteed_value_bytes: usize,
     memory: JobMemory,
     requests: HashMap<RequestNumber, PendingRequest>,
-    /// The requests that wait for a poll, in the order of arrival.
+    /// The requests that wait for a poll, in order of arrival.
     awaiting_poll: VecDeque<RequestNumber>,
-    /// Reads of other jobs' dependencies that have no response yet.
+    /// The reads of dependencies that are in flight, by their own numbers.
     dependency_reads: HashMap<RequestNumber, DependencyRead>,
-    /// The requests whose dependencies have all been read.
+    /// The requests for which the reads of all dependencies have completed.
     resumable_requests: Vec<RequestNumber>,
-    /// Whether a poll shows the state of every job.
+    /// Whether a poll brings the state of every job up to date.
     polls_complete: bool,
     last_number: RequestNumber,
 }
 
 impl Gateway {
-    /// Knows nothing yet; a leader that isn't heard for `leader_timeout_ms` may no longer
-    /// lead.
+    /// Creates a gateway without machine types and with an empty cache of jobs. A leader
+    /// that hasn't been confirmed for `leader_timeout_ms` may no longer lead.
     pub fn new(
         settings: Rc<Settings>,
         replica_classes: ReplicaClasses,
@@ -76,34 +77,35 @@
         }
     }
 
-    /// The machine types are known.
+    /// Sets the machine types.
     pub fn set_catalog(&mut self, catalog: Rc<Catalog>) {
         self.admission.set_catalog(catalog);
     }
 
-    /// Whether the machine types are known.
+    /// Returns whether the machine types are known.
     pub fn has_catalog(&self) -> bool {
         self.admission.has_catalog()
     }
 
-    /// The leader of this term is heard, and stands by what it has reported.
+    /// Records that the leader of this term still leads, so that the progress it has
+    /// reported remains valid.
     pub fn confirm_leader(&mut self, now: Now, term: Term) {
         self.memory.confirm_leader(now, term);
     }
 
-    /// The progress of a job as the leader of this term reports it.
+    /// Records the progress of a job that the leader of this term reports.
     pub fn record_progress(&mut self, id: &JobId, term: Term, progress: TaskProgress) {
         self.memory.record_progress(id, term, progress);
     }
 
-    /// Whether a poll of the records shows the state of every job from now on.
+    /// Sets whether a poll of the records brings the state of every job up to date.
     pub fn set_polls_complete(&mut self, complete: bool) {
         self.polls_complete = complete;
     }
 
     // ---- new requests ----
 
-    /// A submission.
+    /// Starts a request that submits a job.
     pub fn submit(
         &mut self,
         now: Now,
@@ -119,7 +121,8 @@
             }
             Err(rejection) => {
                 let reply = rejection.reply();
-                // A known job gets its 200 whatever else is wrong with the retry.
+                // A submission of a job that is already stored is a retry and gets status
+                // 200, even if it would now be rejected.
                 match peek_job_id(body) {
                     Some(id) => self.begin(now, conn, id, RequestKind::Reject(reply), effects),
                     None => effects.replies.push((conn, reply)),
@@ -128,12 +131,12 @@
         }
     }
 
-    /// A query for a job's state.
+    /// Starts a query for a job's state.
     pub fn query(&mut self, now: Now, conn: ConnectionId, id: &str, effects: &mut GatewayEffects) {
         self.begin_by_name(now, conn, id, RequestKind::Query, effects);
     }
 
-    /// A cancellation.
+    /// Starts a request that cancels a job.
     pub fn cancel(&mut self, now: Now, conn: ConnectionId, id: &str, effects: &mut GatewayEffects) {
         self.begin_by_name(now, conn, id, RequestKind::Cancel, effects);
     }
@@ -162,7 +165,7 @@
         effects: &mut GatewayEffects,
     ) {
         let fact = self.memory.fact(&id);
-        // A job that is over stays as it is, so no read is needed.
+        // The state of a job that has ended never changes, so no read is needed.
         if let Some(ImmutableFact::Ended { state, tasks }) = fact {
             let reply = final_reply(200, &id, state, tasks);
             effects.replies.push((conn, reply));
@@ -180,13 +183,14 @@
 
     fn first_step(&self, kind: &RequestKind, accepted: bool) -> RequestStep {
         match kind {
-            // An idempotent request repeated would only cost a write that fails.
+            // A job that is known to be accepted isn't written again, because the write
+            // would only fail.
             RequestKind::Submit(submission)
                 if !accepted && submission.spec.dependencies.is_empty() =>
             {
                 RequestStep::Write
             }
-            // A cancellation changes the record, so it needs all of it.
+            // A cancellation changes the record, so it needs the whole record.
             RequestKind::Cancel => RequestStep::ReadLive,
             _ if self.polls_complete => RequestStep::Poll,
             _ => RequestStep::ReadLive,
@@ -195,7 +199,7 @@
 
     // ---- responses and time ----
 
-    /// The response to a call.
+    /// Processes the response to a call of the key-value store.
     pub fn on_kv_response(
         &mut self,
         now: Now,
@@ -213,7 +217,7 @@
         match request.step {
             RequestStep::ReadLive => self.on_live_response(now, request, &response, effects),
             RequestStep::ReadFinal => self.on_final_response(now, request, &response, effects),
-            // Its own number belongs to no call.
+            // In these steps no call in flight has the request's own number.
             RequestStep::Poll | RequestStep::ReadDependencies => {
                 self.reply_unavailable(&request, effects)
             }
@@ -221,8 +225,8 @@
         }
     }
 
-    /// Responds to requests that have waited too long for a poll. Returns when the next one
-    /// will have.
+    /// Replies to the requests whose deadline has passed while they waited for a poll.
+    /// Returns the deadline of the next such request.
     pub fn tick(&mut self, now: Now, effects: &mut GatewayEffects) -> u64 {
         while let Some(number) = self.awaiting_poll.front() {
             let deadline_ms = self
@@ -240,8 +244,9 @@
         u64::MAX
     }
 
-    /// The process was paused: what was read for requests before may be older than what
-    /// other controllers have told users since. The users are asked to retry.
+    /// Aborts all pending requests after the process was paused, and asks their users to
+    /// retry. What was read for these requests may be older than what other controllers
+    /// have replied to users during the pause.
     pub fn abort_after_pause(&mut self, effects: &mut GatewayEffects) {
         self.awaiting_poll.clear();
         self.dependency_reads.clear();
--- a/src/gateway/pending_request.rs
+++ b/src/gateway/pending_request.rs
@@ -1,5 +1,5 @@
-//! Users' requests that wait for the key-value store, and the calls that are made for
-//! them.
+//! Users' requests that wait for the key-value store, and the calls that are made on
+//! their behalf.
 
 use super::admission::Submission;
 use crate::ids::JobId;
@@ -9,27 +9,28 @@
 use crate::records::jobs::{final_key, job_key};
 use crate::wire::kv::Txn;
 
-/// The number of a user's request, in the order of arrival.
+/// The number of a user's request or of a read for it, in ascending order of creation.
 pub type RequestNumber = u64;
 
-/// Every request has a response within this time, whatever happens; users wait 5 s for
-/// submissions and 2 s for queries.
+/// The time within which every submission or cancellation gets a reply, even if the
+/// key-value store doesn't respond. Users wait 5 s for the reply to a submission.
 const WRITE_TIMEOUT_MS: u64 = 3000;
+/// The time within which every query gets a reply. Users wait 2 s for the reply to a query.
 const READ_TIMEOUT_MS: u64 = 1700;
 
-/// What a user asks for.
+/// The operation that a user requests.
 #[derive(Debug)]
 pub(super) enum RequestKind {
     Submit(Box<Submission>),
-    /// A submission that is rejected with this reply unless the job is known already:
-    /// a submission is an idempotent request.
+    /// A submission that is rejected with this reply unless the job is already stored:
+    /// submissions are idempotent.
     Reject(Reply),
     Query,
     Cancel,
 }
 
 impl RequestKind {
-    /// How long it may take until the user has a response.
+    /// Returns the time within which the user gets a reply.
     pub(super) fn timeout_ms(&self) -> u64 {
         match self {
             RequestKind::Query => READ_TIMEOUT_MS,
@@ -48,22 +49,22 @@
     }
 }
 
-/// What a request waits for.
+/// The call or event that a request waits for.
 #[derive(Debug, PartialEq, Eq, Clone, Copy)]
 pub(super) enum RequestStep {
     /// The next poll of all records.
     Poll,
-    /// The record of the unfinished job.
+    /// The read of the unfinished job's record.
     ReadLive,
-    /// The record of the job that is over.
+    /// The read of the job's final record.
     ReadFinal,
-    /// How the job's dependencies have ended.
+    /// The reads of the final records of the job's dependencies.
     ReadDependencies,
-    /// Its write.
+    /// The write of the job's record or of its cancellation.
     Write,
 }
 
-/// A user's request that has no response yet.
+/// A user's request that has no reply yet.
 #[derive(Debug)]
 pub(super) struct PendingRequest {
     pub(super) number: RequestNumber,
@@ -71,21 +72,22 @@
     pub(super) id: JobId,
     pub(super) kind: RequestKind,
     pub(super) step: RequestStep,
-    /// How often a write whose compares failed, or whose outcome is unknown, was
-    /// followed by another read.
+    /// How often another read was made after a write whose compares failed or whose outcome
+    /// is indeterminate.
     pub(super) retries: u32,
-    /// The job is cancelled from the start, since one of its dependencies is.
+    /// Whether the job is to be accepted as already cancelled, because one of its
+    /// dependencies is cancelled.
     pub(super) cancelled_by_dependency: bool,
-    /// How often the job's dependencies were read.
+    /// How many rounds of reads of the job's dependencies were made.
     pub(super) dependency_rounds: u32,
-    /// How large its write was.
+    /// The size of the latest write; zero before the first write.
     pub(super) write_size: RequestSize,
     pub(super) received_ms: u64,
     pub(super) deadline_ms: u64,
 }
 
 impl PendingRequest {
-    /// A request that has just arrived.
+    /// Creates a request that has just arrived, and sets its deadline.
     pub(super) fn new(
         now: Now,
         number: RequestNumber,
@@ -113,7 +115,8 @@
         self.deadline_ms.saturating_sub(now.ms).max(1)
     }
 
-    /// Whether it is a submission, not written yet, with this dependency.
+    /// Returns whether the request is a submission with this dependency that hasn't been
+    /// written yet.
     pub(super) fn depends_on(&self, dependency: &JobId) -> bool {
         match &self.kind {
             RequestKind::Submit(submission) => {
@@ -123,7 +126,7 @@
         }
     }
 
-    /// The read of the job's record that its step waits for.
+    /// Builds the read of the job's record that the request's step waits for.
     pub(super) fn read_call(&self, now: Now) -> KvCall<RequestNumber> {
         let key = match self.step {
             RequestStep::ReadFinal => final_key(&self.id),
@@ -132,7 +135,8 @@
         self.get_call(now, self.kind.read_priority(), self.number, &key)
     }
 
-    /// The read of how a dependency has ended; `number` is the read's own.
+    /// Builds the read of a dependency's final record. `number` is the number of the read,
+    /// not of the request.
     pub(super) fn dependency_read_call(
         &self,
         now: Now,
@@ -147,7 +151,7 @@
         )
     }
 
-    /// A read of one record within the request's time.
+    /// Builds a read of one record that expires at the request's deadline.
     fn get_call(
         &self,
         now: Now,
@@ -164,15 +168,15 @@
         }
     }
 
-    /// The write that it waits for.
+    /// Builds the write that the request waits for.
     pub(super) fn write_call(
         &self,
         now: Now,
         priority: CallPriority,
         txn: &Txn,
     ) -> KvCall<RequestNumber> {
-        // Half of the remaining time, so that a write of unknown outcome can still be
-        // followed by a read.
+        // The write gets half of the remaining time, so that a read can still follow a
+        // write of indeterminate outcome.
         let timeout_ms = (self.remaining_ms(now) / 2).max(1);
         let (call, writes) = kv_client::txn(txn, timeout_ms);
         KvCall {
--- a/src/gateway/writes.rs
+++ b/src/gateway/writes.rs
@@ -1,4 +1,5 @@
-//! Writing what a request asks for: the record of an accepted job, or a cancellation.
+//! Writes the changes that users request: the record of an accepted job, or a
+//! cancellation.
 
 use super::job_lookup::StoredJob;
 use super::pending_request::{PendingRequest, RequestKind, RequestStep};
@@ -10,7 +11,7 @@
 use crate::wire::kv::Txn;
 
 impl Gateway {
-    /// Writes the record of a job that is to be accepted.
+    /// Sends the write of the record that accepts a job.
     pub(super) fn accept(
         &mut self,
         now: Now,
@@ -29,7 +30,7 @@
         self.write(now, request, CallPriority::Submission, &txn, effects);
     }
 
-    /// Writes to an unfinished job's record that it is cancelled.
+    /// Sends the write that adds the cancellation to an unfinished job's record.
     pub(super) fn write_cancellation(
         &mut self,
         now: Now,
@@ -59,7 +60,7 @@
         self.requests.insert(request.number, request);
     }
 
-    /// The response to a request's write.
+    /// Processes the response to a request's write.
     pub(super) fn on_write_response(
         &mut self,
         now: Now,
@@ -71,7 +72,8 @@
             KvResponse::Status(200, _) if response.committed().is_some() => {
                 self.on_committed(now, request, effects);
             }
-            // Another controller wrote first, or the outcome is unknown: a read shows it.
+            // Another controller wrote first, or the outcome is indeterminate: a read
+            // shows which.
             KvResponse::Status(200 | 409, _) | KvResponse::Indeterminate
                 if request.retries < MAX_RETRIES =>
             {
