--- a/src/records/catalog.rs
+++ b/src/records/catalog.rs
@@ -1,6 +1,5 @@
-//! The record of the machine types (`catalog`), in the form in which the cloud lists
-//! them.
+//! The record of the machine types (`catalog`), in the format of the cloud's catalog.
 
-/// The key under which every controller finds the machine types, even while the
-/// cloud is unavailable.
+/// The key of the record, from which every controller can read the machine types even while
+/// the cloud is unavailable.
 pub const CATALOG_KEY: &str = "catalog";
--- a/src/records/lease_proxies.rs
+++ b/src/records/lease_proxies.rs
@@ -1,35 +1,36 @@
 //! Records of lease proxying (`h/NODE/N`): the machines whose leases a follower renews
-//! while they can't reach the leader. They are hints.
+//! while these machines can't reach the leader. The records are hints.
 
 use crate::ids::AgentEpoch;
 use serde::{Deserialize, Serialize};
 
-/// Bytes of a record beside its rows, generously.
+/// An upper bound of a record's size without its rows.
 const MAX_RECORD_OVERHEAD_BYTES: usize = 128;
-/// Bytes of a row beside the machine's name, generously.
+/// An upper bound of a row's size without the machine's name.
 const MAX_ROW_OVERHEAD_BYTES: usize = 28;
 
-/// Prefix of the records of lease proxying.
+/// The key prefix of the records of lease proxying.
 pub const LEASE_PROXY_PREFIX: &str = "h/";
 
-/// The record of the machines whose leases a follower renews.
+/// A record of machines whose leases a follower renews.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 pub struct LeaseProxyRecord {
-    /// Time of day at which it was written, milliseconds.
+    /// The time of day at which the record was written, in milliseconds.
     #[serde(rename = "t")]
     pub written_wall_ms: u64,
-    /// Each machine with the epoch of its agent.
+    /// The names of the machines, each with its agent epoch.
     #[serde(rename = "m")]
     pub machines: Vec<(String, AgentEpoch)>,
 }
 
-/// The key of a follower's record of this number.
+/// Returns the key of the record with this number of the follower `node`.
 pub fn lease_proxy_key(node: &str, number: usize) -> String {
     format!("{LEASE_PROXY_PREFIX}{node}/{number}")
 }
 
-/// Divides machines into as many records as the size limit of a value requires: with
-/// a truncated list the leader would declare machines failed whose leases are renewed.
+/// Divides the machines into as many records as the size limit of a value requires. The
+/// list isn't truncated, because the leader would declare machines failed that are missing
+/// from it although their leases are renewed.
 pub fn split_into_records(
     machines: Vec<(String, AgentEpoch)>,
     max_value_bytes: usize,
--- a/src/records/mod.rs
+++ b/src/records/mod.rs
@@ -1,9 +1,9 @@
-//! What is stored in the key-value store: keys, formats, versions, and how records are
-//! split to stay below the store's limits.
+//! The records in the key-value store: their keys, formats and versions, and how they are
+//! split to stay within the store's limits.
 //!
-//! Records are below all actors: nothing here depends on who reads or writes them. A
-//! format that a released version has written stays readable; docs/DEPENDENCIES.md
-//! has the formats of both versions that may work on one set of data.
+//! This module doesn't depend on the actors that read and write the records. Formats that
+//! a released version has written stay readable; docs/DEPENDENCIES.md describes the formats
+//! of both versions that may use the same data.
 //!
 //! | key | record | written by |
 //! | --- | --- | --- |
@@ -21,12 +21,12 @@
 pub mod lease_proxies;
 pub mod placements;
 
-/// Identifies the write that put a final record or a placement record.
+/// Returns the id of the write that stored a final record or a placement record.
 pub fn write_id_of(record: &serde_json::Value) -> Option<u64> {
     record.get("w").and_then(|id| id.as_u64())
 }
 
-/// Whether a field has its default value and can be left out of a record.
+/// Returns whether a field has its default value and can be left out of a record.
 fn is_default<T: Default + PartialEq>(value: &T) -> bool {
     *value == T::default()
 }
--- a/src/records/placements.rs
+++ b/src/records/placements.rs
@@ -1,48 +1,49 @@
-//! Placement records: where the tasks of a range of a job are (`p/ID/N`, or
-//! `p/ID/FIRST-LAST` for ranges that were split).
+//! Placement records: the assignments of the tasks in one placement range of a job
+//! (`p/ID/N`, or `p/ID/FIRST-LAST` for ranges that were split).
 
 use crate::ids::{AgentEpoch, Attempt, JobId, MachineId};
 use lilacfork_replica_groups::record::GroupRecord;
 use serde::{Deserialize, Serialize};
 
-/// Prefix of the placement records.
+/// The key prefix of the placement records.
 pub const PLACEMENT_PREFIX: &str = "p/";
 
-/// Bytes that one assignment may take in a stored record, generously.
+/// An upper bound of the size of one assignment in a stored record.
 const MAX_ASSIGNMENT_BYTES: usize = 80;
-/// Bytes of a record beside its assignments and its finished tasks, generously.
+/// An upper bound of a record's size without its assignments, done tasks and groups.
 const MAX_RECORD_OVERHEAD_BYTES: usize = 200;
-/// Bytes of a migration's target in a stored record, generously.
+/// An upper bound of the size of a migration's target in a stored record.
 const MAX_MIGRATION_TARGET_BYTES: usize = 60;
-/// The share of the limit that a record keeps free after a split: attempts, agent
-/// epochs and names of machines get longer.
+/// The share of the size limit that a record leaves free after a split, because attempts,
+/// agent epochs and machine names get longer.
 const RECORD_HEADROOM_SHARE: f64 = 0.25;
 
-/// Tasks per stored record, so that a full one stays under `value_kb`.
+/// Returns how many tasks a record covers, so that a record with all of them assigned stays
+/// below `value_kb`.
 pub fn tasks_per_record(value_kb: f64) -> u32 {
     ((value_kb * 1024.0 / MAX_ASSIGNMENT_BYTES as f64) as u32).clamp(16, 4096)
 }
 
-/// The most bytes of a record for this many tasks, with all of them assigned.
+/// Returns an upper bound of the size of a record for this many tasks, all of them assigned.
 pub fn max_record_bytes(tasks: u32) -> usize {
     MAX_RECORD_OVERHEAD_BYTES + MAX_ASSIGNMENT_BYTES * tasks as usize
 }
 
-/// Which tasks a record is for.
+/// The name of a placement range within its job, as used in the record's key.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum RangeName {
-    /// The range of this number in the division into equal ranges.
+    /// The range with this number when the job is divided into ranges of equal size.
     Uniform(u32),
-    /// The tasks from the first to the last, whatever other records hold of them.
+    /// The tasks from `first` to `last`, even if the range of another record includes them.
     Tasks {
-        /// The first task.
+        /// The number of the first task.
         first: u32,
-        /// The last task.
+        /// The number of the last task, which is part of the range.
         last: u32,
     },
 }
 
-/// The key of a placement record.
+/// Returns the key of a job's placement record.
 pub fn placement_key(id: &JobId, name: RangeName) -> String {
     match name {
         RangeName::Uniform(number) => format!("{PLACEMENT_PREFIX}{id}/{number}"),
@@ -50,8 +51,8 @@
     }
 }
 
-/// The job that a placement record's key names, and which record it is; an inner
-/// `None`: the name has a form that this version doesn't know.
+/// Parses the key of a placement record into the job and the range. The inner `None` means
+/// that this version doesn't know the form of the range's name.
 pub fn parse_placement_key(key: &str) -> Option<(JobId, Option<RangeName>)> {
     let (job, name) = key.strip_prefix(PLACEMENT_PREFIX)?.split_once('/')?;
     Some((JobId::new(job), parse_name(name)))
@@ -67,23 +68,23 @@
     }
 }
 
-/// A task that may be on a machine, as it is stored.
+/// A stored assignment: a task that may be on a machine.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 #[serde(from = "RowFields", into = "RowFields")]
 pub struct AssignmentRow {
-    /// The task's number.
+    /// The task's number within the job.
     pub task: u32,
-    /// Its attempt.
+    /// The attempt of the task that is assigned.
     pub attempt: Attempt,
-    /// The machine.
+    /// The machine to which the task is assigned.
     pub machine: MachineId,
-    /// The epoch of the machine's agent when the task was bound to it.
+    /// The machine's agent epoch when the task was assigned to it.
     pub agent_epoch: AgentEpoch,
-    /// The machine's zone, by its position in the settings.
+    /// The machine's zone, as its index in the settings.
     pub zone: u32,
 }
 
-/// The stored form of an [`AssignmentRow`]: its fields as an array.
+/// The stored form of an [`AssignmentRow`]: an array of its fields in this order.
 type RowFields = (u32, Attempt, MachineId, AgentEpoch, u32);
 
 impl From<RowFields> for AssignmentRow {
@@ -110,35 +111,37 @@
     }
 }
 
-/// The placement record of a range of a job's tasks.
+/// The value of a placement record: the state of one range of a job's tasks.
 #[derive(Clone, PartialEq, Debug, Default, Serialize, Deserialize)]
 pub struct PlacementRecord {
     /// The next attempt; attempts are never reused within a range.
     #[serde(rename = "n")]
     pub next_attempt: Attempt,
-    /// Identifies the write, so that its author can tell whether it was carried out.
+    /// Identifies the write, so that the controller that sent it can determine whether it
+    /// was applied.
     #[serde(rename = "w")]
     pub write_id: u64,
-    /// How many tasks each of the equal ranges has that the job was divided into
-    /// first. Versions before 0.2 work it out from their settings and leave it out.
+    /// The number of tasks in each of the equal ranges into which the job was first
+    /// divided. Versions before 0.2 derive it from their settings and leave the field out.
     #[serde(rename = "z", default, skip_serializing_if = "super::is_default")]
     pub tasks_per_range: u32,
-    /// Done tasks as ranges: `0-4,7`.
+    /// The done tasks as ranges, such as `0-4,7`.
     #[serde(rename = "d", default, skip_serializing_if = "String::is_empty")]
     pub done: String,
-    /// The tasks that may be on a machine.
+    /// The assignments of the tasks that may be on a machine.
     #[serde(rename = "a", default, skip_serializing_if = "Vec::is_empty")]
     pub assigned: Vec<AssignmentRow>,
-    /// Failed probes of a job that fails everywhere, plus one; 0: it doesn't.
+    /// The state of the job's circuit breaker: 0 if it is closed, otherwise one more than
+    /// the number of failed probes.
     #[serde(rename = "f", default, skip_serializing_if = "super::is_default")]
     pub failures: u32,
-    /// Replica groups with more state than where their parts are.
+    /// The replica groups that have state beyond the assignments of their parts.
     #[serde(rename = "g", default, skip_serializing_if = "Vec::is_empty")]
     pub groups: Vec<GroupRecord>,
 }
 
 impl PlacementRecord {
-    /// An upper bound of its size when stored.
+    /// Returns an upper bound of the record's size when stored.
     pub fn max_bytes(&self) -> usize {
         let intents = self.groups.iter().flat_map(|group| &group.intent);
         let targets: usize = intents.map(|intent| intent.targets.len()).sum();
@@ -147,18 +150,19 @@
         MAX_RECORD_OVERHEAD_BYTES + self.done.len() + rows + groups
     }
 
-    /// Whether its size when stored is within the limit.
+    /// Returns whether the record's size when stored is at most `max_value_bytes`.
     pub fn fits(&self, max_value_bytes: usize) -> bool {
         self.max_bytes() <= max_value_bytes || self.bytes() <= max_value_bytes
     }
 
-    /// Its size when stored.
+    /// Returns the record's size when stored.
     pub fn bytes(&self) -> usize {
         serde_json::to_vec(self).map_or(usize::MAX, |text| text.len())
     }
 
-    /// How many tasks a record should have to stay below the limit, if they are like
-    /// these.
+    /// Returns how many tasks a record may have to stay within the limit and leave
+    /// `RECORD_HEADROOM_SHARE` of it free, if the average size per assignment stays the
+    /// same.
     pub fn tasks_that_fit(&self, max_value_bytes: usize) -> u32 {
         let rows = self.assigned.len().max(1);
         let per_row = self.bytes().div_ceil(rows).max(1);
@@ -167,7 +171,7 @@
     }
 }
 
-/// Task numbers, in order, as ranges: `0-4,7`.
+/// Formats ascending task numbers as ranges, such as `0-4,7`.
 pub fn format_task_ranges(tasks: impl Iterator<Item = u32>) -> String {
     let mut text = String::new();
     let mut current: Option<(u32, u32)> = None;
@@ -198,8 +202,8 @@
     text
 }
 
-/// Parses ranges of task numbers below `limit`; `None`: they aren't of the form that
-/// [`format_task_ranges`] gives.
+/// Parses ranges of task numbers below `limit`. Returns `None` if the text isn't of the form
+/// that [`format_task_ranges`] produces, or if a number is too large.
 pub fn parse_task_ranges(text: &str, limit: u32) -> Option<Vec<u32>> {
     let mut tasks = Vec::new();
     if text.is_empty() {
