--- a/src/cancellations/peer_logs.rs
+++ b/src/cancellations/peer_logs.rs
@@ -5,7 +5,8 @@
 use crate::wire::peers::{ConfirmationCursor, ConfirmedCancellations};
 use crate::wire::users::valid_job_id;
 
-/// The state of replication between this controller's log and one peer's log.
+/// The position up to which one peer's log is known here, and the position up to which that
+/// peer knows this controller's log.
 #[derive(Debug, Default)]
 pub(super) struct PeerLog {
     name: String,
--- a/src/gateway/dependencies.rs
+++ b/src/gateway/dependencies.rs
@@ -1,7 +1,7 @@
 //! Jobs with dependencies: decides whether a submission may name its dependencies, and
 //! whether an unfinished job is cancelled because one of its dependencies is.
 
-use super::job_lookup::{read_final, JobLookup};
+use super::job_lookup::{parse_final_record, JobLookup};
 use super::pending_request::{PendingRequest, RequestKind, RequestNumber, RequestStep};
 use super::{Gateway, GatewayEffects, MAX_RETRIES};
 use crate::cancellations::{Cancellations, RecordStatus};
@@ -57,7 +57,7 @@
     }
 
     /// Continues a request whose job has a record that shows no cancellation.
-    pub(super) fn evaluate_unfinished(
+    pub(super) fn continue_unfinished(
         &mut self,
         now: Now,
         request: PendingRequest,
@@ -78,7 +78,7 @@
 
     /// Continues a submission with dependencies. The records, which were read after the
     /// submission arrived, show whether the dependencies were accepted, and their state.
-    pub(super) fn evaluate_submission(
+    pub(super) fn continue_submission(
         &mut self,
         now: Now,
         mut request: PendingRequest,
@@ -148,7 +148,7 @@
         response: &KvResponse,
         effects: &mut GatewayEffects,
     ) {
-        let lookup = read_final(response);
+        let lookup = parse_final_record(response);
         if let Some(JobLookup::Ended(record)) = &lookup {
             self.memory
                 .set_ended(&read.dependency, record.state, record.tasks);
@@ -164,7 +164,7 @@
             Some(JobLookup::Absent) if request.depends_on(&read.dependency) => {
                 let reason = format!("attend: no such job {}", read.dependency);
                 request.kind = RequestKind::Reject(Reply::error(422, &reason));
-                self.read(now, request, RequestStep::ReadFinal, effects);
+                self.read(now, request, RequestStep::ReadFinalRecord, effects);
             }
             Some(_) => {
                 self.requests.insert(read.request, request);
@@ -191,7 +191,7 @@
     ) {
         for number in std::mem::take(&mut self.resumable_requests) {
             if let Some(request) = self.requests.remove(&number) {
-                self.evaluate(now, request, records, effects);
+                self.continue_with_records(now, request, records, effects);
             }
         }
     }
--- a/src/gateway/job_lookup.rs
+++ b/src/gateway/job_lookup.rs
@@ -47,7 +47,7 @@
     /// The job has no record.
     Absent,
     /// The record of a job that hasn't ended, read for this request.
-    Live(Box<StoredJob>),
+    Record(Box<StoredJob>),
     /// A poll, which doesn't keep the records, has shown that the job is unfinished.
     Unfinished,
     /// A poll has shown that the job is cancelled.
@@ -60,7 +60,7 @@
     /// Returns whether the job's state may have changed since the lookup.
     pub(super) fn may_change(&self) -> bool {
         match self {
-            JobLookup::Absent | JobLookup::Live(_) | JobLookup::Unfinished => true,
+            JobLookup::Absent | JobLookup::Record(_) | JobLookup::Unfinished => true,
             JobLookup::Cancelled | JobLookup::Ended(_) => false,
         }
     }
@@ -75,13 +75,13 @@
 
 /// Parses the response to a read of an unfinished job's record. Returns `None` if the
 /// response isn't usable.
-pub(super) fn read_live(response: &KvResponse) -> Option<JobLookup> {
+pub(super) fn parse_job_record(response: &KvResponse) -> Option<JobLookup> {
     if is_absent(response) {
         return Some(JobLookup::Absent);
     }
     let item = response.read::<KeyValue>(200)?;
     let record = JobRecord::deserialize(&item.value).ok()?;
-    Some(JobLookup::Live(Box::new(StoredJob {
+    Some(JobLookup::Record(Box::new(StoredJob {
         record,
         value: item.value,
         mod_revision: item.mod_revision,
@@ -90,7 +90,7 @@
 
 /// Parses the response to a read of a job's final record. Returns `None` if the response
 /// isn't usable.
-pub(super) fn read_final(response: &KvResponse) -> Option<JobLookup> {
+pub(super) fn parse_final_record(response: &KvResponse) -> Option<JobLookup> {
     if is_absent(response) {
         return Some(JobLookup::Absent);
     }
--- a/src/gateway/lookups.rs
+++ b/src/gateway/lookups.rs
@@ -1,7 +1,7 @@
 //! Looks up a request's job, by a poll of all records or by reads of the job's own
 //! records, and replies according to the result.
 
-use super::job_lookup::{read_final, read_live, JobLookup, StoredJob};
+use super::job_lookup::{parse_final_record, parse_job_record, JobLookup, StoredJob};
 use super::job_memory::ImmutableFact;
 use super::pending_request::{PendingRequest, RequestKind, RequestNumber, RequestStep};
 use super::replies::{final_reply, not_found_reply, outcome_unknown_reply, unfinished_reply};
@@ -57,7 +57,7 @@
                 continue;
             };
             match records {
-                Some(records) => self.evaluate(now, request, records, effects),
+                Some(records) => self.continue_with_records(now, request, records, effects),
                 None => self.reply_unavailable(&request, effects),
             }
         }
@@ -66,7 +66,7 @@
 
     /// Continues a request according to the records, which were read after the request
     /// arrived.
-    pub(super) fn evaluate(
+    pub(super) fn continue_with_records(
         &mut self,
         now: Now,
         request: PendingRequest,
@@ -80,38 +80,40 @@
             RecordStatus::Cancelled => {
                 self.on_lookup(now, request, JobLookup::Cancelled, effects);
             }
-            RecordStatus::Unfinished => self.evaluate_unfinished(now, request, records, effects),
+            RecordStatus::Unfinished => self.continue_unfinished(now, request, records, effects),
             RecordStatus::None if is_new && matches!(request.kind, RequestKind::Submit(_)) => {
-                self.evaluate_submission(now, request, records, effects);
+                self.continue_submission(now, request, records, effects);
             }
-            RecordStatus::None => self.read(now, request, RequestStep::ReadFinal, effects),
+            RecordStatus::None => self.read(now, request, RequestStep::ReadFinalRecord, effects),
         }
     }
 
     /// Processes the response to the read of the unfinished job's record.
-    pub(super) fn on_live_response(
+    pub(super) fn on_job_record_response(
         &mut self,
         now: Now,
         request: PendingRequest,
         response: &KvResponse,
         effects: &mut GatewayEffects,
     ) {
-        match read_live(response) {
-            Some(JobLookup::Absent) => self.read(now, request, RequestStep::ReadFinal, effects),
+        match parse_job_record(response) {
+            Some(JobLookup::Absent) => {
+                self.read(now, request, RequestStep::ReadFinalRecord, effects);
+            }
             Some(lookup) => self.on_lookup(now, request, lookup, effects),
             None => self.reply_unavailable(&request, effects),
         }
     }
 
     /// Processes the response to the read of the job's final record.
-    pub(super) fn on_final_response(
+    pub(super) fn on_final_record_response(
         &mut self,
         now: Now,
         request: PendingRequest,
         response: &KvResponse,
         effects: &mut GatewayEffects,
     ) {
-        match read_final(response) {
+        match parse_final_record(response) {
             Some(lookup) => self.on_lookup(now, request, lookup, effects),
             None => self.reply_unavailable(&request, effects),
         }
@@ -138,18 +140,18 @@
                 final_reply(200, &request.id, record.state, record.tasks)
             }
             JobLookup::Cancelled => self.confirm_cancelled(&request.id, 200, effects),
-            JobLookup::Live(job) => {
-                self.on_live_job(now, request, *job, effects);
+            JobLookup::Record(job) => {
+                self.on_job_record(now, request, *job, effects);
                 return;
             }
             JobLookup::Unfinished => self.unfinished_job_reply(now, &request.id),
             JobLookup::Absent => absent_reply(&request.kind),
         };
-        effects.replies.push((request.conn, reply));
+        effects.replies.push((request.connection, reply));
     }
 
     /// Replies to or continues a request whose job has a record and hasn't ended.
-    fn on_live_job(
+    fn on_job_record(
         &mut self,
         now: Now,
         request: PendingRequest,
@@ -175,7 +177,7 @@
         } else {
             self.unfinished_job_reply(now, &request.id)
         };
-        effects.replies.push((request.conn, reply));
+        effects.replies.push((request.connection, reply));
     }
 
     /// Returns the reply to a request whose job was unfinished when it was read.
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -109,7 +109,7 @@
     pub fn submit(
         &mut self,
         now: Now,
-        conn: ConnectionId,
+        connection: ConnectionId,
         body: &[u8],
         effects: &mut GatewayEffects,
     ) {
@@ -117,49 +117,63 @@
             Ok(submission) => {
                 let id = submission.spec.id.clone();
                 let kind = RequestKind::Submit(Box::new(submission));
-                self.begin(now, conn, id, kind, effects);
+                self.begin(now, connection, id, kind, effects);
             }
             Err(rejection) => {
                 let reply = rejection.reply();
                 // A submission of a job that is already stored is a retry and gets status
                 // 200, even if it would now be rejected.
                 match peek_job_id(body) {
-                    Some(id) => self.begin(now, conn, id, RequestKind::Reject(reply), effects),
-                    None => effects.replies.push((conn, reply)),
+                    Some(id) => {
+                        self.begin(now, connection, id, RequestKind::Reject(reply), effects);
+                    }
+                    None => effects.replies.push((connection, reply)),
                 }
             }
         }
     }
 
     /// Starts a query for a job's state.
-    pub fn query(&mut self, now: Now, conn: ConnectionId, id: &str, effects: &mut GatewayEffects) {
-        self.begin_by_name(now, conn, id, RequestKind::Query, effects);
+    pub fn query(
+        &mut self,
+        now: Now,
+        connection: ConnectionId,
+        id: &str,
+        effects: &mut GatewayEffects,
+    ) {
+        self.begin_by_name(now, connection, id, RequestKind::Query, effects);
     }
 
     /// Starts a request that cancels a job.
-    pub fn cancel(&mut self, now: Now, conn: ConnectionId, id: &str, effects: &mut GatewayEffects) {
-        self.begin_by_name(now, conn, id, RequestKind::Cancel, effects);
+    pub fn cancel(
+        &mut self,
+        now: Now,
+        connection: ConnectionId,
+        id: &str,
+        effects: &mut GatewayEffects,
+    ) {
+        self.begin_by_name(now, connection, id, RequestKind::Cancel, effects);
     }
 
     fn begin_by_name(
         &mut self,
         now: Now,
-        conn: ConnectionId,
+        connection: ConnectionId,
         id: &str,
         kind: RequestKind,
         effects: &mut GatewayEffects,
     ) {
         if valid_job_id(id) {
-            self.begin(now, conn, JobId::new(id), kind, effects);
+            self.begin(now, connection, JobId::new(id), kind, effects);
         } else {
-            effects.replies.push((conn, not_found_reply()));
+            effects.replies.push((connection, not_found_reply()));
         }
     }
 
     fn begin(
         &mut self,
         now: Now,
-        conn: ConnectionId,
+        connection: ConnectionId,
         id: JobId,
         kind: RequestKind,
         effects: &mut GatewayEffects,
@@ -168,12 +182,12 @@
         // The state of a job that has ended never changes, so no read is needed.
         if let Some(ImmutableFact::Ended { state, tasks }) = fact {
             let reply = final_reply(200, &id, state, tasks);
-            effects.replies.push((conn, reply));
+            effects.replies.push((connection, reply));
             return;
         }
         let step = self.first_step(&kind, fact.is_some());
         self.last_number += 1;
-        let request = PendingRequest::new(now, self.last_number, conn, id, kind, step);
+        let request = PendingRequest::new(now, self.last_number, connection, id, kind, step);
         match step {
             RequestStep::Write => self.accept(now, request, effects),
             RequestStep::Poll => self.await_poll(request, effects),
@@ -191,9 +205,9 @@
                 RequestStep::Write
             }
             // A cancellation changes the record, so it needs the whole record.
-            RequestKind::Cancel => RequestStep::ReadLive,
+            RequestKind::Cancel => RequestStep::ReadJobRecord,
             _ if self.polls_complete => RequestStep::Poll,
-            _ => RequestStep::ReadLive,
+            _ => RequestStep::ReadJobRecord,
         }
     }
 
@@ -215,11 +229,15 @@
             return;
         };
         match request.step {
-            RequestStep::ReadLive => self.on_live_response(now, request, &response, effects),
-            RequestStep::ReadFinal => self.on_final_response(now, request, &response, effects),
+            RequestStep::ReadJobRecord => {
+                self.on_job_record_response(now, request, &response, effects);
+            }
+            RequestStep::ReadFinalRecord => {
+                self.on_final_record_response(now, request, &response, effects);
+            }
             // In these steps no call in flight has the request's own number.
             RequestStep::Poll | RequestStep::ReadDependencies => {
-                self.reply_unavailable(&request, effects)
+                self.reply_unavailable(&request, effects);
             }
             RequestStep::Write => self.on_write_response(now, request, &response, effects),
         }
@@ -257,6 +275,8 @@
     }
 
     fn reply_unavailable(&self, request: &PendingRequest, effects: &mut GatewayEffects) {
-        effects.replies.push((request.conn, unavailable_reply()));
+        effects
+            .replies
+            .push((request.connection, unavailable_reply()));
     }
 }
--- a/src/gateway/pending_request.rs
+++ b/src/gateway/pending_request.rs
@@ -55,9 +55,9 @@
     /// The next poll of all records.
     Poll,
     /// The read of the unfinished job's record.
-    ReadLive,
+    ReadJobRecord,
     /// The read of the job's final record.
-    ReadFinal,
+    ReadFinalRecord,
     /// The reads of the final records of the job's dependencies.
     ReadDependencies,
     /// The write of the job's record or of its cancellation.
@@ -68,7 +68,7 @@
 #[derive(Debug)]
 pub(super) struct PendingRequest {
     pub(super) number: RequestNumber,
-    pub(super) conn: ConnectionId,
+    pub(super) connection: ConnectionId,
     pub(super) id: JobId,
     pub(super) kind: RequestKind,
     pub(super) step: RequestStep,
@@ -91,14 +91,14 @@
     pub(super) fn new(
         now: Now,
         number: RequestNumber,
-        conn: ConnectionId,
+        connection: ConnectionId,
         id: JobId,
         kind: RequestKind,
         step: RequestStep,
     ) -> Self {
         PendingRequest {
             number,
-            conn,
+            connection,
             id,
             step,
             retries: 0,
@@ -129,7 +129,7 @@
     /// Builds the read of the job's record that the request's step waits for.
     pub(super) fn read_call(&self, now: Now) -> KvCall<RequestNumber> {
         let key = match self.step {
-            RequestStep::ReadFinal => final_key(&self.id),
+            RequestStep::ReadFinalRecord => final_key(&self.id),
             _ => job_key(&self.id),
         };
         self.get_call(now, self.kind.read_priority(), self.number, &key)
--- a/src/gateway/writes.rs
+++ b/src/gateway/writes.rs
@@ -78,7 +78,7 @@
                 if request.retries < MAX_RETRIES =>
             {
                 request.retries += 1;
-                self.read(now, request, RequestStep::ReadLive, effects);
+                self.read(now, request, RequestStep::ReadJobRecord, effects);
             }
             KvResponse::Status(400, _) => {
                 effects.rejected_write = Some(request.write_size);
@@ -99,7 +99,7 @@
         if !is_cancellation && !request.cancelled_by_dependency {
             effects.jobs_to_announce.push(request.id);
         }
-        effects.replies.push((request.conn, reply));
+        effects.replies.push((request.connection, reply));
     }
 
     fn on_accepted(
--- a/src/records/mod.rs
+++ b/src/records/mod.rs
@@ -10,7 +10,7 @@
 //! | `leader/key`, `leader/term` | [`leadership`] | candidates, the leader |
 //! | `j/ID`, `f/ID` | [`jobs`] | any controller; the leader |
 //! | `p/ID/N`, `p/ID/FIRST-LAST` | [`placements`] | the leader |
-//! | `h/NODE/N` | [`lease_proxies`] | that follower |
+//! | `h/NODE/N` | [`lease_proxies`] | the follower NODE |
 //! | `catalog` | [`catalog`] | the leader |
 //! | `learned` | [`estimates`] | the leader |
 
