--- a/src/gateway/job_memory.rs
+++ b/src/gateway/job_memory.rs
@@ -1,51 +1,52 @@
-//! What the gateway remembers of jobs: facts that can't change any more, and the
-//! progress that the leader reports, for display.
+//! The gateway's in-memory cache of jobs: facts that can't change any more, and the
+//! progress that the leader reports, which is shown to users.
 
 use crate::bounded_map::BoundedMap;
 use crate::ids::{JobId, Term};
 use crate::messages::{Now, TaskProgress};
 use crate::records::jobs::FinalState;
 
-/// How many jobs are remembered, at least, and for each MB that the process may use.
-/// For any other job the key-value store is read as if the job were new.
+/// The cache holds `REMEMBERED_JOBS_PER_MB` jobs for each MB that the process may use, but
+/// at least this many. For any other job the gateway reads the key-value store.
 const MIN_REMEMBERED_JOBS: usize = 20_000;
 const REMEMBERED_JOBS_PER_MB: f64 = 500.0;
 
-/// A fact that can't change any more, so that it may be used without a read.
+/// A fact about a job that can't change any more, so that the gateway may use it without
+/// reading the key-value store.
 #[derive(Clone, Copy, Debug)]
-pub(super) enum SettledFact {
-    /// The job is stored: its submission need not be tried again.
+pub(super) enum ImmutableFact {
+    /// The job is stored: a repeated submission needs no write.
     Accepted,
-    /// The job is over.
-    Over { state: FinalState, tasks: u32 },
+    /// The job has ended.
+    Ended { state: FinalState, tasks: u32 },
 }
 
-/// What a leader reported of a job.
+/// A job's progress and the term of the leader that reported it.
 #[derive(Clone, Copy, Debug)]
 struct ReportedProgress {
     progress: TaskProgress,
     term: Term,
 }
 
-/// The leader that was last heard.
+/// The leader that was last confirmed to lead, and when.
 #[derive(Clone, Copy, Debug)]
-struct LastLeader {
+struct ConfirmedLeader {
     term: Term,
-    heard_ms: u64,
+    confirmed_ms: u64,
 }
 
-/// What is remembered of jobs.
+/// The cache of facts about jobs and of their progress.
 pub(super) struct JobMemory {
-    facts: BoundedMap<JobId, SettledFact>,
-    /// Hints from the leader, for display.
+    facts: BoundedMap<JobId, ImmutableFact>,
+    /// The progress that the leader reported, which is only shown to users.
     progress: BoundedMap<JobId, ReportedProgress>,
-    leader: Option<LastLeader>,
-    /// A leader that hasn't been heard for so long may no longer lead.
+    leader: Option<ConfirmedLeader>,
+    /// The time after its last confirmation after which a leader may no longer lead.
     leader_timeout_ms: u64,
 }
 
 impl JobMemory {
-    /// Remembers nothing yet; `ram_mb` is the memory that the process may use.
+    /// Creates an empty cache. `ram_mb` is the memory that the process may use.
     pub(super) fn new(ram_mb: f64, leader_timeout_ms: u64) -> Self {
         let capacity = MIN_REMEMBERED_JOBS.max((ram_mb * REMEMBERED_JOBS_PER_MB) as usize);
         JobMemory {
@@ -56,42 +57,43 @@
         }
     }
 
-    /// What is known of a job for good.
-    pub(super) fn fact(&self, id: &JobId) -> Option<SettledFact> {
+    /// Returns the immutable fact that is known about a job, if any.
+    pub(super) fn fact(&self, id: &JobId) -> Option<ImmutableFact> {
         self.facts.get(id).copied()
     }
 
-    /// How a job ended, if it is known to be over.
+    /// Returns how a job ended; `None` if the job isn't known to have ended.
     pub(super) fn final_state(&self, id: &JobId) -> Option<FinalState> {
         match self.facts.get(id)? {
-            SettledFact::Over { state, .. } => Some(*state),
-            SettledFact::Accepted => None,
+            ImmutableFact::Ended { state, .. } => Some(*state),
+            ImmutableFact::Accepted => None,
         }
     }
 
-    /// The job is stored.
+    /// Records that the job is stored.
     pub(super) fn set_accepted(&mut self, id: &JobId) {
         if self.facts.get(id).is_none() {
-            self.facts.insert(id.clone(), SettledFact::Accepted);
+            self.facts.insert(id.clone(), ImmutableFact::Accepted);
         }
     }
 
-    /// The job is over.
-    pub(super) fn set_over(&mut self, id: &JobId, state: FinalState, tasks: u32) {
+    /// Records that the job has ended, and discards its progress.
+    pub(super) fn set_ended(&mut self, id: &JobId, state: FinalState, tasks: u32) {
         self.progress.remove(id);
         self.facts
-            .insert(id.clone(), SettledFact::Over { state, tasks });
+            .insert(id.clone(), ImmutableFact::Ended { state, tasks });
     }
 
-    /// The leader of this term is heard, and stands by what it has reported.
-    pub(super) fn leader_heard(&mut self, now: Now, term: Term) {
-        self.leader = Some(LastLeader {
+    /// Records that the leader of this term still leads, so that the progress it has
+    /// reported remains valid.
+    pub(super) fn confirm_leader(&mut self, now: Now, term: Term) {
+        self.leader = Some(ConfirmedLeader {
             term,
-            heard_ms: now.ms,
+            confirmed_ms: now.ms,
         });
     }
 
-    /// The progress of a job as the leader of this term reports it.
+    /// Records the progress of a job that the leader of this term reports.
     pub(super) fn record_progress(&mut self, id: &JobId, term: Term, progress: TaskProgress) {
         if self.final_state(id).is_none() {
             self.progress
@@ -99,9 +101,9 @@
         }
     }
 
-    /// The progress of a job to be shown to users now. That a replica which spans
-    /// machines is running is shown only as long as the leader that reported it leads.
-    pub(super) fn progress_to_show(&self, now: Now, id: &JobId) -> TaskProgress {
+    /// Returns the progress of a job to show to users. The running tasks of replicas that
+    /// span machines are shown only while the leader that reported them is known to lead.
+    pub(super) fn displayed_progress(&self, now: Now, id: &JobId) -> TaskProgress {
         let Some(reported) = self.progress.get(id) else {
             return TaskProgress::default();
         };
@@ -114,7 +116,7 @@
 
     fn is_leading(&self, now: Now, term: Term) -> bool {
         self.leader.is_some_and(|leader| {
-            leader.term == term && now.ms < leader.heard_ms + self.leader_timeout_ms
+            leader.term == term && now.ms < leader.confirmed_ms + self.leader_timeout_ms
         })
     }
 }
--- a/src/gateway/lookups.rs
+++ b/src/gateway/lookups.rs
@@ -1,8 +1,8 @@
-//! Looking up a request's job, by a poll of all records or by reads of its own, and the
-//! response that follows from what was found.
+//! Looks up a request's job, by a poll of all records or by reads of the job's own
+//! records, and replies according to the result.
 
-use super::job_lookup::{read_final, read_live, JobLookup, StoredJob};
-use super::job_memory::SettledFact;
+use super::job_lookup::{parse_final_record, parse_job_record, JobLookup, StoredJob};
+use super::job_memory::ImmutableFact;
 use super::pending_request::{PendingRequest, RequestKind, RequestNumber, RequestStep};
 use super::replies::{final_reply, not_found_reply, outcome_unknown_reply, unfinished_reply};
 use super::{Gateway, GatewayEffects};
@@ -13,20 +13,21 @@
 use crate::records::jobs::FinalState;
 
 impl Gateway {
-    /// Requests up to this number may be answered by a poll that is sent from now on.
+    /// Returns the number of the latest request. A poll that is sent after this call covers
+    /// all requests up to this number.
     pub fn last_request_number(&self) -> RequestNumber {
         self.last_number
     }
 
-    /// Has the request wait for a poll that is sent from now on.
+    /// Queues the request for a poll that is sent after this call.
     pub(super) fn await_poll(&mut self, mut request: PendingRequest, effects: &mut GatewayEffects) {
         request.step = RequestStep::Poll;
-        effects.poll_wanted = true;
+        effects.poll_requested = true;
         self.awaiting_poll.push_back(request.number);
         self.requests.insert(request.number, request);
     }
 
-    /// Reads a record for the request.
+    /// Sends the read of one record for the request.
     pub(super) fn read(
         &mut self,
         now: Now,
@@ -39,8 +40,8 @@
         self.requests.insert(request.number, request);
     }
 
-    /// A poll of all records, sent when the requests up to `last_number` had arrived, has
-    /// completed; `None`: it failed.
+    /// Continues the requests up to `last_number`, which had arrived when the completed
+    /// poll was sent. `records` is `None` if the poll failed.
     pub fn on_poll_completed(
         &mut self,
         now: Now,
@@ -56,66 +57,69 @@
                 continue;
             };
             match records {
-                Some(records) => self.evaluate(now, request, records, effects),
-                None => self.give_up(&request, effects),
+                Some(records) => self.continue_with_records(now, request, records, effects),
+                None => self.reply_unavailable(&request, effects),
             }
         }
-        effects.poll_wanted |= !self.awaiting_poll.is_empty();
+        effects.poll_requested |= !self.awaiting_poll.is_empty();
     }
 
-    /// Continues a request by the records, which were read since it arrived.
-    pub(super) fn evaluate(
+    /// Continues a request according to the records, which were read after the request
+    /// arrived.
+    pub(super) fn continue_with_records(
         &mut self,
         now: Now,
         request: PendingRequest,
         records: &Cancellations,
         effects: &mut GatewayEffects,
     ) {
-        // What is known to be accepted isn't written again: that would only cost a write
-        // that fails.
+        // A job that is known to be accepted isn't written again, because the write would
+        // only fail.
         let is_new = request.retries == 0 && self.memory.fact(&request.id).is_none();
         match records.record_status(&request.id) {
             RecordStatus::Cancelled => {
                 self.on_lookup(now, request, JobLookup::Cancelled, effects);
             }
-            RecordStatus::Unfinished => self.evaluate_unfinished(now, request, records, effects),
+            RecordStatus::Unfinished => self.continue_unfinished(now, request, records, effects),
             RecordStatus::None if is_new && matches!(request.kind, RequestKind::Submit(_)) => {
-                self.evaluate_submission(now, request, records, effects);
+                self.continue_submission(now, request, records, effects);
             }
-            RecordStatus::None => self.read(now, request, RequestStep::ReadFinal, effects),
+            RecordStatus::None => self.read(now, request, RequestStep::ReadFinalRecord, effects),
         }
     }
 
-    /// The record of the unfinished job was read, or couldn't be.
-    pub(super) fn on_live_response(
+    /// Processes the response to the read of the unfinished job's record.
+    pub(super) fn on_job_record_response(
         &mut self,
         now: Now,
         request: PendingRequest,
         response: &KvResponse,
         effects: &mut GatewayEffects,
     ) {
-        match read_live(response) {
-            Some(JobLookup::Absent) => self.read(now, request, RequestStep::ReadFinal, effects),
+        match parse_job_record(response) {
+            Some(JobLookup::Absent) => {
+                self.read(now, request, RequestStep::ReadFinalRecord, effects);
+            }
             Some(lookup) => self.on_lookup(now, request, lookup, effects),
-            None => self.give_up(&request, effects),
+            None => self.reply_unavailable(&request, effects),
         }
     }
 
-    /// The record of the job that is over was read, or couldn't be.
-    pub(super) fn on_final_response(
+    /// Processes the response to the read of the job's final record.
+    pub(super) fn on_final_record_response(
         &mut self,
         now: Now,
         request: PendingRequest,
         response: &KvResponse,
         effects: &mut GatewayEffects,
     ) {
-        match read_final(response) {
+        match parse_final_record(response) {
             Some(lookup) => self.on_lookup(now, request, lookup, effects),
-            None => self.give_up(&request, effects),
+            None => self.reply_unavailable(&request, effects),
         }
     }
 
-    /// A read made for this request, or a poll, has shown the state of its job.
+    /// Replies to or continues a request whose job was looked up by a read or a poll.
     pub(super) fn on_lookup(
         &mut self,
         now: Now,
@@ -123,31 +127,31 @@
         lookup: JobLookup,
         effects: &mut GatewayEffects,
     ) {
-        // What isn't final may have changed since it was read, if that took so long that
-        // other requests have been answered meanwhile.
+        // A state that isn't final may have changed if the read took so long that other
+        // requests have received replies in the meantime.
         if lookup.may_change() && now.ms >= request.deadline_ms {
-            self.give_up(&request, effects);
+            self.reply_unavailable(&request, effects);
             return;
         }
         let reply = match lookup {
-            JobLookup::Over(record) => {
+            JobLookup::Ended(record) => {
                 self.memory
-                    .set_over(&request.id, record.state, record.tasks);
+                    .set_ended(&request.id, record.state, record.tasks);
                 final_reply(200, &request.id, record.state, record.tasks)
             }
             JobLookup::Cancelled => self.confirm_cancelled(&request.id, 200, effects),
-            JobLookup::Live(job) => {
-                self.on_live_job(now, request, *job, effects);
+            JobLookup::Record(job) => {
+                self.on_job_record(now, request, *job, effects);
                 return;
             }
             JobLookup::Unfinished => self.unfinished_job_reply(now, &request.id),
             JobLookup::Absent => absent_reply(&request.kind),
         };
-        effects.replies.push((request.conn, reply));
+        effects.replies.push((request.connection, reply));
     }
 
-    /// The unfinished job's record was read.
-    fn on_live_job(
+    /// Replies to or continues a request whose job has a record and hasn't ended.
+    fn on_job_record(
         &mut self,
         now: Now,
         request: PendingRequest,
@@ -156,15 +160,16 @@
     ) {
         let is_cancellation = matches!(request.kind, RequestKind::Cancel);
         if !is_cancellation && job.has_open_dependencies() {
-            // Its own record doesn't say whether one of its dependencies is cancelled.
+            // The job's own record doesn't show whether one of its dependencies is
+            // cancelled.
             if self.polls_complete {
                 self.await_poll(request, effects);
             } else {
-                self.give_up(&request, effects);
+                self.reply_unavailable(&request, effects);
             }
             return;
         }
-        let reply = if job.record.cancelled.is_some() {
+        let reply = if job.record.cancelled_wall_ms.is_some() {
             self.confirm_cancelled(&request.id, 200, effects)
         } else if is_cancellation {
             self.write_cancellation(now, request, job, effects);
@@ -172,43 +177,44 @@
         } else {
             self.unfinished_job_reply(now, &request.id)
         };
-        effects.replies.push((request.conn, reply));
+        effects.replies.push((request.connection, reply));
     }
 
-    /// The reply to a request whose job was unfinished when it was read.
+    /// Returns the reply to a request whose job was unfinished when it was read.
     fn unfinished_job_reply(&mut self, now: Now, id: &JobId) -> Reply {
-        // Another request may have found that it is over meanwhile.
+        // Another request may have found in the meantime that the job has ended.
         match self.memory.fact(id) {
-            Some(SettledFact::Over { state, tasks }) => final_reply(200, id, state, tasks),
+            Some(ImmutableFact::Ended { state, tasks }) => final_reply(200, id, state, tasks),
             _ => self.accepted_reply(now, id, 200),
         }
     }
 
-    /// The reply for a job that is stored and unfinished.
+    /// Returns the reply for a job that is stored and unfinished, and records that the job
+    /// is accepted.
     pub(super) fn accepted_reply(&mut self, now: Now, id: &JobId, status: u16) -> Reply {
         self.memory.set_accepted(id);
-        unfinished_reply(status, id, self.memory.progress_to_show(now, id))
+        unfinished_reply(status, id, self.memory.displayed_progress(now, id))
     }
 
-    /// The reply that a job is cancelled, with the effect that records in the same turn what
-    /// the user is told.
+    /// Returns the reply that confirms a cancellation, and adds the effect by which the
+    /// controller records this confirmation in the same turn.
     pub(super) fn confirm_cancelled(
         &mut self,
         id: &JobId,
         status: u16,
         effects: &mut GatewayEffects,
     ) -> Reply {
-        self.memory.set_over(id, FinalState::Cancelled, 0);
+        self.memory.set_ended(id, FinalState::Cancelled, 0);
         effects.confirmed_cancellations.push(id.clone());
         final_reply(status, id, FinalState::Cancelled, 0)
     }
 }
 
-/// The reply to a request whose job has no record.
+/// Returns the reply to a request whose job has no record.
 fn absent_reply(kind: &RequestKind) -> Reply {
     match kind {
         RequestKind::Reject(reply) => reply.clone(),
         RequestKind::Submit(_) => outcome_unknown_reply(),
-        RequestKind::Show | RequestKind::Cancel => not_found_reply(),
+        RequestKind::Query | RequestKind::Cancel => not_found_reply(),
     }
 }
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -1,6 +1,6 @@
-//! Users' requests, on any controller. The controller that receives a request writes
-//! the job or the cancellation itself and then responds; the leader learns of it from
-//! the key-value store.
+//! Handles users' requests on any controller. The controller that receives a request writes
+//! the job or the cancellation itself and then replies; the leader learns of the change
+//! from the key-value store.
 
 mod admission;
 mod dependencies;
@@ -24,38 +24,39 @@
 use crate::wire::users::{peek_job_id, valid_job_id};
 use admission::Admission;
 use dependencies::DependencyRead;
-use job_memory::{JobMemory, SettledFact};
+use job_memory::{ImmutableFact, JobMemory};
 use lilacfork_replica_groups::classes::ReplicaClasses;
 use pending_request::{PendingRequest, RequestKind, RequestStep};
 use replies::{final_reply, not_found_reply, unavailable_reply};
 use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
 
-/// How often a request reads anew: its job after a write that failed, or the job's
-/// dependencies.
+/// How often a request repeats a read: that of its job after a failed write, or that of the
+/// job's dependencies.
 const MAX_RETRIES: u32 = 5;
 
-/// Users' requests that have no response yet, and what is known of jobs for good.
+/// The state of users' requests that have no reply yet, and the cache of jobs.
 pub struct Gateway {
     admission: Admission,
-    /// The size of a value that the key-value store will always take.
+    /// The size up to which the key-value store accepts a value now and after its
+    /// announced limits have taken effect.
     guaranteed_value_bytes: usize,
     memory: JobMemory,
     requests: HashMap<RequestNumber, PendingRequest>,
-    /// The requests that wait for a poll, in the order of arrival.
+    /// The requests that wait for a poll, in order of arrival.
     awaiting_poll: VecDeque<RequestNumber>,
-    /// Reads of other jobs' dependencies that have no response yet.
+    /// The reads of dependencies that are in flight, by their own numbers.
     dependency_reads: HashMap<RequestNumber, DependencyRead>,
-    /// The requests whose dependencies have all been read.
-    dependencies_read: Vec<RequestNumber>,
-    /// Whether a poll shows the state of every job.
+    /// The requests for which the reads of all dependencies have completed.
+    resumable_requests: Vec<RequestNumber>,
+    /// Whether a poll brings the state of every job up to date.
     polls_complete: bool,
     last_number: RequestNumber,
 }
 
 impl Gateway {
-    /// Knows nothing yet; a leader that isn't heard for `leader_timeout_ms` may no longer
-    /// lead.
+    /// Creates a gateway without machine types and with an empty cache of jobs. A leader
+    /// that hasn't been confirmed for `leader_timeout_ms` may no longer lead.
     pub fn new(
         settings: Rc<Settings>,
         replica_classes: ReplicaClasses,
@@ -70,44 +71,45 @@
             requests: HashMap::new(),
             awaiting_poll: VecDeque::new(),
             dependency_reads: HashMap::new(),
-            dependencies_read: Vec::new(),
+            resumable_requests: Vec::new(),
             polls_complete: false,
             last_number: 0,
         }
     }
 
-    /// The machine types are known.
+    /// Sets the machine types.
     pub fn set_catalog(&mut self, catalog: Rc<Catalog>) {
         self.admission.set_catalog(catalog);
     }
 
-    /// Whether the machine types are known.
+    /// Returns whether the machine types are known.
     pub fn has_catalog(&self) -> bool {
         self.admission.has_catalog()
     }
 
-    /// The leader of this term is heard, and stands by what it has reported.
-    pub fn leader_heard(&mut self, now: Now, term: Term) {
-        self.memory.leader_heard(now, term);
+    /// Records that the leader of this term still leads, so that the progress it has
+    /// reported remains valid.
+    pub fn confirm_leader(&mut self, now: Now, term: Term) {
+        self.memory.confirm_leader(now, term);
     }
 
-    /// The progress of a job as the leader of this term reports it.
+    /// Records the progress of a job that the leader of this term reports.
     pub fn record_progress(&mut self, id: &JobId, term: Term, progress: TaskProgress) {
         self.memory.record_progress(id, term, progress);
     }
 
-    /// Whether a poll of the records shows the state of every job from now on.
+    /// Sets whether a poll of the records brings the state of every job up to date.
     pub fn set_polls_complete(&mut self, complete: bool) {
         self.polls_complete = complete;
     }
 
     // ---- new requests ----
 
-    /// A submission.
+    /// Starts a request that submits a job.
     pub fn submit(
         &mut self,
         now: Now,
-        conn: ConnectionId,
+        connection: ConnectionId,
         body: &[u8],
         effects: &mut GatewayEffects,
     ) {
@@ -115,62 +117,77 @@
             Ok(submission) => {
                 let id = submission.spec.id.clone();
                 let kind = RequestKind::Submit(Box::new(submission));
-                self.begin(now, conn, id, kind, effects);
+                self.begin(now, connection, id, kind, effects);
             }
             Err(rejection) => {
                 let reply = rejection.reply();
-                // A known job gets its 200 whatever else is wrong with the retry.
+                // A submission of a job that is already stored is a retry and gets status
+                // 200, even if it would now be rejected.
                 match peek_job_id(body) {
-                    Some(id) => self.begin(now, conn, id, RequestKind::Reject(reply), effects),
-                    None => effects.replies.push((conn, reply)),
+                    Some(id) => {
+                        self.begin(now, connection, id, RequestKind::Reject(reply), effects);
+                    }
+                    None => effects.replies.push((connection, reply)),
                 }
             }
         }
     }
 
-    /// A query for a job's state.
-    pub fn show(&mut self, now: Now, conn: ConnectionId, id: &str, effects: &mut GatewayEffects) {
-        self.begin_by_name(now, conn, id, RequestKind::Show, effects);
+    /// Starts a query for a job's state.
+    pub fn query(
+        &mut self,
+        now: Now,
+        connection: ConnectionId,
+        id: &str,
+        effects: &mut GatewayEffects,
+    ) {
+        self.begin_by_name(now, connection, id, RequestKind::Query, effects);
     }
 
-    /// A cancellation.
-    pub fn cancel(&mut self, now: Now, conn: ConnectionId, id: &str, effects: &mut GatewayEffects) {
-        self.begin_by_name(now, conn, id, RequestKind::Cancel, effects);
+    /// Starts a request that cancels a job.
+    pub fn cancel(
+        &mut self,
+        now: Now,
+        connection: ConnectionId,
+        id: &str,
+        effects: &mut GatewayEffects,
+    ) {
+        self.begin_by_name(now, connection, id, RequestKind::Cancel, effects);
     }
 
     fn begin_by_name(
         &mut self,
         now: Now,
-        conn: ConnectionId,
+        connection: ConnectionId,
         id: &str,
         kind: RequestKind,
         effects: &mut GatewayEffects,
     ) {
         if valid_job_id(id) {
-            self.begin(now, conn, JobId::new(id), kind, effects);
+            self.begin(now, connection, JobId::new(id), kind, effects);
         } else {
-            effects.replies.push((conn, not_found_reply()));
+            effects.replies.push((connection, not_found_reply()));
         }
     }
 
     fn begin(
         &mut self,
         now: Now,
-        conn: ConnectionId,
+        connection: ConnectionId,
         id: JobId,
         kind: RequestKind,
         effects: &mut GatewayEffects,
     ) {
         let fact = self.memory.fact(&id);
-        // A job that is over stays as it is, so no read is needed.
-        if let Some(SettledFact::Over { state, tasks }) = fact {
+        // The state of a job that has ended never changes, so no read is needed.
+        if let Some(ImmutableFact::Ended { state, tasks }) = fact {
             let reply = final_reply(200, &id, state, tasks);
-            effects.replies.push((conn, reply));
+            effects.replies.push((connection, reply));
             return;
         }
         let step = self.first_step(&kind, fact.is_some());
         self.last_number += 1;
-        let request = PendingRequest::new(now, self.last_number, conn, id, kind, step);
+        let request = PendingRequest::new(now, self.last_number, connection, id, kind, step);
         match step {
             RequestStep::Write => self.accept(now, request, effects),
             RequestStep::Poll => self.await_poll(request, effects),
@@ -180,22 +197,23 @@
 
     fn first_step(&self, kind: &RequestKind, accepted: bool) -> RequestStep {
         match kind {
-            // An idempotent request repeated would only cost a write that fails.
+            // A job that is known to be accepted isn't written again, because the write
+            // would only fail.
             RequestKind::Submit(submission)
                 if !accepted && submission.spec.dependencies.is_empty() =>
             {
                 RequestStep::Write
             }
-            // A cancellation changes the record, so it needs all of it.
-            RequestKind::Cancel => RequestStep::ReadLive,
+            // A cancellation changes the record, so it needs the whole record.
+            RequestKind::Cancel => RequestStep::ReadJobRecord,
             _ if self.polls_complete => RequestStep::Poll,
-            _ => RequestStep::ReadLive,
+            _ => RequestStep::ReadJobRecord,
         }
     }
 
     // ---- responses and time ----
 
-    /// The response to a call.
+    /// Processes the response to a call of the key-value store.
     pub fn on_kv_response(
         &mut self,
         now: Now,
@@ -211,16 +229,22 @@
             return;
         };
         match request.step {
-            RequestStep::ReadLive => self.on_live_response(now, request, &response, effects),
-            RequestStep::ReadFinal => self.on_final_response(now, request, &response, effects),
-            // Its own number belongs to no call.
-            RequestStep::Poll | RequestStep::ReadDependencies => self.give_up(&request, effects),
+            RequestStep::ReadJobRecord => {
+                self.on_job_record_response(now, request, &response, effects);
+            }
+            RequestStep::ReadFinalRecord => {
+                self.on_final_record_response(now, request, &response, effects);
+            }
+            // In these steps no call in flight has the request's own number.
+            RequestStep::Poll | RequestStep::ReadDependencies => {
+                self.reply_unavailable(&request, effects);
+            }
             RequestStep::Write => self.on_write_response(now, request, &response, effects),
         }
     }
 
-    /// Responds to requests that have waited too long for a poll. Returns when the next one
-    /// will have.
+    /// Replies to the requests whose deadline has passed while they waited for a poll.
+    /// Returns the deadline of the next such request.
     pub fn tick(&mut self, now: Now, effects: &mut GatewayEffects) -> u64 {
         while let Some(number) = self.awaiting_poll.front() {
             let deadline_ms = self
@@ -231,25 +255,28 @@
                 return deadline_ms;
             }
             if let Some(request) = self.requests.remove(number) {
-                self.give_up(&request, effects);
+                self.reply_unavailable(&request, effects);
             }
             self.awaiting_poll.pop_front();
         }
         u64::MAX
     }
 
-    /// The process was paused: what was read for requests before may be older than what
-    /// other controllers have told users since. The users are asked to retry.
+    /// Aborts all pending requests after the process was paused, and asks their users to
+    /// retry. What was read for these requests may be older than what other controllers
+    /// have replied to users during the pause.
     pub fn abort_after_pause(&mut self, effects: &mut GatewayEffects) {
         self.awaiting_poll.clear();
         self.dependency_reads.clear();
-        self.dependencies_read.clear();
+        self.resumable_requests.clear();
         for request in std::mem::take(&mut self.requests).into_values() {
-            self.give_up(&request, effects);
+            self.reply_unavailable(&request, effects);
         }
     }
 
-    fn give_up(&self, request: &PendingRequest, effects: &mut GatewayEffects) {
-        effects.replies.push((request.conn, unavailable_reply()));
+    fn reply_unavailable(&self, request: &PendingRequest, effects: &mut GatewayEffects) {
+        effects
+            .replies
+            .push((request.connection, unavailable_reply()));
     }
 }
--- a/src/gateway/writes.rs
+++ b/src/gateway/writes.rs
@@ -1,4 +1,5 @@
-//! Writing what a request asks for: the record of an accepted job, or a cancellation.
+//! Writes the changes that users request: the record of an accepted job, or a
+//! cancellation.
 
 use super::job_lookup::StoredJob;
 use super::pending_request::{PendingRequest, RequestKind, RequestStep};
@@ -10,7 +11,7 @@
 use crate::wire::kv::Txn;
 
 impl Gateway {
-    /// Writes the record of a job that is to be accepted.
+    /// Sends the write of the record that accepts a job.
     pub(super) fn accept(
         &mut self,
         now: Now,
@@ -18,7 +19,7 @@
         effects: &mut GatewayEffects,
     ) {
         let RequestKind::Submit(submission) = &request.kind else {
-            self.give_up(&request, effects);
+            self.reply_unavailable(&request, effects);
             return;
         };
         let txn = if request.cancelled_by_dependency {
@@ -29,7 +30,7 @@
         self.write(now, request, CallPriority::Submission, &txn, effects);
     }
 
-    /// Writes to an unfinished job's record that it is cancelled.
+    /// Sends the write that adds the cancellation to an unfinished job's record.
     pub(super) fn write_cancellation(
         &mut self,
         now: Now,
@@ -38,9 +39,10 @@
         effects: &mut GatewayEffects,
     ) {
         let key = job_key(&request.id);
-        let txn = Txn::default()
-            .compare(key.clone(), job.mod_revision)
-            .put(key, job.cancelled(now.wall, self.guaranteed_value_bytes));
+        let txn = Txn::default().compare(key.clone(), job.mod_revision).put(
+            key,
+            job.into_cancelled(now.wall, self.guaranteed_value_bytes),
+        );
         self.write(now, request, CallPriority::Cancel, &txn, effects);
     }
 
@@ -58,7 +60,7 @@
         self.requests.insert(request.number, request);
     }
 
-    /// The response to a request's write.
+    /// Processes the response to a request's write.
     pub(super) fn on_write_response(
         &mut self,
         now: Now,
@@ -70,18 +72,19 @@
             KvResponse::Status(200, _) if response.committed().is_some() => {
                 self.on_committed(now, request, effects);
             }
-            // Another controller wrote first, or the outcome is unknown: a read shows it.
+            // Another controller wrote first, or the outcome is indeterminate: a read
+            // shows which.
             KvResponse::Status(200 | 409, _) | KvResponse::Indeterminate
                 if request.retries < MAX_RETRIES =>
             {
                 request.retries += 1;
-                self.read(now, request, RequestStep::ReadLive, effects);
+                self.read(now, request, RequestStep::ReadJobRecord, effects);
             }
             KvResponse::Status(400, _) => {
                 effects.rejected_write = Some(request.write_size);
-                self.give_up(&request, effects);
+                self.reply_unavailable(&request, effects);
             }
-            _ => self.give_up(&request, effects),
+            _ => self.reply_unavailable(&request, effects),
         }
     }
 
@@ -94,9 +97,9 @@
             self.on_accepted(now, &request, effects)
         };
         if !is_cancellation && !request.cancelled_by_dependency {
-            effects.announced.push(request.id);
+            effects.jobs_to_announce.push(request.id);
         }
-        effects.replies.push((request.conn, reply));
+        effects.replies.push((request.connection, reply));
     }
 
     fn on_accepted(
--- a/src/node/worker_heartbeats.rs
+++ b/src/node/worker_heartbeats.rs
@@ -49,7 +49,7 @@
         stops: Vec<Command>,
         effects: &mut Vec<Effect>,
     ) {
-        if !self.cancellations.may_renew(now) || self.election.leadership_unconfirmed() {
+        if !self.cancellations.may_renew_leases(now) || self.election.leadership_unconfirmed() {
             effects.push(Effect::Reply(conn, Reply::retry_later(503, "cut off", 1)));
             return;
         }
@@ -81,7 +81,7 @@
         // A controller that may have missed cancellations for too long renews no leases
         // in any role. It must not respond either: a response would keep the worker at a
         // controller that has to reject its heartbeats.
-        if !self.cancellations.may_renew(now) {
+        if !self.cancellations.may_renew_leases(now) {
             return None;
         }
         if let Some(term) = self.forwarding_term(now, &heartbeat.zone) {
--- a/src/scheduler/dependencies/mod.rs
+++ b/src/scheduler/dependencies/mod.rs
@@ -232,7 +232,9 @@
         let item = response.read::<KeyValue>(200);
         let record = item.and_then(|item| serde_json::from_value::<FinalRecord>(item.value).ok());
         match record {
-            Some(record) => self.on_dependency_finished(now, id, record.state, record.ended_at),
+            Some(record) => {
+                self.on_dependency_finished(now, id, record.state, record.ended_wall_ms)
+            }
             // The dependency is unfinished: its job record has been read since. If it has
             // not, the watch will deliver it.
             None if self.jobs.contains(id) => {
--- a/src/scheduler/state/job_watch.rs
+++ b/src/scheduler/state/job_watch.rs
@@ -69,7 +69,7 @@
                 job.revision = revision;
                 job.stale = false;
                 if job.cancelled_wall_ms.is_none() {
-                    job.cancelled_wall_ms = record.cancelled;
+                    job.cancelled_wall_ms = record.cancelled_wall_ms;
                 }
             }
             None => self.add_job(now, record, revision, source),
