--- a/src/scheduler/dependencies/mod.rs
+++ b/src/scheduler/dependencies/mod.rs
@@ -174,7 +174,7 @@
         if let Some(job) = job.filter(|_| state == FinalState::Done) {
             let took_ms = now.wall.saturating_sub(job.ready_at);
             self.estimates
-                .stage_took(&job.spec, took_ms as f64 / 1000.0);
+                .record_stage_time(&job.spec, took_ms as f64 / 1000.0);
         }
         self.dependencies.graph.remove_dependencies(id);
         self.propagate_urgency(open);
--- a/src/scheduler/provisioning/boot_times.rs
+++ b/src/scheduler/provisioning/boot_times.rs
@@ -1,11 +1,12 @@
-//! How long machines take to boot: by the catalog, as learned, and at most.
+//! Boot times of machines: the nominal time of the catalog, the learned estimate, and
+//! the larger of the two.
 
 use crate::cloud::Offer;
 use crate::scheduler::Scheduler;
 
 impl Scheduler {
-    /// The boot time that the catalog states, in seconds; a worker's lease for a
-    /// type that the catalog doesn't hold.
+    /// Returns the boot time given by the catalog, in seconds, or the length of a worker's
+    /// lease if the catalog doesn't contain the machine type.
     pub(in crate::scheduler) fn nominal_boot_s(&self, machine_type: &str) -> f64 {
         self.catalog
             .as_ref()
@@ -15,7 +16,8 @@
             })
     }
 
-    /// How long a boot is expected to take.
+    /// Returns the learned boot time of the offer's machine type, or the nominal one if
+    /// none has been learned.
     pub(in crate::scheduler) fn expected_boot_ms(&self, offer: &Offer) -> u64 {
         let nominal_s = self.nominal_boot_s(&offer.machine_type);
         (self
@@ -24,11 +26,10 @@
             * 1000.0) as u64
     }
 
-    /// How long a boot may take without being unusual. However quick the latest
-    /// boots were, the next one may take as long as the catalog says: otherwise
-    /// machines can be released over and over before they come up, as has
-    /// happened.
-    pub(in crate::scheduler) fn usual_boot_ms(&self, offer: &Offer) -> u64 {
+    /// Returns the larger of the expected and the nominal boot time. The nominal time is
+    /// the lower bound even if the latest boots were faster: with the learned estimate
+    /// alone, machines were released repeatedly before their boot completed.
+    pub(in crate::scheduler) fn conservative_boot_ms(&self, offer: &Offer) -> u64 {
         let nominal_s = self.nominal_boot_s(&offer.machine_type);
         self.expected_boot_ms(offer)
             .max((nominal_s * 1000.0) as u64)
--- a/src/scheduler/provisioning/estimate_store.rs
+++ b/src/scheduler/provisioning/estimate_store.rs
@@ -1,6 +1,6 @@
-//! Storage of the online estimates, so that the next leader doesn't begin with the
-//! catalog's figures. The record is a hint: when it is missing, outdated or
-//! unreadable, the leader only has to learn the estimates again.
+//! Storage of the online estimates in the key-value store, so that the next leader
+//! doesn't start from the catalog's figures. The record is only a hint: if it is missing,
+//! outdated or unreadable, the leader learns the estimates again.
 
 use crate::kv_client::{self, CallPriority, KvResponse};
 use crate::messages::Now;
@@ -9,39 +9,39 @@
 use crate::scheduler::{Scheduler, SchedulerEffects, SchedulerKvCall, CALL_TIMEOUT_MS};
 use crate::wire::kv::{KeyValue, Txn};
 
-/// The record is written at most once in so many heartbeat intervals.
-const WRITE_HEARTBEATS: u64 = 30;
+/// Minimum time between two writes of the record, in heartbeat intervals.
+const WRITE_INTERVAL_HEARTBEATS: u64 = 30;
 
-/// A record older than so many workers' leases is ignored: machines may boot
-/// differently by now.
+/// A record older than this many worker leases is ignored, because boot times may have
+/// changed in the meantime.
 const MAX_AGE_LEASES: u64 = 90;
 
-/// At most so many values of a kind are stored.
-const MAX_VALUES: usize = 64;
+/// Maximum number of stored boot times, and of stored run-time ratios.
+const MAX_STORED_VALUES: usize = 64;
 
-/// When the record was written last, and what it held.
+/// State of the record's writes.
 #[derive(Debug, Default)]
 pub(in crate::scheduler) struct EstimateStore {
-    /// How many samples the stored record, or the one being written, is made of.
+    /// Sample count at the time of the latest write, whether completed or in flight.
     samples_stored: u64,
-    due_ms: u64,
+    next_write_ms: u64,
     write_in_flight: bool,
 }
 
 impl EstimateStore {
-    /// A new leadership: no write is in flight, and the predecessor's record
-    /// is read before it is overwritten.
-    fn restart(&mut self, now: Now, heartbeat_ms: u64) {
+    /// Resets the state for a new term. The first write is delayed so that the previous
+    /// leader's record is read before it is overwritten.
+    fn start_term(&mut self, now: Now, heartbeat_ms: u64) {
         self.write_in_flight = false;
-        self.due_ms = now.ms + heartbeat_ms * WRITE_HEARTBEATS;
+        self.next_write_ms = now.ms + heartbeat_ms * WRITE_INTERVAL_HEARTBEATS;
     }
 }
 
 impl Scheduler {
-    /// Reads the estimates of the previous leader.
+    /// Requests the previous leader's record from the key-value store.
     pub(in crate::scheduler) fn read_estimates(&mut self, now: Now, out: &mut SchedulerEffects) {
         self.estimate_store
-            .restart(now, self.heartbeat_interval_ms());
+            .start_term(now, self.heartbeat_interval_ms());
         let call = kv_client::get(ESTIMATES_KEY, CALL_TIMEOUT_MS);
         self.call_kv(
             now,
@@ -53,7 +53,7 @@
         );
     }
 
-    /// Restores the estimates of the previous leader.
+    /// Restores the estimates from the previous leader's record.
     pub(in crate::scheduler) fn on_estimates_read(&mut self, now: Now, response: &KvResponse) {
         let Some(item) = response.read::<KeyValue>(200) else {
             return;
@@ -73,21 +73,21 @@
         self.estimates.restore(&record);
     }
 
-    /// Stores the estimates when there are new samples and no other transaction
-    /// is in flight.
+    /// Writes the estimates to the key-value store if the write interval has passed, there
+    /// are new samples, and neither a commit nor an earlier write is in flight.
     pub(in crate::scheduler) fn write_estimates(&mut self, now: Now, out: &mut SchedulerEffects) {
         let samples = self.estimates.samples();
-        let pause_ms = self.heartbeat_interval_ms() * WRITE_HEARTBEATS;
+        let write_interval_ms = self.heartbeat_interval_ms() * WRITE_INTERVAL_HEARTBEATS;
         let store = &mut self.estimate_store;
-        let due = now.ms >= store.due_ms && samples != store.samples_stored;
+        let due = now.ms >= store.next_write_ms && samples != store.samples_stored;
         if !due || store.write_in_flight || self.commits.transaction.is_some() {
             return;
         }
         store.write_in_flight = true;
         store.samples_stored = samples;
-        store.due_ms = now.ms + pause_ms;
-        let mut record = self.estimates.to_record(now.wall, MAX_VALUES);
-        truncate_to(&mut record, self.limits.value_bytes);
+        store.next_write_ms = now.ms + write_interval_ms;
+        let mut record = self.estimates.to_record(now.wall, MAX_STORED_VALUES);
+        truncate_record(&mut record, self.limits.value_bytes);
         let value = serde_json::to_value(record).unwrap_or_default();
         let txn = Txn::default()
             .compare(LEADER_KEY, self.leader_key_revision)
@@ -96,16 +96,16 @@
         self.call_kv_txn(now, CallPriority::Background, &txn, tag, out);
     }
 
-    /// The write has ended. Whether it succeeded doesn't matter: the next one
-    /// holds the same and more.
+    /// Marks the write as completed. Its outcome doesn't matter, because the next record
+    /// contains the same samples and later ones.
     pub(in crate::scheduler) fn on_estimates_written(&mut self) {
         self.estimate_store.write_in_flight = false;
     }
 }
 
-/// Halves the record until the store takes it: half of the estimates are better
-/// than a record that is rejected.
-fn truncate_to(record: &mut EstimateRecord, max_bytes: usize) {
+/// Halves the lists in the record until its size is at most `max_bytes`: storing half of
+/// the estimates is better than having the record rejected.
+fn truncate_record(record: &mut EstimateRecord, max_bytes: usize) {
     while record.bytes() > max_bytes && record.boots.len() + record.estimates.len() > 0 {
         record.boots.truncate(record.boots.len() / 2);
         record.estimates.truncate(record.estimates.len() / 2);
--- a/src/scheduler/provisioning/mod.rs
+++ b/src/scheduler/provisioning/mod.rs
@@ -1,4 +1,4 @@
-//! Scale out and scale in, and the online estimates that both go by.
+//! Scale out and scale in, and the online estimates on which both are based.
 
 mod arrivals;
 mod boot_times;
--- a/src/scheduler/provisioning/moving_average.rs
+++ b/src/scheduler/provisioning/moving_average.rs
@@ -1,13 +1,12 @@
-//! An exponential moving average that limits the weight of outliers.
+//! An exponential moving average that limits the effect of outliers.
 
 use crate::records::estimates::EstimateValue;
 
-/// A sample counts as at most so many times the known value, and at least as
-/// that part of it.
+/// Samples are clamped to at most this many times the larger of the current and the
+/// initial value, and at least the smaller of them divided by this number.
 const OUTLIER_FACTOR: f64 = 3.0;
 
-/// An exponential moving average. Samples are clamped to a few times the current
-/// or the initial value.
+/// An exponential moving average with clamped samples.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct MovingAverage {
     value: f64,
@@ -16,7 +15,8 @@
 }
 
 impl MovingAverage {
-    /// Begins with a value; each sample moves it by the share `weight`.
+    /// Creates an average that starts at `initial`. `weight` (0 to 1) is the weight of each
+    /// new sample.
     pub(super) fn new(initial: f64, weight: f64) -> Self {
         MovingAverage {
             value: initial,
@@ -25,13 +25,12 @@
         }
     }
 
-    /// The current value.
     pub(super) fn value(&self) -> f64 {
         self.value
     }
 
-    /// Takes a sample in; one that is no duration is ignored.
-    pub(super) fn sample(&mut self, sample: f64) {
+    /// Adds a sample. Negative, infinite and NaN samples are ignored.
+    pub(super) fn add_sample(&mut self, sample: f64) {
         if sample.is_finite() && sample >= 0.0 {
             let low = self.value.min(self.initial) / OUTLIER_FACTOR;
             let high = self.value.max(self.initial) * OUTLIER_FACTOR;
@@ -39,7 +38,7 @@
         }
     }
 
-    /// The average as it is stored under a name.
+    /// Returns the value to store in the estimate record under `name`.
     pub(super) fn to_record(self, name: &str) -> EstimateValue {
         EstimateValue {
             name: name.to_string(),
@@ -48,7 +47,7 @@
         }
     }
 
-    /// The average that an earlier leader stored.
+    /// Restores an average that an earlier leader stored.
     pub(super) fn from_record(stored: &EstimateValue, weight: f64) -> Self {
         MovingAverage {
             value: stored.value,
--- a/src/scheduler/provisioning/offer_choice.rs
+++ b/src/scheduler/provisioning/offer_choice.rs
@@ -1,4 +1,4 @@
-//! Which offer covers an unplaced task.
+//! Choice of the offer to order for an unplaced task.
 
 use crate::messages::Now;
 use crate::placement::{feasible_offers, ZoneCounts};
@@ -10,31 +10,35 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// More tasks than this on one machine make no difference to the price per task.
+/// Upper bound of the tasks per machine by which a machine's price is divided.
 const MAX_TASKS_PER_MACHINE: u32 = 10_000;
 
 impl Scheduler {
-    /// The option for one more of the unplaced tasks, among those in zones where it
-    /// may be placed.
+    /// Chooses the option for one more of the unplaced tasks, among the options in zones
+    /// where the task may be placed. `machines_by_zone` includes the machines that are
+    /// already planned.
     pub(in crate::scheduler) fn choose_option(
         &self,
         now: Now,
         unplaced: &Unplaced,
         zones: &ZoneCounts,
         options: &[ProvisioningOption],
-        crowd: &BTreeMap<Rc<str>, u32>,
+        machines_by_zone: &BTreeMap<Rc<str>, u32>,
     ) -> Option<ProvisioningOption> {
         let spec = &unplaced.spec;
         let slack_ms = unplaced.deadline as i64 - now.wall as i64;
-        // Among equals, the zone with the fewest machines, new ones included.
-        let with_crowd = |option: &ProvisioningOption| ProvisioningOption {
-            machines_in_zone: crowd.get(&option.offer.zone).copied().unwrap_or(0),
+        // Ties are broken in favor of the zone with the fewest machines.
+        let with_zone_machines = |option: &ProvisioningOption| ProvisioningOption {
+            machines_in_zone: machines_by_zone
+                .get(&option.offer.zone)
+                .copied()
+                .unwrap_or(0),
             ..option.clone()
         };
         let allowed: Vec<ProvisioningOption> = options
             .iter()
             .filter(|option| zones.allows(spec, &option.offer.zone))
-            .map(with_crowd)
+            .map(with_zone_machines)
             .collect();
         let option = if spec.kind == JobKind::Service {
             slackfit::cheapest(&allowed).cloned()
@@ -55,7 +59,8 @@
         Some(option)
     }
 
-    /// The offers that could hold a task of the job and weren't refused lately.
+    /// Returns an option for each offer that can hold a task of the job and isn't in its
+    /// backoff period after a rejected order.
     pub(in crate::scheduler) fn feasible_options(
         &self,
         now: Now,
@@ -63,7 +68,7 @@
         catalog: &Catalog,
     ) -> Vec<ProvisioningOption> {
         let request = spec.task_request();
-        let run_s = spec.estimated_run_s * self.estimates.run_bias(&spec.class);
+        let run_s = spec.estimated_run_s * self.estimates.run_time_ratio(&spec.class);
         feasible_offers(spec, catalog)
             .into_iter()
             .filter(|feasible| self.provisioning.may_order(&feasible.offer, now.ms))
--- a/src/scheduler/provisioning/offers.rs
+++ b/src/scheduler/provisioning/offers.rs
@@ -1,83 +1,87 @@
-//! Which offers the cloud has refused lately, and until when they aren't ordered.
+//! Backoff for offers for which the cloud has rejected orders.
 
 use crate::cloud::Offer;
 use std::collections::HashMap;
 
-/// The shortest pause after a refused order.
-const MIN_PAUSE_MS: u64 = 1000;
-/// The first pause after a refusal for lack of capacity is the boot time divided
-/// by this.
-const FIRST_PAUSE_DIVISOR: u64 = 8;
+/// Minimum backoff after an order that was rejected or failed.
+const MIN_BACKOFF_MS: u64 = 1000;
+/// The initial backoff after a rejection for lack of capacity is the boot time divided by
+/// this number.
+const INITIAL_BACKOFF_DIVISOR: u64 = 8;
 
-/// An offer that isn't ordered for a while.
+/// The backoff period during which an offer isn't ordered.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub(in crate::scheduler) struct RefusedOffer {
-    /// Until when it isn't ordered.
-    until_ms: u64,
-    /// The pause that led there; it doubles with each refusal.
-    pause_ms: u64,
+pub(in crate::scheduler) struct OfferBackoff {
+    /// When the offer may be ordered again.
+    retry_at_ms: u64,
+    /// The length of the latest backoff; doubled by each rejection in a row.
+    backoff_ms: u64,
 }
 
-/// The state of provisioning in this term.
+/// The state of provisioning in the current term.
 #[derive(Debug, Default)]
 pub(in crate::scheduler) struct Provisioning {
-    refused: HashMap<Offer, RefusedOffer>,
-    /// How many orders were placed in this term; they are named by this number.
+    backoffs: HashMap<Offer, OfferBackoff>,
+    /// Number of orders placed in this term; part of the name of each provisioning order.
     pub(super) orders_placed: u64,
-    /// The cloud's machine list has come since the election.
-    pub(in crate::scheduler) fleet_listed: bool,
+    /// Whether the cloud's machine list has been received since the election.
+    pub(in crate::scheduler) machine_list_received: bool,
 }
 
 impl Provisioning {
-    /// The leader was deposed.
+    /// Clears the state when the leader is deposed.
     pub(in crate::scheduler) fn reset(&mut self) {
-        self.refused.clear();
+        self.backoffs.clear();
         self.orders_placed = 0;
-        self.fleet_listed = false;
+        self.machine_list_received = false;
     }
 
-    /// Whether an offer may be ordered again.
+    /// Returns whether the offer isn't in a backoff period.
     pub(super) fn may_order(&self, offer: &Offer, now_ms: u64) -> bool {
-        self.refused
+        self.backoffs
             .get(offer)
-            .is_none_or(|refused| now_ms >= refused.until_ms)
+            .is_none_or(|backoff| now_ms >= backoff.retry_at_ms)
     }
 
-    /// The cloud has capacity for this offer: it may be ordered at once.
+    /// Ends the offer's backoff, because the cloud has capacity for the offer again.
     pub(in crate::scheduler) fn capacity_available(&mut self, offer: &Offer) {
-        self.refused.remove(offer);
+        self.backoffs.remove(offer);
     }
 
-    /// The cloud has no capacity for this offer: the pause doubles at each refusal
-    /// in a row, within bounds that the boot time sets.
-    pub(in crate::scheduler) fn capacity_refused(
+    /// Starts a backoff after the cloud has rejected an order for lack of capacity. The
+    /// backoff doubles with each rejection in a row, up to the boot time.
+    pub(in crate::scheduler) fn capacity_unavailable(
         &mut self,
         offer: Offer,
         now_ms: u64,
         boot_ms: u64,
     ) {
-        let pause_ms = self
-            .refused
+        let backoff_ms = self
+            .backoffs
             .get(&offer)
-            .map_or(boot_ms / FIRST_PAUSE_DIVISOR, |refused| {
-                refused.pause_ms * 2
+            .map_or(boot_ms / INITIAL_BACKOFF_DIVISOR, |backoff| {
+                backoff.backoff_ms * 2
             })
-            .clamp(MIN_PAUSE_MS, boot_ms.max(MIN_PAUSE_MS));
-        let until_ms = now_ms + pause_ms;
-        self.refused
-            .insert(offer, RefusedOffer { until_ms, pause_ms });
+            .clamp(MIN_BACKOFF_MS, boot_ms.max(MIN_BACKOFF_MS));
+        let retry_at_ms = now_ms + backoff_ms;
+        let backoff = OfferBackoff {
+            retry_at_ms,
+            backoff_ms,
+        };
+        self.backoffs.insert(offer, backoff);
     }
 
-    /// An order could not be placed: the offer isn't ordered for a moment.
+    /// Starts a short backoff after an order failed for another reason than lack of
+    /// capacity.
     pub(in crate::scheduler) fn order_failed(&mut self, offer: Offer, now_ms: u64) {
-        let until_ms = now_ms + MIN_PAUSE_MS;
-        self.refused
+        let retry_at_ms = now_ms + MIN_BACKOFF_MS;
+        self.backoffs
             .entry(offer)
-            .and_modify(|refused| refused.until_ms = refused.until_ms.max(until_ms))
-            .or_insert(RefusedOffer {
-                until_ms,
-                // A refusal for lack of capacity doubles it to the shortest.
-                pause_ms: MIN_PAUSE_MS / 2,
+            .and_modify(|backoff| backoff.retry_at_ms = backoff.retry_at_ms.max(retry_at_ms))
+            .or_insert(OfferBackoff {
+                retry_at_ms,
+                // A rejection for lack of capacity doubles this value to the minimum.
+                backoff_ms: MIN_BACKOFF_MS / 2,
             });
     }
 }
--- a/src/scheduler/provisioning/online_estimates.rs
+++ b/src/scheduler/provisioning/online_estimates.rs
@@ -1,5 +1,5 @@
-//! Online estimates: boot times, how far users' run-time estimates are off, and
-//! how fast jobs arrive.
+//! Online estimates: boot times, the ratio of run times to users' estimates, and arrival
+//! rates.
 
 use crate::records::estimates::EstimateRecord;
 use crate::scheduler::provisioning::arrivals::ArrivalWindow;
@@ -10,72 +10,74 @@
 
 pub(in crate::scheduler) use crate::scheduler::provisioning::arrivals::ArrivalRate;
 
-/// Before anything is known, a job of a pipeline is taken to need so many times the
-/// estimate for one task: some of its tasks take longer, and start later.
+/// Initial ratio of the duration of a pipeline job to the estimate for one of its tasks. It
+/// is above 1 because some of the tasks run longer or start later.
 const INITIAL_STAGE_RATIO: f64 = 2.0;
 
-/// Run times differ more than boot times: a sample counts for this part of the
-/// learning rate.
-const RUN_RATE_SHARE: f64 = 0.5;
+/// The share of the learning rate used for run times, which vary more than boot times.
+const RUN_LEARNING_RATE_SHARE: f64 = 0.5;
 
-/// What is known of the boots of a machine type.
+/// The boot-time estimate of a machine type.
 #[derive(Clone, Copy, Debug)]
 struct BootEstimate {
-    took_s: MovingAverage,
-    /// Of the machines that have come up: when the latest was provisioned.
-    latest_up_provisioned_ms: u64,
+    boot_time_s: MovingAverage,
+    /// The latest provisioning time among the machines that have completed their boot.
+    latest_booted_provisioned_ms: u64,
 }
 
-/// What the leader learns from what it observes.
+/// The estimates that the leader derives from observed boots, runs and arrivals.
 #[derive(Debug)]
 pub(in crate::scheduler) struct OnlineEstimates {
     learning_rate: f64,
-    /// By machine type.
+    /// Boot times by machine type.
     boots: BTreeMap<Rc<str>, BootEstimate>,
-    /// Run time of a task over its user's estimate, by class.
-    run_bias: BTreeMap<Rc<str>, MovingAverage>,
-    /// Whole time of a pipeline's job over the estimate for one task, by class.
-    stage_ratios: BTreeMap<Rc<str>, MovingAverage>,
+    /// Ratio of a task's run time to its user's estimate, by class.
+    run_time_ratios: BTreeMap<Rc<str>, MovingAverage>,
+    /// Ratio of a pipeline job's total time to the user's estimate for one task, by class.
+    stage_time_ratios: BTreeMap<Rc<str>, MovingAverage>,
     arrivals: ArrivalWindow,
-    /// Samples taken since the process began, of those that are stored.
+    /// Number of boot-time and run-time samples since the process started. The other
+    /// estimates aren't stored, so their samples don't count.
     samples: u64,
 }
 
 impl OnlineEstimates {
-    /// Nothing is known yet.
+    /// Creates estimates without any samples. `window_ms` is the window over which arrivals
+    /// are counted.
     pub(in crate::scheduler) fn new(learning_rate: f64, window_ms: u64) -> Self {
         OnlineEstimates {
             learning_rate,
             boots: BTreeMap::new(),
-            run_bias: BTreeMap::new(),
-            stage_ratios: BTreeMap::new(),
+            run_time_ratios: BTreeMap::new(),
+            stage_time_ratios: BTreeMap::new(),
             arrivals: ArrivalWindow::new(window_ms),
             samples: 0,
         }
     }
 
-    /// A new leadership counts arrivals from here on, and those before that
-    /// stored jobs tell of.
-    pub(in crate::scheduler) fn restart_arrivals(&mut self, wall: u64) {
-        self.arrivals.restart(wall);
+    /// Restarts the arrival counts for a new term. Earlier arrivals are added again from the
+    /// stored jobs.
+    pub(in crate::scheduler) fn restart_arrivals(&mut self, wall_ms: u64) {
+        self.arrivals.restart(wall_ms);
     }
 
     fn run_learning_rate(&self) -> f64 {
-        self.learning_rate * RUN_RATE_SHARE
+        self.learning_rate * RUN_LEARNING_RATE_SHARE
     }
 
-    fn boots_of(&mut self, machine_type: &Rc<str>, nominal_s: f64) -> &mut BootEstimate {
-        let took_s = MovingAverage::new(nominal_s, self.learning_rate);
+    /// Returns the estimate of a machine type, which starts at the nominal boot time.
+    fn boot_estimate(&mut self, machine_type: &Rc<str>, nominal_s: f64) -> &mut BootEstimate {
+        let boot_time_s = MovingAverage::new(nominal_s, self.learning_rate);
         self.boots
             .entry(machine_type.clone())
             .or_insert_with(|| BootEstimate {
-                took_s,
-                latest_up_provisioned_ms: 0,
+                boot_time_s,
+                latest_booted_provisioned_ms: 0,
             })
     }
 
-    /// A machine that was provisioned then has come up.
-    pub(in crate::scheduler) fn booted(
+    /// Records a completed boot of a machine that was provisioned at `provisioned_ms`.
+    pub(in crate::scheduler) fn record_boot(
         &mut self,
         machine_type: &Rc<str>,
         nominal_s: f64,
@@ -83,16 +85,17 @@
         took_s: f64,
     ) {
         self.samples += 1;
-        let boots = self.boots_of(machine_type, nominal_s);
-        boots.took_s.sample(took_s);
-        boots.latest_up_provisioned_ms = boots.latest_up_provisioned_ms.max(provisioned_ms);
+        let estimate = self.boot_estimate(machine_type, nominal_s);
+        estimate.boot_time_s.add_sample(took_s);
+        estimate.latest_booted_provisioned_ms =
+            estimate.latest_booted_provisioned_ms.max(provisioned_ms);
     }
 
-    /// The boot of a machine that was provisioned then is overdue. Unless a
-    /// machine that was provisioned later has come up, all may take that long
-    /// now: boots that are not waited for to the end must count, or only the
-    /// quick ones would be learned from.
-    pub(in crate::scheduler) fn boot_overdue(
+    /// Records an overdue boot of a machine that was provisioned at `provisioned_ms`. Overdue
+    /// boots are abandoned before they complete; if they weren't counted, the estimate would
+    /// be based on fast boots only. A sample is ignored if a machine that was provisioned
+    /// later has already booted, since slow boots are then not general.
+    pub(in crate::scheduler) fn record_overdue_boot(
         &mut self,
         machine_type: &Rc<str>,
         nominal_s: f64,
@@ -100,21 +103,22 @@
         waited_s: f64,
     ) {
         self.samples += 1;
-        let boots = self.boots_of(machine_type, nominal_s);
-        if boots.latest_up_provisioned_ms <= provisioned_ms {
-            boots.took_s.sample(waited_s);
+        let estimate = self.boot_estimate(machine_type, nominal_s);
+        if estimate.latest_booted_provisioned_ms <= provisioned_ms {
+            estimate.boot_time_s.add_sample(waited_s);
         }
     }
 
-    /// How long a boot is expected to take.
+    /// Returns the learned boot time of a machine type, or `nominal_s` if none has been
+    /// learned.
     pub(in crate::scheduler) fn expected_boot_s(&self, machine_type: &str, nominal_s: f64) -> f64 {
         self.boots
             .get(machine_type)
-            .map_or(nominal_s, |boots| boots.took_s.value())
+            .map_or(nominal_s, |estimate| estimate.boot_time_s.value())
     }
 
-    /// A task of the class has run for so long.
-    pub(in crate::scheduler) fn task_ran(
+    /// Records the run time of a completed task.
+    pub(in crate::scheduler) fn record_task_run_time(
         &mut self,
         class: &Rc<str>,
         estimated_s: f64,
@@ -123,79 +127,86 @@
         if estimated_s > 0.0 {
             self.samples += 1;
             let rate = self.run_learning_rate();
-            self.run_bias
+            self.run_time_ratios
                 .entry(class.clone())
                 .or_insert_with(|| MovingAverage::new(1.0, rate))
-                .sample(took_s / estimated_s);
+                .add_sample(took_s / estimated_s);
         }
     }
 
-    /// The ratio of run times to users' estimates in a class.
-    pub(in crate::scheduler) fn run_bias(&self, class: &str) -> f64 {
-        self.run_bias.get(class).map_or(1.0, MovingAverage::value)
+    /// Returns the ratio of run times to users' estimates in a class; 1 if unknown.
+    pub(in crate::scheduler) fn run_time_ratio(&self, class: &str) -> f64 {
+        self.run_time_ratios
+            .get(class)
+            .map_or(1.0, MovingAverage::value)
     }
 
-    /// A job of a pipeline took so long from when it might start.
-    pub(in crate::scheduler) fn stage_took(&mut self, spec: &JobSpec, took_s: f64) {
+    /// Records the time from when a pipeline job became ready to start until it was done.
+    pub(in crate::scheduler) fn record_stage_time(&mut self, spec: &JobSpec, took_s: f64) {
         if spec.estimated_run_s > 0.0 {
             let rate = self.run_learning_rate();
-            self.stage_ratios
+            self.stage_time_ratios
                 .entry(spec.class.clone())
                 .or_insert_with(|| MovingAverage::new(INITIAL_STAGE_RATIO, rate))
-                .sample(took_s / spec.estimated_run_s);
+                .add_sample(took_s / spec.estimated_run_s);
         }
     }
 
-    /// How long a job of a pipeline is expected to take from when it may start.
+    /// Returns the expected time from when a pipeline job becomes ready to start until it is
+    /// done.
     pub(in crate::scheduler) fn expected_stage_s(&self, spec: &JobSpec) -> f64 {
         let ratio = self
-            .stage_ratios
+            .stage_time_ratios
             .get(&spec.class)
             .map_or(INITIAL_STAGE_RATIO, MovingAverage::value);
         spec.estimated_run_s * ratio
     }
 
-    /// A job arrived at this time of day.
-    pub(in crate::scheduler) fn job_arrived(&mut self, wall: u64, spec: &Rc<JobSpec>) {
-        self.arrivals.record(wall, spec);
+    /// Records the arrival of a job.
+    pub(in crate::scheduler) fn record_arrival(&mut self, wall_ms: u64, spec: &Rc<JobSpec>) {
+        self.arrivals.record(wall_ms, spec);
     }
 
-    /// How fast the jobs of each class arrive.
-    pub(in crate::scheduler) fn arrival_rates(&mut self, wall: u64) -> Vec<ArrivalRate> {
-        self.arrivals.rates(wall)
+    /// Returns the arrival rate of each class with recent arrivals.
+    pub(in crate::scheduler) fn arrival_rates(&mut self, wall_ms: u64) -> Vec<ArrivalRate> {
+        self.arrivals.rates(wall_ms)
     }
 
-    /// How many samples were taken since the process began.
+    /// Returns the number of stored kinds of samples taken since the process started.
     pub(super) fn samples(&self) -> u64 {
         self.samples
     }
 
-    /// What the next leader should know, of at most so many types and classes.
-    pub(super) fn to_record(&self, written_at: u64, max_values: usize) -> EstimateRecord {
+    /// Returns the record for the next leader, with at most `max_values` machine types and
+    /// as many classes. `written_wall_ms` is the time of day.
+    pub(super) fn to_record(&self, written_wall_ms: u64, max_values: usize) -> EstimateRecord {
         let boots = self.boots.iter().take(max_values);
-        let run_bias = self.run_bias.iter().take(max_values);
+        let run_time_ratios = self.run_time_ratios.iter().take(max_values);
         EstimateRecord {
-            written_at,
+            written_at: written_wall_ms,
             boots: boots
-                .map(|(name, boot)| boot.took_s.to_record(name))
+                .map(|(name, estimate)| estimate.boot_time_s.to_record(name))
+                .collect(),
+            estimates: run_time_ratios
+                .map(|(name, ratio)| ratio.to_record(name))
                 .collect(),
-            estimates: run_bias.map(|(name, bias)| bias.to_record(name)).collect(),
         }
     }
 
-    /// Restores the plausible estimates of an earlier leader.
+    /// Restores estimates from an earlier leader's record; implausible values are skipped.
     pub(super) fn restore(&mut self, record: &EstimateRecord) {
         for stored in record.boots.iter().filter(|value| value.is_plausible()) {
-            let boots = BootEstimate {
-                took_s: MovingAverage::from_record(stored, self.learning_rate),
-                latest_up_provisioned_ms: 0,
+            let estimate = BootEstimate {
+                boot_time_s: MovingAverage::from_record(stored, self.learning_rate),
+                latest_booted_provisioned_ms: 0,
             };
-            self.boots.insert(Rc::from(stored.name.as_str()), boots);
+            self.boots.insert(Rc::from(stored.name.as_str()), estimate);
         }
         let rate = self.run_learning_rate();
         for stored in record.estimates.iter().filter(|value| value.is_plausible()) {
-            let bias = MovingAverage::from_record(stored, rate);
-            self.run_bias.insert(Rc::from(stored.name.as_str()), bias);
+            let ratio = MovingAverage::from_record(stored, rate);
+            self.run_time_ratios
+                .insert(Rc::from(stored.name.as_str()), ratio);
         }
     }
 }
--- a/src/scheduler/provisioning/pending_machines.rs
+++ b/src/scheduler/provisioning/pending_machines.rs
@@ -1,4 +1,4 @@
-//! Which machines count as pending capacity.
+//! Selection of the machines and orders that count as pending capacity.
 
 use crate::cloud::CloudClient;
 use crate::fleet::{Machine, MachinePhase};
@@ -8,20 +8,20 @@
 use crate::scheduler::Scheduler;
 use crate::wire::cloud::MachineType;
 
-/// A boot usually takes up to so many times what is known (PROTOCOL). What
-/// takes longer may take several times as long, and isn't counted on.
-const USUAL_BOOTS: f64 = 1.5;
+/// Boots usually take up to this many times the known boot time (PROTOCOL). A boot beyond
+/// that may take several times as long, so its machine doesn't count as pending capacity.
+const MAX_PENDING_BOOT_TIMES: f64 = 1.5;
 
 impl Scheduler {
-    /// Pending capacity: machines that are booting or ordered, and those that
-    /// missed a heartbeat just now.
+    /// Collects the pending capacity: machines that are booting or ordered, and machines
+    /// that became unresponsive a short time ago.
     pub(super) fn pending_capacity(&mut self, now: Now, cloud: &CloudClient) -> PendingCapacity {
         let mut pending = PendingCapacity::default();
         let mut examined = 0;
         let unschedulable = self.capacity.unschedulable();
         for machine in unschedulable.filter_map(|id| self.fleet.get(id)) {
             examined += 1;
-            if self.is_booting_in_time(now, machine) || self.is_briefly_silent(now, machine) {
+            if self.is_booting_in_time(now, machine) || self.is_briefly_unresponsive(now, machine) {
                 pending.add(&machine.offer, machine.free(), 1);
             }
         }
@@ -37,15 +37,16 @@
         pending
     }
 
-    /// The machine is booting, and not for unusually long.
+    /// Returns whether the machine is booting and has been for no longer than is usual.
     fn is_booting_in_time(&self, now: Now, machine: &Machine) -> bool {
-        let usual_ms = (self.usual_boot_ms(&machine.offer) as f64 * USUAL_BOOTS) as u64;
-        machine.phase == MachinePhase::Booting && now.ms < machine.provisioned_ms + usual_ms
+        let max_boot_ms =
+            (self.conservative_boot_ms(&machine.offer) as f64 * MAX_PENDING_BOOT_TIMES) as u64;
+        machine.phase == MachinePhase::Booting && now.ms < machine.provisioned_ms + max_boot_ms
     }
 
-    /// The machine is silent for so short a time that it will soon be heard
-    /// again or be declared failed.
-    fn is_briefly_silent(&self, now: Now, machine: &Machine) -> bool {
+    /// Returns whether the machine has been unresponsive for less than half a lease. Such a
+    /// machine will soon send a heartbeat again or be declared failed.
+    fn is_briefly_unresponsive(&self, now: Now, machine: &Machine) -> bool {
         machine.phase == MachinePhase::Up
             && !machine.accepts_tasks(now.ms, self.fresh_ms())
             && machine.reclaim_at_ms.is_none()
--- a/src/scheduler/provisioning/scale_in.rs
+++ b/src/scheduler/provisioning/scale_in.rs
@@ -1,4 +1,4 @@
-//! Scale in: machines that no task and no forecast demand needs are released.
+//! Scale in: the release of machines that neither tasks nor the demand forecast need.
 
 use crate::capacity_index::MachineCapacity;
 use crate::cloud::CloudClient;
@@ -7,36 +7,40 @@
 use crate::messages::Now;
 use crate::scheduler::Scheduler;
 
-/// So many idle machines are kept as spares, in square roots of the fleet's size.
-const SPARE_ROOTS: f64 = 0.5;
-/// Those beyond are released after this share of the usual idle time.
+/// Number of idle machines kept as spares, as a multiple of the square root of the fleet's
+/// size.
+const SPARES_PER_SQRT_FLEET_SIZE: f64 = 0.5;
+/// Surplus machines are released after this share of the idle limit of spares.
 const SURPLUS_IDLE_SHARE: f64 = 0.25;
-/// The first minute of a machine is paid for in any case.
+/// The cloud bills at least the first minute of a machine, so an earlier release saves
+/// nothing.
 const MIN_BILLED_MS: u64 = 60_000;
 
-/// A machine without tasks. They are ordered by their idle time.
+/// A machine without tasks, ordered by the time since which it has been idle.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Debug)]
 struct IdleMachine {
-    since_ms: u64,
+    idle_since_ms: u64,
     id: MachineId,
 }
 
-/// Whether an idle machine is a spare, kept for the usual time, or surplus.
+/// Which idle limit applies to an idle machine.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum IdleKind {
+    /// Kept for the configured idle limit.
     Spare,
+    /// Released after [`SURPLUS_IDLE_SHARE`] of that limit.
     Surplus,
 }
 
 impl Scheduler {
-    /// Releases machines that have been idle for a while and that no forecast
-    /// demand needs. How much the demand varies grows with the square root of
-    /// the fleet's size: so many idle machines are kept as spares, and those
-    /// beyond are released soon.
+    /// Releases machines that have been idle for longer than their limit and that the demand
+    /// forecast doesn't need. The variation of demand grows with the square root of the
+    /// fleet's size, so a number of spares proportional to it is kept for the full limit, and
+    /// surplus machines are released earlier.
     pub(in crate::scheduler) fn scale_in(&mut self, now: Now, cloud: &mut CloudClient) {
-        let max_spares = ((self.fleet.len() as f64).sqrt() * SPARE_ROOTS).ceil();
+        let max_spares = ((self.fleet.len() as f64).sqrt() * SPARES_PER_SQRT_FLEET_SIZE).ceil();
         let mut spares = 0.0;
-        let mut unneeded = Vec::new();
+        let mut to_release = Vec::new();
         for idle in self.idle_machines() {
             let Some(machine) = self.fleet.get(&idle.id) else {
                 continue;
@@ -50,11 +54,11 @@
             } else {
                 IdleKind::Surplus
             };
-            if self.is_unneeded(now, machine, idle.since_ms, kind, reserved) {
-                unneeded.push(idle.id);
+            if self.should_release(now, machine, idle.idle_since_ms, kind, reserved) {
+                to_release.push(idle.id);
             }
         }
-        for id in unneeded {
+        for id in to_release {
             if let Some(machine) = self.fleet.get_mut(&id) {
                 log::info!("machine scaled in machine={id} reason=\"idle\"");
                 machine.phase = MachinePhase::Releasing;
@@ -63,8 +67,8 @@
         }
     }
 
-    /// The machines without tasks. Those that are idle for the shortest time
-    /// come first, so that they are the ones that stay.
+    /// Returns the machines without tasks. Those with the shortest idle time come first, so
+    /// that they are the ones kept as spares.
     fn idle_machines(&self) -> Vec<IdleMachine> {
         let mut idle: Vec<IdleMachine> = self
             .fleet
@@ -75,7 +79,7 @@
             })
             .filter_map(|machine| {
                 Some(IdleMachine {
-                    since_ms: machine.idle_since_ms?,
+                    idle_since_ms: machine.idle_since_ms?,
                     id: machine.id.clone(),
                 })
             })
@@ -84,7 +88,8 @@
         idle
     }
 
-    /// Whether forecast demand or a replica group reserves the machine.
+    /// Returns whether the demand forecast or a replica group has a reservation on the
+    /// machine.
     fn is_reserved(&self, id: &MachineId) -> bool {
         self.capacity
             .slot(id)
@@ -92,8 +97,8 @@
             .is_some_and(MachineCapacity::is_reserved)
     }
 
-    /// Whether an idle machine should be released now.
-    fn is_unneeded(
+    /// Returns whether an idle machine should be released now.
+    fn should_release(
         &self,
         now: Now,
         machine: &Machine,
@@ -109,14 +114,14 @@
             IdleKind::Surplus => self.tuning.idle_boots * SURPLUS_IDLE_SHARE,
         };
         let idle_limit_ms = (self.expected_boot_ms(&machine.offer) as f64 * idle_boots) as u64;
-        let idle_for_long = now.ms > idle_since_ms + idle_limit_ms;
+        let idle_limit_passed = now.ms > idle_since_ms + idle_limit_ms;
         let drained = machine.phase == MachinePhase::Draining;
-        let billed = now.ms > machine.provisioned_ms + MIN_BILLED_MS;
-        (drained || (!reserved && idle_for_long)) && billed
+        let min_billed_passed = now.ms > machine.provisioned_ms + MIN_BILLED_MS;
+        (drained || (!reserved && idle_limit_passed)) && min_billed_passed
     }
 }
 
-/// Whether an idle machine is available for any task that may come.
+/// Returns whether an idle machine can take any task that arrives.
 fn is_spare(machine: &Machine, reserved: bool) -> bool {
     !machine.faults.is_faulty() && machine.phase != MachinePhase::Draining && !reserved
 }
--- a/src/scheduler/provisioning/scale_out.rs
+++ b/src/scheduler/provisioning/scale_out.rs
@@ -1,4 +1,4 @@
-//! Scale out: orders for the tasks that neither free nor pending capacity holds.
+//! Scale out: provisioning orders for the tasks that fit neither free nor pending capacity.
 
 use crate::cloud::{CloudClient, Offer, MAX_MACHINES_PER_ORDER};
 use crate::fleet::Machine;
@@ -13,33 +13,35 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// A new leader listens for so many heartbeat intervals before it scales out.
-const LISTEN_HEARTBEATS: u64 = 3;
+/// How long a new leader waits for heartbeats of existing machines before it scales out, in
+/// heartbeat intervals.
+const DISCOVERY_HEARTBEATS: u64 = 3;
 
-/// What a round orders, while that is worked out.
+/// The provisioning orders of a scheduling round while they are being planned.
 #[derive(Debug)]
 pub(in crate::scheduler) struct ProvisionPlan {
-    /// The machine types.
+    /// The catalog of machine types, unchanged while the plan is made.
     pub(in crate::scheduler) catalog: Rc<Catalog>,
-    /// Pending capacity, that of the plan included.
+    /// Pending capacity, including the machines of the plan.
     pub(in crate::scheduler) pending: PendingCapacity,
-    /// Machines in each zone, those of the plan included.
+    /// Number of machines in each zone, including the machines of the plan.
     pub(in crate::scheduler) machines_by_zone: BTreeMap<Rc<str>, u32>,
-    /// How many machines of each offer are to be ordered.
+    /// Number of machines to order of each offer.
     pub(in crate::scheduler) orders: BTreeMap<Offer, u32>,
-    /// The next entry in the round's list of unplaced tasks.
+    /// Index of the next entry in the round's list of unplaced tasks.
     pub(in crate::scheduler) next_unplaced: usize,
 }
 
 impl ProvisionPlan {
-    /// What a machine of the offer holds.
+    /// Returns the total capacity of a machine of the offer; none if the catalog doesn't
+    /// contain its type.
     fn capacity_of(&self, offer: &Offer) -> Resources {
         self.catalog
             .find(&offer.machine_type)
             .map_or(Resources::default(), MachineType::capacity)
     }
 
-    /// Plans a machine for a task, which takes `request` of it.
+    /// Adds a machine to the plan for a task that takes `request` of its capacity.
     fn add_machine(&mut self, option: ProvisioningOption, request: &Resources) {
         let mut free = self.capacity_of(&option.offer);
         free.subtract(request);
@@ -53,15 +55,16 @@
 }
 
 impl Scheduler {
-    /// Begins to plan orders for the tasks that neither free nor pending
-    /// capacity holds. `None`: nothing can be ordered now.
+    /// Creates an empty plan of orders. Returns `None` while nothing can be ordered: the
+    /// catalog is unknown, the cloud is unreachable, or the leader still waits for heartbeats
+    /// of existing machines.
     pub(in crate::scheduler) fn begin_scale_out(
         &mut self,
         now: Now,
         cloud: &CloudClient,
     ) -> Option<ProvisionPlan> {
         let catalog = self.catalog.clone()?;
-        if self.is_listening(now) || !cloud.reachable() {
+        if self.is_discovering_machines(now) || !cloud.reachable() {
             return None;
         }
         Some(ProvisionPlan {
@@ -73,27 +76,29 @@
         })
     }
 
-    /// A new leader listens before it scales out: there may be machines, up or
-    /// booting, that it doesn't know of. In the first term there is no earlier
-    /// leader that could have ordered any, and once all machines that the
-    /// cloud's list shows as running have been heard, there are no others.
-    fn is_listening(&self, now: Now) -> bool {
-        if now.ms >= self.elected_ms + self.heartbeat_interval_ms() * LISTEN_HEARTBEATS {
+    /// Returns whether machines that are up or booting may still be unknown to this leader. A
+    /// new leader waits for their heartbeats before it scales out. In the first term it need
+    /// not wait longer than until all machines that the cloud's list shows as running have
+    /// sent a heartbeat, because no earlier leader could have ordered others.
+    fn is_discovering_machines(&self, now: Now) -> bool {
+        if now.ms >= self.elected_ms + self.heartbeat_interval_ms() * DISCOVERY_HEARTBEATS {
             return false;
         }
-        let unheard = |machine: &Machine| machine.listed_running && !machine.fenced;
-        self.term > Term(1) || !self.provisioning.fleet_listed || self.fleet.iter().any(unheard)
+        let awaits_heartbeat = |machine: &Machine| machine.listed_running && !machine.fenced;
+        self.term > Term(1)
+            || !self.provisioning.machine_list_received
+            || self.fleet.iter().any(awaits_heartbeat)
     }
 
-    /// Places the orders of a plan.
+    /// Sends the plan's orders to the cloud.
     pub(in crate::scheduler) fn place_orders(
         &mut self,
         plan: &ProvisionPlan,
         cloud: &mut CloudClient,
     ) {
         for (offer, count) in &plan.orders {
-            // One order for an offer at a time: its response tells how many
-            // machines there are.
+            // Only one order per offer is in flight at a time, because the number of
+            // machines is known only from the response.
             if cloud.pending_count(offer) > 0 {
                 continue;
             }
@@ -109,7 +114,7 @@
         }
     }
 
-    /// Covers unplaced tasks by pending capacity first and then by orders.
+    /// Covers unplaced tasks with pending capacity first, and the remaining ones with orders.
     pub(in crate::scheduler) fn cover_unplaced(
         &mut self,
         now: Now,
@@ -117,7 +122,7 @@
         plan: &mut ProvisionPlan,
     ) {
         if !unplaced.forecast && !self.jobs.contains(&unplaced.spec.id) {
-            // The job has ended in the meantime.
+            // The job has completed since the entry was queued.
             return;
         }
         if let Some(demand) = &unplaced.group {
--- a/src/scheduler/rounds/queue_order.rs
+++ b/src/scheduler/rounds/queue_order.rs
@@ -48,7 +48,7 @@
 
     /// How long one of its tasks is expected to run.
     fn estimated_run_ms(&self, spec: &JobSpec) -> u64 {
-        (spec.estimated_run_s * self.estimates.run_bias(&spec.class) * 1000.0) as u64
+        (spec.estimated_run_s * self.estimates.run_time_ratio(&spec.class) * 1000.0) as u64
     }
 
     /// The job's own deadline. One that can't be met any more would only make other
--- a/src/scheduler/state/job_watch.rs
+++ b/src/scheduler/state/job_watch.rs
@@ -93,7 +93,7 @@
                 JobRecordSource::InitialList => job.submitted,
                 JobRecordSource::Update => now.wall,
             };
-            self.estimates.job_arrived(arrived_at, &job.spec);
+            self.estimates.record_arrival(arrived_at, &job.spec);
         }
         if let Some(shape) = job.shape {
             self.groups.add(&id, shape);
--- a/src/scheduler/workers/failure_detection.rs
+++ b/src/scheduler/workers/failure_detection.rs
@@ -216,7 +216,7 @@
                     && now.ms > machine.last_heartbeat_ms + listen_ms
             })
             .filter(|machine| {
-                let usual_ms = self.usual_boot_ms(&machine.offer) as f64;
+                let usual_ms = self.conservative_boot_ms(&machine.offer) as f64;
                 let limit_ms = (usual_ms * self.tuning.late_boots) as u64;
                 now.ms > machine.provisioned_ms + limit_ms
             })
@@ -245,6 +245,6 @@
         let waited_s = (now.ms - provisioned_ms) as f64 / 1000.0;
         let nominal_s = self.nominal_boot_s(&machine_type);
         self.estimates
-            .boot_overdue(&machine_type, nominal_s, provisioned_ms, waited_s);
+            .record_overdue_boot(&machine_type, nominal_s, provisioned_ms, waited_s);
     }
 }
--- a/src/scheduler/workers/heartbeats.rs
+++ b/src/scheduler/workers/heartbeats.rs
@@ -146,7 +146,7 @@
             let took_s = took_ms as f64 / 1000.0;
             let nominal_s = self.nominal_boot_s(&machine_type);
             self.estimates
-                .booted(&machine_type, nominal_s, provisioned_ms, took_s);
+                .record_boot(&machine_type, nominal_s, provisioned_ms, took_s);
         }
         self.pacing.requested = true;
     }
--- a/src/scheduler/workers/machines.rs
+++ b/src/scheduler/workers/machines.rs
@@ -31,7 +31,8 @@
             CloudEvent::Provisioned(offer, names) => self.machines_provisioned(now, offer, names),
             CloudEvent::NoCapacity(offer) => {
                 let boot_ms = self.expected_boot_ms(&offer);
-                self.provisioning.capacity_refused(offer, now.ms, boot_ms);
+                self.provisioning
+                    .capacity_unavailable(offer, now.ms, boot_ms);
             }
             CloudEvent::OrderFailed(offer) => self.provisioning.order_failed(offer, now.ms),
             CloudEvent::Released(names) => {
@@ -103,7 +104,7 @@
         list: Vec<ListedMachine>,
         cloud: &mut CloudClient,
     ) {
-        self.provisioning.fleet_listed = true;
+        self.provisioning.machine_list_received = true;
         for listed in list {
             let id = MachineId::new(&listed.id);
             if !self.fleet.is_released(&id) {
--- a/src/scheduler/workers/task_exits.rs
+++ b/src/scheduler/workers/task_exits.rs
@@ -68,7 +68,8 @@
         if let Some(run_ms) = run_ms {
             let run_s = run_ms as f64 / 1000.0;
             let (class, estimated_s) = (job.spec.class.clone(), job.spec.estimated_run_s);
-            self.estimates.task_ran(&class, estimated_s, run_s);
+            self.estimates
+                .record_task_run_time(&class, estimated_s, run_s);
         }
         self.record_job_success(&task.job);
     }
