--- a/src/node/handover.rs
+++ b/src/node/handover.rs
@@ -46,7 +46,7 @@
     /// While it leads on, no other controller may serve them.
     pub(super) fn unreached_by_workers(&self, now: Now) -> bool {
         let reports_to_us = |zone: &str| self.forwarder_for(now, zone).is_none();
-        self.scheduler.hears_no_worker(now, reports_to_us)
+        self.scheduler.receives_no_heartbeats(now, reports_to_us)
     }
 
     /// Hands over because workers of this leader reach a peer and not this leader, nor
@@ -91,7 +91,9 @@
         let name = successor.name.clone();
         // A successor whose whole zone is silent is beyond a network partition, and a
         // new leader would only have to detect that again.
-        let zone_heard = self.scheduler.hears_zone(now, &successor.zone);
+        let zone_heard = self
+            .scheduler
+            .receives_heartbeats_from_zone(now, &successor.zone);
         let already_handed_over = self.handover.handed_over_for.as_ref() == Some(&name);
         if zone_heard && !already_handed_over && self.has_better_candidate(now, &order) {
             log::info!(
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -300,7 +300,7 @@
             response,
             KvResponse::NotExecuted | KvResponse::Indeterminate
         ) {
-            self.failure_detection.store_failed_ms = Some(now.ms);
+            self.failure_detection.last_store_failure_ms = Some(now.ms);
         }
         match (self.stage, call) {
             (LeaderStage::Idle, _) => {}
--- a/src/scheduler/provisioning/online_estimates.rs
+++ b/src/scheduler/provisioning/online_estimates.rs
@@ -172,7 +172,7 @@
         self.arrivals.rates(wall_ms)
     }
 
-    /// Returns the number of stored kinds of samples taken since the process started.
+    /// Returns the number of boot-time and run-time samples since the process started.
     pub(super) fn samples(&self) -> u64 {
         self.samples
     }
--- a/src/scheduler/state/commit_outcome.rs
+++ b/src/scheduler/state/commit_outcome.rs
@@ -146,7 +146,7 @@
         let FinishedJob { id, state } = finished;
         self.finished_jobs
             .insert(id.clone(), now.ms + FINISHED_RETENTION_MS);
-        self.exonerate_unless_succeeded(&id);
+        self.discard_faults_unless_succeeded(&id);
         self.groups.remove(&id);
         self.on_job_finished(now, &id, state);
         if let Some(job) = self.jobs.remove(&id) {
--- a/src/scheduler/workers/commands.rs
+++ b/src/scheduler/workers/commands.rs
@@ -1,30 +1,30 @@
-//! Which commands a worker gets: those that bring its tasks to the state that is
-//! wanted, and those that remove what is not assigned to it.
+//! Commands for workers: those that start and stop assigned tasks, and those that stop or
+//! acknowledge tasks that aren't assigned to the worker's machine.
 
 use crate::ids::{FencingToken, MachineId, TaskRef};
 use crate::messages::Now;
 use crate::scheduler::{Assignment, Scheduler, SchedulerEffects, StepDownReason, StopRequest};
 use crate::wire::workers::{Command, TaskPhase, TaskStatus, WorkerHeartbeat};
 
-/// A start or stop that shows no effect is sent again after this share of the
-/// heartbeat interval.
-const RESEND_HEARTBEATS: f64 = 0.9;
-/// Tasks may be started for so many heartbeat intervals after the moment up to
-/// which all cancellations are known.
-const START_HEARTBEATS: u64 = 2;
+/// A start or stop command without effect is sent again after this share of the heartbeat
+/// interval.
+const RESEND_INTERVAL_HEARTBEATS: f64 = 0.9;
+/// Tasks are started only while the cancellation watermark is at most this many heartbeat
+/// intervals old.
+const MAX_WATERMARK_AGE_HEARTBEATS: u64 = 2;
 
-/// What the commands for assigned tasks depend on beside the assignments.
+/// The conditions on commands for assigned tasks that are the same for all assignments.
 struct CommandRules {
-    /// A command is not repeated before this time has passed.
-    resend_ms: u64,
-    /// Whether tasks may be started.
+    /// Minimum time before a command is sent again.
+    resend_interval_ms: u64,
     may_start: bool,
 }
 
 impl Scheduler {
-    /// The commands for this worker. With a heartbeat, ended tasks whose end is
-    /// stored are acknowledged too, under a raised fencing token: a late copy of
-    /// their start command is then refused.
+    /// Returns the commands for a machine's worker. If a heartbeat is given, the commands for
+    /// tasks that aren't assigned to the machine are included. Acknowledging an ended task,
+    /// which requires that its end is stored, advances the fencing token, so that the worker
+    /// rejects a delayed copy of the task's start command.
     pub(super) fn commands_for(
         &mut self,
         now: Now,
@@ -55,13 +55,14 @@
         commands
     }
 
-    /// The commands for the tasks that are assigned to the machine.
+    /// Returns the commands for the tasks that are assigned to the machine.
     fn assigned_task_commands(&mut self, now: Now, id: &MachineId) -> Vec<Command> {
         let heartbeat_ms = self.heartbeat_interval_ms();
         let rules = CommandRules {
-            resend_ms: (heartbeat_ms as f64 * RESEND_HEARTBEATS) as u64,
-            // A leader that may have missed a cancellation starts nothing.
-            may_start: now.ms <= self.cancellations_known_ms + heartbeat_ms * START_HEARTBEATS,
+            resend_interval_ms: (heartbeat_ms as f64 * RESEND_INTERVAL_HEARTBEATS) as u64,
+            // A leader that may have missed a cancellation doesn't start tasks.
+            may_start: now.ms
+                <= self.cancellations_known_ms + heartbeat_ms * MAX_WATERMARK_AGE_HEARTBEATS,
         };
         let Some(machine) = self.fleet.get(id) else {
             return Vec::new();
@@ -81,8 +82,9 @@
             .collect()
     }
 
-    /// The command that removes a task which the worker has and which is not
-    /// assigned to it. `None`: it is assigned, or its end isn't stored yet.
+    /// Returns the command that makes the worker stop or forget a task that isn't assigned to
+    /// its machine. Returns `None` if the task is assigned, or if it has ended and its end isn't
+    /// stored yet.
     fn unassigned_task_command(&self, id: &MachineId, status: &TaskStatus) -> Option<Command> {
         let task = status.task.as_ref()?;
         let job = self.jobs.get(&task.job);
@@ -109,23 +111,30 @@
         })
     }
 
-    /// Stops what a machine runs, with time to save checkpoints.
+    /// Stops the tasks of a machine and gives them time to save checkpoints.
     pub(in crate::scheduler) fn drain_machine(&mut self, now: Now, id: &MachineId) {
         let tasks = self.fleet.get(id).map(|machine| machine.tasks.clone());
         for task in tasks.into_iter().flatten() {
-            // A replica that spans machines is stopped as a whole, by its group.
+            // The parts of a replica that spans machines are stopped together, by their replica
+            // group.
             if self.groups.get(&task.job).is_none() {
                 self.stop_task(now, &task, true);
             }
         }
     }
 
-    /// Stops one task. `saves`: it gets time to save a checkpoint.
-    pub(in crate::scheduler) fn stop_task(&mut self, now: Now, task: &TaskRef, saves: bool) {
+    /// Requests the stop of one task, unless a stop is already requested. With
+    /// `allow_checkpoint` the task gets time to save a checkpoint.
+    pub(in crate::scheduler) fn stop_task(
+        &mut self,
+        now: Now,
+        task: &TaskRef,
+        allow_checkpoint: bool,
+    ) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        let grace_s = if saves && job.spec.checkpoint_interval_s > 0.0 {
+        let grace_s = if allow_checkpoint && job.spec.checkpoint_interval_s > 0.0 {
             job.spec.checkpoint_save_s.ceil() as u64 + 1
         } else {
             0
@@ -144,13 +153,14 @@
         assignment.sent_ms = None;
         self.groups.touch_task(&task.job, task.index);
         let id = assignment.machine.clone();
-        // Its capacity is about to become free: the capacity index has to look
-        // at the machine again.
+        // Mutable access marks the machine as changed for the capacity index, because its
+        // capacity is about to become free.
         self.fleet.get_mut(&id);
         self.machines_to_command.insert(id);
     }
 
-    /// The fencing token that the machine's worker gets.
+    /// Returns the fencing token to send to the machine's worker; for an unknown machine, the
+    /// first token of the term.
     pub(super) fn fencing_token_of(&self, id: &MachineId) -> FencingToken {
         self.fleet
             .get(id)
@@ -161,8 +171,8 @@
 }
 
 impl CommandRules {
-    /// The command that brings an assigned task nearer to what is wanted, unless
-    /// one was just sent.
+    /// Returns the start or stop command that an assigned task needs. Returns `None` if it
+    /// needs none or if a command was sent recently.
     fn command_for(
         &self,
         now: Now,
@@ -175,7 +185,8 @@
         }
     }
 
-    /// Starts a recorded task that its worker doesn't have yet.
+    /// Returns the start command for a task whose assignment is stored and which the worker
+    /// doesn't have yet.
     fn start_command(
         &self,
         now: Now,
@@ -183,7 +194,7 @@
         assignment: &mut Assignment,
     ) -> Option<Command> {
         let startable = assignment.recorded && assignment.phase.is_none() && self.may_start;
-        if !startable || self.just_sent(now, assignment) {
+        if !startable || self.sent_recently(now, assignment) {
             return None;
         }
         assignment.first_sent_ms.get_or_insert(now.ms);
@@ -194,7 +205,7 @@
         })
     }
 
-    /// Stops a task, unless it is saving its checkpoint.
+    /// Returns the stop command for a task, unless the task is saving a checkpoint.
     fn stop_command(
         &self,
         now: Now,
@@ -202,11 +213,11 @@
         assignment: &mut Assignment,
         stop: StopRequest,
     ) -> Option<Command> {
-        // A task that saves a checkpoint is left alone until its grace period
-        // is over.
+        // No further stop command is sent while the task saves a checkpoint within its grace
+        // period.
         let saving = assignment.phase == Some(TaskPhase::Checkpointing) && stop.grace_s > 0;
         let stop_sent = assignment.sent_ms > Some(stop.since_ms);
-        if saving || (stop_sent && self.just_sent(now, assignment)) {
+        if saving || (stop_sent && self.sent_recently(now, assignment)) {
             return None;
         }
         assignment.sent_ms = Some(now.ms);
@@ -217,10 +228,11 @@
         })
     }
 
-    /// Whether a command was sent so recently that its effect can't show yet.
-    fn just_sent(&self, now: Now, assignment: &Assignment) -> bool {
+    /// Returns whether a command was sent so recently that a heartbeat can't show its effect
+    /// yet.
+    fn sent_recently(&self, now: Now, assignment: &Assignment) -> bool {
         assignment
             .sent_ms
-            .is_some_and(|sent_ms| now.ms < sent_ms + self.resend_ms)
+            .is_some_and(|sent_ms| now.ms < sent_ms + self.resend_interval_ms)
     }
 }
--- a/src/scheduler/workers/direct_commands.rs
+++ b/src/scheduler/workers/direct_commands.rs
@@ -1,4 +1,4 @@
-//! Commands that go straight to workers, outside of heartbeat responses.
+//! Commands sent directly to workers instead of in heartbeat responses.
 
 use crate::ids::MachineId;
 use crate::messages::{Call, CallResult, Destination, Now};
@@ -6,19 +6,19 @@
 use crate::scheduler::{LeaderStage, Scheduler, SchedulerEffects, WorkerCommandCall};
 use crate::wire::workers::{Command, DirectCommands, WorkerHeartbeat, WORKER_COMMANDS_PATH};
 
-/// A direct call to a worker is waited for so many heartbeat intervals.
+/// Timeout of a direct call to a worker, in heartbeat intervals.
 const COMMAND_TIMEOUT_HEARTBEATS: u64 = 2;
 
 impl Scheduler {
-    /// Sends commands straight to the workers that have something to do.
+    /// Sends commands directly to the workers in `machines_to_command`.
     pub(in crate::scheduler) fn push_commands(&mut self, now: Now, out: &mut SchedulerEffects) {
         for id in std::mem::take(&mut self.machines_to_command) {
             self.push_commands_to(now, id, None, out);
         }
     }
 
-    /// Sends a worker its commands, as in [`Self::commands_for`], unless a call to
-    /// it is in flight: what is left to do goes out with the response to the
+    /// Sends the commands of [`Self::commands_for`] directly to a worker, unless a direct call
+    /// to the worker is in flight. In that case the commands are sent in the response to the
     /// worker's next heartbeat.
     pub(super) fn push_commands_to(
         &mut self,
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Sends these commands to a worker's address.
+    /// Sends `commands` to a worker's address.
     fn send_commands(
         &mut self,
         id: MachineId,
@@ -50,8 +50,8 @@
         let Some(machine) = self.fleet.get_mut(&id) else {
             return;
         };
-        // A call without commands is of use only to a worker that hasn't seen
-        // this term's fencing token.
+        // A call without commands is only needed if the worker hasn't received a fencing
+        // token of this term.
         if commands.is_empty() && machine.fenced {
             return;
         }
@@ -72,7 +72,8 @@
             .push((WorkerCommandCall { machine: id }, call));
     }
 
-    /// Handles the result of a direct call to a worker.
+    /// Processes the result of a direct call to a worker. The status in the response is applied
+    /// like a heartbeat, except that it doesn't renew the worker's lease.
     pub fn on_command_response(
         &mut self,
         now: Now,
@@ -86,7 +87,8 @@
         if let Some(machine) = self.fleet.get_mut(&call.machine) {
             machine.command_in_flight = false;
         }
-        // Both 200 and 409 carry the worker's status, in the form of a heartbeat.
+        // The bodies of both 200 and 409 responses contain the worker's status in the format
+        // of a heartbeat.
         let Ok((200 | 409, body)) = outcome else {
             return;
         };
--- a/src/scheduler/workers/failure_attribution.rs
+++ b/src/scheduler/workers/failure_attribution.rs
@@ -1,26 +1,27 @@
-//! Failure attribution: whether a failed task speaks against its machine or
-//! against its job.
+//! Failure attribution: whether a task failure is attributed to the machine or to the job.
 
 use crate::ids::{JobId, MachineId, TaskRef};
 use crate::messages::Now;
 use crate::scheduler::Scheduler;
 
 impl Scheduler {
-    /// A task has failed. Usually the machine is faulty; but a job that fails
-    /// everywhere must not get one machine after the other cordoned.
-    pub(super) fn task_failed(&mut self, now: Now, id: &MachineId, task: &TaskRef) {
+    /// Attributes a task failure to the task's machine, or to its job if the job's circuit
+    /// breaker is open. The circuit breaker prevents a job that fails on every machine from
+    /// getting one machine after another cordoned.
+    pub(super) fn record_task_failure(&mut self, now: Now, id: &MachineId, task: &TaskRef) {
         let heartbeat_ms = self.heartbeat_interval_ms();
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        let last = job.assignments.is_empty();
+        let no_task_assigned = job.assignments.is_empty();
         let was_open = job.failures.is_open();
-        job.failures.record_failure(now.ms, id, last, heartbeat_ms);
+        job.failures
+            .record_failure(now.ms, id, no_task_assigned, heartbeat_ms);
         if job.failures.is_open() {
             if !was_open {
                 log::info!("job circuit breaker opened job={}", task.job);
             }
-            self.exonerate_machines(&task.job);
+            self.discard_machine_faults(&task.job);
             return;
         }
         let job_succeeds = job.failures.has_succeeded();
@@ -32,8 +33,9 @@
         }
     }
 
-    /// The job's failures say nothing about the machines on which it failed.
-    fn exonerate_machines(&mut self, job_id: &JobId) {
+    /// Removes the job's failures from the fault records of the machines on which its tasks
+    /// failed.
+    fn discard_machine_faults(&mut self, job_id: &JobId) {
         let Some(job) = self.jobs.get(job_id) else {
             return;
         };
@@ -44,20 +46,20 @@
         }
     }
 
-    /// The job has ended. If none of its tasks has succeeded, its failures say
-    /// nothing about the machines.
-    pub(in crate::scheduler) fn exonerate_unless_succeeded(&mut self, job_id: &JobId) {
+    /// Removes the failures of a completed job from the machines' fault records if none of the
+    /// job's tasks has succeeded, because the cause may then be the job itself.
+    pub(in crate::scheduler) fn discard_faults_unless_succeeded(&mut self, job_id: &JobId) {
         let succeeded = self
             .jobs
             .get(job_id)
             .is_some_and(|job| job.failures.has_succeeded());
         if !succeeded {
-            self.exonerate_machines(job_id);
+            self.discard_machine_faults(job_id);
         }
     }
 
-    /// A task of the job has succeeded: those that failed did so by the fault
-    /// of their machines.
+    /// Records that a task of the job has succeeded. The first success attributes the job's
+    /// earlier failures to the machines on which they occurred.
     pub(in crate::scheduler) fn record_job_success(&mut self, job_id: &JobId) {
         let Some(job) = self.jobs.get_mut(job_id) else {
             return;
--- a/src/scheduler/workers/failure_detection.rs
+++ b/src/scheduler/workers/failure_detection.rs
@@ -1,78 +1,80 @@
-//! Failure detection: which machines are declared failed and released, and when
-//! silence is more likely a network partition or a fault of this controller.
+//! Failure detection: which machines are declared failed and released. If most machines of a
+//! zone are unresponsive, a network partition or a fault of this controller is the more likely
+//! cause, and machines are declared failed later.
 
 use crate::cloud::CloudClient;
 use crate::fleet::{Machine, MachinePhase};
 use crate::ids::{MachineId, TaskRef};
 use crate::messages::Now;
-use crate::scheduler::workers::zone_silence::ZoneSilence;
+use crate::scheduler::workers::zone_silence::ZoneHealth;
 use crate::scheduler::Scheduler;
 use std::collections::HashMap;
 use std::fmt;
 use std::rc::Rc;
 
-/// What failure detection keeps beside each machine's own heartbeats.
+/// State of failure detection that doesn't belong to a single machine.
 #[derive(Debug, Default)]
 pub(in crate::scheduler) struct FailureDetection {
-    /// When all machines were last checked.
     pub(in crate::scheduler) last_check_ms: u64,
-    /// They should be checked before that is due again.
+    /// Whether machines should be checked before the next regular check.
     pub(in crate::scheduler) check_requested: bool,
-    /// When most machines of a zone were last silent.
-    pub(super) zones_silent_ms: HashMap<Rc<str>, u64>,
-    /// When this process was last paused and could receive nothing.
-    pub(super) process_paused_ms: u64,
-    /// When the key-value store last failed to answer.
-    pub(in crate::scheduler) store_failed_ms: Option<u64>,
+    /// By zone, when most of its machines were last unresponsive.
+    pub(super) zone_last_unresponsive_ms: HashMap<Rc<str>, u64>,
+    /// When this process last resumed after a pause, during which it received no heartbeats.
+    pub(super) last_process_pause_ms: u64,
+    /// When a call of the key-value store last failed or had an indeterminate outcome.
+    pub(in crate::scheduler) last_store_failure_ms: Option<u64>,
 }
 
 impl FailureDetection {
-    /// The leader was deposed.
+    /// Clears the zones' state when the leader is deposed.
     pub(in crate::scheduler) fn reset(&mut self) {
-        self.zones_silent_ms.clear();
+        self.zone_last_unresponsive_ms.clear();
     }
 }
 
-/// Share of `cancel_s` after which a machine that shares its zone's silence is
-/// released over a cancelled task. Its lease ends before that by itself, or
-/// a controller that knows of the cancellation renews it and stops the task.
+/// Share of `cancel_s` after which a machine is declared failed because of a cancelled task if
+/// the machine and most others of its zone are unresponsive. Before that time either the
+/// worker's lease expires, or a controller that knows of the cancellation renews the lease and
+/// stops the task.
 const PARTITION_CANCEL_SHARE: f64 = 0.9;
 
 /// Why a machine is declared failed.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum MachineFailure {
-    /// Neither the leader nor a follower has heard from its worker.
-    Silent,
-    /// Its worker sends heartbeats and doesn't start its tasks.
+    /// Neither the leader nor a follower has received a heartbeat of its worker.
+    Unresponsive,
+    /// Its worker sends heartbeats but doesn't start the assigned tasks.
     StartsIgnored,
-    /// It hasn't come up in several times the usual boot time.
+    /// Its boot has taken more than `late_boots` times the boot time.
     BootOverdue,
-    /// A task of a cancelled job is still on it.
+    /// A task of a cancelled job wasn't stopped in time.
     CancelledTaskNotStopped,
 }
 
 impl fmt::Display for MachineFailure {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            MachineFailure::Silent => "no heartbeats",
-            MachineFailure::StartsIgnored => "starts without effect",
+            MachineFailure::Unresponsive => "no heartbeats",
+            MachineFailure::StartsIgnored => "start commands without effect",
             MachineFailure::BootOverdue => "boot overdue",
             MachineFailure::CancelledTaskNotStopped => "cancelled task not stopped",
         })
     }
 }
 
-/// The health of a machine that is up.
+/// The result of checking a machine that is up.
 #[derive(Clone, Copy, Default, PartialEq, Eq, Debug)]
 struct MachineHealth {
-    /// It has failed.
+    /// Why the machine is to be declared failed, if it is.
     failure: Option<MachineFailure>,
-    /// The cloud is about to reclaim it, and it has tasks.
+    /// Whether the machine has a preemption notice and still has tasks.
     must_drain: bool,
 }
 
 impl Scheduler {
-    /// Checks every machine and every stop that is due.
+    /// Checks all machines: declares machines failed, drains those with a preemption notice,
+    /// requests pending releases again and enforces the stops of cancelled jobs.
     pub(in crate::scheduler) fn check_machines(&mut self, now: Now, cloud: &mut CloudClient) {
         self.fleet.forget_released(now.ms);
         self.finished_jobs.retain(|_, until| now.ms < *until);
@@ -81,7 +83,7 @@
         for id in &cancelled {
             self.enforce_cancel(now, id);
         }
-        let zones = self.zone_silences(now);
+        let zones = self.assess_zones(now);
         let mut failed = self.overdue_boots(now);
         let mut draining = Vec::new();
         for machine in self.fleet.iter() {
@@ -108,122 +110,125 @@
                 cloud.release(machine.id.clone());
             }
         }
-        self.refresh_silent_machines(now);
+        self.refresh_unresponsive_machines(now);
     }
 
-    /// Assesses a machine that is up.
-    fn assess_machine(&self, now: Now, machine: &Machine, zone: &ZoneSilence) -> MachineHealth {
-        let unresponsive = machine
+    /// Checks a machine that is up.
+    fn assess_machine(&self, now: Now, machine: &Machine, zone: &ZoneHealth) -> MachineHealth {
+        let starts_ignored = machine
             .unresponsive_since_ms
             .is_some_and(|since_ms| now.ms > since_ms + self.lease_ms());
-        let lost = if self.is_silent(now, machine, zone) {
-            Some(MachineFailure::Silent)
+        let worker_failure = if self.is_unresponsive(now, machine, zone) {
+            Some(MachineFailure::Unresponsive)
         } else {
-            unresponsive.then_some(MachineFailure::StartsIgnored)
+            starts_ignored.then_some(MachineFailure::StartsIgnored)
         };
-        let failure = lost.or_else(|| {
+        let failure = worker_failure.or_else(|| {
             self.has_overdue_cancel(now, machine, zone)
                 .then_some(MachineFailure::CancelledTaskNotStopped)
         });
-        let reclaimed = machine.reclaim_at_ms.is_some();
+        let has_preemption_notice = machine.reclaim_at_ms.is_some();
         MachineHealth {
             failure,
-            must_drain: lost.is_none() && reclaimed && !machine.tasks.is_empty(),
+            must_drain: worker_failure.is_none()
+                && has_preemption_notice
+                && !machine.tasks.is_empty(),
         }
     }
 
-    /// Whether neither the leader nor a follower has heard from the machine for
-    /// as long as its zone's limit.
-    fn is_silent(&self, now: Now, machine: &Machine, zone: &ZoneSilence) -> bool {
-        let heard_ms = machine
+    /// Returns whether neither the leader nor a follower has received a heartbeat of the machine
+    /// within the heartbeat timeout of its zone.
+    fn is_unresponsive(&self, now: Now, machine: &Machine, zone: &ZoneHealth) -> bool {
+        let timeout_start_ms = machine
             .last_heartbeat_ms
             .max(machine.lease_proxied_ms)
-            .max(zone.excused_ms);
-        // While the store fails, followers can't record whose leases they renew,
-        // and nothing could be placed anew in any case.
+            .max(zone.timeouts_start_ms);
+        // While the key-value store fails, followers can't record which leases they renew, and
+        // the machine's tasks couldn't be placed elsewhere anyway.
         let store_failed = self
             .failure_detection
-            .store_failed_ms
+            .last_store_failure_ms
             .is_some_and(|failed_ms| now.ms < failed_ms + self.lease_ms() / 2);
-        !store_failed && now.ms > heard_ms + zone.limit_ms
+        !store_failed && now.ms > timeout_start_ms + zone.heartbeat_timeout_ms
     }
 
-    /// Whether a task of a cancelled job has been on the machine for too long
-    /// after its stop.
-    fn has_overdue_cancel(&self, now: Now, machine: &Machine, zone: &ZoneSilence) -> bool {
+    /// Returns whether a task of a cancelled job is still assigned to the machine too long after
+    /// its stop was requested.
+    fn has_overdue_cancel(&self, now: Now, machine: &Machine, zone: &ZoneHealth) -> bool {
         let lease_ms = self.lease_ms();
-        // The follower that renews its lease stops cancelled tasks itself.
+        // A follower that renews the worker's lease also stops its cancelled tasks.
         if now.ms < machine.lease_proxied_ms + lease_ms {
             return false;
         }
-        let shares_silence =
-            zone.mostly_silent && now.ms > machine.last_heartbeat_ms + lease_ms / 2;
-        let share = if shares_silence {
+        let unresponsive_with_zone =
+            zone.mostly_unresponsive && now.ms > machine.last_heartbeat_ms + lease_ms / 2;
+        let share = if unresponsive_with_zone {
             PARTITION_CANCEL_SHARE.max(self.tuning.cancel_share)
         } else {
             self.tuning.cancel_share
         };
         let limit_ms = self.settings.site.workers.cancel_s * 1000.0 * share;
         machine.tasks.iter().any(|task| {
-            self.cancelled_since_ms(task)
-                .is_some_and(|since_ms| now.ms as f64 > since_ms as f64 + limit_ms)
+            self.cancel_stop_requested_ms(task)
+                .is_some_and(|requested_ms| now.ms as f64 > requested_ms as f64 + limit_ms)
         })
     }
 
-    /// Since when a task of a cancelled job is to be stopped.
-    fn cancelled_since_ms(&self, task: &TaskRef) -> Option<u64> {
+    /// Returns when the stop of a cancelled job's task was requested; `None` if the job isn't
+    /// cancelled or no stop was requested.
+    fn cancel_stop_requested_ms(&self, task: &TaskRef) -> Option<u64> {
         let job = self.jobs.get(&task.job)?;
         job.cancelled?;
         let stop = job.assignments.get(&task.index)?.stop?;
         Some(stop.since_ms)
     }
 
-    /// The machine is released.
+    /// Marks the machine as failed, so that it is released.
     fn declare_failed(&mut self, id: &MachineId, failure: MachineFailure) {
         if let Some(machine) = self.fleet.get_mut(id) {
-            log::info!("machine unresponsive machine={id} reason=\"{failure}\"");
+            log::info!("machine declared failed machine={id} reason=\"{failure}\"");
             machine.phase = MachinePhase::Releasing;
         }
     }
 
-    /// Silence has no event of its own and yet changes what a machine may get:
-    /// silent machines are marked as changed for the capacity index.
-    fn refresh_silent_machines(&mut self, now: Now) {
+    /// Marks unresponsive machines as changed for the capacity index. Becoming unresponsive
+    /// isn't an event, but such a machine must not get tasks.
+    fn refresh_unresponsive_machines(&mut self, now: Now) {
         let fresh_ms = self.fresh_ms();
-        let silent: Vec<MachineId> = self
+        let unresponsive: Vec<MachineId> = self
             .fleet
             .iter()
             .filter(|machine| machine.is_schedulable())
             .filter(|machine| !machine.accepts_tasks(now.ms, fresh_ms))
             .map(|machine| machine.id.clone())
             .collect();
-        for id in &silent {
+        for id in &unresponsive {
             self.fleet.get_mut(id);
         }
     }
 
-    /// Machines that should have come up long ago. What they say about boot
-    /// times goes into the online estimates.
+    /// Returns the machines whose boot is overdue, and records their boot times so far in the
+    /// online estimates.
     fn overdue_boots(&mut self, now: Now) -> Vec<(MachineId, MachineFailure)> {
-        // A new leader may know an old machine from the cloud's list alone: the
-        // machine must have had time to send a heartbeat.
-        let listen_ms = self.silence_limit_ms();
+        // A new leader may know a machine that booted long ago only from the cloud's list, so
+        // the machine must have had time to send a heartbeat.
+        let heartbeat_timeout_ms = self.heartbeat_timeout_ms();
         let overdue: Vec<MachineId> = self
             .fleet
             .iter()
             .filter(|machine| {
                 machine.phase == MachinePhase::Booting
-                    && now.ms > machine.last_heartbeat_ms + listen_ms
+                    && now.ms > machine.last_heartbeat_ms + heartbeat_timeout_ms
             })
             .filter(|machine| {
-                let usual_ms = self.conservative_boot_ms(&machine.offer) as f64;
-                let limit_ms = (usual_ms * self.tuning.late_boots) as u64;
+                let boot_ms = self.conservative_boot_ms(&machine.offer) as f64;
+                let limit_ms = (boot_ms * self.tuning.late_boots) as u64;
                 now.ms > machine.provisioned_ms + limit_ms
             })
             .map(|machine| machine.id.clone())
             .collect();
         for id in &overdue {
-            self.learn_overdue_boot(now, id);
+            self.sample_overdue_boot(now, id);
         }
         overdue
             .into_iter()
@@ -231,8 +236,9 @@
             .collect()
     }
 
-    /// Takes an overdue boot into the estimates, if its beginning is known.
-    fn learn_overdue_boot(&mut self, now: Now, id: &MachineId) {
+    /// Adds an overdue boot to the online estimates if the machine was provisioned in this
+    /// term, so that its provisioning time is known.
+    fn sample_overdue_boot(&mut self, now: Now, id: &MachineId) {
         let Some(machine) = self
             .fleet
             .get(id)
--- a/src/scheduler/workers/heartbeats.rs
+++ b/src/scheduler/workers/heartbeats.rs
@@ -1,4 +1,5 @@
-//! Worker heartbeats: which of them are new, and what a new one proves.
+//! Processing of worker heartbeats: detection of duplicates and reordering, and updates of the
+//! machine and its tasks.
 
 use crate::cloud::Offer;
 use crate::fleet::{Machine, MachinePhase};
@@ -8,20 +9,20 @@
 use crate::wire::workers::{Command, HeartbeatResponse, RedirectTo, WorkerHeartbeat};
 use std::rc::Rc;
 
-/// How a worker's status reached the leader.
+/// The message in which the leader received a worker's status.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(super) enum HeartbeatSource {
-    /// A heartbeat, whose response renews the worker's lease.
+    /// A heartbeat. The response renews the worker's lease.
     Heartbeat,
-    /// The response to a direct command. A worker that reaches no controller
-    /// sends these too, and its lease expires nevertheless.
+    /// The response to a direct command. It doesn't renew the lease: a worker whose heartbeats
+    /// reach no controller still responds to commands, but its lease expires.
     CommandResponse,
 }
 
 impl Scheduler {
-    /// Handles a worker's heartbeat. It is always answered, and the response
-    /// carries `stops`, the commands that stop the tasks of cancelled jobs,
-    /// whether or not the leader knows these jobs yet.
+    /// Processes a worker's heartbeat and always sends a response. The response contains
+    /// `stops`, the commands that stop the tasks of cancelled jobs, even if the leader doesn't
+    /// know these jobs yet.
     pub fn worker_heartbeat(
         &mut self,
         now: Now,
@@ -49,8 +50,8 @@
                 commands.push(stop);
             }
         }
-        // Never above the machine's own token, and never below the one that the
-        // worker has seen: it would refuse the commands.
+        // The worker rejects commands whose token is lower than the highest one it has seen.
+        // The token isn't raised beyond the larger of that one and the machine's own.
         let fencing_token = self.fencing_token_of(&id).max(heartbeat.fencing_token);
         let response = HeartbeatResponse {
             fencing_token,
@@ -59,8 +60,8 @@
         out.replies.push((connection, Reply::json(200, &response)));
     }
 
-    /// Handles a heartbeat that a follower has answered and forwarded: the
-    /// commands go straight to the worker.
+    /// Processes a heartbeat that a follower has responded to and forwarded. The commands are
+    /// sent directly to the worker.
     pub fn forwarded_heartbeat(
         &mut self,
         now: Now,
@@ -78,9 +79,9 @@
         self.push_commands_to(now, id, Some(heartbeat), out);
     }
 
-    /// Updates the machine and its tasks from a worker's status, however it
-    /// came. Returns whether it was applied: a duplicate or reordered one, one
-    /// of a released machine and one of a later term are not.
+    /// Updates the machine and its tasks from a worker's status. Returns whether the status was
+    /// applied: it is ignored if it is a duplicate or reordered, if the machine is released, or
+    /// if it has a fencing token of a later term.
     pub(super) fn apply_heartbeat(
         &mut self,
         now: Now,
@@ -111,11 +112,11 @@
             return false;
         }
         if machine.phase == MachinePhase::Booting {
-            self.machine_up(now, &id);
+            self.mark_machine_up(now, &id);
         }
         self.update_preemption_notice(now, &id, heartbeat.preemption_notice_s);
-        // Without a token of this term the status may be older than any command
-        // of this leader.
+        // A status without a fencing token of this term may be older than all commands of this
+        // leader, so it isn't used for reconciliation.
         if heartbeat.fencing_token.term() == self.term {
             if let Some(machine) = self.fleet.get_mut(&id) {
                 self.pacing.requested |= !machine.fenced;
@@ -126,8 +127,8 @@
         true
     }
 
-    /// The worker of a booting machine has reported for the first time.
-    fn machine_up(&mut self, now: Now, id: &MachineId) {
+    /// Marks a booting machine as up when its worker's status is first received.
+    fn mark_machine_up(&mut self, now: Now, id: &MachineId) {
         let Some(machine) = self.fleet.get_mut(id) else {
             return;
         };
@@ -140,8 +141,7 @@
             "machine up machine={id} type={machine_type} spot={} took_ms={took_ms}",
             machine.offer.spot
         );
-        // A machine that was up before this term, or that appeared without an
-        // order, says nothing about boot times.
+        // The boot time is known only for machines that were ordered in this term.
         if machine.provisioned_this_term {
             let took_s = took_ms as f64 / 1000.0;
             let nominal_s = self.nominal_boot_s(&machine_type);
@@ -151,7 +151,8 @@
         self.pacing.requested = true;
     }
 
-    /// Notes whether and when the cloud is going to reclaim the machine.
+    /// Records the preemption notice in a heartbeat, or its withdrawal. `notice_s` is the time
+    /// until the cloud reclaims the machine.
     fn update_preemption_notice(&mut self, now: Now, id: &MachineId, notice_s: Option<f64>) {
         let Some(machine) = self.fleet.get_mut(id) else {
             return;
@@ -168,8 +169,8 @@
     }
 }
 
-/// Records the machine's part of a heartbeat. Returns `false` for a duplicate or
-/// reordered one, which changes nothing.
+/// Updates the machine from a worker's status, without its tasks. Returns `false` and changes
+/// nothing if the status is a duplicate or reordered.
 fn record_heartbeat(
     machine: &mut Machine,
     now: Now,
--- a/src/scheduler/workers/lease_proxies.rs
+++ b/src/scheduler/workers/lease_proxies.rs
@@ -1,5 +1,5 @@
-//! Lease proxying: which workers' leases followers renew for the leader, as they
-//! have recorded it in the key-value store.
+//! Lease proxying: followers renew workers' leases for the leader and record the renewals in the
+//! key-value store, from which the leader reads them.
 
 use crate::fleet::MachinePhase;
 use crate::ids::MachineId;
@@ -9,42 +9,46 @@
 use crate::scheduler::{Scheduler, SchedulerEffects, SchedulerKvCall};
 use crate::wire::kv::KeyPage;
 
-/// A machine without a heartbeat for so many intervals makes the leader read the
-/// followers' records.
-const QUIET_HEARTBEATS: u64 = 3;
-/// One page holds the records of all followers.
+/// The leader reads the followers' records once a machine has sent no heartbeat for this many
+/// heartbeat intervals.
+const POLL_AFTER_HEARTBEATS: u64 = 3;
+/// Page size that is large enough for the records of all followers.
 const PAGE_KEYS: u64 = 1000;
 
-/// The reading of followers' records while machines are silent.
+/// State of reading the followers' records while machines are unresponsive.
 #[derive(Debug, Default)]
 pub(in crate::scheduler) struct LeaseProxyPoll {
-    due_ms: u64,
+    next_poll_ms: u64,
     in_flight: bool,
 }
 
 impl LeaseProxyPoll {
-    /// The leader was deposed.
+    /// Resets the state when the leader is deposed.
     pub(in crate::scheduler) fn reset(&mut self) {
         self.in_flight = false;
     }
 }
 
 impl Scheduler {
-    /// Reads the followers' records when machines are silent.
+    /// Requests the followers' records if any machine is unresponsive.
     pub(in crate::scheduler) fn poll_lease_proxies(
         &mut self,
         now: Now,
         out: &mut SchedulerEffects,
     ) {
-        let quiet_ms = self.heartbeat_interval_ms() * QUIET_HEARTBEATS;
-        let any_quiet = self.fleet.iter().any(|machine| {
-            machine.phase == MachinePhase::Up && now.ms > machine.last_heartbeat_ms + quiet_ms
+        let unresponsive_after_ms = self.heartbeat_interval_ms() * POLL_AFTER_HEARTBEATS;
+        let any_unresponsive = self.fleet.iter().any(|machine| {
+            machine.phase == MachinePhase::Up
+                && now.ms > machine.last_heartbeat_ms + unresponsive_after_ms
         });
-        if !any_quiet || self.lease_proxies.in_flight || now.ms < self.lease_proxies.due_ms {
+        if !any_unresponsive
+            || self.lease_proxies.in_flight
+            || now.ms < self.lease_proxies.next_poll_ms
+        {
             return;
         }
         self.lease_proxies.in_flight = true;
-        self.lease_proxies.due_ms = now.ms + quiet_ms / 2;
+        self.lease_proxies.next_poll_ms = now.ms + unresponsive_after_ms / 2;
         let call = kv_client::list(LEASE_PROXY_PREFIX, None, PAGE_KEYS);
         self.call_kv(
             now,
@@ -56,7 +60,7 @@
         );
     }
 
-    /// Handles the page of the followers' records.
+    /// Applies the followers' records.
     pub(in crate::scheduler) fn on_lease_proxies(&mut self, now: Now, response: &KvResponse) {
         self.lease_proxies.in_flight = false;
         let Some(page) = response.read::<KeyPage>(200) else {
@@ -71,11 +75,11 @@
         }
     }
 
-    /// Notes which leases a follower has renewed, and the agent epochs that it
-    /// has seen.
+    /// Updates the machines from one follower's record: the leases it has renewed and the agent
+    /// epochs it has received.
     fn apply_lease_proxy_record(&mut self, now: Now, record: LeaseProxyRecord) {
-        // The controllers' clocks differ a little. A record that is older than
-        // a lease says nothing.
+        // The clocks of the controllers differ slightly, so the age may be a little off. The
+        // renewals in a record older than a lease have expired.
         let age_ms = now.wall.saturating_sub(record.at);
         if age_ms > self.lease_ms() {
             return;
@@ -87,8 +91,8 @@
                 continue;
             };
             machine.lease_proxied_ms = machine.lease_proxied_ms.max(renewed_ms);
-            // A later epoch is proof that the earlier one is over, whichever
-            // controller got the heartbeat.
+            // A later agent epoch proves that earlier ones have expired, regardless of which
+            // controller received the heartbeat.
             if agent_epoch > machine.agent_epoch {
                 self.expire_earlier_epochs(now, &id, agent_epoch);
             }
--- a/src/scheduler/workers/machines.rs
+++ b/src/scheduler/workers/machines.rs
@@ -1,4 +1,4 @@
-//! The machines' lifecycle as the cloud reports it: provisioned, listed, released.
+//! Processing of the cloud's events about machines: provisioned, listed and released.
 
 use crate::cloud::{CloudClient, CloudEvent, Offer};
 use crate::fleet::{Machine, MachinePhase};
@@ -10,14 +10,16 @@
 use crate::wire::cloud::{ListedMachine, ListedState};
 use std::rc::Rc;
 
-/// The cloud's list may lag by so much. A released machine's name is remembered
-/// for four times as long, and for a minute more, so that a list that is late
-/// doesn't bring it back.
-const RELEASED_LIST_LAGS_MS: f64 = 4000.0;
-const RELEASED_MARGIN_MS: u64 = 60_000;
+/// A released machine's name is kept for four times the lag of the cloud's machine list, in
+/// milliseconds per second of that lag, plus a margin. An outdated list then doesn't add the
+/// machine again.
+const RELEASED_RETENTION_MS_PER_LAG_S: f64 = 4000.0;
+/// The margin added to the retention time of a released machine's name.
+const RELEASED_RETENTION_MARGIN_MS: u64 = 60_000;
 
 impl Scheduler {
-    /// Handles an event of the cloud.
+    /// Processes an event of the cloud. While stored records are being loaded, only the
+    /// latest machine list is kept, to be processed afterwards.
     pub fn on_cloud_event(&mut self, now: Now, event: CloudEvent, cloud: &mut CloudClient) {
         if self.stage != LeaderStage::Active {
             if let (LeaderStage::Loading, CloudEvent::Listed(list)) = (self.stage, event) {
@@ -28,7 +30,9 @@
         self.pacing.requested = true;
         match event {
             CloudEvent::Catalog(_) => {}
-            CloudEvent::Provisioned(offer, names) => self.machines_provisioned(now, offer, names),
+            CloudEvent::Provisioned(offer, names) => {
+                self.add_provisioned_machines(now, offer, names)
+            }
             CloudEvent::NoCapacity(offer) => {
                 let boot_ms = self.expected_boot_ms(&offer);
                 self.provisioning
@@ -37,15 +41,15 @@
             CloudEvent::OrderFailed(offer) => self.provisioning.order_failed(offer, now.ms),
             CloudEvent::Released(names) => {
                 for name in names {
-                    self.machine_released(now, &name);
+                    self.remove_released_machine(now, &name);
                 }
             }
             CloudEvent::Listed(list) => self.on_machine_list(now, list, cloud),
         }
     }
 
-    /// The cloud has carried out an order.
-    fn machines_provisioned(&mut self, now: Now, offer: Offer, names: Vec<MachineId>) {
+    /// Adds the machines of a completed provisioning order.
+    fn add_provisioned_machines(&mut self, now: Now, offer: Offer, names: Vec<MachineId>) {
         log::info!(
             "machines provisioned count={} type={} zone={} spot={}",
             names.len(),
@@ -60,8 +64,8 @@
         self.provisioning.capacity_available(&offer);
     }
 
-    /// Adds a machine, or describes one that is known by its name only. `age_s`:
-    /// how long ago it was provisioned.
+    /// Adds a machine, or sets the type and capacity of one of which only the name is known.
+    /// `age_s` is the time since it was provisioned.
     pub(super) fn add_machine(
         &mut self,
         now: Now,
@@ -90,14 +94,14 @@
             )
         });
         if !machine.is_described() {
-            // It was known from a stored assignment only.
+            // The machine was known only from a stored assignment.
             machine.describe(offer, capacity, image_cache_gb);
         }
         machine.provisioned_ms = machine.provisioned_ms.min(provisioned_ms);
         machine
     }
 
-    /// Handles the cloud's list of machines.
+    /// Processes the cloud's machine list. Released machines are skipped.
     pub(in crate::scheduler) fn on_machine_list(
         &mut self,
         now: Now,
@@ -113,7 +117,7 @@
         }
     }
 
-    /// Handles one machine of the cloud's list.
+    /// Processes one machine of the cloud's list.
     fn machine_listed(
         &mut self,
         now: Now,
@@ -130,31 +134,32 @@
         let machine = self.add_machine(now, id.clone(), offer, listed.age_s);
         machine.listed_running |= is_running;
         if listed.state == ListedState::Failed {
-            // The list is a hint, and it lags: the confirmed release is the
-            // proof that the machine is gone.
+            // The list may be outdated, so it doesn't prove that the machine is gone. The
+            // confirmation of the release does.
             machine.phase = MachinePhase::Releasing;
             cloud.release(id.clone());
         }
         if machine.address.is_none() && !listed.address.is_empty() {
             machine.address = Some(listed.address);
-            // A new leader's token should reach the worker before commands of
-            // other controllers do.
+            // The worker should receive the new leader's fencing token before commands of
+            // other controllers arrive.
             if is_running {
                 self.machines_to_command.insert(id);
             }
         }
     }
 
-    /// The cloud has confirmed the release of a machine, which proves that its
-    /// tasks have ended.
-    fn machine_released(&mut self, now: Now, id: &MachineId) {
-        let list_lags_ms = (self.settings.site.cloud.list_lag_s * RELEASED_LIST_LAGS_MS) as u64;
-        let forget_ms = now.ms + list_lags_ms + RELEASED_MARGIN_MS;
+    /// Removes a machine whose release the cloud has confirmed, and drops its assignments, because
+    /// the release proves that its tasks have ended.
+    fn remove_released_machine(&mut self, now: Now, id: &MachineId) {
+        let retention_ms =
+            (self.settings.site.cloud.list_lag_s * RELEASED_RETENTION_MS_PER_LAG_S) as u64;
+        let forget_ms = now.ms + retention_ms + RELEASED_RETENTION_MARGIN_MS;
         let Some(machine) = self.fleet.remove(id, forget_ms) else {
             return;
         };
-        // The cloud has capacity for this offer again, even if it refused it
-        // lately.
+        // The released machine leaves capacity for its offer, even if the cloud has recently
+        // rejected an order for it.
         self.provisioning.capacity_available(&machine.offer);
         log::info!(
             "machine released machine={id} tasks={}",
--- a/src/scheduler/workers/mod.rs
+++ b/src/scheduler/workers/mod.rs
@@ -1,4 +1,4 @@
-//! The workers as the leader sees them: heartbeats, reconciliation, commands and
+//! The leader's handling of machines and their workers: heartbeats, reconciliation, commands and
 //! failure detection.
 
 pub(super) mod failure_detection;
--- a/src/scheduler/workers/reconciliation.rs
+++ b/src/scheduler/workers/reconciliation.rs
@@ -1,5 +1,4 @@
-//! Reconciliation: the tasks that a worker has are compared with those that are
-//! assigned to it.
+//! Reconciliation of the tasks that a worker reports with those that are assigned to its machine.
 
 use crate::ids::{AgentEpoch, Attempt, FencingToken, MachineId, TaskRef};
 use crate::messages::Now;
@@ -8,20 +7,20 @@
 use std::collections::HashMap;
 use std::fmt;
 
-/// After so many heartbeat intervals without the effect of a start command, a
-/// machine counts as unresponsive.
-const UNRESPONSIVE_HEARTBEATS: u64 = 5;
+/// Time after which a start command without effect is overdue, in heartbeat intervals. Tasks
+/// aren't assigned to a machine with an overdue start.
+const START_TIMEOUT_HEARTBEATS: u64 = 5;
 
-/// What proves that an assigned task is not on its machine and never will be.
+/// Proof that an assigned task isn't on its machine and can't be started there anymore.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(super) enum AbsenceProof {
     /// The cloud has confirmed the release of the machine.
     MachineReleased,
-    /// The worker's agent epoch is over: its tasks have ended with it, and
-    /// commands of that epoch are refused.
-    AgentEpochOver,
-    /// The worker doesn't have the task, under a fencing token under which it
-    /// refuses every start that was sent.
+    /// The agent epoch of the assignment has expired: the worker's tasks ended with the epoch, and
+    /// the worker rejects commands of that epoch.
+    AgentEpochExpired,
+    /// The worker has reported that it doesn't have the task, and its fencing token is so high
+    /// that it rejects every start command that was sent.
     AbsentUnderRaisedToken,
 }
 
@@ -29,15 +28,15 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             AbsenceProof::MachineReleased => "machine released",
-            AbsenceProof::AgentEpochOver => "agent epoch over",
+            AbsenceProof::AgentEpochExpired => "agent epoch expired",
             AbsenceProof::AbsentUnderRaisedToken => "absent under a raised fencing token",
         })
     }
 }
 
 impl Scheduler {
-    /// Compares the tasks that are assigned to a machine with those that its
-    /// worker has.
+    /// Compares the tasks that are assigned to a machine with those in its worker's status, and
+    /// updates the assignments.
     pub(super) fn reconcile(
         &mut self,
         now: Now,
@@ -64,11 +63,12 @@
             match present.remove(&(task, attempt)) {
                 Some(status) if status.phase == TaskPhase::Ended => {
                     let reason = status.reason.unwrap_or(ExitReason::Other);
-                    self.task_ended(now, id, task, reason);
+                    self.handle_task_exit(now, id, task, reason);
                 }
-                Some(status) => self.task_present(now, id, task, status.phase),
+                Some(status) => self.update_present_task(now, id, task, status.phase),
                 None => {
-                    start_overdue |= self.task_absent(now, id, task, heartbeat.fencing_token, out);
+                    start_overdue |=
+                        self.update_absent_task(now, id, task, heartbeat.fencing_token, out);
                 }
             }
         }
@@ -85,14 +85,14 @@
         }
     }
 
-    /// The attempt of the task that is assigned to this machine.
+    /// Returns the attempt of the task that is assigned to this machine, if any.
     fn assigned_attempt(&self, id: &MachineId, task: &TaskRef) -> Option<Attempt> {
         let assignment = self.jobs.get(&task.job)?.assignments.get(&task.index)?;
         (assignment.machine == *id).then_some(assignment.attempt)
     }
 
-    /// The worker has the task, and it hasn't ended.
-    fn task_present(&mut self, now: Now, id: &MachineId, task: &TaskRef, phase: TaskPhase) {
+    /// Updates the assignment of a task that the worker has and that hasn't ended.
+    fn update_present_task(&mut self, now: Now, id: &MachineId, task: &TaskRef, phase: TaskPhase) {
         let settled_ms = self.settled_ms();
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
@@ -116,8 +116,8 @@
         if assignment.phase.replace(phase) != Some(phase) {
             self.groups.touch_task(&task.job, task.index);
         }
-        // A service never ends, so running for long enough counts as its
-        // success; a replica that spans machines succeeds as a whole.
+        // A service task doesn't end by itself, so it succeeds by running for long enough. The
+        // success of a replica that spans machines is recorded by its replica group.
         let settled = is_service
             && !multi_host
             && phase == TaskPhase::Running
@@ -137,9 +137,10 @@
         }
     }
 
-    /// The worker doesn't have the task. Returns whether its start has been
-    /// without effect for too long.
-    fn task_absent(
+    /// Updates the assignment of a task that the worker doesn't have. The assignment is dropped
+    /// if a stop was requested and the absence is proven. Returns whether the task's start is
+    /// overdue.
+    fn update_absent_task(
         &mut self,
         now: Now,
         id: &MachineId,
@@ -147,7 +148,7 @@
         reported_token: FencingToken,
         out: &mut SchedulerEffects,
     ) -> bool {
-        let start_timeout_ms = UNRESPONSIVE_HEARTBEATS * self.heartbeat_interval_ms();
+        let start_timeout_ms = START_TIMEOUT_HEARTBEATS * self.heartbeat_interval_ms();
         let assignment = self
             .jobs
             .get_mut(&task.job)
@@ -164,8 +165,8 @@
                 .is_some_and(|sent_ms| now.ms > sent_ms + start_timeout_ms);
         }
         let proven = match (assignment.first_sent_ms, assignment.absent_proof) {
-            // No start of this term was sent, and starts of earlier terms are
-            // refused under the token of this heartbeat.
+            // No start command was sent in this term, and the worker rejects those of earlier
+            // terms because its heartbeat has a fencing token of this term.
             (None, _) => true,
             (_, Some(token)) => reported_token >= token,
             (_, None) => {
@@ -186,8 +187,8 @@
         false
     }
 
-    /// Drops all that was assigned in an earlier agent epoch: with its epoch a
-    /// worker's tasks end, and commands of that epoch are refused.
+    /// Drops the machine's assignments of agent epochs before `epoch`. A worker's tasks end with
+    /// their epoch, and the worker rejects commands of earlier epochs.
     pub(super) fn expire_earlier_epochs(&mut self, now: Now, id: &MachineId, epoch: AgentEpoch) {
         let Some(machine) = self.fleet.get(id) else {
             return;
@@ -201,13 +202,13 @@
                     assignment.machine == *id && assignment.agent_epoch < epoch
                 });
             if earlier {
-                self.drop_assignment(now, &task, AbsenceProof::AgentEpochOver);
+                self.drop_assignment(now, &task, AbsenceProof::AgentEpochExpired);
             }
         }
     }
 
-    /// It is proven that the task is on no machine: it is pending again, or its
-    /// cancelled job is one task nearer to its end.
+    /// Drops the assignment of a task that provably isn't on its machine. The task becomes pending
+    /// again unless its job is cancelled.
     pub(super) fn drop_assignment(&mut self, now: Now, task: &TaskRef, proof: AbsenceProof) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
--- a/src/scheduler/workers/task_exits.rs
+++ b/src/scheduler/workers/task_exits.rs
@@ -1,17 +1,16 @@
-//! Tasks that have ended: what their end means for the job and its machine.
+//! Processing of ended tasks: updates of the job, the machine and the online estimates.
 
 use crate::ids::{Attempt, MachineId, TaskRef};
 use crate::messages::Now;
 use crate::scheduler::Scheduler;
 use crate::wire::workers::ExitReason;
 
-/// After a worker has refused a start, the job's tasks are not placed for so
-/// long.
-const REFUSED_START_PAUSE_MS: u64 = 500;
+/// Backoff before a job's tasks are placed again after a worker has rejected a start.
+const REJECTED_START_BACKOFF_MS: u64 = 500;
 
 impl Scheduler {
-    /// The worker reports that the assigned attempt has ended.
-    pub(super) fn task_ended(
+    /// Processes the end of an assigned attempt that the worker has reported.
+    pub(super) fn handle_task_exit(
         &mut self,
         now: Now,
         id: &MachineId,
@@ -25,7 +24,7 @@
             return;
         };
         self.groups.touch_task(&task.job, task.index);
-        // Of an inherited task only the end of its run was seen.
+        // The run time is unknown if an earlier leader started the task.
         let run_ms = assignment
             .running_since_ms
             .filter(|_| !assignment.started_by_earlier_leader)
@@ -50,16 +49,17 @@
             "task ended task={task} attempt={} machine={id} reason={reason:?}",
             assignment.attempt
         );
-        // Its worker keeps the result until this is stored.
+        // The worker keeps the result until the end is stored and acknowledged.
         job.unstored_ends.insert((task.index, assignment.attempt));
         match reason {
-            ExitReason::Done => self.task_done(now, task, run_ms),
-            _ => self.task_not_done(now, id, task, assignment.attempt, reason),
+            ExitReason::Done => self.record_task_completion(now, task, run_ms),
+            _ => self.requeue_incomplete_task(now, id, task, assignment.attempt, reason),
         }
     }
 
-    /// The task has completed. `run_ms`: how long it ran, if all of it was seen.
-    fn task_done(&mut self, now: Now, task: &TaskRef, run_ms: Option<u64>) {
+    /// Marks the task as done. `run_ms` is its run time, or `None` if an earlier leader started
+    /// it.
+    fn record_task_completion(&mut self, now: Now, task: &TaskRef, run_ms: Option<u64>) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
@@ -74,8 +74,9 @@
         self.record_job_success(&task.job);
     }
 
-    /// The task has ended without completing and is pending again.
-    fn task_not_done(
+    /// Makes a task that ended without completing pending again, and records the failure or
+    /// starts a backoff, depending on the reason.
+    fn requeue_incomplete_task(
         &mut self,
         now: Now,
         id: &MachineId,
@@ -89,10 +90,10 @@
         job.pending.insert(task.index);
         job.touch(task.index, now.ms, false);
         let multi_host = job.shape.is_some();
-        let retry_ms = now.ms + REFUSED_START_PAUSE_MS;
+        let retry_ms = now.ms + REJECTED_START_BACKOFF_MS;
         match reason {
             ExitReason::Error if multi_host => self.part_failed(now, id, task, attempt),
-            ExitReason::Error => self.task_failed(now, id, task),
+            ExitReason::Error => self.record_task_failure(now, id, task),
             ExitReason::Stopped => {}
             _ if multi_host => self.defer_group(task, retry_ms),
             _ => job.failures.defer_until(retry_ms),
--- a/src/scheduler/workers/zone_silence.rs
+++ b/src/scheduler/workers/zone_silence.rs
@@ -1,5 +1,6 @@
-//! How silence is judged in each zone, and whether this controller hears
-//! workers at all: what most machines share is not the machines' fault.
+//! Health of whole zones, and whether this controller receives heartbeats at all. If most
+//! machines of a zone are unresponsive at the same time, the cause is probably not a fault of
+//! the machines.
 
 use crate::fleet::MachinePhase;
 use crate::messages::Now;
@@ -7,131 +8,135 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// When most machines of a zone are silent, they are waited for this many
-/// times as long.
-const PARTITION_PATIENCE: f64 = 2.5;
-/// A leader that hears none of its workers for so many heartbeat intervals is
-/// unreachable.
+/// Factor by which the heartbeat timeout is extended in a zone most of whose machines are
+/// unresponsive.
+const PARTITION_TIMEOUT_FACTOR: f64 = 2.5;
+/// A leader that receives no heartbeat from any of its workers for this many heartbeat
+/// intervals is considered unreachable.
 const UNREACHABLE_HEARTBEATS: f64 = 2.5;
-/// Fewer silent machines never count as a zone's silence.
-const MIN_SILENT_MACHINES: u32 = 3;
+/// Minimum number of unresponsive machines for a zone to count as mostly unresponsive.
+const MIN_UNRESPONSIVE_MACHINES: u32 = 3;
 
-/// How silence is judged in a zone.
-pub(super) struct ZoneSilence {
-    /// Most of its machines are silent.
-    pub(super) mostly_silent: bool,
-    /// How long a machine may be silent.
-    pub(super) limit_ms: u64,
-    /// Silence before this time doesn't count.
-    pub(super) excused_ms: u64,
+/// The health of a zone, by which its machines are judged.
+pub(super) struct ZoneHealth {
+    /// Whether most of the zone's machines are unresponsive.
+    pub(super) mostly_unresponsive: bool,
+    /// Time without a heartbeat after which a machine is declared failed.
+    pub(super) heartbeat_timeout_ms: u64,
+    /// Earliest start of the timeout: missing heartbeats before this time don't count.
+    pub(super) timeouts_start_ms: u64,
 }
 
-/// How many machines of a zone are up, and how many of these are silent.
+/// The number of machines of a zone that are up, and how many of these are unresponsive.
 #[derive(Clone, Copy, Default)]
 struct ZoneMachines {
     up: u32,
-    silent: u32,
+    unresponsive: u32,
 }
 
 impl ZoneMachines {
-    fn mostly_silent(self) -> bool {
-        self.silent * 2 > self.up && self.silent >= MIN_SILENT_MACHINES
+    fn mostly_unresponsive(self) -> bool {
+        self.unresponsive * 2 > self.up && self.unresponsive >= MIN_UNRESPONSIVE_MACHINES
     }
 }
 
 impl Scheduler {
-    /// How long a machine may be silent by itself.
-    pub(super) fn silence_limit_ms(&self) -> u64 {
+    /// Returns the heartbeat timeout of machines in a healthy zone.
+    pub(super) fn heartbeat_timeout_ms(&self) -> u64 {
         (self.lease_ms() as f64 * self.tuning.silent_leases) as u64
     }
 
-    /// How long a zone's machines may be silent, and until when they were all
-    /// excused. When most of a zone are silent, the cause is more likely a
-    /// network partition or a fault of this controller, and releasing them all
-    /// would be the worst reaction. Afterwards they come back one by one: the
-    /// last ones must not be judged by the silence that all of them shared.
-    pub(super) fn zone_silences(&mut self, now: Now) -> BTreeMap<Rc<str>, ZoneSilence> {
+    /// Returns the health of each zone with machines that are up. If most machines of a zone are
+    /// unresponsive, the cause is more likely a network partition or a fault of this controller,
+    /// and releasing all of them would do the most damage. After such a period the machines
+    /// resume their heartbeats one by one, so the period isn't counted against the last ones.
+    pub(super) fn assess_zones(&mut self, now: Now) -> BTreeMap<Rc<str>, ZoneHealth> {
         let counts = self.count_zone_machines(now);
         counts
             .into_iter()
             .map(|(zone, machines)| {
-                let silence = if machines.mostly_silent() {
+                let health = if machines.mostly_unresponsive() {
                     self.failure_detection
-                        .zones_silent_ms
+                        .zone_last_unresponsive_ms
                         .insert(zone.clone(), now.ms);
-                    self.silent_zone(&zone)
+                    self.unresponsive_zone_health(&zone)
                 } else {
-                    self.heard_zone(&zone)
+                    self.responsive_zone_health(&zone)
                 };
-                (zone, silence)
+                (zone, health)
             })
             .collect()
     }
 
     fn count_zone_machines(&self, now: Now) -> BTreeMap<Rc<str>, ZoneMachines> {
-        let silent_after_ms = self.lease_ms() / 2;
+        let unresponsive_after_ms = self.lease_ms() / 2;
         let mut zones: BTreeMap<Rc<str>, ZoneMachines> = BTreeMap::new();
         for machine in self.fleet.iter() {
             if machine.phase == MachinePhase::Up {
                 let counts = zones.entry(machine.offer.zone.clone()).or_default();
-                let silent = now.ms > machine.last_heartbeat_ms + silent_after_ms;
+                let unresponsive = now.ms > machine.last_heartbeat_ms + unresponsive_after_ms;
                 counts.up += 1;
-                counts.silent += u32::from(silent);
+                counts.unresponsive += u32::from(unresponsive);
             }
         }
         zones
     }
 
-    /// A zone most of whose machines are silent.
-    fn silent_zone(&self, zone: &str) -> ZoneSilence {
-        let partition_ms = (self.silence_limit_ms() as f64 * PARTITION_PATIENCE) as u64;
-        // A controller in the zone renews its workers' leases for as long as it
-        // may, and what they run lives on.
-        let limit_ms = if self.settings.has_controller(zone) {
-            partition_ms.max(self.settings.max_task_survival_ms())
+    /// Returns the health of a zone most of whose machines are unresponsive.
+    fn unresponsive_zone_health(&self, zone: &str) -> ZoneHealth {
+        let partition_timeout_ms =
+            (self.heartbeat_timeout_ms() as f64 * PARTITION_TIMEOUT_FACTOR) as u64;
+        // A controller in the zone renews the leases of its workers for as long as it is
+        // allowed to, so their tasks may still be running until then.
+        let heartbeat_timeout_ms = if self.settings.has_controller(zone) {
+            partition_timeout_ms.max(self.settings.max_task_survival_ms())
         } else {
-            partition_ms
+            partition_timeout_ms
         };
-        // Nor does silence count while followers can't store whose leases they
-        // renew, or while this process was paused.
+        // Missing heartbeats don't count while followers can't store which leases they renew,
+        // or while this process was paused.
         let detection = &self.failure_detection;
-        ZoneSilence {
-            mostly_silent: true,
-            limit_ms,
-            excused_ms: detection
-                .store_failed_ms
+        ZoneHealth {
+            mostly_unresponsive: true,
+            heartbeat_timeout_ms,
+            timeouts_start_ms: detection
+                .last_store_failure_ms
                 .unwrap_or(0)
-                .max(detection.process_paused_ms),
+                .max(detection.last_process_pause_ms),
         }
     }
 
-    /// A zone most of whose machines are heard.
-    fn heard_zone(&self, zone: &str) -> ZoneSilence {
+    /// Returns the health of a zone that isn't mostly unresponsive.
+    fn responsive_zone_health(&self, zone: &str) -> ZoneHealth {
         let detection = &self.failure_detection;
-        let zone_silent_ms = detection.zones_silent_ms.get(zone).copied();
-        ZoneSilence {
-            mostly_silent: false,
-            limit_ms: self.silence_limit_ms(),
-            excused_ms: detection.process_paused_ms.max(zone_silent_ms.unwrap_or(0)),
+        let last_unresponsive_ms = detection.zone_last_unresponsive_ms.get(zone).copied();
+        ZoneHealth {
+            mostly_unresponsive: false,
+            heartbeat_timeout_ms: self.heartbeat_timeout_ms(),
+            timeouts_start_ms: detection
+                .last_process_pause_ms
+                .max(last_unresponsive_ms.unwrap_or(0)),
         }
     }
 
-    /// Nothing was received for a while because this process was paused: the
-    /// machines' silence until now doesn't count.
+    /// Restarts the heartbeat timeouts of all machines after this process was paused and couldn't
+    /// receive heartbeats.
     pub fn on_process_paused(&mut self, now: Now) {
-        self.failure_detection.process_paused_ms = now.ms;
+        self.failure_detection.last_process_pause_ms = now.ms;
     }
 
-    /// Whether none of the workers is heard that report to this leader directly
-    /// (`reports_here`, by zone). Those that are new to it may not have sent a
-    /// heartbeat yet.
-    pub fn hears_no_worker(&self, now: Now, reports_here: impl Fn(&str) -> bool) -> bool {
-        let patience_ms = (self.heartbeat_interval_ms() as f64 * UNREACHABLE_HEARTBEATS) as u64;
-        // A paused process can't hear anything.
-        let listening_since_ms = self
+    /// Returns whether this leader receives no heartbeat from any of the workers that report to
+    /// it directly. `reports_here` states for a zone whether its workers do. Returns `false` for
+    /// some time after the election, because workers may not have sent a heartbeat to a new
+    /// leader yet, and if there are no such workers.
+    pub fn receives_no_heartbeats(&self, now: Now, reports_here: impl Fn(&str) -> bool) -> bool {
+        let unreachable_after_ms =
+            (self.heartbeat_interval_ms() as f64 * UNREACHABLE_HEARTBEATS) as u64;
+        // A paused process receives no heartbeats.
+        let receiving_since_ms = self
             .elected_ms
-            .max(self.failure_detection.process_paused_ms);
-        if !self.active() || now.ms < listening_since_ms + patience_ms {
+            .max(self.failure_detection.last_process_pause_ms);
+        if !self.active() || now.ms < receiving_since_ms + unreachable_after_ms {
             return false;
         }
         let mut machines = self
@@ -142,19 +147,20 @@
             })
             .peekable();
         machines.peek().is_some()
-            && machines.all(|machine| now.ms > machine.last_heartbeat_ms + patience_ms)
+            && machines.all(|machine| now.ms > machine.last_heartbeat_ms + unreachable_after_ms)
     }
 
-    /// Whether most of a zone's machines are heard, as far as it has any.
-    pub fn hears_zone(&self, now: Now, zone: &str) -> bool {
-        let heard_since_ms = now.ms.saturating_sub(self.lease_ms() / 2);
-        let (mut up, mut heard) = (0, 0);
+    /// Returns whether this leader has received recent heartbeats from at least half of a zone's
+    /// machines that are up, or the zone has no such machines.
+    pub fn receives_heartbeats_from_zone(&self, now: Now, zone: &str) -> bool {
+        let recent_since_ms = now.ms.saturating_sub(self.lease_ms() / 2);
+        let (mut up, mut responsive) = (0, 0);
         for machine in self.fleet.iter() {
             if machine.phase == MachinePhase::Up && &*machine.offer.zone == zone {
                 up += 1;
-                heard += usize::from(machine.last_heartbeat_ms >= heard_since_ms);
+                responsive += usize::from(machine.last_heartbeat_ms >= recent_since_ms);
             }
         }
-        heard * 2 >= up
+        responsive * 2 >= up
     }
 }
