--- a/src/node/handover.rs
+++ b/src/node/handover.rs
@@ -50,7 +50,7 @@
     /// serve these workers.
     pub(super) fn unreachable_by_workers(&self, now: Now) -> bool {
         let reports_to_us = |zone: &str| self.forwarder_for(now, zone).is_none();
-        self.scheduler.hears_no_worker(now, reports_to_us)
+        self.scheduler.receives_no_heartbeats(now, reports_to_us)
     }
 
     /// Hands leadership over because this leader's workers reach the peer
@@ -99,7 +99,9 @@
         let name = successor.name.clone();
         // If the successor's whole zone is unresponsive, the zone is behind a network
         // partition, which a new leader would have to detect again.
-        let zone_responsive = self.scheduler.hears_zone(now, &successor.zone);
+        let zone_responsive = self
+            .scheduler
+            .receives_heartbeats_from_zone(now, &successor.zone);
         let already_handed_over = self.handover.last_handover_successor.as_ref() == Some(&name);
         if zone_responsive && !already_handed_over && self.has_better_candidate(now, &order) {
             log::info!(
--- a/src/scheduler/rounds/queue_order.rs
+++ b/src/scheduler/rounds/queue_order.rs
@@ -48,7 +48,7 @@
     /// Returns the expected run time of one task: the user's estimate, corrected by the
     /// observed bias of such estimates in the job's class.
     fn estimated_run_ms(&self, spec: &JobSpec) -> u64 {
-        (spec.estimated_run_s * self.estimates.run_bias(&spec.class) * 1000.0) as u64
+        (spec.estimated_run_s * self.estimates.run_time_ratio(&spec.class) * 1000.0) as u64
     }
 
     /// Returns the earliest of the job's own deadlines and objectives that the job can
--- a/src/scheduler/state/job_watch.rs
+++ b/src/scheduler/state/job_watch.rs
@@ -93,7 +93,7 @@
                 JobRecordSource::InitialList => job.submitted_wall_ms,
                 JobRecordSource::Update => now.wall,
             };
-            self.estimates.job_arrived(arrived_wall_ms, &job.spec);
+            self.estimates.record_arrival(arrived_wall_ms, &job.spec);
         }
         if let Some(shape) = job.shape {
             self.groups.add(&id, shape);
