--- a/replica-groups/src/group/action.rs
+++ b/replica-groups/src/group/action.rs
@@ -1,22 +1,24 @@
-//! What an evaluation of a group asks the scheduler to do.
+//! The actions that the evaluation of a group returns to the scheduler.
 
 use crate::migration::AbandonReason;
 
-/// Why parts are stopped.
+/// The reason that parts of a group are stopped.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum StopCause {
-    /// Another part is lost.
+    /// Another part is lost or isn't bound, or the bound parts belong to different
+    /// generations.
     PartLost,
-    /// Another part is being stopped.
+    /// Another part is being stopped by a different operation, such as a preemption.
     PartStopped,
-    /// A machine is going to be taken away, and there is no capacity to migrate to.
+    /// A machine is draining or has a preemption notice, and there is no capacity to
+    /// migrate to.
     MachineLeaving,
-    /// The group migrates.
+    /// The group migrates to other machines.
     Migration,
 }
 
 impl StopCause {
-    /// The reason in logs.
+    /// Returns the `reason` value for log lines.
     pub fn reason(self) -> &'static str {
         match self {
             StopCause::PartLost => "part lost",
@@ -27,42 +29,45 @@
     }
 }
 
-/// An event in a group's life, for logs and metrics.
+/// A life-cycle event of a group, for logs and metrics.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum GroupEvent {
-    /// It serves again with a new generation after it had lost a part.
+    /// The group serves with a new generation after the previous one lost a part.
     Repaired {
-        /// Time from the loss to serving again, in milliseconds.
+        /// Time from the start of the outage until the group serves again, in milliseconds.
         took_ms: u64,
     },
-    /// A silent part reports again; nothing was stopped.
-    Interrupted,
-    /// A migration that an earlier leader began is continued.
+    /// The group serves again with the same generation, for example because an unresponsive
+    /// machine resumed its heartbeats before it was declared failed.
+    InterruptionEnded,
+    /// A migration that an earlier leader planned is resumed.
     MigrationResumed,
     /// A migration was abandoned.
     MigrationAbandoned(AbandonReason),
-    /// A migration has reached its targets.
+    /// All parts are bound again after a migration.
     Migrated,
 }
 
-/// What a group asks the scheduler to do.
+/// An action that the scheduler performs for a group.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum GroupAction {
-    /// Stop these parts.
+    /// Stop some parts of the group.
     Stop {
-        /// Their tasks.
+        /// Task indices of the parts.
         parts: Vec<u32>,
-        /// Why.
+        /// The reason, for logs.
         cause: StopCause,
     },
-    /// Find capacity for all parts where the group can migrate to, and answer with
+    /// Find capacity that all parts can migrate to, and report the result with
     /// [`ReplicaGroup::begin_migration`](super::ReplicaGroup::begin_migration) or
-    /// [`ReplicaGroup::migration_infeasible`](super::ReplicaGroup::migration_infeasible).
+    /// [`ReplicaGroup::mark_migration_infeasible`](super::ReplicaGroup::mark_migration_infeasible).
     PlanMigration,
-    /// Store the group's record: it has changed.
+    /// Store the group's record, which has changed.
     Persist,
-    /// Count the group as a success: it has served for long enough.
+    /// Count the generation as a success: it has served without interruption for more than
+    /// [`GroupTiming::success_after_ms`](super::GroupTiming::success_after_ms).
     RecordSuccess,
-    /// Log and count this event.
+    /// Log the event. [`ReplicaGroups`](crate::registry::ReplicaGroups) has counted it
+    /// already.
     Emit(GroupEvent),
 }
--- a/replica-groups/src/group/evaluation.rs
+++ b/replica-groups/src/group/evaluation.rs
@@ -1,5 +1,5 @@
-//! The evaluation of a group: from the observed state of its parts to its new state
-//! and the actions to take.
+//! The evaluation of a group: derives its new state and the actions to take from the
+//! observed state of its parts.
 
 use super::{GroupAction, GroupEvent, GroupState, GroupTiming, ReplicaGroup, StopCause};
 use super::{Outage, Reservation};
@@ -7,13 +7,13 @@
 use crate::record::PartTarget;
 use lilacfork_common::ids::Attempt;
 
-/// Whether the machines that a group migrates to still accept its parts.
+/// Whether the target machines of a group's migration accept its parts.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum MigrationTargets {
-    /// All of them do.
-    Open,
-    /// One of them doesn't, or the group doesn't migrate.
-    Closed,
+    /// All target machines accept tasks.
+    Available,
+    /// At least one target machine doesn't accept tasks, or the group isn't migrating.
+    Unavailable,
 }
 
 /// The inputs of one evaluation, and the actions collected so far.
@@ -33,9 +33,9 @@
 }
 
 impl ReplicaGroup {
-    /// Evaluates the group by its parts, and returns the actions to take. `targets`
-    /// is about the machines of its migration, if it has one.
-    pub fn observe(
+    /// Updates the group's state from the observed state of its parts, and returns the
+    /// actions to take. `targets` applies to the group's migration, if there is one.
+    pub fn evaluate(
         &mut self,
         now_ms: u64,
         timing: &GroupTiming,
@@ -54,12 +54,12 @@
         if summary.live == 0 {
             self.finish();
         } else if summary.bound == 0 {
-            self.observe_unbound(&mut evaluation);
+            self.evaluate_unbound(&mut evaluation);
         } else if summary.is_broken() || (self.must_stop && summary.leaving > 0) {
             self.stop_generation(&mut evaluation);
         } else {
             self.generation_broken = false;
-            self.observe_bound(&mut evaluation);
+            self.evaluate_bound(&mut evaluation);
         }
         if self.state != GroupState::Serving {
             self.serving_since_ms = None;
@@ -67,15 +67,15 @@
         evaluation.actions
     }
 
-    /// All parts have completed.
+    /// Handles a group all of whose parts have completed.
     fn finish(&mut self) {
         self.state = GroupState::Finished;
         self.reservation = None;
         self.migration = None;
     }
 
-    /// No part is on a machine.
-    fn observe_unbound(&mut self, evaluation: &mut Evaluation) {
+    /// Evaluates a group none of whose parts is bound to a machine.
+    fn evaluate_unbound(&mut self, evaluation: &mut Evaluation) {
         self.state = GroupState::Pending;
         self.generation_broken = false;
         self.must_stop = false;
@@ -83,8 +83,8 @@
         self.continue_unbound_migration(evaluation);
     }
 
-    /// The generation can't become whole again: the parts that are left of it are
-    /// stopped.
+    /// Stops the remaining parts of a generation that can't become complete again or must
+    /// leave its machines.
     fn stop_generation(&mut self, evaluation: &mut Evaluation) {
         let stopped_by_others = evaluation.summary.stopping > 0;
         if !self.generation_broken {
@@ -113,9 +113,9 @@
         });
     }
 
-    /// Begins the outage of a group that was in service, and reserves the machines
-    /// that are left for its next generation. Neither is done for a generation that
-    /// was stopped for other work: that work needs the capacity.
+    /// Starts the outage of a group that was in service, and reserves its healthy machines
+    /// for the next generation. The caller skips this step for a generation that was
+    /// stopped in favour of other work, because that work needs the capacity.
     fn record_broken_generation(&mut self, evaluation: &Evaluation) {
         if self.was_in_service() {
             self.begin_outage(evaluation.now_ms, evaluation.summary.generation);
@@ -128,9 +128,9 @@
         }
     }
 
-    /// All parts of one generation are bound to machines that haven't been declared
-    /// failed.
-    fn observe_bound(&mut self, evaluation: &mut Evaluation) {
+    /// Evaluates a group whose parts all belong to one generation and are all bound to
+    /// machines that haven't been declared failed.
+    fn evaluate_bound(&mut self, evaluation: &mut Evaluation) {
         if evaluation.summary.is_complete() {
             self.record_serving(evaluation);
         } else if self.was_in_service() {
@@ -142,7 +142,7 @@
         if self.migration.is_some() {
             self.advance_migration(evaluation);
         } else if evaluation.summary.leaving > 0 {
-            if self.serves() {
+            if self.is_serving() {
                 evaluation.actions.push(GroupAction::PlanMigration);
             } else {
                 self.must_stop = true;
@@ -151,41 +151,42 @@
         }
     }
 
-    /// Every part runs.
+    /// Marks the group as serving, ends its outage, and counts a success once it has served
+    /// for long enough.
     fn record_serving(&mut self, evaluation: &mut Evaluation) {
         let now_ms = evaluation.now_ms;
         self.state = GroupState::Serving;
         if let Some(outage) = self.outage.take() {
             let same_generation = outage.generation == evaluation.summary.generation;
             evaluation.emit(if same_generation {
-                GroupEvent::Interrupted
+                GroupEvent::InterruptionEnded
             } else {
-                let took_ms = now_ms.saturating_sub(outage.since_ms);
+                let took_ms = now_ms.saturating_sub(outage.started_ms);
                 GroupEvent::Repaired { took_ms }
             });
         }
         let since_ms = *self.serving_since_ms.get_or_insert(now_ms);
-        if !self.success_recorded && now_ms > since_ms + evaluation.timing.settled_ms {
+        if !self.success_recorded && now_ms > since_ms + evaluation.timing.success_after_ms {
             self.success_recorded = true;
             self.circuit_breaker.record_success();
             evaluation.actions.push(GroupAction::RecordSuccess);
         }
     }
 
-    /// Whether it was serving or degraded at the last evaluation.
+    /// Returns whether the group was serving or degraded at the last evaluation.
     fn was_in_service(&self) -> bool {
         matches!(self.state, GroupState::Serving | GroupState::Degraded)
     }
 
     fn begin_outage(&mut self, now_ms: u64, generation: Option<Attempt>) {
         self.outage.get_or_insert(Outage {
-            since_ms: now_ms,
+            started_ms: now_ms,
             generation,
         });
     }
 }
 
-/// The tasks of parts that may be on machines and aren't being stopped.
+/// Returns the tasks of the bound parts that aren't being stopped.
 pub(super) fn unstopped_parts(parts: &[Part]) -> Vec<u32> {
     let unstopped = parts.iter().filter(|part| match &part.state {
         PartState::Bound(binding) => !binding.stopping,
@@ -194,7 +195,8 @@
     unstopped.map(|part| part.task).collect()
 }
 
-/// The parts whose machines report and stay, each with its machine.
+/// Returns the parts on machines that send heartbeats and aren't leaving, each with its
+/// machine.
 fn parts_on_healthy_machines(parts: &[Part]) -> Vec<PartTarget> {
     let targets = parts.iter().filter_map(|part| match &part.state {
         PartState::Bound(binding) if binding.health == MachineHealth::Reporting => {
--- a/replica-groups/src/group/migrating.rs
+++ b/replica-groups/src/group/migrating.rs
@@ -1,17 +1,17 @@
-//! The steps of a group's migration, each taken by an evaluation of the group.
+//! The steps of a group's migration. Each evaluation of the group takes at most one step.
 
 use super::evaluation::{unstopped_parts, Evaluation};
 use super::{GroupAction, GroupEvent, MigrationTargets, ReplicaGroup, StopCause};
 use crate::migration::{AbandonReason, MigrationStage};
 
 impl ReplicaGroup {
-    /// The next step of a migration whose group has no part on a machine.
+    /// Takes the next step of the migration of a group without bound parts.
     pub(super) fn continue_unbound_migration(&mut self, evaluation: &mut Evaluation) {
         let Some(migration) = &mut self.migration else {
             return;
         };
         if evaluation.now_ms >= migration.reserved_until_ms {
-            self.abandon_migration(AbandonReason::TimedOut, evaluation);
+            self.abandon_migration(AbandonReason::ReservationExpired, evaluation);
         } else if migration.stage != MigrationStage::Stopping {
             migration.stage = MigrationStage::Stopping;
             if std::mem::take(&mut migration.inherited) {
@@ -20,7 +20,7 @@
         }
     }
 
-    /// The group can't become whole again while it migrates.
+    /// Resumes or abandons the migration of a group whose generation has broken.
     pub(super) fn interrupt_migration(&mut self, evaluation: &mut Evaluation) {
         let Some(migration) = &mut self.migration else {
             return;
@@ -28,8 +28,8 @@
         if migration.stage == MigrationStage::Stopping {
             return;
         }
-        // Unless a part was lost, the previous leader had begun to stop the group for
-        // its migration.
+        // If no part was lost, the generation is broken because the previous leader had
+        // already started to stop the group for this migration.
         let already_begun = migration.inherited && evaluation.summary.lost == 0;
         if already_begun {
             migration.stage = MigrationStage::Stopping;
@@ -40,21 +40,21 @@
         }
     }
 
-    /// The next step of a migration whose group is still whole.
+    /// Takes the next step of the migration of a group whose generation isn't broken.
     pub(super) fn advance_migration(&mut self, evaluation: &mut Evaluation) {
         let Some(migration) = &mut self.migration else {
             return;
         };
         let is_outdated = evaluation.summary.generation != Some(migration.intent.generation);
         if is_outdated || evaluation.now_ms >= migration.reserved_until_ms {
-            self.abandon_migration(AbandonReason::TimedOut, evaluation);
+            self.abandon_migration(AbandonReason::ReservationExpired, evaluation);
             return;
         }
         if migration.stage != MigrationStage::Stored {
             return;
         }
-        if evaluation.targets == MigrationTargets::Closed {
-            // A new leader may not have had heartbeats of those machines yet.
+        if evaluation.targets == MigrationTargets::Unavailable {
+            // A new leader may not have received heartbeats from the target machines yet.
             if !migration.inherited {
                 self.abandon_migration(AbandonReason::NoCapacity, evaluation);
             }
--- a/replica-groups/src/group/mod.rs
+++ b/replica-groups/src/group/mod.rs
@@ -1,9 +1,9 @@
-//! One replica group: its state machine.
+//! The state machine of one replica group.
 //!
-//! A group is evaluated as a whole each time that something about it may have
-//! changed: the observed state of its parts goes in, and the actions to take come
-//! out. Because the state is derived from the parts, an event that is missed or
-//! seen twice does no harm.
+//! The scheduler evaluates a whole group each time that one of its inputs may have
+//! changed. An evaluation takes the observed state of all parts and returns the actions
+//! to take. The group's state is derived from its parts, so a missed or duplicated event
+//! is harmless.
 
 mod action;
 mod evaluation;
@@ -20,44 +20,47 @@
 use lilacfork_common::faults::CircuitBreaker;
 use lilacfork_common::ids::{Attempt, MachineId};
 
-/// The time since which a group that had served hasn't been whole.
+/// A period in which a group that was serving doesn't serve.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 struct Outage {
-    since_ms: u64,
-    /// The generation that served.
+    started_ms: u64,
+    /// The generation that was serving. `None` if the outage began with bound parts of
+    /// several generations.
     generation: Option<Attempt>,
 }
 
-/// Capacity that is reserved for the next generation.
+/// Capacity that is reserved for a group's next generation.
 #[derive(Clone, PartialEq, Eq, Debug)]
 struct Reservation {
     targets: Vec<PartTarget>,
     expires_ms: u64,
 }
 
-/// One replica group.
+/// The life cycle of one replica group.
 #[derive(Debug)]
 pub struct ReplicaGroup {
     replica: ReplicaIndex,
     state: GroupState,
-    /// Since when it has served without interruption.
+    /// Time of the evaluation since which the group has served without interruption.
     serving_since_ms: Option<u64>,
-    /// This generation has been counted as a success.
+    /// Whether the current generation has been counted as a success.
     success_recorded: bool,
     outage: Option<Outage>,
-    /// The current generation can't become whole again, and this has been handled.
+    /// Whether the current generation is broken and its first evaluation as a broken one
+    /// is done.
     generation_broken: bool,
-    /// One of its machines is leaving and there is no capacity to migrate to.
+    /// Whether the group has to stop when a machine is leaving, because it isn't serving or
+    /// there is no capacity to migrate to.
     must_stop: bool,
     reservation: Option<Reservation>,
     migration: Option<Migration>,
     circuit_breaker: CircuitBreaker,
-    /// The generation whose failure was counted last.
-    failed_generation: Option<Attempt>,
+    /// The generation of the part that failed last.
+    last_failed_generation: Option<Attempt>,
 }
 
 impl ReplicaGroup {
-    /// A group of whose parts nothing is known yet.
+    /// Creates a group that hasn't been evaluated yet. Its state is pending.
     pub fn new(replica: ReplicaIndex) -> ReplicaGroup {
         ReplicaGroup {
             replica,
@@ -70,41 +73,43 @@
             reservation: None,
             migration: None,
             circuit_breaker: CircuitBreaker::default(),
-            failed_generation: None,
+            last_failed_generation: None,
         }
     }
 
-    /// Which replica of its job it is.
+    /// Returns the index of the group's replica in its job.
     pub fn replica(&self) -> ReplicaIndex {
         self.replica
     }
 
-    /// Its state, as of the last evaluation.
+    /// Returns the group's state as of the last evaluation.
     pub fn state(&self) -> GroupState {
         self.state
     }
 
-    /// Whether it serves, as of the last evaluation.
-    pub fn serves(&self) -> bool {
+    /// Returns whether the group was serving at the last evaluation.
+    pub fn is_serving(&self) -> bool {
         self.state == GroupState::Serving
     }
 
-    /// Its migration, if one is under way.
+    /// Returns the migration in progress, if there is one.
     pub fn migration(&self) -> Option<&Migration> {
         self.migration.as_ref()
     }
 
-    /// Its circuit breaker.
+    /// Returns the circuit breaker that limits restarts after the group's failures.
     pub fn circuit_breaker(&self) -> &CircuitBreaker {
         &self.circuit_breaker
     }
 
-    /// Whether it waits for capacity, and its circuit breaker lets it start now.
+    /// Returns whether the group waits for capacity and its circuit breaker allows an attempt
+    /// now.
     pub fn awaits_placement(&self, now_ms: u64) -> bool {
         self.state == GroupState::Pending && self.circuit_breaker.allows_attempt(now_ms)
     }
 
-    /// Where capacity is reserved for its next generation.
+    /// Returns the machines on which capacity is reserved for the next generation. Empty if
+    /// there is no reservation or the reservation has expired.
     pub fn reserved_targets(&self, now_ms: u64) -> &[PartTarget] {
         let migration = self.migration.as_ref();
         if let Some(migration) = migration.filter(|m| now_ms < m.reserved_until_ms) {
@@ -115,14 +120,15 @@
         valid.map_or(&[], |reservation| &reservation.targets)
     }
 
-    /// All its parts were bound to machines.
-    pub fn parts_bound(&mut self) -> Option<GroupEvent> {
+    /// Records that all parts were bound to machines, and ends the reservation. Returns an
+    /// event if this completes a migration.
+    pub fn record_parts_bound(&mut self) -> Option<GroupEvent> {
         self.reservation = None;
         self.migration.take().map(|_| GroupEvent::Migrated)
     }
 
-    /// Capacity for a migration was found. The intent has to be stored before the
-    /// first step.
+    /// Starts a migration for which capacity was found. No part is stopped before
+    /// [`Self::mark_intent_stored`] confirms that the intent is stored.
     pub fn begin_migration(&mut self, now_ms: u64, timing: &GroupTiming, intent: MigrationIntent) {
         self.migration = Some(Migration {
             intent,
@@ -132,13 +138,15 @@
         });
     }
 
-    /// There is no capacity to migrate to.
-    pub fn migration_infeasible(&mut self) {
+    /// Records that there is no capacity to migrate to. The next evaluation stops the group
+    /// if one of its machines is still leaving.
+    pub fn mark_migration_infeasible(&mut self) {
         self.must_stop = true;
     }
 
-    /// The record with this intent is stored.
-    pub fn intent_stored(&mut self, intent: &MigrationIntent) {
+    /// Records that the intent is stored. An intent other than that of the planned migration
+    /// is ignored.
+    pub fn mark_intent_stored(&mut self, intent: &MigrationIntent) {
         let is_planned = |migration: &&mut Migration| {
             migration.stage == MigrationStage::Planned && migration.intent == *intent
         };
@@ -147,9 +155,9 @@
         }
     }
 
-    /// A part failed by itself. Returns whether this has opened the circuit breaker.
-    /// A generation counts as one probe, however many of its parts fail.
-    pub fn part_failed(
+    /// Records that a part failed on its own, and returns whether this failure opened the circuit
+    /// breaker. A generation counts as one probe, however many of its parts fail.
+    pub fn record_part_failure(
         &mut self,
         now_ms: u64,
         generation: Attempt,
@@ -157,21 +165,22 @@
         timing: &GroupTiming,
     ) -> bool {
         let was_open = self.circuit_breaker.is_open();
-        let is_first = self.failed_generation != Some(generation);
-        self.failed_generation = Some(generation);
+        let is_first = self.last_failed_generation != Some(generation);
+        self.last_failed_generation = Some(generation);
         self.circuit_breaker
             .record_failure(now_ms, machine, is_first, timing.heartbeat_ms);
         self.circuit_breaker.is_open() && !was_open
     }
 
-    /// The start of a part was rejected: the group isn't placed before then.
+    /// Postpones the next placement of the group until `at_ms`, because a machine rejected
+    /// the start of a part.
     pub fn defer_until(&mut self, at_ms: u64) {
         self.circuit_breaker.defer_until(at_ms);
     }
 
-    /// Takes over what an earlier leader stored.
+    /// Restores the circuit breaker and the migration from an earlier leader's record.
     pub fn restore(&mut self, now_ms: u64, timing: &GroupTiming, record: GroupRecord) {
-        self.circuit_breaker.restore(record.failures);
+        self.circuit_breaker.restore(record.circuit_breaker);
         self.migration = record.intent.map(|intent| Migration {
             intent,
             stage: MigrationStage::Stored,
@@ -180,14 +189,15 @@
         });
     }
 
-    /// What has to be stored beside the bindings, if anything.
+    /// Returns the group's entry for the placement record. `None` if the circuit breaker is
+    /// closed and there is no migration.
     pub fn to_record(&self) -> Option<GroupRecord> {
-        let failures = self.circuit_breaker.to_record();
+        let circuit_breaker = self.circuit_breaker.to_record();
         let migration = self.migration.as_ref();
         let intent = migration.map(|migration| migration.intent.clone());
-        (failures > 0 || intent.is_some()).then_some(GroupRecord {
+        (circuit_breaker > 0 || intent.is_some()).then_some(GroupRecord {
             replica: self.replica.0,
-            failures,
+            circuit_breaker,
             intent,
         })
     }
--- a/replica-groups/src/group/state.rs
+++ b/replica-groups/src/group/state.rs
@@ -1,25 +1,26 @@
-//! A group's states, and the times that decide between them.
+//! The states of a group, and the timeouts of its life cycle.
 
-/// What a group is doing.
+/// The state of a group.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum GroupState {
-    /// None of its parts is on a machine; it waits for capacity.
+    /// No part is bound to a machine: the group waits for capacity.
     Pending,
-    /// All parts of a generation are bound, and not all of them run yet.
+    /// All parts of a generation are bound, but not all of them run yet.
     Starting,
     /// Every part of the current generation runs, according to heartbeats of the
     /// current term.
     Serving,
-    /// A part is lost or silent.
+    /// The group doesn't serve although it did before, or parts of its broken generation
+    /// have to be stopped.
     Degraded,
-    /// Its parts are being stopped.
+    /// All remaining parts are being stopped.
     Stopping,
-    /// All its parts have completed.
+    /// All parts have completed.
     Finished,
 }
 
 impl GroupState {
-    /// All states.
+    /// All states, in the order of their counts in log lines.
     pub(crate) const ALL: [GroupState; 6] = [
         GroupState::Pending,
         GroupState::Starting,
@@ -29,7 +30,7 @@
         GroupState::Finished,
     ];
 
-    /// The name in logs.
+    /// Returns the state's name in log lines.
     pub fn name(self) -> &'static str {
         match self {
             GroupState::Pending => "pending",
@@ -42,14 +43,13 @@
     }
 }
 
-/// Timeouts of groups, each a ratio to the platform's settings.
+/// Timeouts of groups, derived from the platform's settings.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct GroupTiming {
-    /// How long the capacity of a generation that ended stays reserved for the next
-    /// one.
+    /// Time for which capacity stays reserved for a group's next generation.
     pub reservation_ms: u64,
-    /// A group that has served for this long counts as a success.
-    pub settled_ms: u64,
-    /// The workers' heartbeat interval.
+    /// Time for which a generation has to serve without interruption to count as a success.
+    pub success_after_ms: u64,
+    /// The workers' heartbeat interval, the unit of the circuit breaker's pauses.
     pub heartbeat_ms: u64,
 }
--- a/replica-groups/src/job_groups.rs
+++ b/replica-groups/src/job_groups.rs
@@ -1,11 +1,11 @@
-//! The groups of one job.
+//! The replica groups of one job.
 
 use crate::group::ReplicaGroup;
 use crate::record::GroupRecord;
 use crate::shape::{ReplicaIndex, Shape};
 use std::ops::Range;
 
-/// The groups of one job.
+/// The replica groups of one job, one for each replica.
 #[derive(Debug)]
 pub struct JobGroups {
     shape: Shape,
@@ -21,40 +21,38 @@
         }
     }
 
-    /// How the job's tasks form replicas.
+    /// Returns how the job's tasks form replicas.
     pub fn shape(&self) -> Shape {
         self.shape
     }
 
-    /// The groups, in the order of their tasks.
+    /// Iterates over the groups in the order of their tasks.
     pub fn iter(&self) -> impl Iterator<Item = &ReplicaGroup> {
         self.groups.iter()
     }
 
-    /// The group of a replica.
     pub(crate) fn get(&self, replica: ReplicaIndex) -> Option<&ReplicaGroup> {
         self.groups.get(replica.0 as usize)
     }
 
-    /// The group of a replica, to change it.
     pub(crate) fn get_mut(&mut self, replica: ReplicaIndex) -> Option<&mut ReplicaGroup> {
         self.groups.get_mut(replica.0 as usize)
     }
 
-    /// The group that a task is a part of, to change it.
+    /// Returns a mutable reference to the group that contains a task.
     pub fn for_task_mut(&mut self, task: u32) -> Option<&mut ReplicaGroup> {
         self.get_mut(self.shape.replica_of(task))
     }
 
-    /// Whether the task is a part of a group that serves.
-    pub fn serves(&self, task: u32) -> bool {
+    /// Returns whether the group that contains a task was serving at its last evaluation.
+    pub fn is_task_serving(&self, task: u32) -> bool {
         let group = self.get(self.shape.replica_of(task));
-        group.is_some_and(ReplicaGroup::serves)
+        group.is_some_and(ReplicaGroup::is_serving)
     }
 
-    /// Of the groups that wait for capacity and may start now: whether the circuit
-    /// breaker of each is open. `None`: no group waits.
-    pub fn waiting_groups_all_failing(&self, now_ms: u64) -> Option<bool> {
+    /// Returns whether the circuit breakers of all groups that wait for capacity and may start
+    /// now are open. `None` if there is no such group.
+    pub fn all_waiting_breakers_open(&self, now_ms: u64) -> Option<bool> {
         let mut waiting = self
             .groups
             .iter()
@@ -64,7 +62,8 @@
         Some(breaker_open(first) && waiting.all(breaker_open))
     }
 
-    /// What the placement record of a range of tasks has to say of the groups in it.
+    /// Returns the group entries for the placement record of a range of tasks. The range holds
+    /// whole replicas.
     pub fn records(&self, tasks: Range<u32>) -> Vec<GroupRecord> {
         let in_range =
             |group: &&ReplicaGroup| tasks.contains(&self.shape.tasks_of(group.replica()).start);
--- a/replica-groups/src/lib.rs
+++ b/replica-groups/src/lib.rs
@@ -1,11 +1,11 @@
-//! Replica groups: replicas that span several machines, each of which is started,
-//! migrated and repaired as one unit.
+//! Replica groups. A replica group is a replica that spans several machines and is
+//! started, migrated and repaired as one unit.
 //!
-//! This package owns the life cycle of groups and nothing else: the observed state
-//! of a group's parts and the time go in, and the actions that the group asks for
-//! come out. Capacity, quotas, writes and commands are up to the scheduler. Nothing
-//! here does I/O or reads a clock, so a trace replays exactly. The design is
-//! discussed in `docs/REPLICA_GROUPS.md`.
+//! This crate implements only the life cycle of groups: it receives the observed state of
+//! a group's parts and the current time, and returns the actions to take. The scheduler
+//! handles capacity, quotas, writes and commands. This crate does no I/O and reads no
+//! clock, so replaying a trace gives exactly the same results. `docs/REPLICA_GROUPS.md`
+//! discusses the design.
 
 #![warn(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
--- a/replica-groups/src/metrics.rs
+++ b/replica-groups/src/metrics.rs
@@ -1,29 +1,29 @@
-//! Metrics of groups: how many are in each state, and how long repairs took.
+//! Metrics of replica groups: the number of groups in each state, event counts and repair
+//! times.
 
 use crate::group::GroupState;
 use hdrhistogram::Histogram;
 use std::fmt;
 
-/// Significant digits of the recorded repair times.
+/// Significant decimal digits with which repair times are recorded.
 const REPAIR_TIME_DIGITS: u8 = 2;
 
-/// How many groups are in each state.
+/// The number of groups in each state.
 #[derive(Clone, Copy, PartialEq, Eq, Default, Debug)]
 pub struct StateCounts {
     counts: [usize; GroupState::ALL.len()],
-    /// How many groups of any state are migrating.
+    /// Number of groups in any state that have a migration in progress.
     pub migrating: usize,
-    /// How many groups of any state have an open circuit breaker.
+    /// Number of groups in any state whose circuit breaker is open.
     pub breaker_open: usize,
 }
 
 impl StateCounts {
-    /// Counts a group in this state.
+    /// Adds one group in `state` to the counts.
     pub fn add(&mut self, state: GroupState) {
         self.counts[state as usize] += 1;
     }
 
-    /// How many groups are in this state.
     fn count(&self, state: GroupState) -> usize {
         self.counts[state as usize]
     }
@@ -38,16 +38,16 @@
     }
 }
 
-/// What has happened to groups since the leader was elected.
+/// Counts of group events and times of repairs since this leader was elected.
 pub struct GroupMetrics {
-    /// Times from the loss of a part to serving again, in milliseconds. `None`: the
-    /// histogram couldn't be allocated.
+    /// Times from the start of an outage until a new generation serves. `None` if the
+    /// histogram couldn't be created.
     repair_ms: Option<Histogram<u64>>,
-    /// Times that a silent part reported again before a repair began.
+    /// Number of outages that ended with the same generation, without a repair.
     pub(crate) interruptions: u64,
-    /// Migrations that were completed.
+    /// Number of completed migrations.
     pub(crate) migrations: u64,
-    /// Migrations that were abandoned.
+    /// Number of abandoned migrations.
     pub(crate) abandoned_migrations: u64,
 }
 
@@ -63,16 +63,15 @@
 }
 
 impl GroupMetrics {
-    /// A group serves again, this long after it lost a part.
+    /// Records a repair that took `took_ms` from the start of the outage.
     pub fn record_repair(&mut self, took_ms: u64) {
         if let Some(histogram) = &mut self.repair_ms {
-            // A histogram that resizes itself accepts every value.
+            // The histogram resizes itself, so it accepts every value.
             let _ = histogram.record(took_ms);
         }
     }
 
-    /// How many repairs were completed.
-    fn repairs(&self) -> u64 {
+    fn completed_repairs(&self) -> u64 {
         self.repair_ms.as_ref().map_or(0, Histogram::len)
     }
 }
@@ -82,7 +81,7 @@
         write!(
             f,
             "repaired={} interrupted={} moved={} abandoned_moves={}",
-            self.repairs(),
+            self.completed_repairs(),
             self.interruptions,
             self.migrations,
             self.abandoned_migrations
--- a/replica-groups/src/migration.rs
+++ b/replica-groups/src/migration.rs
@@ -1,50 +1,53 @@
-//! A group's migration: capacity is found and reserved, the intent is stored, the
-//! group is stopped, and its next generation starts on the reserved machines.
+//! Migration of a group to other machines. A migration has four steps: capacity is found
+//! and reserved, the intent is stored, the group is stopped, and the group's next
+//! generation starts on the reserved machines.
 
 use crate::record::MigrationIntent;
 
-/// How far a migration has got.
+/// The stage that a migration has reached.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum MigrationStage {
-    /// Planned; its intent isn't known to be stored yet.
+    /// The targets are chosen, but the write of the intent isn't confirmed.
     Planned,
-    /// Its intent is stored. As far as is known, nothing has been stopped yet.
+    /// The intent is stored. This leader has not stopped any part yet.
     Stored,
-    /// The parts are being stopped, or have stopped.
+    /// The parts are being stopped or have stopped.
     Stopping,
 }
 
-/// A migration under way.
+/// A migration in progress.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct Migration {
-    /// Its stored intent.
+    /// The planned targets, as they are written to the placement record.
     pub intent: MigrationIntent,
-    /// How far it has got.
+    /// The stage that the migration has reached.
     pub stage: MigrationStage,
-    /// An earlier leader planned it.
+    /// Whether an earlier leader planned the migration and this leader hasn't resumed it
+    /// yet.
     pub(crate) inherited: bool,
-    /// When the reservation of its capacity ends.
+    /// Time at which the reservation of the target capacity expires.
     pub(crate) reserved_until_ms: u64,
 }
 
-/// Why a migration was abandoned.
+/// The reason that a migration was abandoned.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum AbandonReason {
-    /// The capacity on its targets isn't available any more.
+    /// A target machine doesn't accept tasks any more.
     NoCapacity,
-    /// A part was lost before the first step.
+    /// The generation broke before any part was stopped for the migration.
     PartLost,
-    /// Its reservation expired before it was complete.
-    TimedOut,
+    /// The reservation of the target capacity expired before the migration was complete, or
+    /// the group has a different generation than the intent.
+    ReservationExpired,
 }
 
 impl AbandonReason {
-    /// The reason in logs.
+    /// Returns the `reason` value for log lines.
     pub fn reason(self) -> &'static str {
         match self {
-            AbandonReason::NoCapacity => "target capacity gone",
-            AbandonReason::PartLost => "part lost before the first step",
-            AbandonReason::TimedOut => "reservation expired",
+            AbandonReason::NoCapacity => "target machine unavailable",
+            AbandonReason::PartLost => "part lost before migration started",
+            AbandonReason::ReservationExpired => "reservation expired",
         }
     }
 }
--- a/replica-groups/src/observation.rs
+++ b/replica-groups/src/observation.rs
@@ -1,87 +1,89 @@
-//! The observed state of a group's parts: the input of its evaluation.
+//! The observed state of a group's parts, which is the input of the group's evaluation.
 
 use lilacfork_common::ids::{Attempt, MachineId};
 
-/// What a part does according to the last heartbeat of its machine, in the current
-/// agent epoch and under the current term.
+/// The activity of a part according to its machine's last heartbeat in the current agent
+/// epoch and the current term.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum PartActivity {
-    /// Not reported.
+    /// No such heartbeat has reported the part.
     NotReported,
-    /// On the machine, but not running: its image is being pulled.
+    /// The part is on the machine but isn't running, for example because its image is being
+    /// pulled.
     Starting,
-    /// Running.
+    /// The part is running.
     Running,
 }
 
-/// The health of a part's machine.
+/// The health of the machine that a part is bound to.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum MachineHealth {
-    /// It sends heartbeats and stays.
+    /// The machine sends heartbeats and isn't leaving.
     Reporting,
-    /// It has been silent for several heartbeat intervals.
-    Silent,
-    /// It is going to be taken away: it is draining or was reclaimed.
+    /// The machine hasn't sent a heartbeat for several intervals.
+    Unresponsive,
+    /// The machine is draining or has a preemption notice.
     Leaving,
-    /// It was declared failed: its tasks are gone as soon as its release is proven.
+    /// The machine was declared failed. Its tasks have ended once its release is confirmed.
     Lost,
 }
 
 /// The binding of a part to a machine.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct Binding {
-    /// The attempt that all parts of one generation share.
+    /// The attempt number, which all parts of one generation share.
     pub generation: Attempt,
-    /// Its machine.
+    /// The machine that the part's task is assigned to.
     pub machine: MachineId,
-    /// What it was last reported to do.
+    /// The activity that the machine last reported for the part.
     pub activity: PartActivity,
-    /// The health of its machine.
+    /// The health of that machine.
     pub health: MachineHealth,
-    /// It is being stopped.
+    /// Whether the part's task is being stopped.
     pub stopping: bool,
 }
 
-/// Where a part stands.
+/// The state of a part.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum PartState {
-    /// It has completed; only the parts of gangs do.
+    /// The part has completed. Only parts of gangs complete.
     Completed,
-    /// It is proven to be on no machine.
+    /// The part is confirmed not to be on any machine.
     Waiting,
-    /// It may be on a machine.
+    /// The part may be on a machine.
     Bound(Binding),
 }
 
 /// A part of a group.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct Part {
-    /// Its task's index in the job.
+    /// Index of the part's task in the job.
     pub task: u32,
-    /// Where it stands.
+    /// Whether the part is completed, waiting or bound.
     pub state: PartState,
 }
 
-/// The state of all parts together.
+/// Counts over the states of all parts of a group.
 #[derive(Clone, PartialEq, Eq, Debug, Default)]
 pub(crate) struct Summary {
-    /// Parts that haven't completed.
+    /// Number of parts that haven't completed.
     pub(crate) live: usize,
-    /// Parts that may be on machines.
+    /// Number of parts that may be on machines.
     pub(crate) bound: usize,
-    /// The generation of all bound parts; `None`: none is bound, or their
-    /// generations differ.
+    /// The generation of all bound parts. `None` if no part is bound or the generations
+    /// differ.
     pub(crate) generation: Option<Attempt>,
-    /// Parts of several generations are bound.
+    /// Whether the bound parts belong to more than one generation.
     mixed_generations: bool,
+    /// Number of bound parts that are running.
     running: usize,
-    /// Bound parts that are being stopped.
+    /// Number of bound parts that are being stopped.
     pub(crate) stopping: usize,
-    /// Bound parts whose machines are silent.
-    silent: usize,
-    /// Bound parts whose machines are leaving.
+    /// Number of bound parts on unresponsive machines.
+    unresponsive: usize,
+    /// Number of bound parts on machines that are draining or have a preemption notice.
     pub(crate) leaving: usize,
-    /// Bound parts whose machines were declared failed.
+    /// Number of bound parts on machines that were declared failed.
     pub(crate) lost: usize,
 }
 
@@ -114,21 +116,21 @@
         self.stopping += usize::from(binding.stopping);
         match binding.health {
             MachineHealth::Reporting => {}
-            MachineHealth::Silent => self.silent += 1,
+            MachineHealth::Unresponsive => self.unresponsive += 1,
             MachineHealth::Leaving => self.leaving += 1,
             MachineHealth::Lost => self.lost += 1,
         }
     }
 
-    /// The parts that are bound can't form a whole replica any more.
+    /// Returns whether the bound parts can't form a complete replica any more.
     pub(crate) fn is_broken(&self) -> bool {
         let incomplete = self.bound < self.live || self.mixed_generations;
         self.bound > 0 && (incomplete || self.lost > 0 || self.stopping > 0)
     }
 
-    /// Every part runs on a machine that sends heartbeats.
+    /// Returns whether every part runs on a machine that sends heartbeats.
     pub(crate) fn is_complete(&self) -> bool {
-        let whole = self.bound > 0 && !self.is_broken();
-        whole && self.running == self.bound && self.silent == 0
+        let is_intact = self.bound > 0 && !self.is_broken();
+        is_intact && self.running == self.bound && self.unresponsive == 0
     }
 }
--- a/replica-groups/src/registry.rs
+++ b/replica-groups/src/registry.rs
@@ -1,4 +1,4 @@
-//! The groups of all jobs, and which of them have to be evaluated again.
+//! The replica groups of all jobs, and the set of groups to evaluate.
 
 use crate::group::{GroupAction, GroupEvent, GroupTiming, MigrationTargets, ReplicaGroup};
 use crate::job_groups::JobGroups;
@@ -13,14 +13,14 @@
 /// Identifies a group among those of all jobs.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub struct GroupId {
-    /// Its job.
+    /// The job whose tasks are the group's parts.
     pub job: JobId,
-    /// Which replica of the job.
+    /// Index of the replica in the job.
     pub replica: ReplicaIndex,
 }
 
 impl GroupId {
-    /// The id of a job's replica.
+    /// Creates the id of the group for a job's replica.
     pub fn new(job: &JobId, replica: ReplicaIndex) -> GroupId {
         GroupId {
             job: job.clone(),
@@ -35,65 +35,66 @@
     }
 }
 
-/// The groups of all jobs.
+/// The replica groups of all jobs.
 pub struct ReplicaGroups {
     timing: GroupTiming,
     jobs: BTreeMap<JobId, JobGroups>,
-    /// Groups that have to be evaluated.
-    touched: BTreeSet<GroupId>,
-    /// Groups for which capacity may be reserved.
+    /// Groups to evaluate in the next pass.
+    requested_evaluations: BTreeSet<GroupId>,
+    /// Groups that may have a valid reservation of capacity.
     reserving: BTreeSet<GroupId>,
     metrics: GroupMetrics,
 }
 
 impl ReplicaGroups {
-    /// No groups yet.
+    /// Creates an empty registry whose groups will share `timing`.
     pub fn new(timing: GroupTiming) -> ReplicaGroups {
         ReplicaGroups {
             timing,
             jobs: BTreeMap::new(),
-            touched: BTreeSet::new(),
+            requested_evaluations: BTreeSet::new(),
             reserving: BTreeSet::new(),
             metrics: GroupMetrics::default(),
         }
     }
 
-    /// Forgets everything, when this controller is no longer the leader.
+    /// Removes all groups and resets the metrics. The scheduler clears the registry when this
+    /// controller is no longer the leader.
     pub fn clear(&mut self) {
         *self = ReplicaGroups::new(self.timing);
     }
 
-    /// The timeouts of all groups.
+    /// Returns the timeouts that all groups share.
     pub fn timing(&self) -> GroupTiming {
         self.timing
     }
 
-    /// Adds a job whose tasks form groups.
+    /// Creates the groups of a job and requests their evaluation.
     pub fn add(&mut self, job: &JobId, shape: Shape) {
         self.jobs.insert(job.clone(), JobGroups::new(shape));
-        self.touch(job);
+        self.request_job_evaluation(job);
     }
 
-    /// Removes a job that has ended.
+    /// Removes the groups of a job that has ended. Does nothing if the job has no groups.
     pub fn remove(&mut self, job: &JobId) {
         if self.jobs.remove(job).is_none() {
             return;
         }
-        self.touched.retain(|id| id.job != *job);
+        self.requested_evaluations.retain(|id| id.job != *job);
         self.reserving.retain(|id| id.job != *job);
     }
 
-    /// The group with this id.
+    /// Returns the group with this id. `None` if the job has no groups or fewer replicas.
     pub fn group(&self, id: &GroupId) -> Option<&ReplicaGroup> {
         self.jobs.get(&id.job)?.get(id.replica)
     }
 
-    /// The group with this id, to change it.
+    /// Returns a mutable reference to the group with this id, like [`Self::group`].
     pub fn group_mut(&mut self, id: &GroupId) -> Option<&mut ReplicaGroup> {
         self.jobs.get_mut(&id.job)?.get_mut(id.replica)
     }
 
-    /// The groups for which capacity is reserved.
+    /// Returns the groups that have a valid reservation of capacity.
     pub fn with_reservations(&self, now_ms: u64) -> Vec<GroupId> {
         let has_reservation = |id: &&GroupId| {
             let group = self.group(id);
@@ -103,58 +104,60 @@
         reserving.cloned().collect()
     }
 
-    /// The groups of a job. `None`: its tasks don't form groups.
+    /// Returns the groups of a job. `None` if the job's tasks don't form groups.
     pub fn get(&self, job: &JobId) -> Option<&JobGroups> {
         self.jobs.get(job)
     }
 
-    /// The groups of a job, to change them.
+    /// Returns a mutable reference to the groups of a job, like [`Self::get`].
     pub fn get_mut(&mut self, job: &JobId) -> Option<&mut JobGroups> {
         self.jobs.get_mut(job)
     }
 
-    /// A task has changed: the group that it is a part of, if any, has to be
-    /// evaluated.
-    pub fn touch_task(&mut self, job: &JobId, task: u32) {
+    /// Requests the evaluation of the group that contains a task. Does nothing if the job has
+    /// no groups.
+    pub fn request_task_evaluation(&mut self, job: &JobId, task: u32) {
         if let Some(groups) = self.jobs.get(job) {
             let replica = groups.shape().replica_of(task);
-            self.touched.insert(GroupId::new(job, replica));
+            self.requested_evaluations
+                .insert(GroupId::new(job, replica));
         }
     }
 
-    /// A group has to be evaluated.
-    pub fn touch_group(&mut self, id: &GroupId) {
-        self.touched.insert(id.clone());
+    /// Requests the evaluation of one group.
+    pub fn request_evaluation(&mut self, id: &GroupId) {
+        self.requested_evaluations.insert(id.clone());
     }
 
-    /// All groups of a job have to be evaluated.
-    pub fn touch(&mut self, job: &JobId) {
+    /// Requests the evaluation of all groups of a job.
+    pub fn request_job_evaluation(&mut self, job: &JobId) {
         let groups = self.jobs.get(job).into_iter().flat_map(JobGroups::iter);
         let ids = groups.map(|group| GroupId::new(job, group.replica()));
-        self.touched.extend(ids);
+        self.requested_evaluations.extend(ids);
     }
 
-    /// All groups have to be evaluated: time has passed, so machines may have become
-    /// silent and reservations may have expired.
-    pub fn touch_all(&mut self) {
+    /// Requests the evaluation of all groups. The scheduler does this as time passes, because
+    /// machines may have become unresponsive and reservations may have expired.
+    pub fn request_all_evaluations(&mut self) {
         let jobs: Vec<JobId> = self.jobs.keys().cloned().collect();
         for job in &jobs {
-            self.touch(job);
+            self.request_job_evaluation(job);
         }
     }
 
-    /// Whether a group has to be evaluated.
-    pub fn is_touched(&self, id: &GroupId) -> bool {
-        self.touched.contains(id)
+    /// Returns whether the evaluation of a group has been requested.
+    pub fn needs_evaluation(&self, id: &GroupId) -> bool {
+        self.requested_evaluations.contains(id)
     }
 
-    /// Takes the groups that have to be evaluated.
-    pub fn take_touched(&mut self) -> BTreeSet<GroupId> {
-        std::mem::take(&mut self.touched)
+    /// Returns the groups whose evaluation has been requested, and clears the requests.
+    pub fn take_requested_evaluations(&mut self) -> BTreeSet<GroupId> {
+        std::mem::take(&mut self.requested_evaluations)
     }
 
-    /// Evaluates a group by its parts; see [`ReplicaGroup::observe`].
-    pub fn observe(
+    /// Evaluates a group with the observed state of its parts, and counts the resulting
+    /// events. See [`ReplicaGroup::evaluate`].
+    pub fn evaluate(
         &mut self,
         now_ms: u64,
         id: &GroupId,
@@ -165,7 +168,7 @@
         let Some(group) = self.group_mut(id) else {
             return Vec::new();
         };
-        let actions = group.observe(now_ms, &timing, parts, targets);
+        let actions = group.evaluate(now_ms, &timing, parts, targets);
         if !group.reserved_targets(now_ms).is_empty() {
             self.reserving.insert(id.clone());
         } else {
@@ -179,7 +182,7 @@
         actions
     }
 
-    /// Capacity for a group's migration was found; see
+    /// Starts a group's migration for which capacity was found. See
     /// [`ReplicaGroup::begin_migration`].
     pub fn begin_migration(&mut self, now_ms: u64, id: &GroupId, intent: MigrationIntent) {
         let timing = self.timing;
@@ -189,12 +192,12 @@
         }
     }
 
-    /// All parts of a group were bound. Returns an event if this completes a
-    /// migration.
-    pub fn parts_bound(&mut self, id: &GroupId) -> Option<GroupEvent> {
+    /// Records that all parts of a group were bound, and requests the group's evaluation.
+    /// Returns an event if this completes a migration.
+    pub fn record_parts_bound(&mut self, id: &GroupId) -> Option<GroupEvent> {
         self.reserving.remove(id);
-        self.touched.insert(id.clone());
-        let event = self.group_mut(id)?.parts_bound()?;
+        self.requested_evaluations.insert(id.clone());
+        let event = self.group_mut(id)?.record_parts_bound()?;
         self.count_event(event);
         Some(event)
     }
@@ -202,19 +205,19 @@
     fn count_event(&mut self, event: GroupEvent) {
         match event {
             GroupEvent::Repaired { took_ms } => self.metrics.record_repair(took_ms),
-            GroupEvent::Interrupted => self.metrics.interruptions += 1,
+            GroupEvent::InterruptionEnded => self.metrics.interruptions += 1,
             GroupEvent::Migrated => self.metrics.migrations += 1,
             GroupEvent::MigrationAbandoned(_) => self.metrics.abandoned_migrations += 1,
             GroupEvent::MigrationResumed => {}
         }
     }
 
-    /// All jobs that have groups.
+    /// Iterates over the jobs that have groups, in the order of their ids.
     pub fn iter(&self) -> impl Iterator<Item = (&JobId, &JobGroups)> {
         self.jobs.iter()
     }
 
-    /// How many groups are in each state.
+    /// Counts the groups in each state.
     pub fn counts(&self) -> StateCounts {
         let mut counts = StateCounts::default();
         for group in self.jobs.values().flat_map(JobGroups::iter) {
@@ -225,7 +228,7 @@
         counts
     }
 
-    /// What has happened to groups since the leader was elected.
+    /// Returns the event counts and repair times since this leader was elected.
     pub fn metrics(&self) -> &GroupMetrics {
         &self.metrics
     }
--- a/replica-groups/src/shape.rs
+++ b/replica-groups/src/shape.rs
@@ -1,15 +1,15 @@
-//! How the tasks of a job form replicas.
+//! The division of a job's tasks into replicas.
 
 use std::ops::Range;
 
-/// A replica with fewer parts doesn't span machines.
+/// Minimum number of parts per replica. A replica with fewer parts doesn't span machines.
 pub(crate) const MIN_PARTS: u32 = 2;
 
-/// The index of a replica in its job.
+/// The index of a replica in its job, counted from 0.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct ReplicaIndex(pub u32);
 
-/// How a job's tasks are grouped: each run of `parts` consecutive tasks forms a
+/// The division of a job's tasks into replicas: every `parts` consecutive tasks form one
 /// replica. Only valid shapes can be constructed.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct Shape {
@@ -18,38 +18,38 @@
 }
 
 impl Shape {
-    /// `None`: the tasks don't divide into replicas with this number of parts, or a
-    /// replica would have fewer than two.
+    /// Creates the shape of a job with `tasks` tasks and `parts` parts per replica. `None` if
+    /// `tasks` isn't a positive multiple of `parts`, or `parts` is less than two.
     pub fn new(parts: u32, tasks: u32) -> Option<Shape> {
         let is_valid = parts >= MIN_PARTS && tasks >= parts && tasks.is_multiple_of(parts);
         is_valid.then_some(Shape { parts, tasks })
     }
 
-    /// How many parts each replica has.
+    /// Returns the number of parts per replica.
     pub fn parts(&self) -> u32 {
         self.parts
     }
 
-    /// How many replicas the job has.
+    /// Returns the number of replicas of the job.
     pub fn replicas(&self) -> u32 {
         self.tasks / self.parts
     }
 
-    /// The replica that a task is a part of.
+    /// Returns the replica that contains a task.
     pub fn replica_of(&self, task: u32) -> ReplicaIndex {
         ReplicaIndex(task / self.parts)
     }
 
-    /// The tasks that are the parts of a replica.
+    /// Returns the task indices of a replica's parts.
     pub fn tasks_of(&self, replica: ReplicaIndex) -> Range<u32> {
         let first = replica.0 * self.parts;
         first..first + self.parts
     }
 
-    /// The largest number of tasks, up to `most`, that holds whole replicas only.
-    /// `None`: not even one replica fits.
-    pub fn whole_replicas(&self, most: u32) -> Option<u32> {
-        let whole = most - most % self.parts;
-        (whole > 0).then_some(whole)
+    /// Returns the largest number of tasks up to `max_tasks` that consists of whole replicas.
+    /// `None` if `max_tasks` is less than one replica.
+    pub fn max_tasks_in_whole_replicas(&self, max_tasks: u32) -> Option<u32> {
+        let whole_replica_tasks = max_tasks - max_tasks % self.parts;
+        (whole_replica_tasks > 0).then_some(whole_replica_tasks)
     }
 }
--- a/replica-groups/tests/classes.rs
+++ b/replica-groups/tests/classes.rs
@@ -1,4 +1,4 @@
-//! Which jobs are grouped, and into what shape.
+//! Tests of job grouping: which jobs form replica groups, and with which shape.
 
 use lilacfork_replica_groups::classes::{GroupingRequest, ReplicaClasses, ShapeError};
 use lilacfork_replica_groups::shape::{ReplicaIndex, Shape};
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn a_shape_divides_its_tasks() {
+fn shape_accepts_only_multiples_of_parts_and_maps_tasks_to_replicas() {
     assert_eq!(Shape::new(1, 4), None);
     assert_eq!(Shape::new(3, 4), None);
     assert_eq!(Shape::new(8, 4), None);
@@ -21,16 +21,20 @@
     assert_eq!(shape.replicas(), 3);
     assert_eq!(shape.replica_of(7), ReplicaIndex(1));
     assert_eq!(shape.tasks_of(ReplicaIndex(2)), 8..12);
-    assert_eq!(shape.whole_replicas(409), Some(408));
-    assert_eq!(shape.whole_replicas(3), None, "not one fits");
+    assert_eq!(shape.max_tasks_in_whole_replicas(409), Some(408));
+    assert_eq!(
+        shape.max_tasks_in_whole_replicas(3),
+        None,
+        "less than one replica"
+    );
 }
 
 #[test]
-fn classes_decide_for_services_and_gangs_alone() {
+fn only_services_of_configured_classes_and_enabled_gangs_are_grouped() {
     let mut classes = ReplicaClasses::default();
     assert_eq!(classes.insert("large", " 4 "), Ok(()));
-    for wrong in ["0", "1", "-2", "2.5", "many", "", "99999999999"] {
-        assert!(classes.insert("large", wrong).is_err(), "{wrong}");
+    for invalid in ["0", "1", "-2", "2.5", "many", "", "99999999999"] {
+        assert!(classes.insert("large", invalid).is_err(), "{invalid}");
     }
     assert_eq!(
         classes.shape(service("large", 8), 409),
@@ -57,11 +61,11 @@
     assert_eq!(
         classes.shape(gang, 409),
         Ok(None),
-        "only if it is asked for"
+        "gangs are grouped only if this is enabled"
     );
-    classes.set_gangs(true);
+    classes.set_group_gangs(true);
     assert_eq!(classes.shape(gang, 409), Ok(Shape::new(7, 7)));
     assert_eq!(classes.shape(gang, 6), Err(ShapeError::TooLarge));
-    let alone = GroupingRequest { tasks: 1, ..gang };
-    assert_eq!(classes.shape(alone, 409), Ok(None));
+    let single_task = GroupingRequest { tasks: 1, ..gang };
+    assert_eq!(classes.shape(single_task, 409), Ok(None));
 }
--- a/replica-groups/tests/group/fixtures.rs
+++ b/replica-groups/tests/group/fixtures.rs
@@ -1,4 +1,4 @@
-//! Parts and groups as the tests need them.
+//! Constructors of parts, actions and groups for the tests.
 
 use lilacfork_common::ids::{Attempt, MachineId};
 use lilacfork_replica_groups::group::{
@@ -9,25 +9,25 @@
 };
 use lilacfork_replica_groups::shape::ReplicaIndex;
 
-/// The timeouts of all groups.
+/// Timeouts of all groups in the tests.
 pub const TIMING: GroupTiming = GroupTiming {
     reservation_ms: 20_000,
-    settled_ms: 30_000,
+    success_after_ms: 30_000,
     heartbeat_ms: 1000,
 };
 
-/// The machine with this number.
+/// Returns the id of the machine with this index.
 pub fn machine(index: u32) -> MachineId {
     MachineId::new(&format!("vm-{index}"))
 }
 
-/// A part that is bound to a machine.
-pub fn bound(task: u32, on: u32, activity: PartActivity, health: MachineHealth) -> Part {
+/// Returns a part that is bound to a machine with generation 1.
+pub fn bound(task: u32, machine_index: u32, activity: PartActivity, health: MachineHealth) -> Part {
     Part {
         task,
         state: PartState::Bound(Binding {
             generation: Attempt(1),
-            machine: machine(on),
+            machine: machine(machine_index),
             activity,
             health,
             stopping: false,
@@ -35,12 +35,12 @@
     }
 }
 
-/// A part that runs on the machine of its own number.
+/// Returns a part that runs on the machine whose index equals the part's task.
 pub fn running(task: u32) -> Part {
     bound(task, task, PartActivity::Running, MachineHealth::Reporting)
 }
 
-/// A part on no machine.
+/// Returns a part that isn't on any machine.
 pub fn waiting(task: u32) -> Part {
     Part {
         task,
@@ -48,7 +48,7 @@
     }
 }
 
-/// The part, now being stopped.
+/// Marks a bound part as being stopped.
 pub fn stopping(mut part: Part) -> Part {
     if let PartState::Bound(binding) = &mut part.state {
         binding.stopping = true;
@@ -56,16 +56,16 @@
     part
 }
 
-/// The action that stops these parts.
-pub fn stop(parts: &[u32], cause: StopCause) -> GroupAction {
+/// Returns the action that stops these parts.
+pub fn stop_action(parts: &[u32], cause: StopCause) -> GroupAction {
     GroupAction::Stop {
         parts: parts.to_vec(),
         cause,
     }
 }
 
-/// The parts for which machines are reserved.
-pub fn held(group: &ReplicaGroup, now_ms: u64) -> Vec<u32> {
+/// Returns the tasks of the parts for which machines are reserved.
+pub fn reserved_tasks(group: &ReplicaGroup, now_ms: u64) -> Vec<u32> {
     group
         .reserved_targets(now_ms)
         .iter()
@@ -73,16 +73,16 @@
         .collect()
 }
 
-/// A group of two parts that serves.
+/// Creates a serving group of two parts.
 pub fn serving(now_ms: u64) -> ReplicaGroup {
     let mut group = ReplicaGroup::new(ReplicaIndex(0));
-    let actions = group.observe(
+    let actions = group.evaluate(
         now_ms,
         &TIMING,
         &[running(0), running(1)],
-        MigrationTargets::Closed,
+        MigrationTargets::Unavailable,
     );
     assert_eq!(actions, []);
-    assert!(group.serves());
+    assert!(group.is_serving());
     group
 }
--- a/replica-groups/tests/group/main.rs
+++ b/replica-groups/tests/group/main.rs
@@ -1,4 +1,4 @@
-//! One group's life cycle, step by step and through random interleavings of events.
+//! Tests of one group's life cycle: single steps and random interleavings of events.
 
 mod fixtures;
 mod life_cycle;
--- a/replica-groups/tests/group/migration.rs
+++ b/replica-groups/tests/group/migration.rs
@@ -1,6 +1,8 @@
-//! A group's migration, step by step.
+//! Tests of single steps in a group's migration.
 
-use crate::fixtures::{bound, held, machine, running, serving, stop, stopping, waiting, TIMING};
+use crate::fixtures::{
+    bound, machine, reserved_tasks, running, serving, stop_action, stopping, waiting, TIMING,
+};
 use lilacfork_common::ids::Attempt;
 use lilacfork_replica_groups::group::{
     GroupAction, GroupEvent, MigrationTargets, ReplicaGroup, StopCause,
@@ -11,9 +13,9 @@
 use lilacfork_replica_groups::shape::ReplicaIndex;
 
 fn intent() -> MigrationIntent {
-    let target = |task: u32, on: u32| PartTarget {
+    let target = |task: u32, machine_index: u32| PartTarget {
         task,
-        machine: machine(on),
+        machine: machine(machine_index),
     };
     MigrationIntent {
         generation: Attempt(1),
@@ -29,116 +31,125 @@
 }
 
 #[test]
-fn a_move_stops_nothing_before_it_is_stored() {
+fn migration_stops_no_part_before_intent_is_stored() {
     let mut group = serving(0);
-    let actions = group.observe(1000, &TIMING, &leaving(), MigrationTargets::Closed);
+    let actions = group.evaluate(1000, &TIMING, &leaving(), MigrationTargets::Unavailable);
     assert_eq!(actions, [GroupAction::PlanMigration]);
     group.begin_migration(1000, &TIMING, intent());
     assert_eq!(
-        group.observe(1100, &TIMING, &leaving(), MigrationTargets::Open),
+        group.evaluate(1100, &TIMING, &leaving(), MigrationTargets::Available),
         []
     );
-    assert!(group.serves(), "it goes on serving");
+    assert!(
+        group.is_serving(),
+        "still serving before any part is stopped"
+    );
     let mut other = intent();
     other.generation = Attempt(9);
-    group.intent_stored(&other);
+    group.mark_intent_stored(&other);
     assert_eq!(
-        group.observe(1200, &TIMING, &leaving(), MigrationTargets::Open),
+        group.evaluate(1200, &TIMING, &leaving(), MigrationTargets::Available),
         []
     );
-    group.intent_stored(&intent());
-    let actions = group.observe(1300, &TIMING, &leaving(), MigrationTargets::Open);
-    assert_eq!(actions, [stop(&[0, 1], StopCause::Migration)]);
+    group.mark_intent_stored(&intent());
+    let actions = group.evaluate(1300, &TIMING, &leaving(), MigrationTargets::Available);
+    assert_eq!(actions, [stop_action(&[0, 1], StopCause::Migration)]);
     let parts = leaving().map(stopping);
     assert_eq!(
-        group.observe(1400, &TIMING, &parts, MigrationTargets::Open),
+        group.evaluate(1400, &TIMING, &parts, MigrationTargets::Available),
         []
     );
-    group.observe(
+    group.evaluate(
         1500,
         &TIMING,
         &[waiting(0), waiting(1)],
-        MigrationTargets::Open,
+        MigrationTargets::Available,
+    );
+    assert_eq!(
+        reserved_tasks(&group, 1500),
+        [0, 1],
+        "the targets of the intent"
     );
-    assert_eq!(held(&group, 1500), [0, 1], "where it was meant to go");
-    assert_eq!(group.parts_bound(), Some(GroupEvent::Migrated));
+    assert_eq!(group.record_parts_bound(), Some(GroupEvent::Migrated));
     assert_eq!(group.to_record(), None);
 }
 
 #[test]
-fn a_move_whose_room_is_gone_is_given_up_before_anything_is_stopped() {
+fn migration_with_unavailable_target_is_abandoned_before_parts_are_stopped() {
     let mut group = serving(0);
     group.begin_migration(1000, &TIMING, intent());
-    group.intent_stored(&intent());
-    let actions = group.observe(1100, &TIMING, &leaving(), MigrationTargets::Closed);
+    group.mark_intent_stored(&intent());
+    let actions = group.evaluate(1100, &TIMING, &leaving(), MigrationTargets::Unavailable);
     let abandoned = GroupAction::Emit(GroupEvent::MigrationAbandoned(AbandonReason::NoCapacity));
     assert_eq!(actions, [abandoned, GroupAction::Persist]);
     assert_eq!(group.to_record(), None);
     assert_eq!(
-        group.observe(1200, &TIMING, &leaving(), MigrationTargets::Closed),
+        group.evaluate(1200, &TIMING, &leaving(), MigrationTargets::Unavailable),
         [GroupAction::PlanMigration],
-        "it is planned anew"
+        "a new migration is planned"
     );
 }
 
 #[test]
-fn without_room_it_stops_as_a_whole() {
+fn group_stops_if_machine_leaves_and_migration_is_infeasible() {
     let mut group = serving(0);
-    group.observe(1000, &TIMING, &leaving(), MigrationTargets::Closed);
-    group.migration_infeasible();
-    let actions = group.observe(1000, &TIMING, &leaving(), MigrationTargets::Closed);
-    assert_eq!(actions, [stop(&[0, 1], StopCause::MachineLeaving)]);
-    assert_eq!(held(&group, 1000), [0]);
+    group.evaluate(1000, &TIMING, &leaving(), MigrationTargets::Unavailable);
+    group.mark_migration_infeasible();
+    let actions = group.evaluate(1000, &TIMING, &leaving(), MigrationTargets::Unavailable);
+    assert_eq!(actions, [stop_action(&[0, 1], StopCause::MachineLeaving)]);
+    assert_eq!(reserved_tasks(&group, 1000), [0]);
 }
 
-/// A new leader finds a stored intent, of which nothing, some or all may have been
-/// carried out.
+/// A new leader loads a stored intent. The previous leader may have stopped none, some or all of
+/// the parts for it.
 #[test]
-fn the_next_leader_resumes_or_abandons_a_move() {
+fn new_leader_resumes_or_abandons_inherited_migration() {
     let inherited = || {
-        let mut before = serving(0);
-        before.begin_migration(0, &TIMING, intent());
-        let record = before.to_record().expect("something to store");
+        let mut earlier = serving(0);
+        earlier.begin_migration(0, &TIMING, intent());
+        let record = earlier.to_record().expect("the intent is stored");
         let mut group = ReplicaGroup::new(ReplicaIndex(0));
         group.restore(0, &TIMING, record);
         group
     };
     let resumed = GroupAction::Emit(GroupEvent::MigrationResumed);
-    let mut nothing = inherited();
+    let mut none_stopped = inherited();
     assert_eq!(
-        nothing.observe(100, &TIMING, &leaving(), MigrationTargets::Closed),
+        none_stopped.evaluate(100, &TIMING, &leaving(), MigrationTargets::Unavailable),
         [],
-        "its machines haven't been heard yet"
+        "the target machines have sent no heartbeats yet"
     );
     assert_eq!(
-        nothing.observe(200, &TIMING, &leaving(), MigrationTargets::Open),
-        [resumed.clone(), stop(&[0, 1], StopCause::Migration)]
+        none_stopped.evaluate(200, &TIMING, &leaving(), MigrationTargets::Available),
+        [resumed.clone(), stop_action(&[0, 1], StopCause::Migration)]
     );
-    let mut some = inherited();
+    let mut some_stopped = inherited();
     assert_eq!(
-        some.observe(
+        some_stopped.evaluate(
             100,
             &TIMING,
             &[running(0), waiting(1)],
-            MigrationTargets::Closed
+            MigrationTargets::Unavailable
         ),
-        [resumed.clone(), stop(&[0], StopCause::PartLost)]
+        [resumed.clone(), stop_action(&[0], StopCause::PartLost)]
     );
     assert_eq!(
-        some.migration().map(|m| m.stage),
+        some_stopped.migration().map(|m| m.stage),
         Some(MigrationStage::Stopping)
     );
-    let mut all = inherited();
-    let actions = all.observe(
+    let mut all_stopped = inherited();
+    let actions = all_stopped.evaluate(
         100,
         &TIMING,
         &[waiting(0), waiting(1)],
-        MigrationTargets::Closed,
+        MigrationTargets::Unavailable,
     );
     assert_eq!(actions, [resumed]);
-    assert_eq!(held(&all, 100), [0, 1]);
-    let mut late = inherited();
-    let actions = late.observe(20_000, &TIMING, &leaving(), MigrationTargets::Closed);
-    let abandoned = GroupAction::Emit(GroupEvent::MigrationAbandoned(AbandonReason::TimedOut));
+    assert_eq!(reserved_tasks(&all_stopped, 100), [0, 1]);
+    let mut expired = inherited();
+    let actions = expired.evaluate(20_000, &TIMING, &leaving(), MigrationTargets::Unavailable);
+    let abandoned = GroupAction::Emit(GroupEvent::MigrationAbandoned(
+        AbandonReason::ReservationExpired,
+    ));
     assert_eq!(actions, [abandoned, GroupAction::Persist]);
 }
--- a/replica-groups/tests/group/model.rs
+++ b/replica-groups/tests/group/model.rs
@@ -1,4 +1,4 @@
-//! A minimal scheduler with machines and a key-value store, which drives one group.
+//! A minimal model of a scheduler, its machines and a key-value store that drives one group.
 
 use crate::fixtures::{machine, TIMING};
 use crate::random_interleavings::Event;
@@ -13,24 +13,24 @@
 use lilacfork_replica_groups::shape::ReplicaIndex;
 use proptest::prelude::*;
 
-/// How many parts the group has.
+/// Number of parts of the group.
 pub const PARTS: usize = 3;
-/// How many machines there are.
+/// Number of machines.
 pub const MACHINES: u32 = 6;
 
-/// A scheduler, machines and a key-value store, as small as can be.
+/// The state of the scheduler, the machines and the key-value store.
 pub struct Model {
     now_ms: u64,
     pub group: ReplicaGroup,
-    /// The parts that are bound, as the scheduler knows it.
+    /// The scheduler's binding of each part. `None` if the part isn't bound.
     pub parts: Vec<Option<Binding>>,
-    /// The health of each machine.
+    /// The health of each machine, by index.
     health: Vec<MachineHealth>,
-    /// The intent that is stored.
-    stored: Option<MigrationIntent>,
+    /// The intent in the key-value store.
+    stored_intent: Option<MigrationIntent>,
     last_generation: u64,
-    /// A migration has stopped parts before its intent was stored.
-    stopped_unstored: bool,
+    /// Whether a migration has stopped parts before its intent was stored.
+    stopped_before_stored: bool,
 }
 
 impl Model {
@@ -40,13 +40,13 @@
             group: ReplicaGroup::new(ReplicaIndex(0)),
             parts: vec![None; PARTS],
             health: vec![MachineHealth::Reporting; MACHINES as usize],
-            stored: None,
+            stored_intent: None,
             last_generation: 0,
-            stopped_unstored: false,
+            stopped_before_stored: false,
         }
     }
 
-    /// The parts as the group gets to see them.
+    /// Returns the parts as input for an evaluation of the group.
     fn observed_parts(&self) -> Vec<Part> {
         let part = |(task, binding): (usize, &Option<Binding>)| Part {
             task: task as u32,
@@ -69,7 +69,7 @@
         self.parts.iter().flatten()
     }
 
-    /// Healthy machines without a part.
+    /// Returns the healthy machines without a part.
     fn free_machines(&self) -> Vec<u32> {
         let is_healthy = |index: &u32| self.health[*index as usize] == MachineHealth::Reporting;
         let is_used = |index: &u32| {
@@ -81,22 +81,25 @@
             .collect()
     }
 
-    /// Evaluates the group until it asks for nothing more; this must come to an end.
-    fn observe(&mut self) -> Result<(), TestCaseError> {
+    /// Evaluates the group until it returns no action that requires another evaluation. Fails
+    /// after 10 evaluations.
+    fn evaluate(&mut self) -> Result<(), TestCaseError> {
         for _ in 0..10 {
             let parts = self.observed_parts();
             let targets = self.migration_targets();
-            let actions = self.group.observe(self.now_ms, &TIMING, &parts, targets);
+            let actions = self.group.evaluate(self.now_ms, &TIMING, &parts, targets);
             self.check_invariants()?;
-            let mut again = false;
+            let mut reevaluate = false;
             for action in actions {
-                again |= self.perform(action)?;
+                reevaluate |= self.perform(action)?;
             }
-            if !again {
+            if !reevaluate {
                 return Ok(());
             }
         }
-        Err(TestCaseError::fail("it wants something new at every look"))
+        Err(TestCaseError::fail(
+            "the group still requires another evaluation after 10 evaluations",
+        ))
     }
 
     fn migration_targets(&self) -> MigrationTargets {
@@ -104,25 +107,28 @@
             |target: &PartTarget| self.health_of(&target.machine) == MachineHealth::Reporting;
         match self.group.migration() {
             Some(migration) if migration.intent.targets.iter().all(is_healthy) => {
-                MigrationTargets::Open
+                MigrationTargets::Available
             }
-            _ => MigrationTargets::Closed,
+            _ => MigrationTargets::Unavailable,
         }
     }
 
-    /// Carries out an action. Returns whether the group has to be evaluated again.
+    /// Performs an action. Returns whether the group has to be evaluated again.
     fn perform(&mut self, action: GroupAction) -> Result<bool, TestCaseError> {
         match action {
             GroupAction::Stop { parts, cause } => {
                 prop_assert!(!parts.is_empty());
                 let intent = self.group.migration().map(|m| &m.intent);
-                self.stopped_unstored |=
-                    cause == StopCause::Migration && self.stored.as_ref() != intent;
+                self.stopped_before_stored |=
+                    cause == StopCause::Migration && self.stored_intent.as_ref() != intent;
                 for task in parts {
                     let binding = self.parts[task as usize].as_mut();
-                    prop_assert!(binding.is_some(), "stops what is nowhere");
+                    prop_assert!(binding.is_some(), "the group stops a part that isn't bound");
                     if let Some(binding) = binding {
-                        prop_assert!(!binding.stopping, "stops twice");
+                        prop_assert!(
+                            !binding.stopping,
+                            "the group stops a part that is already being stopped"
+                        );
                         binding.stopping = true;
                     }
                 }
@@ -131,7 +137,7 @@
             GroupAction::PlanMigration => {
                 match self.plan_migration() {
                     Some(intent) => self.group.begin_migration(self.now_ms, &TIMING, intent),
-                    None => self.group.migration_infeasible(),
+                    None => self.group.mark_migration_infeasible(),
                 }
                 Ok(true)
             }
@@ -139,7 +145,8 @@
         }
     }
 
-    /// Targets for all parts: those on healthy machines stay where they are.
+    /// Returns targets for all parts. Parts on healthy machines stay there. `None` if there
+    /// aren't enough free machines.
     fn plan_migration(&self) -> Option<MigrationIntent> {
         let mut free = self.free_machines().into_iter();
         let mut targets = Vec::new();
@@ -161,7 +168,7 @@
         })
     }
 
-    /// The invariants that hold at all times.
+    /// Checks the invariants that must hold after every evaluation.
     fn check_invariants(&self) -> Result<(), TestCaseError> {
         let all_bound = self.bindings().count() == PARTS;
         let same_generation =
@@ -174,22 +181,25 @@
             let running = binding.activity == PartActivity::Running && !binding.stopping;
             reporting && running && same_generation(binding)
         };
-        if self.group.serves() {
+        if self.group.is_serving() {
             prop_assert!(
                 all_bound && self.bindings().all(is_serving),
                 "{:?}",
                 self.parts
             );
         }
-        let none = self.parts.iter().all(Option::is_none);
-        prop_assert_eq!(self.group.state() == GroupState::Pending, none);
-        prop_assert!(!self.group.awaits_placement(self.now_ms) || none);
-        prop_assert!(!self.stopped_unstored, "a move began before it was stored");
+        let none_bound = self.parts.iter().all(Option::is_none);
+        prop_assert_eq!(self.group.state() == GroupState::Pending, none_bound);
+        prop_assert!(!self.group.awaits_placement(self.now_ms) || none_bound);
+        prop_assert!(
+            !self.stopped_before_stored,
+            "a migration stopped parts before its intent was stored"
+        );
         Ok(())
     }
 
-    /// After the last evaluation all that is left of a broken generation is being
-    /// stopped.
+    /// Checks that all remaining parts of a broken generation are being stopped once
+    /// evaluation has ended.
     fn check_broken_generation_stops(&self) -> Result<(), TestCaseError> {
         let bound: Vec<&Binding> = self.bindings().collect();
         let broken = !bound.is_empty()
@@ -201,30 +211,38 @@
                     .iter()
                     .any(|b| self.health_of(&b.machine) == MachineHealth::Lost));
         if broken {
-            prop_assert!(bound.iter().all(|b| b.stopping), "left alone: {:?}", bound);
+            prop_assert!(
+                bound.iter().all(|b| b.stopping),
+                "parts of a broken generation aren't being stopped: {:?}",
+                bound
+            );
         }
         Ok(())
     }
 
-    /// Lets an event happen, and evaluates the group.
+    /// Applies an event, and evaluates the group.
     pub fn step(&mut self, event: &Event) -> Result<(), TestCaseError> {
         match event {
             Event::TimePasses(ms) => self.now_ms += ms,
-            Event::Heartbeat(part) => self.report(*part),
-            Event::HeartbeatsStop(index) => {
-                self.change_health(*index, MachineHealth::Reporting, MachineHealth::Silent)
-            }
-            Event::HeartbeatsResume(index) => {
-                self.change_health(*index, MachineHealth::Silent, MachineHealth::Reporting)
-            }
+            Event::Heartbeat(part) => self.receive_heartbeat(*part),
+            Event::HeartbeatsStop(index) => self.change_health(
+                *index,
+                MachineHealth::Reporting,
+                MachineHealth::Unresponsive,
+            ),
+            Event::HeartbeatsResume(index) => self.change_health(
+                *index,
+                MachineHealth::Unresponsive,
+                MachineHealth::Reporting,
+            ),
             Event::DeclaredFailed(index) => {
-                self.change_health(*index, MachineHealth::Silent, MachineHealth::Lost)
+                self.change_health(*index, MachineHealth::Unresponsive, MachineHealth::Lost)
             }
-            Event::ReclaimNotice(index) => {
+            Event::PreemptionNotice(index) => {
                 self.change_health(*index, MachineHealth::Reporting, MachineHealth::Leaving)
             }
-            Event::ReleaseProven(index) => self.release_machine(*index),
-            Event::PartFails(part) => self.fail(*part),
+            Event::ReleaseConfirmed(index) => self.confirm_release(*index),
+            Event::PartFails(part) => self.fail_part(*part),
             Event::PartStopped(part) => {
                 let stops = |b: &Binding| {
                     let health = self.health_of(&b.machine);
@@ -241,15 +259,15 @@
                 }
             }
             Event::RecordStored => {
-                self.stored = self.group.migration().map(|m| m.intent.clone());
-                if let Some(intent) = &self.stored {
-                    self.group.intent_stored(intent);
+                self.stored_intent = self.group.migration().map(|m| m.intent.clone());
+                if let Some(intent) = &self.stored_intent {
+                    self.group.mark_intent_stored(intent);
                 }
             }
-            Event::PartsPlaced => self.place(),
-            Event::NewLeader => self.new_leader(),
+            Event::PartsPlaced => self.place_parts(),
+            Event::NewLeader => self.replace_leader(),
         }
-        self.observe()?;
+        self.evaluate()?;
         self.check_broken_generation_stops()
     }
 
@@ -260,7 +278,7 @@
         }
     }
 
-    fn report(&mut self, part: usize) {
+    fn receive_heartbeat(&mut self, part: usize) {
         let Some(binding) = &mut self.parts[part] else {
             return;
         };
@@ -273,9 +291,9 @@
         }
     }
 
-    /// The release of a machine is proven, so its parts are on no machine any more; a new
-    /// machine with its name is created.
-    fn release_machine(&mut self, index: u32) {
+    /// Confirms the release of a machine, which unbinds its parts, and creates a new machine
+    /// with the same name.
+    fn confirm_release(&mut self, index: u32) {
         if matches!(
             self.health[index as usize],
             MachineHealth::Lost | MachineHealth::Leaving
@@ -290,16 +308,20 @@
         }
     }
 
-    fn fail(&mut self, part: usize) {
+    fn fail_part(&mut self, part: usize) {
         let is_healthy = |b: &&Binding| self.health_of(&b.machine) == MachineHealth::Reporting;
         if let Some(binding) = self.parts[part].as_ref().filter(is_healthy).cloned() {
             self.parts[part] = None;
-            self.group
-                .part_failed(self.now_ms, binding.generation, &binding.machine, &TIMING);
+            self.group.record_part_failure(
+                self.now_ms,
+                binding.generation,
+                &binding.machine,
+                &TIMING,
+            );
         }
     }
 
-    fn place(&mut self) {
+    fn place_parts(&mut self) {
         let free = self.free_machines();
         if !self.group.awaits_placement(self.now_ms) || free.len() < PARTS {
             return;
@@ -314,18 +336,18 @@
                 stopping: false,
             });
         }
-        self.group.parts_bound();
-        self.stored = None;
+        self.group.record_parts_bound();
+        self.stored_intent = None;
     }
 
-    /// Another leader takes over. It knows only what is stored: it has had no heartbeats,
-    /// and doesn't know which parts are being stopped.
-    fn new_leader(&mut self) {
+    /// Replaces the leader. The new leader has only the stored state: it has received no
+    /// heartbeats and doesn't know which parts are being stopped.
+    fn replace_leader(&mut self) {
         self.group = ReplicaGroup::new(ReplicaIndex(0));
-        if let Some(intent) = self.stored.clone() {
+        if let Some(intent) = self.stored_intent.clone() {
             let record = GroupRecord {
                 replica: 0,
-                failures: 0,
+                circuit_breaker: 0,
                 intent: Some(intent),
             };
             self.group.restore(self.now_ms, &TIMING, record);
@@ -336,18 +358,18 @@
         }
         for health in &mut self.health {
             if *health == MachineHealth::Lost {
-                *health = MachineHealth::Silent;
+                *health = MachineHealth::Unresponsive;
             }
         }
     }
 
-    /// All faults end, and everything that the group waits for happens.
+    /// Ends all faults, and repeats every event that the group may wait for.
     pub fn recover(&mut self) -> Result<(), TestCaseError> {
         for _ in 0..40 {
             self.step(&Event::TimePasses(5000))?;
             for index in 0..MACHINES {
                 self.step(&Event::HeartbeatsResume(index))?;
-                self.step(&Event::ReleaseProven(index))?;
+                self.step(&Event::ReleaseConfirmed(index))?;
             }
             self.step(&Event::RecordStored)?;
             for part in 0..PARTS {
@@ -362,5 +384,5 @@
 
 fn index_of(machine: &MachineId) -> usize {
     let digits = machine.as_str().trim_start_matches("vm-");
-    digits.parse().expect("a machine of the model")
+    digits.parse().expect("the machine id ends in its index")
 }
--- a/replica-groups/tests/group/random_interleavings.rs
+++ b/replica-groups/tests/group/random_interleavings.rs
@@ -1,38 +1,38 @@
-//! Random interleavings of failures, heartbeats, stops, migrations and changes of
-//! leader.
+//! Property test with random interleavings of failures, heartbeats, stops, migrations and
+//! leader changes.
 
 use crate::model::{Model, MACHINES, PARTS};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
-/// What can happen to the group, its machines and its scheduler.
+/// An event that affects the group, its machines or its scheduler.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Time passes, in milliseconds.
+    /// This number of milliseconds passes.
     TimePasses(u64),
-    /// A heartbeat reports a part, if its machine is healthy.
+    /// A part's machine sends a heartbeat that reports the part, if the machine is healthy.
     Heartbeat(usize),
-    /// A machine becomes silent.
+    /// A machine becomes unresponsive.
     HeartbeatsStop(u32),
-    /// A silent machine sends heartbeats again.
+    /// An unresponsive machine resumes its heartbeats.
     HeartbeatsResume(u32),
-    /// A silent machine is declared failed.
+    /// An unresponsive machine is declared failed.
     DeclaredFailed(u32),
-    /// A machine is proven to be released, so its tasks are gone.
-    ReleaseProven(u32),
-    /// A machine is going to be taken away.
-    ReclaimNotice(u32),
-    /// A part fails by itself.
+    /// The release of a machine is confirmed, so its tasks have ended.
+    ReleaseConfirmed(u32),
+    /// A machine receives a preemption notice.
+    PreemptionNotice(u32),
+    /// A part fails on its own.
     PartFails(usize),
     /// A part that was being stopped has stopped.
     PartStopped(usize),
     /// Work of a higher priority preempts a part.
     PartPreempted(usize),
-    /// The group's record is stored.
+    /// The write of the group's record completes.
     RecordStored,
-    /// The scheduler places all parts, if they wait and there is capacity.
+    /// The scheduler places all parts, if the group awaits placement and there is capacity.
     PartsPlaced,
-    /// Another leader takes over.
+    /// Another controller becomes leader.
     NewLeader,
 }
 
@@ -45,8 +45,8 @@
         2 => machine().prop_map(Event::HeartbeatsStop),
         2 => machine().prop_map(Event::HeartbeatsResume),
         2 => machine().prop_map(Event::DeclaredFailed),
-        3 => machine().prop_map(Event::ReleaseProven),
-        1 => machine().prop_map(Event::ReclaimNotice),
+        3 => machine().prop_map(Event::ReleaseConfirmed),
+        1 => machine().prop_map(Event::PreemptionNotice),
         1 => part().prop_map(Event::PartFails),
         5 => part().prop_map(Event::PartStopped),
         1 => part().prop_map(Event::PartPreempted),
@@ -57,11 +57,11 @@
     prop::collection::vec(event, 1..160)
 }
 
-/// Whatever happens, in whatever order: only a whole replica serves, the parts left of
-/// a broken one are stopped, no migration begins before its intent is stored, and in
-/// the end the replica serves.
+/// Under any sequence of events: a group serves only while all its parts run, the remaining
+/// parts of a broken generation are stopped, and no migration stops parts before its intent
+/// is stored. After all faults have ended, the group serves.
 #[test]
-fn random_interleavings_leave_no_half_behind() {
+fn random_interleavings_stop_broken_generations_and_end_with_serving_group() {
     let config = Config {
         cases: 3000,
         failure_persistence: None,
@@ -75,7 +75,12 @@
             model.step(event)?;
         }
         model.recover()?;
-        prop_assert!(model.group.serves(), "{:?} {:?}", model.group, model.parts);
+        prop_assert!(
+            model.group.is_serving(),
+            "{:?} {:?}",
+            model.group,
+            model.parts
+        );
         Ok(())
     });
     if let Err(error) = result {
--- a/src/scheduler/replica_groups/evaluation.rs
+++ b/src/scheduler/replica_groups/evaluation.rs
@@ -1,4 +1,4 @@
-//! The evaluation of replica groups, and the actions that follow from it.
+//! Evaluation of replica groups, and execution of the resulting actions.
 
 use crate::ids::TaskRef;
 use crate::messages::Now;
@@ -6,39 +6,39 @@
 use lilacfork_replica_groups::group::{GroupAction, GroupEvent, GroupState, StopCause};
 use lilacfork_replica_groups::registry::GroupId;
 
-/// How soon a group's record has to be written.
+/// The urgency with which a group's record is written.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(super) enum WriteUrgency {
-    /// With the next write of the record.
+    /// Written with the next write of the placement record.
     Lazy,
-    /// With the next transaction.
+    /// Written with the next transaction.
     Immediate,
 }
 
 impl Scheduler {
-    /// Evaluates the groups about which something may have changed. The actions may
-    /// change other groups, or the same ones again.
+    /// Evaluates all groups whose evaluation has been requested. Actions may request further
+    /// evaluations, so this repeats until no request is left.
     pub(in crate::scheduler) fn evaluate_groups(&mut self, now: Now) {
         loop {
-            let touched = self.groups.take_touched();
-            if touched.is_empty() {
+            let requested = self.groups.take_requested_evaluations();
+            if requested.is_empty() {
                 return;
             }
-            for id in touched {
-                self.observe_group(now, &id);
+            for id in requested {
+                self.evaluate_group(now, &id);
             }
         }
     }
 
-    fn observe_group(&mut self, now: Now, id: &GroupId) {
+    fn evaluate_group(&mut self, now: Now, id: &GroupId) {
         let parts = self.parts_of(now, id);
         let targets = self.migration_targets(now, id);
         let before = self.groups.group(id).map(|group| group.state());
-        let actions = self.groups.observe(now.ms, id, &parts, targets);
+        let actions = self.groups.evaluate(now.ms, id, &parts, targets);
         let after = self.groups.group(id).map(|group| group.state());
         if let (Some(before), Some(after)) = (before, after) {
             if before != after {
-                self.state_changed(id, before, after);
+                self.handle_state_change(id, before, after);
             }
         }
         for action in actions {
@@ -46,10 +46,10 @@
         }
     }
 
-    fn state_changed(&mut self, id: &GroupId, before: GroupState, after: GroupState) {
+    fn handle_state_change(&mut self, id: &GroupId, before: GroupState, after: GroupState) {
         let (state, previous) = (after.name(), before.name());
         log::info!("replica group state changed group={id} state={state} previous={previous}");
-        // A group that waits for capacity should get it soon.
+        // Request a placement round, so that a pending group gets capacity soon.
         self.pacing.requested |= after == GroupState::Pending;
     }
 
@@ -65,7 +65,7 @@
 
     fn stop_parts(&mut self, now: Now, id: &GroupId, parts: &[u32], cause: StopCause) {
         let (count, reason) = (parts.len(), cause.reason());
-        log::info!("replica group stops group={id} parts={count} reason=\"{reason}\"");
+        log::info!("replica group stopping group={id} parts={count} reason=\"{reason}\"");
         for index in parts {
             let task = TaskRef {
                 job: id.job.clone(),
@@ -86,13 +86,13 @@
     }
 }
 
-/// Logs an event in a group's life.
+/// Logs a life-cycle event of a group.
 pub(super) fn log_event(id: &GroupId, event: GroupEvent) {
     match event {
         GroupEvent::Repaired { took_ms } => {
             log::info!("replica group repaired group={id} took_ms={took_ms}");
         }
-        GroupEvent::Interrupted => log::info!("replica group interruption ended group={id}"),
+        GroupEvent::InterruptionEnded => log::info!("replica group interruption ended group={id}"),
         GroupEvent::MigrationResumed => log::info!("replica group migration resumed group={id}"),
         GroupEvent::MigrationAbandoned(reason) => {
             let reason = reason.reason();
--- a/src/scheduler/replica_groups/migration.rs
+++ b/src/scheduler/replica_groups/migration.rs
@@ -1,4 +1,5 @@
-//! Migration of replica groups: capacity is reserved first, then the intent is stored.
+//! Planning of replica group migrations: finds the targets, reserves their capacity and
+//! schedules the write of the intent.
 
 use crate::capacity_index::Slot;
 use crate::ids::JobId;
@@ -12,27 +13,27 @@
 use lilacfork_replica_groups::record::{MigrationIntent, PartTarget};
 use lilacfork_replica_groups::registry::GroupId;
 
-/// A part that is bound to a machine.
+/// A part together with its binding to a machine.
 struct BoundPart {
     task: u32,
     binding: Binding,
 }
 
-/// The parts of a group that migrates.
+/// The parts of a migrating group, and the request for their placement.
 struct MigratingParts<'a> {
     id: &'a GroupId,
     request: &'a PlacementRequest,
-    /// Parts on machines that stay.
+    /// Parts on machines that send heartbeats and aren't leaving.
     staying: &'a [BoundPart],
-    /// Parts on machines that are leaving, silent or lost.
+    /// Parts on machines that are leaving, unresponsive or declared failed.
     leaving: &'a [BoundPart],
-    /// The machines of all parts.
+    /// The machines of all bound parts, which can't be new targets.
     excluded: &'a [Slot],
 }
 
 impl Scheduler {
-    /// Plans the migration of a group one of whose machines is leaving. The parts on
-    /// other machines stay where they are, if their zone has capacity for the rest.
+    /// Plans the migration of a group with a leaving machine. Parts on other machines stay
+    /// there if their zone has capacity for the parts that have to leave.
     pub(super) fn plan_migration(&mut self, now: Now, id: &GroupId) {
         self.refresh(now);
         match self.migration_intent(now, id) {
@@ -47,15 +48,15 @@
             None => {
                 log::info!("replica group migration infeasible group={id} reason=\"no capacity\"");
                 if let Some(group) = self.groups.group_mut(id) {
-                    group.migration_infeasible();
+                    group.mark_migration_infeasible();
                 }
             }
         }
-        self.groups.touch_group(id);
+        self.groups.request_evaluation(id);
     }
 
-    /// Releases reservations for forecast demand on the targets, where the parts need
-    /// the capacity: a migration goes before demand that is only forecast.
+    /// Releases the reservations for forecast demand on target machines where the parts need
+    /// that capacity. A migration takes precedence over forecast demand.
     fn release_forecast_reservations(&mut self, intent: &MigrationIntent, job: &JobId) {
         let Some(task_request) = self.jobs.get(job).map(|job| job.task_request) else {
             return;
@@ -64,17 +65,18 @@
             let Some(slot) = self.capacity.slot(&target.machine) else {
                 continue;
             };
-            let is_in_the_way = self.capacity.get(slot).is_some_and(|machine| {
+            let needs_forecast_capacity = self.capacity.get(slot).is_some_and(|machine| {
                 !machine.free().covers(&task_request)
                     && machine.forecast_reserved() != Resources::default()
             });
-            if is_in_the_way {
+            if needs_forecast_capacity {
                 self.capacity.release_forecast(slot);
             }
         }
     }
 
-    /// Targets for all parts of a group. `None`: there is no capacity for them.
+    /// Returns an intent with targets for all parts of a group. `None` if there is no capacity
+    /// for them.
     fn migration_intent(&self, now: Now, id: &GroupId) -> Option<MigrationIntent> {
         let job = self.jobs.get(&id.job)?;
         let bound = self.bound_parts(now, id);
@@ -124,7 +126,8 @@
             .collect()
     }
 
-    /// New targets for the parts on leaving machines, near the parts that stay.
+    /// Returns targets that move only the parts on leaving machines, to the zone of the staying
+    /// parts unless the job is spread. `None` if no part stays or there is no capacity.
     fn replace_leaving_parts(&self, parts: &MigratingParts) -> Option<Vec<PartTarget>> {
         let staying_slots = self.slots_of(parts.staying);
         if staying_slots.is_empty() {
@@ -153,7 +156,7 @@
         Some(targets)
     }
 
-    /// New targets for all parts.
+    /// Returns targets that move all parts to other machines. `None` if there is no capacity.
     fn replace_all_parts(&self, parts: &MigratingParts) -> Option<Vec<PartTarget>> {
         let search = GroupSearch {
             id: parts.id,
--- a/src/scheduler/replica_groups/mod.rs
+++ b/src/scheduler/replica_groups/mod.rs
@@ -1,5 +1,5 @@
-//! Replica groups, seen from the scheduler: the observed state of their parts goes to
-//! the groups' state machines, and the actions that these ask for are carried out.
+//! The scheduler's side of replica groups: passes the observed state of the parts to the
+//! groups' state machines, and performs the actions that they return.
 
 mod evaluation;
 mod migration;
@@ -22,17 +22,17 @@
 use lilacfork_replica_groups::shape::ReplicaIndex;
 use std::fmt;
 
-/// The timeouts of groups.
+/// Derives the timeouts of groups from the platform's and the operators' settings.
 pub(in crate::scheduler) fn timing(settings: &Settings, tuning: &Tuning) -> GroupTiming {
     let workers = &settings.site.workers;
     GroupTiming {
         reservation_ms: (workers.lease_s * tuning.hold_leases * 1000.0) as u64,
-        settled_ms: settled_ms(settings),
+        success_after_ms: settled_ms(settings),
         heartbeat_ms: (workers.heartbeat_s * 1000.0) as u64,
     }
 }
 
-/// How many groups are in each state and what has happened to them, for the log.
+/// The number of groups in each state and their event counts, for the periodic log line.
 pub struct ReplicaGroupStats<'a> {
     counts: StateCounts,
     metrics: &'a GroupMetrics,
@@ -45,7 +45,7 @@
 }
 
 impl Scheduler {
-    /// Statistics of replica groups. `None`: there are no groups.
+    /// Returns the statistics of replica groups. `None` if there are no groups.
     pub fn replica_group_stats(&self) -> Option<ReplicaGroupStats<'_>> {
         self.groups.iter().next()?;
         Some(ReplicaGroupStats {
@@ -54,17 +54,17 @@
         })
     }
 
-    /// How many of the job's tasks are shown to its user as running. A part of a group
-    /// that doesn't serve isn't.
+    /// Returns how many of the job's tasks are reported to its user as running. The parts of a
+    /// group that isn't serving aren't included.
     pub(in crate::scheduler) fn running_for_display(&self, id: &JobId, job: &Job) -> u32 {
         let Some(groups) = self.groups.get(id) else {
             return job.running();
         };
-        let serves = |task: &&u32| groups.serves(**task);
-        job.assignments.keys().filter(serves).count() as u32
+        let is_serving = |task: &&u32| groups.is_task_serving(**task);
+        job.assignments.keys().filter(is_serving).count() as u32
     }
 
-    /// Takes over what an earlier leader stored of a job's groups.
+    /// Restores a job's groups from the records that an earlier leader stored.
     pub(in crate::scheduler) fn restore_groups(
         &mut self,
         now: Now,
@@ -82,11 +82,11 @@
                 group.restore(now.ms, &timing, record);
             }
         }
-        self.groups.touch(job);
+        self.groups.request_job_evaluation(job);
     }
 
-    /// These records of a job's groups are stored.
-    pub(in crate::scheduler) fn group_records_stored(
+    /// Records that the write of these group records has completed.
+    pub(in crate::scheduler) fn mark_group_records_stored(
         &mut self,
         job: &JobId,
         records: &[GroupRecord],
@@ -95,15 +95,16 @@
             let id = GroupId::new(job, ReplicaIndex(record.replica));
             let group = self.groups.group_mut(&id);
             if let (Some(group), Some(intent)) = (group, &record.intent) {
-                group.intent_stored(intent);
-                self.groups.touch_group(&id);
+                group.mark_intent_stored(intent);
+                self.groups.request_evaluation(&id);
             }
         }
     }
 
-    /// A part failed by itself. The group's own circuit breaker decides whether that
-    /// is the machine's fault. The machines of the other parts aren't blamed.
-    pub(in crate::scheduler) fn part_failed(
+    /// Records that a part failed on its own. The failure counts against the part's machine
+    /// unless the group's circuit breaker is open. It never counts against the machines of the
+    /// other parts.
+    pub(in crate::scheduler) fn record_part_failure(
         &mut self,
         now: Now,
         machine: &MachineId,
@@ -115,7 +116,7 @@
         let Some(group) = groups.and_then(|groups| groups.for_task_mut(task.index)) else {
             return;
         };
-        if group.part_failed(now.ms, generation, machine, &timing) {
+        if group.record_part_failure(now.ms, generation, machine, &timing) {
             let id = GroupId::new(&task.job, group.replica());
             log::info!("replica group circuit breaker opened group={id} task={task}");
         }
@@ -131,7 +132,8 @@
         }
     }
 
-    /// The start of a part was rejected: its group isn't placed before then.
+    /// Postpones the next placement of a task's group until `at_ms`, because a machine rejected
+    /// the start of the task.
     pub(in crate::scheduler) fn defer_group(&mut self, task: &TaskRef, at_ms: u64) {
         let groups = self.groups.get_mut(&task.job);
         if let Some(group) = groups.and_then(|groups| groups.for_task_mut(task.index)) {
@@ -139,26 +141,28 @@
         }
     }
 
-    /// Compares what groups say with where their parts are; the error names what is
-    /// wrong. For tests.
+    /// Checks the states of all groups against the assignments of their parts, and returns the
+    /// first violation. For tests.
     pub(in crate::scheduler) fn check_groups(&self) -> Result<(), InvariantViolation> {
         for (id, groups) in self.groups.iter() {
             let Some(job) = self.jobs.get(id) else {
                 return Err(InvariantViolation::GroupsOfFinishedJob(id.clone()));
             };
-            for group in groups.iter().filter(|group| group.serves()) {
+            for group in groups.iter().filter(|group| group.is_serving()) {
                 let tasks = groups.shape().tasks_of(group.replica());
                 let live = tasks.filter(|task| !job.done.contains(task));
                 let parts: Vec<Option<&Assignment>> =
                     live.map(|task| job.assignments.get(&task)).collect();
                 let generation = parts.first().and_then(|part| Some(part.as_ref()?.attempt));
-                let whole = parts
+                let same_generation = parts
                     .iter()
                     .all(|part| part.map(|assign| assign.attempt) == generation);
                 let group = GroupId::new(id, group.replica());
-                // Its parts may have changed since it was looked at, in which case it
-                // is to be looked at before anybody is told.
-                if (generation.is_none() || !whole) && !self.groups.is_touched(&group) {
+                // If the parts have changed since the last evaluation, the group must be
+                // evaluated again before its state is reported.
+                if (generation.is_none() || !same_generation)
+                    && !self.groups.needs_evaluation(&group)
+                {
                     return Err(InvariantViolation::IncompleteGroup(group));
                 }
             }
--- a/src/scheduler/replica_groups/observation.rs
+++ b/src/scheduler/replica_groups/observation.rs
@@ -1,4 +1,4 @@
-//! The observed state of the parts of replica groups.
+//! Derivation of the observed state of replica groups' parts from the scheduler's state.
 
 use crate::fleet::{Machine, MachinePhase};
 use crate::ids::MachineId;
@@ -12,7 +12,7 @@
 use lilacfork_replica_groups::registry::GroupId;
 
 impl Scheduler {
-    /// The parts of a group in their current state.
+    /// Returns the parts of a group with their current state. Empty if the job is unknown.
     pub(super) fn parts_of(&self, now: Now, id: &GroupId) -> Vec<Part> {
         let Some(job) = self.jobs.get(&id.job) else {
             return Vec::new();
@@ -31,7 +31,7 @@
 
     fn binding_of(&self, now: Now, assignment: &Assignment) -> Binding {
         let machine = self.fleet.get(&assignment.machine);
-        // Only heartbeats of the machine's current agent epoch and of this term count.
+        // Only heartbeats of the machine's current agent epoch and of this term are valid.
         let is_current = machine
             .is_some_and(|machine| machine.fenced && machine.agent_epoch == assignment.agent_epoch);
         let activity = match assignment.phase.filter(|_| is_current) {
@@ -49,11 +49,11 @@
     }
 
     fn health_of(&self, now: Now, machine: &Machine) -> MachineHealth {
-        let silent = now.ms >= machine.last_heartbeat_ms + self.fresh_ms();
+        let unresponsive = now.ms >= machine.last_heartbeat_ms + self.fresh_ms();
         if machine.phase == MachinePhase::Releasing {
             MachineHealth::Lost
-        } else if silent || machine.unresponsive_since_ms.is_some() {
-            MachineHealth::Silent
+        } else if unresponsive || machine.unresponsive_since_ms.is_some() {
+            MachineHealth::Unresponsive
         } else if machine.reclaim_at_ms.is_some() || machine.phase == MachinePhase::Draining {
             MachineHealth::Leaving
         } else {
@@ -61,21 +61,21 @@
         }
     }
 
-    /// Whether all machines that a group migrates to still accept its parts.
+    /// Returns whether all target machines of a group's migration accept tasks.
     pub(super) fn migration_targets(&self, now: Now, id: &GroupId) -> MigrationTargets {
         let group = self.groups.group(id);
         let Some(migration) = group.and_then(|group| group.migration()) else {
-            return MigrationTargets::Closed;
+            return MigrationTargets::Unavailable;
         };
         let mut targets = migration.intent.targets.iter();
         if targets.all(|target| self.accepts_parts(now, &target.machine)) {
-            MigrationTargets::Open
+            MigrationTargets::Available
         } else {
-            MigrationTargets::Closed
+            MigrationTargets::Unavailable
         }
     }
 
-    /// Whether a machine accepts tasks.
+    /// Returns whether a machine accepts tasks. An unknown machine doesn't.
     pub(super) fn accepts_parts(&self, now: Now, machine: &MachineId) -> bool {
         let machine = self.fleet.get(machine);
         machine.is_some_and(|machine| machine.accepts_tasks(now.ms, self.fresh_ms()))
--- a/src/scheduler/replica_groups/placement.rs
+++ b/src/scheduler/replica_groups/placement.rs
@@ -1,5 +1,6 @@
-//! Placement of replica groups: all parts of a group on different machines, or none of
-//! them. In one zone, unless the job has to be spread over several.
+//! Placement of replica groups. Either all parts of a group are placed, each on a different
+//! machine, or none. All parts are placed in one zone unless the job has to be spread over
+//! several zones.
 
 use crate::capacity_index::Slot;
 use crate::ids::{Attempt, JobId, TaskRef};
@@ -15,15 +16,16 @@
 use lilacfork_replica_groups::shape::ReplicaIndex;
 use std::collections::BTreeSet;
 
-/// The machine on which a part is to be placed.
+/// A part and the machine on which it is to be placed.
 struct PartPlacement {
     task: u32,
     machine: PartMachine,
 }
 
 impl Scheduler {
-    /// Places the waiting groups of a job in order. Groups for which there is no
-    /// capacity are added to the round's unplaced work.
+    /// Places the waiting groups of a job in the order of their replicas. Groups without
+    /// capacity are added to the round's unplaced work. Placement stops at the first group that
+    /// exceeds the team's quota.
     pub(in crate::scheduler) fn place_groups(
         &mut self,
         now: Now,
@@ -51,8 +53,8 @@
         }
     }
 
-    /// The groups that wait for capacity and may start now, as many as one round
-    /// examines.
+    /// Returns the groups that wait for capacity and may start now, limited to the number that
+    /// one round examines.
     fn waiting_groups(&self, now: Now, job_id: &JobId) -> Vec<ReplicaIndex> {
         let Some(groups) = self.groups.get(job_id) else {
             return Vec::new();
@@ -65,7 +67,8 @@
             .collect()
     }
 
-    /// The parts that have to be placed. `None`: some are still on machines.
+    /// Returns the tasks of a group that have to be placed. `None` if some are still on machines
+    /// or all have completed.
     fn waiting_parts(&self, id: &GroupId) -> Option<Vec<u32>> {
         let job = self.jobs.get(&id.job)?;
         let tasks = job.shape?.tasks_of(id.replica);
@@ -74,7 +77,7 @@
         (all_wait && !live.is_empty()).then_some(live)
     }
 
-    /// Whether the team's quota allows all parts of a group.
+    /// Returns whether the team's quota allows all parts of a group.
     fn quota_allows_group(&self, request: &PlacementRequest, parts: usize, round: &Round) -> bool {
         let team = &request.spec.team;
         let mut used = self.team_usage(team, round);
@@ -82,7 +85,8 @@
         within_quota(&self.settings, team, &used, &request.resources)
     }
 
-    /// Places one group, or adds it to the round's unplaced work.
+    /// Places one group. If there is no capacity, holds the capacity of stopping tasks for it
+    /// or adds it to the round's unplaced work.
     fn place_group(
         &mut self,
         now: Now,
@@ -106,8 +110,9 @@
         }
     }
 
-    /// Machines for all parts, first of all those that are reserved for them.
-    /// `may_use_forecast`: waiting work goes before the demand that is only forecast.
+    /// Returns machines for all parts, and prefers the machines that are reserved for them. With
+    /// `may_use_forecast`, capacity that is reserved for forecast demand is used if free
+    /// capacity doesn't suffice.
     fn plan_group(
         &self,
         now: Now,
@@ -136,7 +141,7 @@
         Some(assign_machines(tasks, machines?))
     }
 
-    /// The machines that are reserved for these parts and still have the capacity.
+    /// Returns the reserved machines that still accept tasks and have enough capacity.
     fn usable_reservations(
         &self,
         now: Now,
@@ -171,7 +176,8 @@
         placements
     }
 
-    /// Adds machines for the parts that have no reservation to those that have one.
+    /// Completes `reserved` with machines for the parts that have no reservation. `None` if there
+    /// is no capacity for them.
     fn plan_remaining_parts(
         &self,
         id: &GroupId,
@@ -206,7 +212,7 @@
         Some(placements)
     }
 
-    /// Binds all parts in the same turn, and so with a single write.
+    /// Binds all parts of a group in the same turn, so that a single write stores them.
     fn bind_group(
         &mut self,
         now: Now,
@@ -237,12 +243,12 @@
         }
         let parts = placements.len();
         log::info!("replica group bound group={id} generation={generation} parts={parts}");
-        if let Some(event) = self.groups.parts_bound(id) {
+        if let Some(event) = self.groups.record_parts_bound(id) {
             log_event(id, event);
         }
     }
 
-    /// Whether the machines differ, accept tasks and have the capacity.
+    /// Returns whether the machines are distinct, accept tasks and have enough capacity.
     fn is_valid_placement(&self, now: Now, placements: &[PartPlacement], need: &Resources) -> bool {
         let mut used = BTreeSet::new();
         placements.iter().all(|part| {
@@ -256,7 +262,7 @@
         })
     }
 
-    /// The attempt that all parts of the next generation share.
+    /// Allocates the attempt that all parts of the next generation share.
     fn next_generation(&mut self, id: &GroupId) -> Option<Attempt> {
         let job = self.jobs.get_mut(&id.job)?;
         let first = job.shape?.tasks_of(id.replica).start;
@@ -264,6 +270,7 @@
     }
 }
 
+/// Pairs tasks with machines in order.
 fn assign_machines(tasks: &[u32], machines: Vec<PartMachine>) -> Vec<PartPlacement> {
     let pairs = tasks.iter().zip(machines);
     pairs
--- a/src/scheduler/replica_groups/provisioning.rs
+++ b/src/scheduler/replica_groups/provisioning.rs
@@ -1,5 +1,5 @@
-//! Capacity that is provisioned or reclaimed by preemption for a replica group: for all
-//! parts that lack it, or for none.
+//! Provisioning and preemption for replica groups. Capacity is obtained for all unplaced
+//! parts of a group or for none.
 
 use crate::messages::Now;
 use crate::placement::Resources;
@@ -12,16 +12,17 @@
 use crate::slackfit::ProvisioningOption;
 use std::rc::Rc;
 
-/// Capacity for a group in one zone: free machines, and machines whose tasks are
-/// preempted.
-struct ReclaimedCapacity {
+/// Capacity for all unplaced parts of a group: free machines, and machines whose tasks are to
+/// be preempted.
+struct GroupPreemptionPlan {
+    /// Sum of the candidates' costs, in seconds of lost work and image pulls.
     cost_s: f64,
     free: Vec<PartMachine>,
     candidates: Vec<PreemptionCandidate>,
 }
 
 impl Scheduler {
-    /// The zones that allow all unplaced parts of a group.
+    /// Returns the zones in which the job's constraints allow all unplaced parts of a group.
     fn zones_for_group(&self, unplaced: &Unplaced, demand: &GroupDemand) -> Vec<Rc<str>> {
         let Some(request) = self.request_of(unplaced) else {
             return Vec::new();
@@ -42,9 +43,9 @@
         Some(request)
     }
 
-    /// Covers the unplaced parts of a group with machines that are being provisioned in
-    /// one zone and, for the rest, with one option. `false`: no single zone allows all
-    /// parts.
+    /// Covers the unplaced parts of a group with machines that are being provisioned in one
+    /// zone. If no zone has enough of them, adds machines of the chosen option to the plan for
+    /// the rest. Returns `false` if no single zone allows all parts.
     pub(in crate::scheduler) fn plan_group_provisioning(
         &mut self,
         now: Now,
@@ -85,8 +86,9 @@
         true
     }
 
-    /// Preempts less important tasks in the zone where that costs least and gives a
-    /// group capacity for all its unplaced parts. Less than that would be of no use.
+    /// Preempts less important tasks in the zone with the lowest total preemption cost. Does
+    /// nothing if no zone yields capacity for all unplaced parts, because a group can't start
+    /// with fewer.
     pub(in crate::scheduler) fn preempt_for_group(
         &mut self,
         now: Now,
@@ -96,7 +98,7 @@
         let Some(request) = self.request_of(unplaced) else {
             return;
         };
-        let reserved = self.open_reservations(now, &demand.id);
+        let reserved = self.reserved_slots_accepting_tasks(now, &demand.id);
         let candidates = self.preemption_candidates(now, unplaced);
         let search = GroupSearch {
             id: &demand.id,
@@ -105,52 +107,55 @@
             zone: demand.zone.as_deref(),
             excluded: &reserved,
         };
-        let Some(reclaimed) = self.cheapest_reclaim(&search, candidates) else {
+        let Some(preemption_plan) = self.cheapest_preemption_plan(&search, candidates) else {
             return;
         };
-        for machine in reclaimed.free {
+        for machine in preemption_plan.free {
             self.capacity.hold(machine.slot, &request.resources);
         }
-        for candidate in reclaimed.candidates {
+        for candidate in preemption_plan.candidates {
             self.carry_out_preemption(now, candidate.slot, candidate.plan, &unplaced.spec);
         }
         self.refresh(now);
         unplaced.count = 0;
     }
 
-    /// Of all zones that allow all parts, the capacity whose preemptions cost least.
-    fn cheapest_reclaim(
+    /// Returns the plan with the lowest preemption cost of all zones that allow all parts.
+    fn cheapest_preemption_plan(
         &self,
         search: &GroupSearch,
         mut candidates: Vec<PreemptionCandidate>,
-    ) -> Option<ReclaimedCapacity> {
-        let mut cheapest: Option<ReclaimedCapacity> = None;
+    ) -> Option<GroupPreemptionPlan> {
+        let mut cheapest: Option<GroupPreemptionPlan> = None;
         for zone in self.group_zones(search) {
             let search = GroupSearch {
                 zone: Some(&zone),
                 ..*search
             };
-            let Some(reclaimed) = self.reclaim_in_zone(&search, &zone, &mut candidates) else {
+            let Some(preemption_plan) =
+                self.preemption_plan_in_zone(&search, &zone, &mut candidates)
+            else {
                 continue;
             };
             let is_cheapest = cheapest
                 .as_ref()
-                .is_none_or(|lowest| lowest.cost_s > reclaimed.cost_s);
+                .is_none_or(|lowest| lowest.cost_s > preemption_plan.cost_s);
             if is_cheapest {
-                cheapest = Some(reclaimed);
+                cheapest = Some(preemption_plan);
             }
         }
         cheapest
     }
 
-    /// Free machines of a zone, and the machines on which preemption costs least. The
-    /// latter are taken from the candidates.
-    fn reclaim_in_zone(
+    /// Returns a plan for one zone with its free machines and, for the missing ones, its
+    /// candidates with the lowest preemption cost. Removes the zone's usable candidates from
+    /// `candidates`. `None` if there aren't enough.
+    fn preemption_plan_in_zone(
         &self,
         search: &GroupSearch,
         zone: &Rc<str>,
         candidates: &mut Vec<PreemptionCandidate>,
-    ) -> Option<ReclaimedCapacity> {
+    ) -> Option<GroupPreemptionPlan> {
         let mut excluded = search.excluded.to_vec();
         let mut free: Vec<PartMachine> = Vec::new();
         while free.len() < search.count {
@@ -177,7 +182,7 @@
         }
         usable.sort_by(|a, b| preemption_cost_s(a).total_cmp(&preemption_cost_s(b)));
         usable.truncate(missing);
-        Some(ReclaimedCapacity {
+        Some(GroupPreemptionPlan {
             cost_s: usable.iter().map(preemption_cost_s).sum(),
             free,
             candidates: usable,
@@ -185,12 +190,13 @@
     }
 }
 
+/// Returns the cost of a candidate in seconds. Every candidate of a group search has a plan.
 fn preemption_cost_s(candidate: &PreemptionCandidate) -> f64 {
-    candidate.plan.as_ref().map_or(0.0, |offer| offer.cost_s)
+    candidate.plan.as_ref().map_or(0.0, |plan| plan.cost_s)
 }
 
-/// Adds machines to the plan for the unplaced parts that no machine of the option's zone
-/// is being provisioned for yet.
+/// Adds machines of the option to the plan for the unplaced parts that machines being
+/// provisioned in the option's zone don't cover.
 fn provision_for_group(
     option: &ProvisioningOption,
     unplaced: &Unplaced,
--- a/src/scheduler/replica_groups/reservations.rs
+++ b/src/scheduler/replica_groups/reservations.rs
@@ -1,4 +1,4 @@
-//! Capacity that is reserved for the next generation of a replica group.
+//! Reservation of capacity for the next generation of a replica group.
 
 use crate::capacity_index::Slot;
 use crate::messages::Now;
@@ -10,9 +10,8 @@
 use lilacfork_replica_groups::registry::GroupId;
 
 impl Scheduler {
-    /// Reserves capacity for the next generations of all groups that have a
-    /// reservation. A round begins with this, so that it doesn't give the capacity to
-    /// other work.
+    /// Reserves capacity in the index for all groups that have a reservation. A round does this
+    /// first, so that it doesn't place other work on that capacity.
     pub(in crate::scheduler) fn reserve_for_groups(&mut self, now: Now) {
         self.group_reservations.clear();
         for id in self.groups.with_reservations(now.ms) {
@@ -20,8 +19,8 @@
         }
     }
 
-    /// The machines that are reserved for a group, except those that its own parts
-    /// still use.
+    /// Returns the machines that are reserved for a group, except those that the group's own
+    /// parts still use.
     fn reserved_slots(&self, now: Now, id: &GroupId) -> Vec<Slot> {
         let (Some(group), Some(job)) = (self.groups.group(id), self.jobs.get(&id.job)) else {
             return Vec::new();
@@ -40,7 +39,8 @@
             .collect()
     }
 
-    /// Reserves capacity in the index for a group's next generation, once per round.
+    /// Reserves capacity in the index for a group's next generation. Does nothing if this round
+    /// has reserved it already.
     pub(super) fn reserve_for_group(&mut self, now: Now, id: &GroupId) {
         if self.group_reservations.contains_key(id) {
             return;
@@ -56,22 +56,23 @@
         self.group_reservations.insert(id.clone(), machines);
     }
 
-    /// Releases what is reserved for a group that is being placed: its own parts may
-    /// use it.
+    /// Releases the capacity in the index that is reserved for a group, so that the group's own
+    /// parts can be placed on it.
     pub(super) fn release_reservation(&mut self, id: &GroupId) {
         let Some(task_request) = self.jobs.get(&id.job).map(|job| job.task_request) else {
             return;
         };
         for machine in self.group_reservations.remove(id).into_iter().flatten() {
-            // The reservation on a machine that has left the index went with it.
+            // A machine that was removed from the index has no reservation left to release.
             if let Some(slot) = self.capacity.slot(&machine) {
                 self.capacity.release(slot, &task_request);
             }
         }
     }
 
-    /// Holds the capacity of tasks that are being stopped for all parts that have no
-    /// reservation, or returns these parts as unplaced.
+    /// Holds the capacity of tasks that are being stopped for all parts without a reservation.
+    /// Returns these parts as unplaced if that capacity doesn't suffice or the job has no start
+    /// objective.
     pub(super) fn hold_stopping_capacity(
         &mut self,
         now: Now,
@@ -79,7 +80,7 @@
         tasks: &[u32],
         request: &PlacementRequest,
     ) -> Option<Unplaced> {
-        let reserved = self.open_reservations(now, id);
+        let reserved = self.reserved_slots_accepting_tasks(now, id);
         let zone = self.common_zone(&request.spec, &reserved);
         let count = tasks.len().saturating_sub(reserved.len());
         let search = GroupSearch {
@@ -110,8 +111,8 @@
         })
     }
 
-    /// The machines that are reserved for a group and accept tasks.
-    pub(super) fn open_reservations(&self, now: Now, id: &GroupId) -> Vec<Slot> {
+    /// Returns the machines that are reserved for a group and accept tasks.
+    pub(super) fn reserved_slots_accepting_tasks(&self, now: Now, id: &GroupId) -> Vec<Slot> {
         let Some(group) = self.groups.group(id) else {
             return Vec::new();
         };
--- a/src/scheduler/replica_groups/search.rs
+++ b/src/scheduler/replica_groups/search.rs
@@ -1,4 +1,4 @@
-//! The search for machines for the parts of a replica group.
+//! Search for distinct machines for the parts of a replica group.
 
 use crate::capacity_index::{MachineCapacity, SearchConstraint, Slot, TaskDemand};
 use crate::ids::MachineId;
@@ -9,29 +9,30 @@
 use lilacfork_replica_groups::registry::GroupId;
 use std::rc::Rc;
 
-/// Which capacity a part may be given.
+/// The kinds of capacity that a search considers.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(super) enum SearchScope {
     /// Free capacity.
     Free,
-    /// Free capacity, and capacity that is reserved for forecast demand.
+    /// Free capacity and capacity that is reserved for forecast demand.
     WithForecast,
-    /// Free capacity, and capacity of tasks that are being stopped.
+    /// Free capacity and the capacity of tasks that are being stopped.
     WithStopping,
 }
 
-/// A machine for a part.
+/// A machine that was found for a part.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PartMachine {
     pub(super) slot: Slot,
-    /// Lower is better.
+    /// Preference of the search; lower is better.
     rank: f64,
-    /// The machine's reservation for forecast demand has to be released first.
+    /// Whether the machine's reservation for forecast demand has to be released before the part
+    /// is bound.
     pub(super) uses_forecast_reservation: bool,
 }
 
 impl PartMachine {
-    /// A machine that is taken without regard to its rank.
+    /// Creates a machine with rank 0, for choices that don't depend on the rank.
     pub(super) fn unranked(slot: Slot) -> PartMachine {
         PartMachine {
             slot,
@@ -45,17 +46,18 @@
 pub(super) struct GroupSearch<'a> {
     pub(super) id: &'a GroupId,
     pub(super) request: &'a PlacementRequest,
-    /// How many machines are needed.
+    /// Number of machines to find.
     pub(super) count: usize,
-    /// Search in this zone only.
+    /// The only zone to search. `None` for all zones.
     pub(super) zone: Option<&'a str>,
-    /// Machines that aren't considered, such as those of the group's other parts.
+    /// Machines to skip, such as those of the group's other parts.
     pub(super) excluded: &'a [Slot],
 }
 
 impl Scheduler {
-    /// Different machines for all parts of the search: in the zone whose machines rank
-    /// best together, or in several zones if the job has to be spread.
+    /// Returns distinct machines for all parts of the search. All machines are in the zone with
+    /// the lowest sum of ranks. If the job has to be spread and no single zone allows all parts,
+    /// the machines are in several zones. `None` if there is no capacity.
     pub(super) fn find_machines(
         &self,
         search: &GroupSearch,
@@ -82,8 +84,9 @@
         None
     }
 
-    /// The zone of these machines, in which the other parts of their group belong.
-    /// `None`: any zone will do, since the group is spread.
+    /// Returns the zone that all these machines are in, which the group's other parts have to
+    /// use too. `None` if the job is spread, the zones differ or there are no machines: the
+    /// other parts may use any zone.
     pub(super) fn common_zone(&self, spec: &JobSpec, slots: &[Slot]) -> Option<Rc<str>> {
         let zone = &self.capacity.get(*slots.first()?)?.state.offer.zone;
         let is_in_zone = |slot: &Slot| {
@@ -93,7 +96,7 @@
         (!spec.spread && slots.iter().all(is_in_zone)).then(|| zone.clone())
     }
 
-    /// The zones in which the job's constraints allow all parts of the search.
+    /// Returns the zones in which the job's constraints allow all parts of the search.
     pub(super) fn group_zones(&self, search: &GroupSearch) -> Vec<Rc<str>> {
         let spec = &search.request.spec;
         let zones = self.settings.site.zones.iter();
@@ -112,7 +115,8 @@
             .collect()
     }
 
-    /// Different machines for all parts of the search in this zone, or in any.
+    /// Returns distinct machines for all parts of the search in one zone, or in any zone if
+    /// `zone` is `None`.
     fn find_machines_in(
         &self,
         search: &GroupSearch,
@@ -132,7 +136,8 @@
         Some(machines)
     }
 
-    /// The best machine for one more part.
+    /// Returns the best machine for one more part. A machine with free capacity is preferred to
+    /// the other kinds in `scope`.
     pub(super) fn find_machine(
         &self,
         search: &GroupSearch,
@@ -166,7 +171,8 @@
         self.find_occupied_machine(&demand, scope)
     }
 
-    /// A machine whose capacity becomes free in the way that the scope allows.
+    /// Returns the first machine that has enough capacity if its forecast reservation is
+    /// released or its stopping tasks have ended, as `scope` allows.
     fn find_occupied_machine(
         &self,
         demand: &TaskDemand,
--- a/src/scheduler/rounds/queue_order.rs
+++ b/src/scheduler/rounds/queue_order.rs
@@ -111,7 +111,7 @@
             return None;
         }
         let failing = match self.groups.get(id) {
-            Some(groups) => groups.waiting_groups_all_failing(now.ms)?,
+            Some(groups) => groups.all_waiting_breakers_open(now.ms)?,
             None => job.failures.is_open(),
         };
         let is_migrating = migrating.contains(id);
--- a/src/scheduler/state/commit_outcome.rs
+++ b/src/scheduler/state/commit_outcome.rs
@@ -132,7 +132,7 @@
             for ended in write.ended {
                 job.unstored_ends.remove(&ended);
             }
-            self.group_records_stored(&write.job, &write.groups);
+            self.mark_group_records_stored(&write.job, &write.groups);
         }
         self.commits.max_jobs = self.commits.max_jobs.saturating_mul(2);
         self.cleanup.keys.extend(transaction.obsolete_keys);
--- a/src/scheduler/state/job.rs
+++ b/src/scheduler/state/job.rs
@@ -94,7 +94,8 @@
             .replica_parts
             .and_then(|parts| Shape::new(parts, tasks));
         // A replica group lies in one record, so that its parts are bound by one write.
-        let tasks_of_whole_replicas = shape.map(|shape| shape.whole_replicas(tasks_per_range));
+        let tasks_of_whole_replicas =
+            shape.map(|shape| shape.max_tasks_in_whole_replicas(tasks_per_range));
         if tasks_of_whole_replicas == Some(None) {
             log::error!(
                 "replica exceeds record job={} \
--- a/src/scheduler/state/job_watch.rs
+++ b/src/scheduler/state/job_watch.rs
@@ -122,7 +122,7 @@
                 self.machines_to_command.insert(assignment.machine.clone());
             }
         }
-        self.groups.touch(id);
+        self.groups.request_job_evaluation(id);
         self.cancel_dependents(now, id);
     }
 
--- a/src/scheduler/tick.rs
+++ b/src/scheduler/tick.rs
@@ -66,7 +66,7 @@
             self.pacing.activity.checks += 1;
             self.check_machines(now, cloud);
             // Silence and reserved capacity have no event of their own.
-            self.groups.touch_all();
+            self.groups.request_all_evaluations();
         }
     }
 
--- a/src/scheduler/workers/commands.rs
+++ b/src/scheduler/workers/commands.rs
@@ -142,7 +142,7 @@
             since_ms: now.ms,
         });
         assignment.sent_ms = None;
-        self.groups.touch_task(&task.job, task.index);
+        self.groups.request_task_evaluation(&task.job, task.index);
         let id = assignment.machine.clone();
         // Its capacity is about to become free: the capacity index has to look
         // at the machine again.
--- a/src/scheduler/workers/reconciliation.rs
+++ b/src/scheduler/workers/reconciliation.rs
@@ -114,7 +114,7 @@
             );
         }
         if assignment.phase.replace(phase) != Some(phase) {
-            self.groups.touch_task(&task.job, task.index);
+            self.groups.request_task_evaluation(&task.job, task.index);
         }
         // A service never ends, so running for long enough counts as its
         // success; a replica that spans machines succeeds as a whole.
@@ -156,7 +156,7 @@
             return false;
         };
         if assignment.phase.take().is_some() {
-            self.groups.touch_task(&task.job, task.index);
+            self.groups.request_task_evaluation(&task.job, task.index);
         }
         if assignment.stop.is_none() {
             return assignment
@@ -228,7 +228,7 @@
         if let Some(machine) = self.fleet.get_mut(&assignment.machine) {
             machine.unassign(task, &task_request, now.ms);
         }
-        self.groups.touch_task(&task.job, task.index);
+        self.groups.request_task_evaluation(&task.job, task.index);
         self.pacing.requested = true;
         self.commits.has_changes = true;
     }
--- a/src/scheduler/workers/task_exits.rs
+++ b/src/scheduler/workers/task_exits.rs
@@ -24,7 +24,7 @@
         let Some(assignment) = job.assignments.remove(&task.index) else {
             return;
         };
-        self.groups.touch_task(&task.job, task.index);
+        self.groups.request_task_evaluation(&task.job, task.index);
         // Of an inherited task only the end of its run was seen.
         let run_ms = assignment
             .running_since_ms
@@ -90,7 +90,7 @@
         let multi_host = job.shape.is_some();
         let retry_ms = now.ms + REFUSED_START_PAUSE_MS;
         match reason {
-            ExitReason::Error if multi_host => self.part_failed(now, id, task, attempt),
+            ExitReason::Error if multi_host => self.record_part_failure(now, id, task, attempt),
             ExitReason::Error => self.task_failed(now, id, task),
             ExitReason::Stopped => {}
             _ if multi_host => self.defer_group(task, retry_ms),
--- a/src/tuning.rs
+++ b/src/tuning.rs
@@ -163,7 +163,7 @@
                     .map_err(|reason| invalid_key(file, section, key, reason))?;
             }
         }
-        tuning.replica_classes.set_gangs(tuning.gangs > 0.0);
+        tuning.replica_classes.set_group_gangs(tuning.gangs > 0.0);
         Ok(tuning)
     }
 
