--- a/src/scheduler/tick.rs
+++ b/src/scheduler/tick.rs
@@ -73,7 +73,7 @@
             self.check_machines(now, cloud);
             // Missing heartbeats and expired reservations cause no event, so each check
             // evaluates all groups.
-            self.groups.touch_all();
+            self.groups.request_all_evaluations();
         }
     }
 
--- a/src/scheduler/workers/commands.rs
+++ b/src/scheduler/workers/commands.rs
@@ -151,7 +151,7 @@
             requested_ms: now.ms,
         });
         assignment.last_sent_ms = None;
-        self.groups.touch_task(&task.job, task.index);
+        self.groups.request_task_evaluation(&task.job, task.index);
         let id = assignment.machine.clone();
         // Mutable access marks the machine as changed for the capacity index, because its
         // capacity is about to become free.
--- a/src/scheduler/workers/reconciliation.rs
+++ b/src/scheduler/workers/reconciliation.rs
@@ -114,7 +114,7 @@
             );
         }
         if assignment.phase.replace(phase) != Some(phase) {
-            self.groups.touch_task(&task.job, task.index);
+            self.groups.request_task_evaluation(&task.job, task.index);
         }
         // A service task doesn't end by itself, so it succeeds by running for long enough. The
         // success of a replica that spans machines is recorded by its replica group.
@@ -157,7 +157,7 @@
             return false;
         };
         if assignment.phase.take().is_some() {
-            self.groups.touch_task(&task.job, task.index);
+            self.groups.request_task_evaluation(&task.job, task.index);
         }
         if assignment.stop.is_none() {
             return assignment
@@ -229,7 +229,7 @@
         if let Some(machine) = self.fleet.get_mut(&assignment.machine) {
             machine.unassign(task, &task_request, now.ms);
         }
-        self.groups.touch_task(&task.job, task.index);
+        self.groups.request_task_evaluation(&task.job, task.index);
         self.pacing.requested = true;
         self.commits.has_changes = true;
     }
--- a/src/scheduler/workers/task_exits.rs
+++ b/src/scheduler/workers/task_exits.rs
@@ -23,7 +23,7 @@
         let Some(assignment) = job.assignments.remove(&task.index) else {
             return;
         };
-        self.groups.touch_task(&task.job, task.index);
+        self.groups.request_task_evaluation(&task.job, task.index);
         // The run time is unknown if an earlier leader started the task.
         let run_ms = assignment
             .running_since_ms
@@ -92,7 +92,7 @@
         let multi_host = job.shape.is_some();
         let retry_ms = now.ms + REJECTED_START_BACKOFF_MS;
         match reason {
-            ExitReason::Error if multi_host => self.part_failed(now, id, task, attempt),
+            ExitReason::Error if multi_host => self.record_part_failure(now, id, task, attempt),
             ExitReason::Error => self.record_task_failure(now, id, task),
             ExitReason::Stopped => {}
             _ if multi_host => self.defer_group(task, retry_ms),
