--- a/tests/full_leader/mod.rs
+++ b/tests/full_leader/mod.rs
@@ -32,7 +32,7 @@
     for n in 0..machines * TASKS_PER_MACHINE / TASKS_PER_JOB {
         let mut spec = service(&format!("run-s{n}"), TASKS_PER_JOB as u32);
         spec["gabarit"] = json!("help");
-        sim.ask(n % 3, "POST", "/v2/runs", spec);
+        sim.request(n % 3, "POST", "/v2/runs", spec);
         sim.run_for(200);
     }
     sim.run_for(8000);
--- a/tests/integration/cancellations.rs
+++ b/tests/integration/cancellations.rs
@@ -62,7 +62,7 @@
             Destination::KvStore if call.path == "/txn" && node == other => Delivery::ResponseLost,
             _ => Delivery::Normal,
         });
-        sim.ask(other, "POST", "/v2/runs/run-1/abort", json!(null));
+        sim.request(other, "POST", "/v2/runs/run-1/abort", json!(null));
         sim.run_for(20);
         assert_eq!(sim.poll((leader + 2) % 3, "run-1").1, "cancelled");
         // Users ask for this at many nodes, and the first confirmation counts.
@@ -154,13 +154,13 @@
         let leader = sim.leader().unwrap();
         refuse(&mut sim, leader, true);
         sim.run_for(1000);
-        sim.workers.get_mut("vm-a").unwrap().silent = true;
+        sim.workers.get_mut("vm-a").unwrap().unresponsive = true;
         assert_eq!(sim.cancel((leader + 1) % 3, "run-1").1, "cancelled");
         sim.run_for(300);
         sim.kv_store.unavailable = true;
         heal(&mut sim);
         sim.run_for(hang_ms);
-        sim.workers.get_mut("vm-a").unwrap().silent = false;
+        sim.workers.get_mut("vm-a").unwrap().unresponsive = false;
         sim.run_for(45_000 - hang_ms);
         assert_eq!(sim.on_machines("run-1"), 0);
         settle(sim);
@@ -200,7 +200,7 @@
     let mut sim = running_cluster(3);
     let leader = sim.leader().unwrap();
     for m in sim.workers.values_mut() {
-        m.silent = true;
+        m.unresponsive = true;
     }
     assert_eq!(sim.submit(0, &service("run-1", 8)), 201);
     sim.run_for(200);
@@ -211,12 +211,12 @@
     sim.kv_store.unavailable = true;
     sim.run_for(3000);
     for m in sim.workers.values_mut() {
-        m.silent = false;
+        m.unresponsive = false;
         m.node = leader;
     }
     sim.run_for(15_000);
     let heard = sim
-        .heartbeat_replies
+        .heartbeat_responses
         .iter()
         .any(|(_, n, s)| (*n, *s) == (leader, 200));
     assert!(heard, "they report to it");
--- a/tests/integration/dependencies.rs
+++ b/tests/integration/dependencies.rs
@@ -27,11 +27,14 @@
     let mut asked = Vec::new();
     for id in ids {
         for node in 0..sim.nodes.len() {
-            asked.push(sim.ask(node, "GET", &format!("/v2/runs/{id}"), Value::Null));
+            asked.push(sim.request(node, "GET", &format!("/v2/runs/{id}"), Value::Null));
         }
     }
     sim.run_for(1800);
-    asked.iter().map(|user| sim.answer(*user)).collect()
+    asked
+        .iter()
+        .map(|user| sim.status_and_state(*user))
+        .collect()
 }
 
 /// Queried until every node answers, all nodes report this state of each job.
@@ -68,7 +71,7 @@
     let mut changes = Vec::new();
     for needs_kept in [true, false] {
         let mut sim = running_cluster(3);
-        let before = sim.kv_store.changes;
+        let before = sim.kv_store.write_count;
         for (id, needs) in DIAMOND {
             let needs = if needs_kept { needs } else { &[] };
             assert_eq!(sim.submit(1, &needing(id, needs)), 201);
@@ -79,7 +82,7 @@
         sim.run_for(40_000);
         settle(&mut sim, &DIAMOND_IDS, "done");
         sim.run_for(5000);
-        changes.push(sim.kv_store.changes - before);
+        changes.push(sim.kv_store.write_count - before);
     }
     let (pipeline, single) = (changes[0], changes[1]);
     assert!(pipeline < single + DIAMOND.len(), "{changes:?}");
@@ -181,9 +184,9 @@
     sim.run_for(CANCEL_MS * 3);
     for node in 0..3 {
         let id = format!("run-late-{node}");
-        let user = sim.ask(node, "POST", "/v2/runs", needing(&id, &["run-7", "run-33"]));
+        let user = sim.request(node, "POST", "/v2/runs", needing(&id, &["run-7", "run-33"]));
         sim.run_for(2000);
-        assert_eq!(sim.answer(user), (201, "cancelled".into()));
+        assert_eq!(sim.status_and_state(user), (201, "cancelled".into()));
         settle(&mut sim, &[&id], "cancelled");
     }
     let left = sim
@@ -206,7 +209,7 @@
             if cancels {
                 sim.run_for(3000);
                 let path = "/v2/runs/run-1/abort";
-                sim.ask((leader + 1) % 3, "POST", path, Value::Null);
+                sim.request((leader + 1) % 3, "POST", path, Value::Null);
             } else {
                 sim.run_for(2600);
             }
@@ -232,7 +235,7 @@
         sim.run_for(2000);
         let leader = sim.leader().unwrap();
         isolate_node(&mut sim, leader, Delivery::Rejected, false);
-        let user = sim.ask(
+        let user = sim.request(
             (leader + 1) % 3,
             "POST",
             "/v2/runs/run-1/abort",
@@ -248,7 +251,7 @@
         }
         heal(&mut sim);
         sim.end_kv_store_outage();
-        if sim.answer(user).0 != 200 {
+        if sim.status_and_state(user).0 != 200 {
             assert_eq!(sim.cancel(0, "run-1").1, "cancelled");
         }
         settle(&mut sim, &DIAMOND_IDS, "cancelled");
@@ -272,12 +275,12 @@
             assert_eq!(sim.submit(0, &needing("run-1", &[])), 201);
             sim.run_for(if cancels { 300 } else { 1000 });
             if cancels {
-                sim.ask(2, "POST", "/v2/runs/run-1/abort", Value::Null);
+                sim.request(2, "POST", "/v2/runs/run-1/abort", Value::Null);
             }
             sim.run_for(offset);
-            let submitted = sim.ask(1, "POST", "/v2/runs", needing("run-2", &["run-1"]));
+            let submitted = sim.request(1, "POST", "/v2/runs", needing("run-2", &["run-1"]));
             sim.run_for(15_000);
-            assert_eq!(sim.answer(submitted).0, 201);
+            assert_eq!(sim.status_and_state(submitted).0, 201);
             let state = if cancels { "cancelled" } else { "done" };
             settle(&mut sim, &["run-1", "run-2"], state);
         }
@@ -291,13 +294,13 @@
     for (over, state) in [("c", "cancelled"), ("d", "done")] {
         let mut sim = Simulation::new(3);
         sim.add_machine("vm-a", "a", false, true);
-        sim.observer.submitted(&needing("run-1", &[]));
-        (0..2).for_each(|n| sim.observer.finished(&format!("run-1/{n}")));
+        sim.observer.record_submission(&needing("run-1", &[]));
+        (0..2).for_each(|n| sim.observer.record_completion(&format!("run-1/{n}")));
         if over == "c" {
-            sim.observer.cancel_asked("run-1");
+            sim.observer.record_cancellation_request("run-1");
         }
         let spec = needing("run-2", &["run-1"]);
-        sim.observer.submitted(&spec);
+        sim.observer.record_submission(&spec);
         let records = [
             ("f/run-1", json!({"s": over, "n": 2, "w": 5})),
             ("j/run-2", json!({"spec": spec, "t": 1_000_000})),
@@ -335,7 +338,7 @@
                 }
             }
         }
-        let user = sim.ask(
+        let user = sim.request(
             self.rng.usize(0..3),
             "POST",
             "/v2/runs",
@@ -349,11 +352,11 @@
         let answered = self
             .users
             .iter()
-            .filter(|(user, _)| sim.answer(**user).0 > 0);
+            .filter(|(user, _)| sim.status_and_state(**user).0 > 0);
         let answered: Vec<u64> = answered.map(|(user, _)| *user).collect();
         for user in answered {
             let id = self.users.remove(&user).unwrap();
-            if sim.answer(user).0 == 201 {
+            if sim.status_and_state(user).0 == 201 {
                 self.jobs.push(id);
             }
         }
@@ -364,8 +367,8 @@
         match self.rng.u32(0..8) {
             0 => sim.kill(node),
             1 => {
-                sim.paused_until
-                    .insert(node, sim.now + self.rng.u64(500..9000));
+                sim.paused_until_ms
+                    .insert(node, sim.now_ms + self.rng.u64(500..9000));
             }
             2 => {
                 let mut rng = self.rng.fork();
@@ -412,14 +415,14 @@
                     if let Some(id) = day.rng.choice(&day.jobs).cloned() {
                         let path = format!("/v2/runs/{id}");
                         for node in 0..3 {
-                            sim.ask(node, "GET", &path, Value::Null);
+                            sim.request(node, "GET", &path, Value::Null);
                         }
                     }
                 }
                 7 => {
                     if let Some(id) = day.rng.choice(&day.jobs).cloned() {
                         let path = format!("/v2/runs/{id}/abort");
-                        sim.ask(step % 3, "POST", &path, Value::Null);
+                        sim.request(step % 3, "POST", &path, Value::Null);
                     }
                 }
                 _ => day.trouble(&mut sim),
--- a/tests/integration/fault_interactions/kv_store_faults.rs
+++ b/tests/integration/fault_interactions/kv_store_faults.rs
@@ -25,10 +25,10 @@
         sim.kv_store.unavailable = phase == 2;
         for n in 0..3 {
             let path = format!("/v2/runs/run-{phase}/abort");
-            let user = sim.ask(n, "POST", &path, Value::Null);
-            sim.ask(n, "GET", &format!("/v2/runs/run-{phase}"), Value::Null);
+            let user = sim.request(n, "POST", &path, Value::Null);
+            sim.request(n, "GET", &format!("/v2/runs/run-{phase}"), Value::Null);
             sim.run_for(700);
-            if sim.answer(user).1 == "cancelled" {
+            if sim.status_and_state(user).1 == "cancelled" {
                 cancelled.push(format!("run-{phase}/"));
             }
         }
@@ -59,13 +59,13 @@
         });
         for n in 0..12 {
             let spec = array(&format!("run-{n}"), 2);
-            sim.ask(n % 3, "POST", "/v2/runs", spec);
+            sim.request(n % 3, "POST", "/v2/runs", spec);
             sim.run_for(800);
             if n % 3 == 0 {
                 let path = format!("/v2/runs/run-{n}/abort");
-                sim.ask((n + 1) % 3, "POST", &path, Value::Null);
+                sim.request((n + 1) % 3, "POST", &path, Value::Null);
             }
-            sim.ask(
+            sim.request(
                 (n + 2) % 3,
                 "GET",
                 &format!("/v2/runs/run-{n}"),
@@ -101,9 +101,9 @@
     let other = (old + 1) % 3;
     for n in 0..3 {
         assert_eq!(sim.cancel(other, &format!("run-{n}")).1, "cancelled");
-        let asked = sim.ask(old, "GET", &format!("/v2/runs/run-{n}"), Value::Null);
+        let asked = sim.request(old, "GET", &format!("/v2/runs/run-{n}"), Value::Null);
         sim.run_for(4000);
-        assert_eq!(sim.answer(asked).0, 503, "it can't tell");
+        assert_eq!(sim.status_and_state(asked).0, 503, "it can't tell");
     }
     sim.run_for(CANCEL_MS);
     assert!((0..3).all(|n| sim.on_machines(&format!("run-{n}/")) == 0));
@@ -129,7 +129,7 @@
         };
         sim.fault_injector = at_once(writer);
         let spec = service("run-1", 4);
-        let submitted = sim.ask(writer, "POST", "/v2/runs", spec.clone());
+        let submitted = sim.request(writer, "POST", "/v2/runs", spec.clone());
         sim.run_for(10);
         for n in 0..3 {
             if n != writer {
@@ -138,19 +138,23 @@
             }
         }
         sim.run_for(4000);
-        assert_eq!(sim.answer(submitted).0, 200, "it finds its own write");
+        assert_eq!(
+            sim.status_and_state(submitted).0,
+            200,
+            "it finds its own write"
+        );
         heal(&mut sim);
         sim.run_for(4000);
         assert_eq!(sim.on_machines("run-1"), 4);
         sim.fault_injector = at_once(writer);
         let path = "/v2/runs/run-1/abort";
-        let cancelled = sim.ask(writer, "POST", path, Value::Null);
+        let cancelled = sim.request(writer, "POST", path, Value::Null);
         sim.run_for(10);
         for n in 0..3 {
             assert!(n == writer || sim.poll(n, "run-1").1 == "cancelled");
         }
         sim.run_for(4000);
-        assert_eq!(sim.answer(cancelled).1, "cancelled");
+        assert_eq!(sim.status_and_state(cancelled).1, "cancelled");
         heal(&mut sim);
         sim.run_for(4000);
         assert_eq!(sim.on_machines("run-1"), 0);
--- a/tests/integration/fault_interactions/leader_changes.rs
+++ b/tests/integration/fault_interactions/leader_changes.rs
@@ -46,7 +46,7 @@
     for tasks in [2, 3] {
         let mut sim = running_cluster(3);
         for name in ["vm-a", "vm-b"] {
-            sim.workers.get_mut(name).unwrap().slowness = if name == "vm-a" { 1 } else { 5 };
+            sim.workers.get_mut(name).unwrap().slowdown_factor = if name == "vm-a" { 1 } else { 5 };
         }
         let mut spec = array("run-1", tasks);
         // One machine has room for one task only.
@@ -82,8 +82,8 @@
         assert_eq!(sim.on_machines("run-"), 16, "the limit");
         let m = sim.workers.get_mut("vm-b").unwrap();
         match trouble {
-            0 => m.silent = true,
-            1 => m.deaf = true,
+            0 => m.unresponsive = true,
+            1 => m.inbound_blocked = true,
             _ => sim.partitions = (0..3).map(|n| (n, "b".to_string())).collect(),
         }
         sim.run_for(1000);
@@ -96,7 +96,7 @@
         assert_eq!(sim.cancel(2, "run-2").1, "cancelled");
         sim.run_for(6000);
         let m = sim.workers.get_mut("vm-b").unwrap();
-        (m.silent, m.deaf) = (false, false);
+        (m.unresponsive, m.inbound_blocked) = (false, false);
         heal(&mut sim);
         sim.run_for(40_000);
         assert_eq!(sim.on_machines("run-1") + sim.on_machines("run-2"), 0);
@@ -244,14 +244,14 @@
             let (mut sim, names) = full_zone(3);
             for name in &names {
                 let m = sim.workers.get_mut(name).unwrap();
-                (m.deaf, m.silent) = (deaf, !deaf);
+                (m.inbound_blocked, m.unresponsive) = (deaf, !deaf);
             }
             let old = sim.leader().unwrap();
             sim.kill(old);
             sim.run_for(spell_ms);
             for name in &names {
                 let m = sim.workers.get_mut(name).unwrap();
-                (m.deaf, m.silent) = (false, false);
+                (m.inbound_blocked, m.unresponsive) = (false, false);
             }
             sim.start(old);
             sim.capacity = 20;
--- a/tests/integration/fault_interactions/overload.rs
+++ b/tests/integration/fault_interactions/overload.rs
@@ -27,7 +27,7 @@
     let mut waits = Vec::new();
     for n in 0..jobs {
         let id = format!("run-{n}");
-        let began = sim.now;
+        let began = sim.now_ms;
         assert_eq!(sim.submit(n % 3, &array(&id, 1)), 201);
         if n % 4 == 3 {
             sim.run_for(100);
@@ -50,7 +50,7 @@
     assert!(waits.len() < jobs / 20, "late by 4 s: {}", waits.len());
     assert!(sim.kv_store.items.keys().all(|k| !k.starts_with("p/")));
     let writes = writes.borrow();
-    let most = (0..sim.now / 1000)
+    let most = (0..sim.now_ms / 1000)
         .map(|s| {
             let second = writes.iter().filter(|(at, _)| at / 1000 == s);
             second.map(|(_, count)| *count).sum::<u64>()
@@ -74,23 +74,27 @@
     for n in 0..40 {
         let mut spec = array(&format!("run-{n}"), 4);
         spec["rang"] = json!(ranks[n % 4]);
-        assert!(sim.ask(n % 3, "POST", "/v2/runs", spec) > 0);
+        assert!(sim.request(n % 3, "POST", "/v2/runs", spec) > 0);
         sim.run_for(300);
         if n % 7 == 0 {
             let path = format!("/v2/runs/run-{n}/abort");
-            sim.ask((n + 1) % 3, "POST", &path, Value::Null);
+            sim.request((n + 1) % 3, "POST", &path, Value::Null);
         }
     }
-    sim.ask(0, "POST", "/v2/runs", service("run-90", 8));
+    sim.request(0, "POST", "/v2/runs", service("run-90", 8));
     sim.run_for(60_000);
     for n in 0..40 {
         let state = sim.poll(n % 3, &format!("run-{n}")).1;
         let mut user = 0;
         if state.is_empty() {
-            user = sim.ask(n % 3, "GET", &format!("/v2/runs/run-{n}"), Value::Null);
+            user = sim.request(n % 3, "GET", &format!("/v2/runs/run-{n}"), Value::Null);
             sim.run_for(1000);
         }
-        let state = if user > 0 { sim.answer(user).1 } else { state };
+        let state = if user > 0 {
+            sim.status_and_state(user).1
+        } else {
+            state
+        };
         assert!(
             ["done", "cancelled"].contains(&state.as_str()),
             "run-{n} {state}"
--- a/tests/integration/fault_interactions/stale_heartbeats.rs
+++ b/tests/integration/fault_interactions/stale_heartbeats.rs
@@ -1,6 +1,6 @@
 //! Heartbeats that arrive after newer ones, or in the term of another leader.
 
-use crate::simulation::fixtures::{full_zone, running_cluster, set_silent};
+use crate::simulation::fixtures::{full_zone, running_cluster, set_unresponsive};
 use crate::simulation::{array, service};
 use serde_json::{json, Value};
 
@@ -10,9 +10,9 @@
 fn reports_of_an_earlier_session_or_attempt_prove_nothing() {
     let (mut sim, names) = full_zone(3);
     let early: Vec<Value> = names.iter().map(|n| sim.next_heartbeat(n)).collect();
-    set_silent(&mut sim, &names[..1], true);
+    set_unresponsive(&mut sim, &names[..1], true);
     sim.run_for(7000);
-    set_silent(&mut sim, &names[..1], false);
+    set_unresponsive(&mut sim, &names[..1], false);
     sim.run_for(2000);
     let (started, term) = (
         sim.start_log.len(),
--- a/tests/integration/fault_interactions/unreachable_machines.rs
+++ b/tests/integration/fault_interactions/unreachable_machines.rs
@@ -1,7 +1,7 @@
 //! Machines that controllers reach late, in one direction only or not at all.
 
 use crate::simulation::fixtures::{
-    full_zone, heal, partition_zones, released, running_cluster, set_silent,
+    full_zone, heal, partition_zones, released, running_cluster, set_unresponsive,
 };
 use crate::simulation::{array, service, Delivery, LEASE_MS};
 use lilacfork::messages::Destination;
@@ -23,7 +23,7 @@
     sim.run_for(3000);
     let on = sim.workers[name].tasks.len();
     assert_eq!(on, 4);
-    sim.workers.get_mut(name).unwrap().mute = true;
+    sim.workers.get_mut(name).unwrap().outbound_blocked = true;
     let started = sim.start_log.len();
     // Commands go there all the while, and are answered.
     for n in 0..50 {
@@ -52,7 +52,7 @@
     let mut sim = running_cluster(3);
     assert_eq!(sim.submit(0, &service("run-1", 16)), 201);
     sim.run_for(3000);
-    sim.workers.get_mut("vm-a").unwrap().mute = true;
+    sim.workers.get_mut("vm-a").unwrap().outbound_blocked = true;
     sim.run_for(1000);
     assert_eq!(sim.cancel(1, "run-1").1, "cancelled");
     sim.run_for(500);
@@ -93,12 +93,12 @@
             assert_eq!(sim.submit(0, &service("run-1", 8)), 201);
             sim.run_for(30);
             let names = ["vm-a".to_string(), "vm-b".to_string()];
-            set_silent(&mut sim, &names, true);
+            set_unresponsive(&mut sim, &names, true);
             sim.run_for(1500);
             if cancel {
                 assert_eq!(sim.cancel(1, "run-1").1, "cancelled");
             }
-            set_silent(&mut sim, &names, false);
+            set_unresponsive(&mut sim, &names, false);
             sim.run_for(25_000);
             sim.fault_injector = Box::new(|_, _, _| Delivery::Normal);
             sim.run_for(15_000);
@@ -131,7 +131,7 @@
     sim.run_for(3000);
     assert_eq!(sim.on_machines("run-"), 26);
     names.push("vm-b".into());
-    set_silent(&mut sim, &names, true);
+    set_unresponsive(&mut sim, &names, true);
     sim.run_for(75_000);
     assert_eq!(sim.on_machines("run-2/"), 6, "{:?}", sim.start_log);
     assert_eq!(sim.poll(0, "run-1").1, "done", "{:?}", sim.start_log);
--- a/tests/integration/fault_interactions/user_requests.rs
+++ b/tests/integration/fault_interactions/user_requests.rs
@@ -21,16 +21,16 @@
         sim.run_for(2900 + offset * 12);
         let mut users = Vec::new();
         for n in 0..3 {
-            users.push(sim.ask(n, "POST", "/v2/runs/run-1/abort", Value::Null));
-            users.push(sim.ask(n, "GET", "/v2/runs/run-1", Value::Null));
-            users.push(sim.ask(n, "POST", "/v2/runs", spec.clone()));
+            users.push(sim.request(n, "POST", "/v2/runs/run-1/abort", Value::Null));
+            users.push(sim.request(n, "GET", "/v2/runs/run-1", Value::Null));
+            users.push(sim.request(n, "POST", "/v2/runs", spec.clone()));
             sim.run_for(2);
         }
         sim.run_for(5000);
         let states: Vec<String> = (0..3).map(|n| sim.poll(n, "run-1").1).collect();
         assert!(states.iter().all(|s| *s == states[0]), "{states:?}");
         for user in users {
-            assert!([200, 201].contains(&sim.answer(user).0));
+            assert!([200, 201].contains(&sim.status_and_state(user).0));
         }
         assert!(!sim.kv_store.items.keys().any(|k| k.starts_with("j/")));
         ends.insert(states[0].clone());
@@ -52,7 +52,7 @@
     for n in 0..24 {
         let id = format!("run-{n}");
         let spec = array(&id, 1);
-        let first = sim.ask(n % 3, "POST", "/v2/runs", spec.clone());
+        let first = sim.request(n % 3, "POST", "/v2/runs", spec.clone());
         let mut cancel = None;
         for step in 0..200 {
             // Two close looks at each event, and one now and then.
@@ -60,20 +60,24 @@
             let cancelled = cancel.is_some_and(|c| sim.replies.contains_key(&c));
             if accepted && (step % 20 < 2 || (cancelled && step % 3 == 0)) {
                 for node in 0..3 {
-                    sim.ask(node, "GET", &format!("/v2/runs/{id}"), Value::Null);
-                    sim.ask(node, "POST", "/v2/runs", spec.clone());
+                    sim.request(node, "GET", &format!("/v2/runs/{id}"), Value::Null);
+                    sim.request(node, "POST", "/v2/runs", spec.clone());
                 }
             }
             if accepted && n % 2 == 0 && cancel.is_none() {
                 let path = format!("/v2/runs/{id}/abort");
-                cancel = Some(sim.ask((n + step) % 3, "POST", &path, Value::Null));
+                cancel = Some(sim.request((n + step) % 3, "POST", &path, Value::Null));
             }
             sim.run_for(3);
         }
         if let Some(cancel) = cancel {
-            assert_eq!(sim.answer(cancel), (200, "cancelled".into()), "{id}");
+            assert_eq!(
+                sim.status_and_state(cancel),
+                (200, "cancelled".into()),
+                "{id}"
+            );
         }
-        assert_eq!(sim.answer(first).0, 201);
+        assert_eq!(sim.status_and_state(first).0, 201);
     }
     heal(&mut sim);
     sim.run_for(8000);
@@ -154,21 +158,21 @@
         Delivery::Normal
     });
     let mut users = Vec::new();
-    let began = sim.now;
+    let began = sim.now_ms;
     for n in 0..4000 {
         let path = format!("/v2/runs/run-{}", n % 210);
-        users.push(sim.ask(node, "GET", &path, Value::Null));
+        users.push(sim.request(node, "GET", &path, Value::Null));
         sim.run_until(began + n * 5);
         if n % 200 == 0 {
             let id = format!("run-{}", 300 + n / 200);
-            let sent = sim.now;
+            let sent = sim.now_ms;
             assert_eq!(sim.submit(node, &array(&id, 1)), 201);
-            assert!(sim.now < sent + 500, "a submission waits for nobody");
+            assert!(sim.now_ms < sent + 500, "a submission waits for nobody");
             assert_eq!(sim.cancel(node, &id).0, 200);
         }
     }
     sim.run_for(2000);
-    let answered = |u: &&u64| matches!(sim.answer(**u).0, 200 | 404);
+    let answered = |u: &&u64| matches!(sim.status_and_state(**u).0, 200 | 404);
     assert_eq!(users.iter().filter(answered).count(), users.len());
     let reads = *reads.borrow();
     assert!(reads < 1200, "{reads} calls for 4,000 questions in 20 s");
@@ -198,14 +202,14 @@
                 Destination::KvStore if node == follower => Delivery::ResponseDelayed(300),
                 _ => Delivery::Normal,
             });
-            let asked = sim.ask(follower, method, path, body);
+            let asked = sim.request(follower, method, path, body);
             sim.run_for(asleep_after_ms);
-            let wakes = sim.now + asleep_ms;
-            sim.paused_until.insert(follower, wakes);
+            let wakes = sim.now_ms + asleep_ms;
+            sim.paused_until_ms.insert(follower, wakes);
             sim.run_for(500);
             assert_eq!(sim.cancel(leader, "run-1"), (200, "cancelled".into()));
             sim.run_until(wakes + 200);
-            let (status, state) = sim.answer(asked);
+            let (status, state) = sim.status_and_state(asked);
             let fresh = status == 503 || state == "cancelled";
             assert!(
                 fresh,
--- a/tests/integration/large_fleets.rs
+++ b/tests/integration/large_fleets.rs
@@ -1,6 +1,6 @@
 //! Large fleets: their calls to the key-value store and the cost of their rounds.
 
-use crate::simulation::fixtures::{released, service_without_objective, set_silent};
+use crate::simulation::fixtures::{released, service_without_objective, set_unresponsive};
 use crate::simulation::{array, Delivery, Simulation};
 use lilacfork::messages::Destination;
 use std::cell::RefCell;
@@ -49,9 +49,9 @@
     let asked = count_calls(&mut sim);
     for n in 0..machines / 10 {
         let job = array(&format!("run-a{n}"), 60);
-        sim.ask(n % 7, "POST", "/v2/runs", job);
+        sim.request(n % 7, "POST", "/v2/runs", job);
         let service = service_without_objective(&format!("run-s{n}"));
-        sim.ask((n + 3) % 7, "POST", "/v2/runs", service);
+        sim.request((n + 3) % 7, "POST", "/v2/runs", service);
         // Followers have a few changes a second each.
         sim.run_for(100);
     }
@@ -88,14 +88,14 @@
     let (mut sim, asked) = large(200);
     let old = sim.leader().unwrap();
     sim.kill(old);
-    let killed = sim.now;
+    let killed = sim.now_ms;
     while sim.leader().is_none() {
         sim.run_for(100);
     }
     assert!(
-        sim.now < killed + 4000,
+        sim.now_ms < killed + 4000,
         "elected after {}",
-        sim.now - killed
+        sim.now_ms - killed
     );
     let node = sim.leader().unwrap();
     sim.cancel(node, "run-s0");
@@ -169,14 +169,14 @@
     assert_eq!(sim.start_log.len(), started, "nothing started again");
 
     let old = sim.leader().unwrap();
-    sim.paused_until.insert(old, sim.now + 14_000);
+    sim.paused_until_ms.insert(old, sim.now_ms + 14_000);
     sim.run_for(24_000);
     assert_ne!(sim.leader(), Some(old));
     assert_eq!(sim.on_machines("run-"), 8000, "nor for the frozen leader");
     assert_eq!(sim.start_log.len(), started);
 
     let fifth: Vec<String> = sim.workers.keys().step_by(5).cloned().collect();
-    set_silent(&mut sim, &fifth, true);
+    set_unresponsive(&mut sim, &fifth, true);
     let before = examined(&sim);
     sim.run_for(20_000);
     assert_eq!(released(&sim, &fifth).len(), 200, "they are given up");
--- a/tests/integration/leadership.rs
+++ b/tests/integration/leadership.rs
@@ -32,7 +32,7 @@
             assert!(
                 sim.kv_store.items.contains_key("leader/key"),
                 "leads without a key at {}",
-                sim.now
+                sim.now_ms
             );
         }
     }
@@ -80,7 +80,7 @@
     sim.run_for(8000);
     let new = (0..3).find(|n| *n != old && sim.nodes[*n].as_ref().unwrap().is_leader());
     assert!(new.is_some());
-    sim.heartbeat_replies.clear();
+    sim.heartbeat_responses.clear();
     let mut report = sim.next_heartbeat("vm-z1");
     report["jeton"] = json!(3u64 << 20);
     sim.deliver_heartbeat(old, &report);
@@ -89,10 +89,10 @@
     sim.deliver_heartbeat(old, &later);
     sim.run_for(3000);
     let ok = sim
-        .heartbeat_replies
+        .heartbeat_responses
         .iter()
         .any(|(_, n, s)| *n == old && *s == 200);
-    assert!(!ok, "{:?}", sim.heartbeat_replies);
+    assert!(!ok, "{:?}", sim.heartbeat_responses);
     heal(&mut sim);
     sim.run_for(5000);
     assert_eq!(sim.on_machines("run-1"), 56);
@@ -111,12 +111,12 @@
         });
         for n in 0..12 {
             let id = format!("run-{n}");
-            sim.ask(n % 3, "POST", "/v2/runs", array(&id, 2));
+            sim.request(n % 3, "POST", "/v2/runs", array(&id, 2));
             sim.run_for(900);
-            sim.ask((n + 1) % 3, "GET", &format!("/v2/runs/{id}"), json!(null));
+            sim.request((n + 1) % 3, "GET", &format!("/v2/runs/{id}"), json!(null));
             if n % 4 == 0 {
                 let path = format!("/v2/runs/{id}/abort");
-                sim.ask((n + 2) % 3, "POST", &path, json!(null));
+                sim.request((n + 2) % 3, "POST", &path, json!(null));
             }
         }
         sim.run_for(3000);
@@ -192,14 +192,14 @@
     let term = |sim: &Simulation| sim.kv_store.items["leader/term"].0["term"].as_u64();
     assert_eq!(term(&sim), Some(1), "no silence, no step");
     let started = sim.start_log.len();
-    let until = sim.now + 60_000;
-    sim.paused_until.insert((first + 1) % 3, until);
+    let until = sim.now_ms + 60_000;
+    sim.paused_until_ms.insert((first + 1) % 3, until);
     sim.run_for(20_000);
     let leader = sim.leader().unwrap();
     assert_eq!(leader, (first + 2) % 3, "the only one with a successor");
     sim.run_for(15_000);
     assert_eq!(term(&sim), Some(2), "one step");
-    sim.paused_until.insert(leader, until);
+    sim.paused_until_ms.insert(leader, until);
     sim.run_for(20_000);
     assert_eq!(sim.on_machines("run-1"), 16);
     assert_eq!(
@@ -220,14 +220,14 @@
     assert_eq!(sim.submit(0, &service("run-1", 16)), 201);
     sim.run_for(3000);
     let first = sim.leader().unwrap();
-    let until = sim.now + 60_000;
-    sim.paused_until.insert(first, until);
+    let until = sim.now_ms + 60_000;
+    sim.paused_until_ms.insert(first, until);
     sim.run_for(8000);
     let led = |sim: &Simulation, n: usize| sim.nodes[n].as_ref().unwrap().is_leader();
     let second = (0..3).find(|n| *n != first && led(&sim, *n)).unwrap();
     let third = 3 - first - second;
-    let wakes = sim.now + 16_000;
-    sim.paused_until.insert(second, wakes);
+    let wakes = sim.now_ms + 16_000;
+    sim.paused_until_ms.insert(second, wakes);
     sim.run_until(wakes - 10);
     assert!(led(&sim, third));
     let mut alone_ms = 0;
@@ -258,6 +258,6 @@
     let late = sim
         .redirects
         .iter()
-        .filter(|(at, _, to)| *to == 1 && *at > sim.now - 15_000);
+        .filter(|(at, _, to)| *to == 1 && *at > sim.now_ms - 15_000);
     assert!(late.count() <= names.len(), "none is sent to and fro");
 }
--- a/tests/integration/main.rs
+++ b/tests/integration/main.rs
@@ -1,5 +1,5 @@
-//! All integration tests in one program, so that the simulation of controllers in virtual
-//! time is built once.
+//! Integration tests. All of them are compiled into one test binary, so that the
+//! virtual-time simulation is built only once.
 
 mod simulation;
 
--- a/tests/integration/network_partitions.rs
+++ b/tests/integration/network_partitions.rs
@@ -2,7 +2,7 @@
 
 use crate::simulation::fixtures::{
     crosses_partition, full_zone, heal, isolate_zone, partition_zones, released, running_cluster,
-    set_silent, zone_partitions,
+    set_unresponsive, zone_partitions,
 };
 use crate::simulation::{array, service, Delivery, Simulation};
 use lilacfork::messages::Destination;
@@ -47,9 +47,9 @@
 fn a_node_that_alone_is_cut_off_is_not_ready() {
     let mut sim = running_cluster(3);
     let ready = |sim: &mut Simulation, n| {
-        let user = sim.ask(n, "GET", "/ready", json!(null));
+        let user = sim.request(n, "GET", "/ready", json!(null));
         sim.run_for(20);
-        sim.answer(user).0
+        sim.status_and_state(user).0
     };
     let lone = (sim.leader().unwrap() + 1) % 3;
     assert_eq!(ready(&mut sim, lone), 200);
@@ -182,7 +182,7 @@
         1 => names,
         _ => vec!["vm-a".into()],
     };
-    set_silent(&mut sim, &own, true);
+    set_unresponsive(&mut sim, &own, true);
     sim.run_for(30_000);
     assert_eq!(sim.leader(), Some(leader));
     assert_eq!(
@@ -200,12 +200,12 @@
 fn a_paused_leader_answers_no_heartbeat_and_releases_no_machine() {
     let (mut sim, names) = full_zone(3);
     let old = sim.leader().unwrap();
-    let woken = sim.now + 14_000;
-    sim.paused_until.insert(old, woken);
+    let woken = sim.now_ms + 14_000;
+    sim.paused_until_ms.insert(old, woken);
     sim.run_for(13_900);
-    sim.heartbeat_replies.clear();
+    sim.heartbeat_responses.clear();
     sim.run_for(12_000);
-    let answered = sim.heartbeat_replies.iter().filter(|(_, n, _)| *n == old);
+    let answered = sim.heartbeat_responses.iter().filter(|(_, n, _)| *n == old);
     let statuses: Vec<u16> = answered.map(|(_, _, status)| *status).collect();
     assert!(
         !statuses.is_empty() && !statuses.contains(&200),
@@ -378,11 +378,11 @@
 #[test]
 fn workers_that_are_last_to_come_back_from_a_cut_are_kept() {
     let (mut sim, names) = full_zone(1);
-    set_silent(&mut sim, &names, true);
+    set_unresponsive(&mut sim, &names, true);
     sim.run_for(14_000);
-    set_silent(&mut sim, &names[..4], false);
+    set_unresponsive(&mut sim, &names[..4], false);
     sim.run_for(4000);
-    set_silent(&mut sim, &names[4..], false);
+    set_unresponsive(&mut sim, &names[4..], false);
     sim.run_for(5000);
     assert!(
         released(&sim, &names).is_empty(),
@@ -390,7 +390,7 @@
         released(&sim, &names)
     );
     // One that is silent alone is given up as ever.
-    set_silent(&mut sim, &names[5..], true);
+    set_unresponsive(&mut sim, &names[5..], true);
     sim.run_for(12_000);
     assert_eq!(released(&sim, &names), [&names[5]]);
 }
@@ -400,7 +400,7 @@
 #[test]
 fn a_silence_that_an_outage_hides_does_not_count() {
     let (mut sim, names) = full_zone(1);
-    set_silent(&mut sim, &names, true);
+    set_unresponsive(&mut sim, &names, true);
     sim.run_for(5000);
     sim.kv_store.unavailable = true;
     sim.run_for(25_000);
--- a/tests/integration/observer.rs
+++ b/tests/integration/observer.rs
@@ -1,24 +1,24 @@
-//! The observer of the simulation, tested with a history that breaks it for each rule: no
-//! simulation checks what it misses.
+//! Tests of the simulation's observer: one history for each rule that violates the rule.
+//! The simulations rely on the observer and cannot reveal a violation that it misses.
 
 use crate::simulation::array;
-use crate::simulation::observer::{Observer, RunningTask, UserRequest, Verb, Verdict};
+use crate::simulation::observer::{Observer, PlacedTask, RequestKind, UserRequest, Verdict};
 use serde_json::{json, Value};
 
-fn observer() -> Observer {
+fn new_observer() -> Observer {
     Observer::new(30_000, &[("blue", 2.0)])
 }
 
-fn ask(verb: Verb, job: &str, asked_ms: u64) -> UserRequest {
+fn request(kind: RequestKind, job: &str, sent_ms: u64) -> UserRequest {
     UserRequest {
-        verb,
+        kind,
         job: job.into(),
-        asked_ms,
+        sent_ms,
     }
 }
 
-fn on<'a>(task: &'a str, machine: &'a str, zone: &'a str) -> RunningTask<'a> {
-    RunningTask {
+fn task_on<'a>(task: &'a str, machine: &'a str, zone: &'a str) -> PlacedTask<'a> {
+    PlacedTask {
         task,
         machine,
         zone,
@@ -26,184 +26,260 @@
     }
 }
 
-fn accepted(spec: Value) -> Observer {
-    let mut o = observer();
-    o.submitted(&spec);
-    let question = ask(Verb::Submit, spec["id"].as_str().unwrap(), 0);
-    o.answered(10, &question, 201, "pending").unwrap();
-    o
+/// Returns an observer of a job that was accepted at 10 ms.
+fn observer_of_accepted_job(spec: Value) -> Observer {
+    let mut observer = new_observer();
+    observer.record_submission(&spec);
+    let submission = request(RequestKind::Submit, spec["id"].as_str().unwrap(), 0);
+    observer
+        .check_response(10, &submission, 201, "pending")
+        .unwrap();
+    observer
 }
 
 #[track_caller]
-fn breaks(rule: &str, verdict: Verdict) {
-    let said = verdict.expect_err(rule);
+fn assert_violation(rule: &str, verdict: Verdict) {
+    let violation = verdict.expect_err(rule);
     assert!(
-        said.to_string().starts_with(rule),
-        "{rule} expected: {said}"
+        violation.to_string().starts_with(rule),
+        "expected a violation of {rule}, got: {violation}"
     );
 }
 
-fn cancelled(at_ms: u64) -> Observer {
-    let mut o = accepted(array("run-1", 2));
-    o.cancel_asked("run-1");
-    let question = ask(Verb::Cancel, "run-1", at_ms - 5);
-    o.answered(at_ms, &question, 200, "cancelled").unwrap();
-    o
+/// Returns an observer of an accepted job whose cancellation was confirmed at `confirmed_ms`.
+fn observer_of_cancelled_job(confirmed_ms: u64) -> Observer {
+    let mut observer = observer_of_accepted_job(array("run-1", 2));
+    observer.record_cancellation_request("run-1");
+    let cancellation = request(RequestKind::Cancel, "run-1", confirmed_ms - 5);
+    observer
+        .check_response(confirmed_ms, &cancellation, 200, "cancelled")
+        .unwrap();
+    observer
 }
 
 #[test]
-fn a_task_in_two_places_is_seen() {
-    let mut o = accepted(array("run-1", 2));
-    let there = [on("run-1/0", "vm-a", "a")];
-    let start = |task| on(task, "vm-b", "b");
-    assert!(o.starts(20, start("run-1/1"), there.into_iter()).is_ok());
-    breaks(
+fn task_starting_on_second_machine_violates_ran_twice() {
+    let mut observer = observer_of_accepted_job(array("run-1", 2));
+    let others = [task_on("run-1/0", "vm-a", "a")];
+    let start = |task| task_on(task, "vm-b", "b");
+    assert!(observer
+        .check_start(20, start("run-1/1"), others.into_iter())
+        .is_ok());
+    assert_violation(
         "ran_twice",
-        o.starts(20, start("run-1/0"), there.into_iter()),
+        observer.check_start(20, start("run-1/0"), others.into_iter()),
     );
 }
 
 #[test]
-fn a_team_over_its_limit_is_seen() {
+fn team_exceeding_gpu_limit_violates_quota() {
     let mut spec = array("run-1", 3);
     spec["equipe"] = json!("blue");
-    let mut o = accepted(spec);
-    let two = [on("run-1/0", "vm-a", "a"), on("run-1/1", "vm-a", "a")];
-    let third = on("run-1/2", "vm-b", "b");
-    assert!(o.starts(20, third, two.into_iter().take(1)).is_ok());
-    breaks("quota", o.starts(20, third, two.into_iter()));
+    let mut observer = observer_of_accepted_job(spec);
+    let two = [
+        task_on("run-1/0", "vm-a", "a"),
+        task_on("run-1/1", "vm-a", "a"),
+    ];
+    let third = task_on("run-1/2", "vm-b", "b");
+    assert!(observer
+        .check_start(20, third, two.into_iter().take(1))
+        .is_ok());
+    assert_violation("quota", observer.check_start(20, third, two.into_iter()));
 }
 
 #[test]
-fn a_wrong_place_is_seen() {
+fn start_outside_placement_constraints_violates_wrong_place() {
     let mut spec = array("run-1", 4);
     spec["secteur"] = json!("a");
     spec["occasion"] = json!(false);
-    let mut o = accepted(spec);
-    let start = on("run-1/0", "vm-b", "b");
-    breaks("wrong_place", o.starts(20, start, [].into_iter()));
-    let spot = RunningTask {
+    let mut observer = observer_of_accepted_job(spec);
+    let start = task_on("run-1/0", "vm-b", "b");
+    assert_violation(
+        "wrong_place",
+        observer.check_start(20, start, [].into_iter()),
+    );
+    let spot = PlacedTask {
         spot: true,
-        ..on("run-1/0", "vm-a", "a")
+        ..task_on("run-1/0", "vm-a", "a")
     };
-    breaks("wrong_place", o.starts(20, spot, [].into_iter()));
+    assert_violation(
+        "wrong_place",
+        observer.check_start(20, spot, [].into_iter()),
+    );
 
     let mut spec = array("run-1", 4);
     spec["samePlace"] = json!(true);
-    let mut o = accepted(spec);
-    let there = [on("run-1/1", "vm-a", "a")];
-    breaks("wrong_place", o.starts(20, start, there.into_iter()));
+    let mut observer = observer_of_accepted_job(spec);
+    let others = [task_on("run-1/1", "vm-a", "a")];
+    assert_violation(
+        "wrong_place",
+        observer.check_start(20, start, others.into_iter()),
+    );
 
     let mut spec = array("run-1", 3);
     spec["spread"] = json!(true);
-    let mut o = accepted(spec);
-    let there = [on("run-1/1", "vm-b", "b"), on("run-1/2", "vm-c", "b")];
-    assert!(o.starts(20, start, there.into_iter().take(1)).is_ok());
-    breaks("wrong_place", o.starts(20, start, there.into_iter()));
+    let mut observer = observer_of_accepted_job(spec);
+    let others = [
+        task_on("run-1/1", "vm-b", "b"),
+        task_on("run-1/2", "vm-c", "b"),
+    ];
+    assert!(observer
+        .check_start(20, start, others.into_iter().take(1))
+        .is_ok());
+    assert_violation(
+        "wrong_place",
+        observer.check_start(20, start, others.into_iter()),
+    );
 }
 
 #[test]
-fn a_cancelled_task_that_stays_or_starts_too_late_is_seen() {
-    let mut o = cancelled(1000);
-    let task = on("run-1/0", "vm-a", "a");
-    assert!(o.present(31_000, [task].into_iter()).is_ok());
-    breaks("ran_cancelled", o.present(31_001, [task].into_iter()));
-    assert!(o.starts(2000, task, [].into_iter()).is_ok());
-    assert_eq!(o.starts_after_cancel.len(), 1, "allowed, but counted");
-    breaks("ran_cancelled", o.starts(31_001, task, [].into_iter()));
+fn task_on_machine_after_cancellation_period_violates_ran_cancelled() {
+    let mut observer = observer_of_cancelled_job(1000);
+    let task = task_on("run-1/0", "vm-a", "a");
+    assert!(observer
+        .check_placed_tasks(31_000, [task].into_iter())
+        .is_ok());
+    assert_violation(
+        "ran_cancelled",
+        observer.check_placed_tasks(31_001, [task].into_iter()),
+    );
+    assert!(observer.check_start(2000, task, [].into_iter()).is_ok());
+    assert_eq!(
+        observer.starts_after_cancel.len(),
+        1,
+        "a start within the cancellation period is allowed and counted"
+    );
+    assert_violation(
+        "ran_cancelled",
+        observer.check_start(31_001, task, [].into_iter()),
+    );
 }
 
 #[test]
-fn a_forgotten_job_is_seen() {
-    let mut o = accepted(array("run-1", 2));
-    let show = ask(Verb::Show, "run-1", 20);
-    breaks("forgotten", o.answered(30, &show, 404, ""));
-    let again = ask(Verb::Submit, "run-1", 20);
-    breaks("forgotten", o.answered(30, &again, 422, ""));
-    let before = ask(Verb::Show, "run-1", 5);
-    assert!(o.answered(30, &before, 404, "").is_ok(), "asked before");
+fn accepted_job_reported_unknown_violates_forgotten() {
+    let mut observer = observer_of_accepted_job(array("run-1", 2));
+    let query = request(RequestKind::Query, "run-1", 20);
+    assert_violation("forgotten", observer.check_response(30, &query, 404, ""));
+    let repeated = request(RequestKind::Submit, "run-1", 20);
+    assert_violation("forgotten", observer.check_response(30, &repeated, 422, ""));
+    let earlier = request(RequestKind::Query, "run-1", 5);
+    assert!(
+        observer.check_response(30, &earlier, 404, "").is_ok(),
+        "sent before the job was accepted"
+    );
 }
 
 #[test]
-fn an_invented_job_is_seen() {
-    let mut o = observer();
-    let show = ask(Verb::Show, "run-9", 20);
-    assert!(o.answered(30, &show, 404, "").is_ok());
-    breaks("invented", o.answered(30, &show, 200, "pending"));
+fn reported_job_without_submission_violates_invented() {
+    let mut observer = new_observer();
+    let query = request(RequestKind::Query, "run-9", 20);
+    assert!(observer.check_response(30, &query, 404, "").is_ok());
+    assert_violation(
+        "invented",
+        observer.check_response(30, &query, 200, "pending"),
+    );
 }
 
 #[test]
-fn a_job_called_done_too_early_is_seen() {
-    let mut o = accepted(array("run-1", 2));
-    o.finished("run-1/0");
-    let show = ask(Verb::Show, "run-1", 20);
-    breaks("not_done", o.answered(30, &show, 200, "done"));
-    o.finished("run-1/1");
-    assert!(o.answered(40, &show, 200, "done").is_ok());
+fn job_reported_done_with_incomplete_tasks_violates_not_done() {
+    let mut observer = observer_of_accepted_job(array("run-1", 2));
+    observer.record_completion("run-1/0");
+    let query = request(RequestKind::Query, "run-1", 20);
+    assert_violation("not_done", observer.check_response(30, &query, 200, "done"));
+    observer.record_completion("run-1/1");
+    assert!(observer.check_response(40, &query, 200, "done").is_ok());
 }
 
 #[test]
-fn a_final_state_that_changes_is_seen() {
-    let mut o = cancelled(1000);
-    let show = ask(Verb::Show, "run-1", 1001);
-    breaks("went_back", o.answered(1010, &show, 200, "running"));
-    let early = ask(Verb::Show, "run-1", 999);
-    assert!(o.answered(1010, &early, 200, "running").is_ok());
-    let mut o = accepted(array("run-1", 2));
-    let show = ask(Verb::Show, "run-1", 20);
-    breaks("went_back", o.answered(30, &show, 200, "cancelled"));
-}
-
-/// `run-2` depends on `run-1`, `run-3` on `run-2`.
-fn chain() -> Observer {
-    let mut o = accepted(array("run-1", 2));
-    for (id, need) in [("run-2", "run-1"), ("run-3", "run-2")] {
+fn changed_final_state_violates_went_back() {
+    let mut observer = observer_of_cancelled_job(1000);
+    let query = request(RequestKind::Query, "run-1", 1001);
+    assert_violation(
+        "went_back",
+        observer.check_response(1010, &query, 200, "running"),
+    );
+    let earlier = request(RequestKind::Query, "run-1", 999);
+    assert!(observer
+        .check_response(1010, &earlier, 200, "running")
+        .is_ok());
+    let mut observer = observer_of_accepted_job(array("run-1", 2));
+    let query = request(RequestKind::Query, "run-1", 20);
+    assert_violation(
+        "went_back",
+        observer.check_response(30, &query, 200, "cancelled"),
+    );
+}
+
+/// Returns an observer of three accepted jobs: `run-2` depends on `run-1`, and `run-3`
+/// depends on `run-2`.
+fn observer_of_dependency_chain() -> Observer {
+    let mut observer = observer_of_accepted_job(array("run-1", 2));
+    for (id, dependency) in [("run-2", "run-1"), ("run-3", "run-2")] {
         let mut spec = array(id, 1);
-        spec["attend"] = json!([need]);
-        o.submitted(&spec);
-        o.answered(20, &ask(Verb::Submit, id, 15), 201, "pending")
+        spec["attend"] = json!([dependency]);
+        observer.record_submission(&spec);
+        observer
+            .check_response(20, &request(RequestKind::Submit, id, 15), 201, "pending")
             .unwrap();
     }
-    o
+    observer
 }
 
 #[test]
-fn a_task_that_starts_before_a_needed_job_is_done_is_seen() {
-    let mut o = chain();
-    let start = on("run-2/0", "vm-a", "a");
-    o.finished("run-1/0");
-    breaks("too_early", o.starts(30, start, [].into_iter()));
-    o.finished("run-1/1");
-    assert!(o.starts(30, start, [].into_iter()).is_ok());
-    let next = on("run-3/0", "vm-a", "a");
-    breaks("too_early", o.starts(30, next, [].into_iter()));
+fn task_starting_before_dependency_is_done_violates_too_early() {
+    let mut observer = observer_of_dependency_chain();
+    let start = task_on("run-2/0", "vm-a", "a");
+    observer.record_completion("run-1/0");
+    assert_violation("too_early", observer.check_start(30, start, [].into_iter()));
+    observer.record_completion("run-1/1");
+    assert!(observer.check_start(30, start, [].into_iter()).is_ok());
+    let next = task_on("run-3/0", "vm-a", "a");
+    assert_violation("too_early", observer.check_start(30, next, [].into_iter()));
 }
 
 #[test]
-fn a_job_that_outlives_the_cancellation_of_one_it_needs_is_seen() {
+fn job_outliving_cancelled_dependency_violates_orphaned() {
     for job in ["run-2", "run-3"] {
-        let mut o = chain();
-        let show = ask(Verb::Show, job, 31_500);
-        breaks("went_back", o.answered(900, &show, 200, "cancelled"));
-        o.cancel_asked("run-1");
-        let cancel = ask(Verb::Cancel, "run-1", 995);
-        o.answered(1000, &cancel, 200, "cancelled").unwrap();
-        assert!(o.answered(31_000, &show, 200, "pending").is_ok());
-        breaks("orphaned", o.answered(31_001, &show, 200, "pending"));
-        assert!(o.answered(31_002, &show, 200, "cancelled").is_ok());
-        let again = ask(Verb::Show, job, 31_600);
-        breaks("went_back", o.answered(31_700, &again, 200, "pending"));
+        let mut observer = observer_of_dependency_chain();
+        let query = request(RequestKind::Query, job, 31_500);
+        assert_violation(
+            "went_back",
+            observer.check_response(900, &query, 200, "cancelled"),
+        );
+        observer.record_cancellation_request("run-1");
+        let cancel = request(RequestKind::Cancel, "run-1", 995);
+        observer
+            .check_response(1000, &cancel, 200, "cancelled")
+            .unwrap();
+        assert!(observer
+            .check_response(31_000, &query, 200, "pending")
+            .is_ok());
+        assert_violation(
+            "orphaned",
+            observer.check_response(31_001, &query, 200, "pending"),
+        );
+        assert!(observer
+            .check_response(31_002, &query, 200, "cancelled")
+            .is_ok());
+        let repeated = request(RequestKind::Query, job, 31_600);
+        assert_violation(
+            "went_back",
+            observer.check_response(31_700, &repeated, 200, "pending"),
+        );
     }
 }
 
 #[test]
-fn a_job_cancelled_with_one_that_was_called_done_is_seen() {
-    let mut o = chain();
-    o.cancel_asked("run-1");
-    o.finished("run-1/0");
-    o.finished("run-1/1");
-    let cancel = ask(Verb::Cancel, "run-1", 995);
-    o.answered(1000, &cancel, 200, "done").unwrap();
-    let show = ask(Verb::Show, "run-2", 1100);
-    breaks("went_back", o.answered(1200, &show, 200, "cancelled"));
+fn dependent_cancelled_after_dependency_reported_done_violates_went_back() {
+    let mut observer = observer_of_dependency_chain();
+    observer.record_cancellation_request("run-1");
+    observer.record_completion("run-1/0");
+    observer.record_completion("run-1/1");
+    let cancel = request(RequestKind::Cancel, "run-1", 995);
+    observer.check_response(1000, &cancel, 200, "done").unwrap();
+    let query = request(RequestKind::Query, "run-2", 1100);
+    assert_violation(
+        "went_back",
+        observer.check_response(1200, &query, 200, "cancelled"),
+    );
 }
--- a/tests/integration/processor_costs.rs
+++ b/tests/integration/processor_costs.rs
@@ -77,7 +77,7 @@
         sim.run_for(10);
     }
     // A worker reports again half a second after its last report at the earliest.
-    let waited_ms = sim.now - first_end_ms;
+    let waited_ms = sim.now_ms - first_end_ms;
     assert!(
         waited_ms <= 600,
         "the next task starts after {waited_ms} ms"
--- a/tests/integration/provisioning.rs
+++ b/tests/integration/provisioning.rs
@@ -51,11 +51,11 @@
     sim.kill(sim.leader().unwrap());
     // Their next reports come a little after the list.
     for worker in sim.workers.values_mut() {
-        worker.silent = true;
+        worker.unresponsive = true;
     }
     sim.run_for(6000);
     for worker in sim.workers.values_mut() {
-        worker.silent = false;
+        worker.unresponsive = false;
     }
     sim.run_for(3000);
     assert!(sim.leader().is_some());
--- a/tests/integration/randomized_faults.rs
+++ b/tests/integration/randomized_faults.rs
@@ -123,7 +123,7 @@
 
     fn send_spec(&mut self, spec: &Value) {
         let node = self.node();
-        let user = self.sim.ask(node, "POST", "/v2/runs", spec.clone());
+        let user = self.sim.request(node, "POST", "/v2/runs", spec.clone());
         let id = spec["id"].as_str().unwrap().to_string();
         self.asked.push((user, id, "submit"));
     }
@@ -133,7 +133,7 @@
         for _ in 0..self.rng.u32(1..3) {
             let node = self.node();
             let path = format!("/v2/runs/{id}/abort");
-            let user = self.sim.ask(node, "POST", &path, Value::Null);
+            let user = self.sim.request(node, "POST", &path, Value::Null);
             self.asked.push((user, id.clone(), "cancel"));
         }
     }
@@ -143,7 +143,7 @@
         for node in 0..3 {
             let user = self
                 .sim
-                .ask(node, "GET", &format!("/v2/runs/{id}"), Value::Null);
+                .request(node, "GET", &format!("/v2/runs/{id}"), Value::Null);
             self.asked.push((user, id.clone(), "show"));
             let pause = self.rng.u64(0..6);
             self.sim.run_for(pause);
@@ -192,18 +192,18 @@
                 if let Some(name) = self.some_machine() {
                     let deaf = self.rng.bool();
                     let m = self.sim.workers.get_mut(&name).unwrap();
-                    (m.deaf, m.mute) = (deaf, !deaf);
+                    (m.inbound_blocked, m.outbound_blocked) = (deaf, !deaf);
                 }
             }
             18 => {
                 if let Some(name) = self.some_machine() {
                     let m = self.sim.workers.get_mut(&name).unwrap();
-                    m.silent = !m.silent;
+                    m.unresponsive = !m.unresponsive;
                 }
             }
             19 => {
-                let until = self.sim.now + self.rng.u64(1000..9000);
-                self.sim.paused_until.insert(node, until);
+                let until = self.sim.now_ms + self.rng.u64(1000..9000);
+                self.sim.paused_until_ms.insert(node, until);
             }
             20 => self.sim.cloud_unavailable = !self.sim.cloud_unavailable,
             22 => rates.garbled_responses = self.rng.u32(0..12),
@@ -233,7 +233,7 @@
     }
 
     fn run_with_faults(&mut self, until_ms: u64) {
-        while self.sim.now < until_ms {
+        while self.sim.now_ms < until_ms {
             match self.rng.u32(0..20) {
                 0..=3 => self.submit(),
                 4 => self.cancel(),
@@ -255,7 +255,7 @@
 
     fn calm(&mut self) {
         self.rates.set(FaultRates::default());
-        self.sim.paused_until.clear();
+        self.sim.paused_until_ms.clear();
         self.sim.cloud_unavailable = false;
         self.sim.kv_store.watches_stalled = false;
         if self.sim.kv_store.unavailable {
@@ -267,7 +267,7 @@
             }
         }
         for m in self.sim.workers.values_mut() {
-            (m.silent, m.deaf, m.mute) = (false, false, false);
+            (m.unresponsive, m.inbound_blocked, m.outbound_blocked) = (false, false, false);
         }
     }
 
--- a/tests/integration/replica_groups/admission.rs
+++ b/tests/integration/replica_groups/admission.rs
@@ -1,7 +1,10 @@
 //! Which jobs form replica groups: settings, admission and stored jobs.
 
 use super::gang;
-use crate::simulation::replica_groups::{machines, options, places, shown, started, wide};
+use crate::simulation::replica_groups::{
+    cluster_with_machines, machines_by_task, running, start_service, tuning_from_ini,
+    whole_machine_service,
+};
 use crate::simulation::{array, Delivery};
 use lilacfork::tuning::Tuning;
 use serde_json::json;
@@ -64,9 +67,9 @@
 
 #[test]
 fn what_cannot_be_divided_is_refused_and_what_is_accepted_is_not() {
-    let mut sim = machines(3, &["vm-a", "vm-b"]);
+    let mut sim = cluster_with_machines(3, &["vm-a", "vm-b"]);
     for node in 0..3 {
-        assert_eq!(sim.submit(node, &wide("run-1", 3)), 422);
+        assert_eq!(sim.submit(node, &whole_machine_service("run-1", 3)), 422);
     }
     assert_eq!(sim.poll(0, "run-1").0, 404);
     // Gangs of one task and arrays of the class don't form groups.
@@ -79,36 +82,36 @@
 /// Controllers whose settings differ, as during a rolling restart.
 #[test]
 fn an_accepted_job_keeps_its_grouping_whatever_the_settings_become() {
-    let mut sim = machines(3, &["vm-a", "vm-b", "vm-c", "vm-d", "vm-e", "vm-f"]);
-    started(&mut sim, &wide("run-1", 2));
+    let mut sim = cluster_with_machines(3, &["vm-a", "vm-b", "vm-c", "vm-d", "vm-e", "vm-f"]);
+    start_service(&mut sim, &whole_machine_service("run-1", 2));
     let record = sim.kv_store.items["j/run-1"].0.clone();
     assert_eq!(record["g"], json!(2));
-    sim.set_tuning(options("[replica_parts]\nchat = 3\n"));
+    sim.set_tuning(tuning_from_ini("[replica_parts]\nchat = 3\n"));
     for node in 0..3 {
         sim.kill(node);
         sim.run_for(300);
         sim.start(node);
         sim.run_for(3000);
         // A repeated submission is recognised under any settings.
-        assert_eq!(sim.submit(node, &wide("run-1", 2)), 200);
-        shown(&mut sim, "run-1");
+        assert_eq!(sim.submit(node, &whole_machine_service("run-1", 2)), 200);
+        running(&mut sim, "run-1");
     }
     assert_eq!(
-        sim.submit(0, &wide("run-2", 2)),
+        sim.submit(0, &whole_machine_service("run-2", 2)),
         422,
         "a new one is judged anew"
     );
-    let lost = places(&sim, "run-1")["run-1/0"].clone();
-    sim.workers.get_mut(&lost).unwrap().silent = true;
+    let lost = machines_by_task(&sim, "run-1")["run-1/0"].clone();
+    sim.workers.get_mut(&lost).unwrap().unresponsive = true;
     sim.run_for(25_000);
-    assert_eq!(shown(&mut sim, "run-1"), 2, "repaired as it was accepted");
+    assert_eq!(running(&mut sim, "run-1"), 2, "repaired as it was accepted");
     sim.set_tuning(Default::default());
     for node in 0..3 {
         sim.kill(node);
         sim.start(node);
         sim.run_for(4000);
     }
-    shown(&mut sim, "run-1");
+    running(&mut sim, "run-1");
     // Storing the cancellation rewrites the job's record.
     let kept = Rc::new(Cell::new(false));
     let seen = kept.clone();
@@ -126,16 +129,16 @@
 /// one by one.
 #[test]
 fn without_the_settings_tasks_are_on_their_own() {
-    let mut sim = machines(1, &["vm-a", "vm-b", "vm-c"]);
+    let mut sim = cluster_with_machines(1, &["vm-a", "vm-b", "vm-c"]);
     sim.set_tuning(Default::default());
     sim.kill(0);
     sim.start(0);
     sim.run_for(4000);
-    assert_eq!(sim.submit(0, &wide("run-1", 2)), 201);
+    assert_eq!(sim.submit(0, &whole_machine_service("run-1", 2)), 201);
     sim.run_for(4000);
     assert!(sim.kv_store.items["j/run-1"].0["g"].is_null());
-    let at = places(&sim, "run-1");
-    sim.workers.get_mut(&at["run-1/1"]).unwrap().silent = true;
+    let at = machines_by_task(&sim, "run-1");
+    sim.workers.get_mut(&at["run-1/1"]).unwrap().unresponsive = true;
     sim.run_for(15_000);
     assert_eq!(sim.on_machines("run-1"), 2);
     let starts = |task: &str| sim.start_log.iter().filter(|t| t.contains(task)).count();
--- a/tests/integration/replica_groups/cancellations.rs
+++ b/tests/integration/replica_groups/cancellations.rs
@@ -1,23 +1,30 @@
 //! Cancellations of jobs with replica groups.
 
 use super::During;
-use crate::simulation::replica_groups::{machines, places, started, wide};
+use crate::simulation::replica_groups::{
+    cluster_with_machines, machines_by_task, start_service, whole_machine_service,
+};
 
 #[test]
 fn a_cancellation_at_each_step_leaves_nothing() {
     for during in [During::Start, During::Repair, During::Migration] {
         for after_ms in (0..3600).step_by(200) {
-            let mut sim = machines(3, &["vm-a", "vm-b", "vm-c"]);
+            let mut sim = cluster_with_machines(3, &["vm-a", "vm-b", "vm-c"]);
             sim.image_fetch_ms = 400;
-            sim.watch_replicas("run-1", 2, 2);
+            sim.track_replicas("run-1", 2, 2);
             let leader = sim.leader().unwrap();
             if during == During::Start {
-                sim.ask(leader, "POST", "/v2/runs", wide("run-1", 2));
+                sim.request(
+                    leader,
+                    "POST",
+                    "/v2/runs",
+                    whole_machine_service("run-1", 2),
+                );
             } else {
-                started(&mut sim, &wide("run-1", 2));
-                let machine = places(&sim, "run-1")["run-1/1"].clone();
+                start_service(&mut sim, &whole_machine_service("run-1", 2));
+                let machine = machines_by_task(&sim, "run-1")["run-1/1"].clone();
                 let worker = sim.workers.get_mut(&machine).unwrap();
-                worker.silent = during == During::Repair;
+                worker.unresponsive = during == During::Repair;
                 worker.preemption_notice_s = (during == During::Migration).then_some(60.0);
                 sim.run_for(if during == During::Repair { 7000 } else { 0 });
             }
--- a/tests/integration/replica_groups/circuit_breakers.rs
+++ b/tests/integration/replica_groups/circuit_breakers.rs
@@ -1,19 +1,21 @@
 //! Parts that fail by themselves, and the circuit breakers of their groups.
 
-use crate::simulation::replica_groups::{machines, places, shown, wide};
+use crate::simulation::replica_groups::{
+    cluster_with_machines, machines_by_task, running, whole_machine_service,
+};
 
 #[test]
 fn one_part_that_fails_everywhere_opens_the_replicas_breaker() {
     let names: Vec<String> = (0..8).map(|n| format!("vm-{n}")).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
-    let mut sim = machines(3, &names);
+    let mut sim = cluster_with_machines(3, &names);
     sim.failing_jobs.insert("run-1/1".into());
-    sim.watch_replicas("run-1", 2, 4);
+    sim.track_replicas("run-1", 2, 4);
     let leader = sim.leader().unwrap();
-    assert_eq!(sim.submit(leader, &wide("run-1", 4)), 201);
+    assert_eq!(sim.submit(leader, &whole_machine_service("run-1", 4)), 201);
     // Idle machines are released after a minute.
     sim.run_for(50_000);
-    assert_eq!(shown(&mut sim, "run-1"), 2, "the other one serves");
+    assert_eq!(running(&mut sim, "run-1"), 2, "the other one serves");
     let starts = |task: &str| sim.start_log.iter().filter(|t| t.contains(task)).count();
     assert!((3..14).contains(&starts("run-1/1 ")), "{:?}", sim.start_log);
     assert_eq!(starts("run-1/2 "), 1, "the other one isn't disturbed");
@@ -34,12 +36,14 @@
 
 #[test]
 fn a_part_that_fails_on_one_machine_starts_elsewhere_with_the_whole() {
-    let mut sim = machines(3, &["vm-a", "vm-b", "vm-c", "vm-d"]);
+    let mut sim = cluster_with_machines(3, &["vm-a", "vm-b", "vm-c", "vm-d"]);
     sim.workers.get_mut("vm-a").unwrap().faulty = true;
-    sim.watch_replicas("run-1", 2, 2);
+    sim.track_replicas("run-1", 2, 2);
     let leader = sim.leader().unwrap();
-    assert_eq!(sim.submit(leader, &wide("run-1", 2)), 201);
+    assert_eq!(sim.submit(leader, &whole_machine_service("run-1", 2)), 201);
     sim.run_for(8000);
-    assert_eq!(shown(&mut sim, "run-1"), 2);
-    assert!(!places(&sim, "run-1").values().any(|m| m == "vm-a"));
+    assert_eq!(running(&mut sim, "run-1"), 2);
+    assert!(!machines_by_task(&sim, "run-1")
+        .values()
+        .any(|m| m == "vm-a"));
 }
--- a/tests/integration/replica_groups/gangs.rs
+++ b/tests/integration/replica_groups/gangs.rs
@@ -1,21 +1,23 @@
 //! Gangs that are replica groups by themselves.
 
 use super::gang;
-use crate::simulation::replica_groups::{attempts, machines, places};
+use crate::simulation::replica_groups::{
+    attempts_by_task, cluster_with_machines, machines_by_task,
+};
 use std::collections::BTreeSet;
 
 #[test]
 fn a_gang_that_loses_a_machine_starts_again_as_a_whole_and_is_done() {
-    let mut sim = machines(3, &["vm-a", "vm-b", "vm-c", "vm-d"]);
+    let mut sim = cluster_with_machines(3, &["vm-a", "vm-b", "vm-c", "vm-d"]);
     sim.task_duration_ms = 25_000;
     let leader = sim.leader().unwrap();
     assert_eq!(sim.submit(leader, &gang("run-1", 3)), 201);
     sim.run_for(5000);
     assert_eq!(sim.on_machines("run-1"), 3);
-    let lost = places(&sim, "run-1")["run-1/2"].clone();
-    sim.workers.get_mut(&lost).unwrap().silent = true;
+    let lost = machines_by_task(&sim, "run-1")["run-1/2"].clone();
+    sim.workers.get_mut(&lost).unwrap().unresponsive = true;
     sim.run_for(15_000);
-    let attempts = attempts(&sim, "run-1");
+    let attempts = attempts_by_task(&sim, "run-1");
     let generations: BTreeSet<u64> = attempts.values().copied().collect();
     assert_eq!((attempts.len(), generations.len()), (3, 1), "{attempts:?}");
     sim.run_for(30_000);
@@ -25,15 +27,15 @@
 /// Parts that have completed don't start again with the others.
 #[test]
 fn the_parts_of_a_gang_that_are_done_stay_done() {
-    let mut sim = machines(3, &["vm-a", "vm-b", "vm-c"]);
+    let mut sim = cluster_with_machines(3, &["vm-a", "vm-b", "vm-c"]);
     sim.task_duration_ms = 4000;
-    sim.workers.get_mut("vm-b").unwrap().slowness = 5;
+    sim.workers.get_mut("vm-b").unwrap().slowdown_factor = 5;
     let leader = sim.leader().unwrap();
     assert_eq!(sim.submit(leader, &gang("run-1", 2)), 201);
     sim.run_for(7500);
-    let left = places(&sim, "run-1");
+    let left = machines_by_task(&sim, "run-1");
     assert_eq!(left.len(), 1, "one is done: {left:?}");
-    sim.workers.get_mut("vm-b").unwrap().silent = true;
+    sim.workers.get_mut("vm-b").unwrap().unresponsive = true;
     sim.run_for(25_000);
     assert_eq!(sim.poll(0, "run-1").1, "done");
     assert_eq!(sim.start_log.len(), 3, "{:?}", sim.start_log);
--- a/tests/integration/replica_groups/leader_changes.rs
+++ b/tests/integration/replica_groups/leader_changes.rs
@@ -2,7 +2,8 @@
 
 use super::{longest, noticed, During, REPAIR_MS};
 use crate::simulation::replica_groups::{
-    attempts, machines, placement, places, shown, started, wide,
+    attempts_by_task, cluster_with_machines, first_placement_record, machines_by_task, running,
+    start_service, whole_machine_service,
 };
 use crate::simulation::{Delivery, Simulation};
 use lilacfork::messages::Destination;
@@ -19,22 +20,22 @@
 
 fn leader_ends(during: During, store: StoreCondition, after_ms: u64) {
     let what = format!("{during:?}, {store:?}, after {after_ms}");
-    let mut sim = machines(3, &["vm-a", "vm-b", "vm-c", "vm-d"]);
+    let mut sim = cluster_with_machines(3, &["vm-a", "vm-b", "vm-c", "vm-d"]);
     sim.image_fetch_ms = 400;
-    sim.watch_replicas("run-1", 2, 2);
+    sim.track_replicas("run-1", 2, 2);
     let leader = sim.leader().unwrap();
     if during == During::Start {
         assert_eq!(
-            sim.submit((leader + 1) % 3, &wide("run-1", 2)),
+            sim.submit((leader + 1) % 3, &whole_machine_service("run-1", 2)),
             201,
             "{what}"
         );
     } else {
-        started(&mut sim, &wide("run-1", 2));
-        let machine = places(&sim, "run-1")["run-1/1"].clone();
+        start_service(&mut sim, &whole_machine_service("run-1", 2));
+        let machine = machines_by_task(&sim, "run-1")["run-1/1"].clone();
         let worker = sim.workers.get_mut(&machine).unwrap();
         if during == During::Repair {
-            worker.silent = true;
+            worker.unresponsive = true;
             // The machine is declared failed after eight seconds.
             sim.run_for(7500);
         } else {
@@ -62,12 +63,12 @@
     for _ in 0..45 {
         sim.run_for(1000);
         if sim.leader().is_some() {
-            shown(&mut sim, "run-1");
+            running(&mut sim, "run-1");
         }
     }
-    assert_eq!(shown(&mut sim, "run-1"), 2, "{what}: {:?}", sim.start_log);
+    assert_eq!(running(&mut sim, "run-1"), 2, "{what}: {:?}", sim.start_log);
     assert_eq!(sim.on_machines("run-1"), 2, "{what}");
-    let attempts = attempts(&sim, "run-1");
+    let attempts = attempts_by_task(&sim, "run-1");
     assert_eq!(attempts["run-1/0"], attempts["run-1/1"], "{what}");
     // Without a leader nothing is stopped. Responses are lost until 40 s.
     let leaderless_ms = match store {
@@ -75,7 +76,7 @@
         _ => 8000,
     };
     let most_ms = REPAIR_MS + leaderless_ms;
-    assert!(longest(&sim) < most_ms, "{what}: {:?}", sim.watched);
+    assert!(longest(&sim) < most_ms, "{what}: {:?}", sim.replicas);
 }
 
 #[test]
@@ -121,27 +122,27 @@
 /// the next leader.
 #[test]
 fn the_next_leader_resumes_a_move_that_was_only_stored() {
-    let mut sim = machines(3, &["vm-a", "vm-b", "vm-c", "vm-d"]);
-    started(&mut sim, &wide("run-1", 2));
+    let mut sim = cluster_with_machines(3, &["vm-a", "vm-b", "vm-c", "vm-d"]);
+    start_service(&mut sim, &whole_machine_service("run-1", 2));
     noticed(&mut sim);
     let intent = |sim: &Simulation| {
-        let stored = placement(sim, "run-1").map(|p| p["g"][0]["m"].clone());
+        let stored = first_placement_record(sim, "run-1").map(|p| p["g"][0]["m"].clone());
         stored.filter(|intent| intent.is_object())
     };
-    let until = sim.now + 5000;
+    let until = sim.now_ms + 5000;
     while intent(&sim).is_none() {
         sim.run_for(1);
-        assert!(sim.now < until);
+        assert!(sim.now_ms < until);
     }
     let planned = intent(&sim).unwrap();
     let leader = sim.leader().unwrap();
     sim.kill(leader);
     assert_eq!(sim.on_machines("run-1"), 2, "nothing was stopped yet");
     sim.run_for(15_000);
-    let at = places(&sim, "run-1");
+    let at = machines_by_task(&sim, "run-1");
     for target in planned["t"].as_array().unwrap() {
         let task = format!("run-1/{}", target["p"]);
         assert_eq!(at[&task], target["m"].as_str().unwrap(), "{planned}");
     }
-    assert_eq!(shown(&mut sim, "run-1"), 2);
+    assert_eq!(running(&mut sim, "run-1"), 2);
 }
--- a/tests/integration/replica_groups/mod.rs
+++ b/tests/integration/replica_groups/mod.rs
@@ -12,7 +12,7 @@
 mod starts;
 mod writes;
 
-use crate::simulation::replica_groups::places;
+use crate::simulation::replica_groups::machines_by_task;
 use crate::simulation::{array, Simulation};
 use serde_json::json;
 
@@ -23,13 +23,13 @@
 
 /// The longest time for which an incomplete replica of `run-1` had parts on machines.
 fn longest(sim: &Simulation) -> u64 {
-    sim.watched["run-1"].longest_incomplete_ms
+    sim.replicas["run-1"].longest_incomplete_ms
 }
 
 /// Announces that the machine of the second part is going to be reclaimed, and returns
 /// it.
 fn noticed(sim: &mut Simulation) -> String {
-    let machine = places(sim, "run-1")["run-1/1"].clone();
+    let machine = machines_by_task(sim, "run-1")["run-1/1"].clone();
     sim.workers.get_mut(&machine).unwrap().preemption_notice_s = Some(60.0);
     machine
 }
--- a/tests/integration/resource_limits.rs
+++ b/tests/integration/resource_limits.rs
@@ -26,7 +26,7 @@
     for n in 0..24_000 {
         let mut spec = service(&format!("run-{n:06}"), 1);
         spec["gabarit"] = json!("help");
-        sim.observer.submitted(&spec);
+        sim.observer.record_submission(&spec);
         sim.kv_store.revision += 1;
         let record = json!({"spec": spec, "t": 1_000_000});
         let key = format!("j/run-{n:06}");
--- a/tests/integration/round_slices.rs
+++ b/tests/integration/round_slices.rs
@@ -23,7 +23,7 @@
     sim.task_duration_ms = 4000;
     sim.run_until(5000);
     for n in 0..jobs {
-        sim.ask(
+        sim.request(
             n as usize % 3,
             "POST",
             "/v2/runs",
@@ -77,11 +77,11 @@
     let mut sim = many_jobs_wait(250, 40);
     run_into_a_round(&mut sim, 240);
     let node = sim.leader().unwrap();
-    let user = sim.ask(node, "POST", "/v2/runs/run-249/abort", Value::Null);
+    let user = sim.request(node, "POST", "/v2/runs/run-249/abort", Value::Null);
     while !sim.replies.contains_key(&user) {
         sim.run_for(1);
     }
-    assert_eq!(sim.answer(user), (200, "cancelled".into()));
+    assert_eq!(sim.status_and_state(user), (200, "cancelled".into()));
     assert!(leader(&sim).queued_in_round() > 0, "the round goes on");
     assert_eq!(task_starts(&sim, "run-249"), 0);
     sim.run_for(60_000);
@@ -95,7 +95,7 @@
     let mut sim = many_jobs_wait(250, 40);
     run_into_a_round(&mut sim, 240);
     let node = sim.leader().unwrap();
-    sim.ask(node, "POST", "/v2/runs", service("run-urgent", 1));
+    sim.request(node, "POST", "/v2/runs", service("run-urgent", 1));
     while task_starts(&sim, "run-urgent") == 0 {
         sim.run_for(1);
         assert!(
@@ -145,7 +145,10 @@
 fn a_fifth_of_two_thousand_machines_is_silent_while_ten_thousand_tasks_wait() {
     let mut sim = idle_fleet(2000);
     for n in (0..2000).step_by(5) {
-        sim.workers.get_mut(&format!("vm-{n:04}")).unwrap().silent = true;
+        sim.workers
+            .get_mut(&format!("vm-{n:04}"))
+            .unwrap()
+            .unresponsive = true;
     }
     // Machines that don't report for three intervals get nothing new.
     sim.run_for(4000);
--- a/tests/integration/simulation/cloud.rs
+++ b/tests/integration/simulation/cloud.rs
@@ -1,4 +1,4 @@
-//! Stand-in for the cloud's API: catalog, provisioning, release and list of machines.
+//! Simulated cloud API: catalog, and provisioning, release and listing of machines.
 
 use super::events::Event;
 use super::{Simulation, Worker};
@@ -6,18 +6,19 @@
 use serde_json::{json, Value};
 use std::collections::HashMap;
 
-/// Until a machine that is up from the start sends its first heartbeat.
+/// Delay until a machine that is added in the running state sends its first heartbeat.
 const FIRST_HEARTBEAT_MS: u64 = 10;
 
-/// What the cloud remembers beside its machines.
+/// The cloud's state beside the machines, which are in [`Simulation::workers`].
 #[derive(Default)]
 pub(super) struct Cloud {
-    /// Machines by order: a repeated order gets those of the first request.
+    /// Names of the machines provisioned for each provisioning order. A repeated order is
+    /// answered with the machines of the first request.
     orders: HashMap<String, Vec<String>>,
     next_machine: u32,
 }
 
-fn ok(body: Value) -> CallResult {
+fn success(body: Value) -> CallResult {
     Ok((200, body.to_string().into_bytes()))
 }
 
@@ -27,49 +28,53 @@
 }
 
 impl Simulation {
-    /// Adds a machine that is `up` at once, or else after [`Simulation::boot_ms`].
+    /// Adds a machine that is already running if `up`, and otherwise boots for
+    /// [`Simulation::boot_ms`].
     pub fn add_machine(&mut self, name: &str, zone: &str, spot: bool, up: bool) {
-        let worker = Worker::new(zone, spot, up, self.now);
+        let worker = Worker::new(zone, spot, up, self.now_ms);
         self.workers.insert(name.into(), worker);
         if up {
             let heartbeat = Event::HeartbeatDue(name.into());
-            self.schedule(self.now + FIRST_HEARTBEAT_MS, heartbeat);
+            self.schedule(self.now_ms + FIRST_HEARTBEAT_MS, heartbeat);
         } else {
-            self.schedule(self.now + self.boot_ms, Event::MachineBoots(name.into()));
+            self.schedule(self.now_ms + self.boot_ms, Event::MachineBoots(name.into()));
         }
     }
 
-    /// A machine has booted: its worker sends a heartbeat at once.
+    /// Marks a machine as running, unless it was released meanwhile. Its worker sends the first
+    /// heartbeat at once.
     pub(super) fn machine_booted(&mut self, name: String) {
-        let now = self.now;
+        let now_ms = self.now_ms;
         if let Some(worker) = self
             .workers
             .get_mut(&name)
             .filter(|worker| !worker.released)
         {
             worker.up = true;
-            worker.lease_renewed_ms = now;
-            self.schedule(now, Event::HeartbeatDue(name));
+            worker.lease_renewed_ms = now_ms;
+            self.schedule(now_ms, Event::HeartbeatDue(name));
         }
     }
 
+    /// Handles a call to the cloud API.
     pub(super) fn cloud_call(&mut self, call: &Call) -> CallResult {
         let body: Value = serde_json::from_slice(&call.body).unwrap_or(Value::Null);
         if self.cloud_unavailable {
-            return unavailable("trouble");
+            return unavailable("cloud unavailable");
         }
         match call.path.split('?').next().unwrap_or("") {
-            "/catalog" => ok(catalog()),
+            "/catalog" => success(catalog()),
             "/machines" if call.method == "POST" => self.provision(&body),
             "/machines/release" => self.release(&body),
             _ => self.list_machines(),
         }
     }
 
+    /// Provisions the machines of an order, at most [`Simulation::capacity`] in total.
     fn provision(&mut self, body: &Value) -> CallResult {
         let order = body["bon"].as_str().unwrap_or("").to_string();
         if let Some(names) = self.cloud.orders.get(&order) {
-            return ok(json!({ "bancs": names }));
+            return success(json!({ "bancs": names }));
         }
         let existing = self
             .workers
@@ -91,7 +96,7 @@
             names.push(name);
         }
         self.cloud.orders.insert(order, names.clone());
-        ok(json!({ "bancs": names }))
+        success(json!({ "bancs": names }))
     }
 
     fn release(&mut self, body: &Value) -> CallResult {
@@ -101,7 +106,7 @@
                 worker.tasks.clear();
             }
         }
-        ok(json!({}))
+        success(json!({}))
     }
 
     fn list_machines(&self) -> CallResult {
@@ -111,14 +116,14 @@
                 json!({"id": name, "address": format!("w/{name}"), "gamme": "g8",
                     "secteur": worker.zone, "occasion": worker.spot,
                     "etat": if worker.up { "running" } else { "starting" },
-                    "heldS": (self.now - worker.provisioned_ms) as f64 / 1000.0})
+                    "heldS": (self.now_ms - worker.provisioned_ms) as f64 / 1000.0})
             })
             .collect();
-        ok(json!({"bancs": machines, "truncated": false}))
+        success(json!({"bancs": machines, "truncated": false}))
     }
 }
 
-/// One type of machine, of eight GPUs, in both zones.
+/// Returns a catalog with one machine type of eight GPUs, offered in both zones.
 fn catalog() -> Value {
     json!({"gammes": [{"sku": "g8", "cpus": 96, "gpus": 8, "memoryGb": 768,
         "cacheGb": 200, "pullGbPerS": 1.0, "hourly": 12.0, "marketPrice": 4.5, "startupS": 5,
--- a/tests/integration/simulation/commands.rs
+++ b/tests/integration/simulation/commands.rs
@@ -1,16 +1,16 @@
-//! How workers carry out commands, and what becomes of the tasks that they start.
+//! Execution of commands by workers, and the life cycle of the tasks that they start.
 
 use super::events::{Event, TaskAttempt};
-use super::observation::{check, running_tasks};
-use super::observer::{job_of, RunningTask};
+use super::observation::{check, placed_tasks};
+use super::observer::{job_of, PlacedTask};
 use super::workers::WorkerTask;
 use super::Simulation;
 use serde_json::{json, Value};
 
-/// From the start of a task that fails until its end.
-const FAILURE_MS: u64 = 100;
+/// How long a failing task runs once its image is fetched.
+const FAILING_TASK_DURATION_MS: u64 = 100;
 
-/// The index of a task in its job.
+/// Returns the index of a task in its job, by the task's name.
 fn task_index(task: &str) -> u64 {
     let index = task
         .rsplit_once('/')
@@ -19,7 +19,8 @@
 }
 
 impl Simulation {
-    /// Carries out commands, and checks the protocol's rules meanwhile.
+    /// Executes commands on a machine. The observer checks each start against the protocol's
+    /// rules.
     pub(super) fn execute(&mut self, machine: &str, commands: &[Value]) {
         for command in commands {
             let task = TaskAttempt {
@@ -43,7 +44,7 @@
         worker.attempt_mut(&task.task, task.attempt)
     }
 
-    /// Starts a task unless this attempt is here already.
+    /// Starts a task unless the machine already has this attempt.
     fn start_task(&mut self, task: TaskAttempt) {
         if self.task_mut(&task).is_some() {
             return;
@@ -51,17 +52,17 @@
         let Some(worker) = self.workers.get(&task.machine) else {
             return;
         };
-        let start = RunningTask {
+        let start = PlacedTask {
             task: &task.task,
             machine: &task.machine,
             zone: &worker.zone,
             spot: worker.spot,
         };
-        let present = running_tasks(&self.workers);
-        check(self.observer.starts(self.now, start, present));
+        let others = placed_tasks(&self.workers);
+        check(self.observer.check_start(self.now_ms, start, others));
         self.start_log.push(format!(
             "{} {} {} #{}",
-            self.now, task.machine, task.task, task.attempt
+            self.now_ms, task.machine, task.task, task.attempt
         ));
         let state = if self.image_fetch_ms > 0 {
             "pulling"
@@ -80,8 +81,8 @@
         self.schedule_end(task);
     }
 
-    /// The image of a started task is fetched, unless there is nothing to fetch or the
-    /// machine never gets it.
+    /// Schedules the end of a task's image fetch, unless images need no fetch or the fetches of
+    /// this machine are stuck.
     fn schedule_image(&mut self, task: &TaskAttempt) {
         let worker = &self.workers[&task.machine];
         if self.image_fetch_ms == 0 || worker.image_fetch_stuck {
@@ -91,10 +92,10 @@
             task: task.clone(),
             session: worker.session,
         };
-        self.schedule(self.now + self.image_fetch_ms, fetched);
+        self.schedule(self.now_ms + self.image_fetch_ms, fetched);
     }
 
-    /// Every task ends at some time but those of services, which end only by failing.
+    /// Schedules the end of a task. Tasks of services end by themselves only if they fail.
     fn schedule_end(&mut self, task: TaskAttempt) {
         let fails = self.fails(&task);
         let spec = self.observer.spec(job_of(&task.task));
@@ -103,36 +104,44 @@
             return;
         }
         let duration_ms = if fails {
-            self.image_fetch_ms + FAILURE_MS
+            self.image_fetch_ms + FAILING_TASK_DURATION_MS
         } else {
             let stagger_ms = self.stagger_ms * task_index(&task.task);
-            (self.task_duration_ms + stagger_ms) * self.workers[&task.machine].slowness
+            (self.task_duration_ms + stagger_ms) * self.workers[&task.machine].slowdown_factor
         };
-        self.schedule(self.now + duration_ms, Event::TaskEnds(task));
+        self.schedule(self.now_ms + duration_ms, Event::TaskEnds(task));
     }
 
-    /// Whether a task fails, by its machine's fault or its job's.
+    /// Returns whether a task fails because of its machine, its job or the task itself.
     fn fails(&self, task: &TaskAttempt) -> bool {
         let job = task.task.split('/').next().unwrap_or("");
-        let machine_fails = self.workers.get(&task.machine).is_some_and(|w| w.faulty);
+        let machine_fails = self
+            .workers
+            .get(&task.machine)
+            .is_some_and(|worker| worker.faulty);
         machine_fails || self.failing_jobs.contains(job) || self.failing_jobs.contains(&task.task)
     }
 
-    /// Stops a task: at once, or once it has saved its checkpoint.
+    /// Stops a task: after it has saved its checkpoint if it has one and a grace period,
+    /// otherwise at once.
     fn halt_task(&mut self, task: TaskAttempt, has_grace_period: bool) {
         let save_ms = self.checkpoint_ms(&task.task);
-        let Some(halted) = self.task_mut(&task).filter(|t| t.state != "ended") else {
+        let halted = self
+            .task_mut(&task)
+            .filter(|halted| halted.state != "ended");
+        let Some(halted) = halted else {
             return;
         };
         if save_ms > 0 && has_grace_period {
             halted.state = "flushing";
-            self.schedule(self.now + save_ms, Event::CheckpointSaved(task));
+            self.schedule(self.now_ms + save_ms, Event::CheckpointSaved(task));
         } else {
             halted.end("stopped");
         }
     }
 
-    /// How long a task takes to save its checkpoint; some are quicker than others.
+    /// Returns how long a task takes to save its checkpoint. The duration differs between the
+    /// tasks of a job by a factor of up to 3.
     fn checkpoint_ms(&self, task: &str) -> u64 {
         let save_ms = self
             .observer
@@ -143,15 +152,20 @@
         save_ms / (1 + task_index(task) % 3)
     }
 
-    /// Forgets a task that has ended.
+    /// Removes a task that has ended from its machine.
     fn reap_task(&mut self, task: &TaskAttempt) {
-        if self.task_mut(task).is_some_and(|t| t.state == "ended") {
+        if self
+            .task_mut(task)
+            .is_some_and(|ended| ended.state == "ended")
+        {
             if let Some(worker) = self.workers.get_mut(&task.machine) {
                 worker.tasks.remove(&task.task);
             }
         }
     }
 
+    /// Marks a task as running once its image is fetched, unless the machine started a new
+    /// session meanwhile.
     pub(super) fn image_fetched(&mut self, task: &TaskAttempt, session: u64) {
         let worker = self.workers.get_mut(&task.machine);
         let fetching = worker
@@ -163,19 +177,27 @@
         }
     }
 
+    /// Ends a running task as failed or done.
     pub(super) fn task_ends(&mut self, task: &TaskAttempt) {
         let fails = self.fails(task);
-        let Some(ended) = self.task_mut(task).filter(|t| t.state == "running") else {
+        let running = self
+            .task_mut(task)
+            .filter(|running| running.state == "running");
+        let Some(running) = running else {
             return;
         };
-        ended.end(if fails { "error" } else { "done" });
+        running.end(if fails { "error" } else { "done" });
         if !fails {
-            self.observer.finished(&task.task);
+            self.observer.record_completion(&task.task);
         }
     }
 
+    /// Ends a halted task whose checkpoint is saved.
     pub(super) fn checkpoint_saved(&mut self, task: &TaskAttempt) {
-        if let Some(halted) = self.task_mut(task).filter(|t| t.state == "flushing") {
+        let halted = self
+            .task_mut(task)
+            .filter(|halted| halted.state == "flushing");
+        if let Some(halted) = halted {
             halted.end("stopped");
         }
     }
--- a/tests/integration/simulation/digest.rs
+++ b/tests/integration/simulation/digest.rs
@@ -1,21 +1,21 @@
-//! A digest of everything that the controllers of a trace send: the safety net of
-//! changes that must not change behaviour.
+//! A digest of everything that the simulated controllers send, for verifying that a
+//! refactoring doesn't change behaviour.
 //!
-//! It is off in ordinary runs. With `TRACE_DIGESTS=FILE` in the environment each
-//! simulation appends one line to the file when it ends: the test's name, how many
-//! messages its controllers sent, and the digest. Two runs of the same behaviour
-//! give the same lines, but for traces in which the order of a hash map shows
-//! (docs/ARCHITECTURE.md).
+//! Digests are off by default. With `TRACE_DIGESTS=FILE` in the environment, each
+//! simulation appends one line to the file when it is dropped: the test's name, the number
+//! of messages that its controllers sent, and the digest. Two runs with the same behaviour
+//! write the same lines, except for simulations whose messages depend on the iteration
+//! order of a hash map (docs/ARCHITECTURE.md).
 
 use lilacfork::messages::{Destination, Effect};
 use std::fs::OpenOptions;
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::io::Write;
 
-/// The environment variable that names the file for digests.
+/// The environment variable with the path of the file to which digests are appended.
 const FILE_VARIABLE: &str = "TRACE_DIGESTS";
 
-/// What the controllers of one simulation have sent so far.
+/// The running digest of the messages that the controllers of one simulation send.
 pub struct Digest {
     file: String,
     hasher: DefaultHasher,
@@ -23,7 +23,7 @@
 }
 
 impl Digest {
-    /// `None`: no digest was asked for.
+    /// Creates an empty digest, or returns `None` if the environment doesn't request digests.
     pub fn from_environment() -> Option<Digest> {
         let file = std::env::var(FILE_VARIABLE).ok()?;
         Some(Digest {
@@ -33,26 +33,26 @@
         })
     }
 
-    /// Adds a message that a controller sends.
-    pub fn add(&mut self, now_ms: u64, node: usize, effect: &Effect) {
+    /// Adds a message that a controller sends to the digest.
+    pub fn add(&mut self, now_ms: u64, controller: usize, effect: &Effect) {
         self.messages += 1;
-        (now_ms, node).hash(&mut self.hasher);
+        (now_ms, controller).hash(&mut self.hasher);
         match effect {
-            Effect::Reply(conn, reply) => {
-                (conn.0, reply.status, &reply.body).hash(&mut self.hasher);
+            Effect::Reply(connection, reply) => {
+                (connection.0, reply.status, &reply.body).hash(&mut self.hasher);
                 reply.retry_after_s.hash(&mut self.hasher);
             }
             Effect::Call(id, call) => {
                 (id.0, call.method, &call.path).hash(&mut self.hasher);
                 (&call.body, call.timeout_ms).hash(&mut self.hasher);
-                hash_target(&call.destination, &mut self.hasher);
+                hash_destination(&call.destination, &mut self.hasher);
             }
         }
     }
 }
 
-fn hash_target(target: &Destination, hasher: &mut DefaultHasher) {
-    let (kind, address) = match target {
+fn hash_destination(destination: &Destination, hasher: &mut DefaultHasher) {
+    let (kind, address) = match destination {
         Destination::KvStore => (0, ""),
         Destination::KvWatch => (1, ""),
         Destination::Cloud => (2, ""),
@@ -71,8 +71,8 @@
             .create(true)
             .append(true)
             .open(&self.file);
-        if let Err(e) = file.and_then(|mut file| file.write_all(line.as_bytes())) {
-            eprintln!("{}: {e}", self.file);
+        if let Err(error) = file.and_then(|mut file| file.write_all(line.as_bytes())) {
+            eprintln!("cannot append the digest to {}: {error}", self.file);
         }
     }
 }
--- a/tests/integration/simulation/events.rs
+++ b/tests/integration/simulation/events.rs
@@ -1,18 +1,19 @@
-//! The queue of events in virtual time.
+//! Events of the simulation and their queue, ordered by virtual time.
 
 use lilacfork::messages::{Call, CallId, CallResult, Listener, Request};
 use std::collections::BTreeMap;
 
-/// A call of one node's process, to which its outcome returns.
+/// Identifies a call, and the controller process to which its outcome returns.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 pub(super) struct CallOrigin {
     pub(super) node: usize,
-    /// Tells the node's processes apart: outcomes of an earlier one are dropped.
+    /// The process epoch of the controller when it sent the call. An outcome is dropped if the
+    /// controller has been killed or restarted meanwhile.
     pub(super) epoch: u64,
     pub(super) id: CallId,
 }
 
-/// An attempt of a task on the machine that runs it.
+/// One attempt of a task on one machine.
 #[derive(Clone, Debug)]
 pub(super) struct TaskAttempt {
     pub(super) machine: String,
@@ -20,28 +21,30 @@
     pub(super) attempt: u64,
 }
 
-/// Who sent a request to a node, and so where its reply goes.
+/// The sender of a request to a controller, which receives the reply.
 #[derive(Clone, Debug)]
 pub(super) enum Sender {
+    /// A user; the number identifies the request.
     User(u64),
-    /// A worker's heartbeat, and when it was sent.
+    /// The machine whose worker sent a heartbeat, and the virtual time at which it did.
     Worker(String, u64),
+    /// Another controller.
     Peer(CallOrigin),
 }
 
-/// Whether the outcome of a call that is carried out reaches the caller.
+/// Whether the outcome of an executed call reaches the caller.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub(super) enum Response {
     Returned,
     Lost,
 }
 
-/// What happens at one moment of virtual time.
+/// An event that happens at one instant of virtual time.
 #[derive(Clone, Debug)]
 pub(super) enum Event {
-    /// A node's timer is due.
+    /// The timer of a controller is due.
     Tick(usize),
-    /// A node's call reaches its destination.
+    /// The call of a controller reaches its destination.
     CallArrives {
         origin: CallOrigin,
         call: Call,
@@ -52,29 +55,32 @@
         origin: CallOrigin,
         outcome: CallResult,
     },
-    /// A request reaches a node.
+    /// A request reaches a controller.
     RequestArrives {
         node: usize,
         sender: Sender,
         listener: Listener,
         request: Request,
     },
-    /// A machine has booted.
+    /// The machine with this name has booted.
     MachineBoots(String),
-    /// A worker's heartbeat is due.
+    /// The heartbeat of the worker on the machine with this name is due.
     HeartbeatDue(String),
-    /// A worker has an image, in the session in which it asked for it.
+    /// A worker has fetched the image of a task. `session` is the worker's session in which
+    /// the fetch began.
     ImageFetched { task: TaskAttempt, session: u64 },
-    /// A task ends by itself.
+    /// A task completes or fails.
     TaskEnds(TaskAttempt),
     /// A halted task has saved its checkpoint.
     CheckpointSaved(TaskAttempt),
-    /// A lease of the key-value store may have expired.
+    /// A lease of the key-value store may have expired. Also scheduled at the end of a watch's
+    /// waiting time.
     LeaseExpiry,
 }
 
 impl Event {
-    /// The node whose process handles this event.
+    /// Returns the controller that handles this event, or `None` for events of other
+    /// participants.
     pub(super) fn node(&self) -> Option<usize> {
         match self {
             Event::Tick(node) | Event::RequestArrives { node, .. } => Some(*node),
@@ -84,10 +90,11 @@
     }
 }
 
-/// Events by their time; those of one moment stay in the order in which they were
+/// Events ordered by time. Events of the same instant keep the order in which they were
 /// scheduled.
 #[derive(Default)]
 pub(super) struct EventQueue {
+    /// Events by time in milliseconds and sequence number.
     events: BTreeMap<(u64, u64), Event>,
     last_sequence: u64,
 }
@@ -98,7 +105,7 @@
         self.events.insert((at_ms, self.last_sequence), event);
     }
 
-    /// Takes the next event that is due by then, and its time.
+    /// Removes the next event that is due by `until_ms` and returns it with its time.
     pub(super) fn pop_due(&mut self, until_ms: u64) -> Option<(u64, Event)> {
         let next = self.events.first_entry()?;
         let (at_ms, _) = *next.key();
--- a/tests/integration/simulation/faults.rs
+++ b/tests/integration/simulation/faults.rs
@@ -1,30 +1,32 @@
-//! Faults that a test injects into the calls of controllers.
+//! Fault injection into the calls of controllers.
 
 use lilacfork::messages::Call;
 
-/// What becomes of a call.
+/// How a call is delivered.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub enum Delivery {
-    /// Is delivered, carried out and answered.
+    /// The call is executed and its response delivered.
     Normal,
     /// The request never arrives; the call times out.
     RequestLost,
-    /// Is carried out; the response is lost and the call times out.
+    /// The call is executed; the response is lost and the call times out.
     ResponseLost,
-    /// The call times out; the request is carried out after so many milliseconds.
+    /// The call times out; the request is executed after this number of milliseconds.
     RequestDelayed(u64),
-    /// Is carried out at once; the response takes so many milliseconds longer.
+    /// The call is executed without delay; the response is delayed by this number of
+    /// milliseconds.
     ResponseDelayed(u64),
-    /// Is answered with status 503 at once and not carried out.
+    /// The call is rejected with status 503 and not executed.
     Rejected,
-    /// Is carried out and answered with this status and a meaningless body.
+    /// The call is executed; the caller receives this status and a malformed body.
     Garbled(u16),
 }
 
-/// Decides what becomes of a call, by the time, the calling node and the call.
+/// Chooses the delivery of each call from the virtual time in milliseconds, the index of the
+/// calling controller and the call.
 pub type FaultInjector = Box<dyn FnMut(u64, usize, &Call) -> Delivery>;
 
-/// Delivers every call.
+/// Returns a fault injector that injects no faults.
 pub(super) fn no_faults() -> FaultInjector {
     Box::new(|_, _, _| Delivery::Normal)
 }
--- a/tests/integration/simulation/fixtures.rs
+++ b/tests/integration/simulation/fixtures.rs
@@ -1,65 +1,66 @@
-//! Initial states and faults that many tests share.
+//! Initial states and faults shared by many tests.
 
 use super::{array, service, Delivery, Simulation};
 use lilacfork::messages::Destination;
 use serde_json::{json, Value};
 
-/// Controllers that have a leader, and a machine in each zone.
+/// Creates a cluster with an elected leader and one running machine in each zone.
 pub fn running_cluster(nodes: usize) -> Simulation {
     let mut sim = Simulation::new(nodes);
     sim.add_machine("vm-a", "a", false, true);
     sim.add_machine("vm-b", "b", false, true);
     sim.run_until(5000);
-    assert!(sim.leader().is_some(), "somebody leads");
+    assert!(sim.leader().is_some(), "no leader was elected within 5 s");
     sim
 }
 
-/// Partitions between the second node's zone and that of the others.
+/// Returns the controllers and zones that a partition between the zones separates. Among
+/// three controllers, the second is in zone `b` and the others are in zone `a`.
 pub fn zone_partitions() -> Vec<(usize, String)> {
     (0..3)
-        .flat_map(|n| ["a", "b"].map(|z| (n, z.to_string())))
-        .filter(|(n, z)| (*n == 1) != (z == "b"))
+        .flat_map(|node| ["a", "b"].map(|zone| (node, zone.to_string())))
+        .filter(|(node, zone)| (*node == 1) != (zone == "b"))
         .collect()
 }
 
-/// Whether a call from this node to that peer crosses the zones' partition.
+/// Returns whether a call from a controller to the peer at an address crosses the partition
+/// between the zones.
 pub fn crosses_partition(node: usize, peer: &str) -> bool {
     (node == 1) != (peer == "10.0.0.2:8081")
 }
 
-/// Neither workers nor controllers reach those of the other zone.
+/// Partitions the zones: neither controllers nor workers reach those of the other zone.
 pub fn partition_zones(sim: &mut Simulation) {
     sim.partitions = zone_partitions();
     sim.fault_injector = Box::new(|_, node, call| match &call.destination {
-        Destination::Peer(addr) if crosses_partition(node, addr) => Delivery::RequestLost,
+        Destination::Peer(address) if crosses_partition(node, address) => Delivery::RequestLost,
         _ => Delivery::Normal,
     });
 }
 
-/// The second node's zone is partitioned from the other one, and the node from the
-/// key-value store too.
+/// Partitions the zones, and the second controller from the key-value store too.
 pub fn isolate_zone(sim: &mut Simulation) {
     sim.partitions = zone_partitions();
     sim.fault_injector = Box::new(|_, node, call| match &call.destination {
-        Destination::Peer(addr) if crosses_partition(node, addr) => Delivery::RequestLost,
+        Destination::Peer(address) if crosses_partition(node, address) => Delivery::RequestLost,
         Destination::KvStore | Destination::KvWatch if node == 1 => Delivery::RequestLost,
         _ => Delivery::Normal,
     });
 }
 
-/// Ends all partitions and injected faults.
+/// Ends all network partitions and injected faults.
 pub fn heal(sim: &mut Simulation) {
     sim.partitions.clear();
     sim.fault_injector = Box::new(|_, _, _| Delivery::Normal);
 }
 
-/// A zone of six machines beside those of [`running_cluster`], all full of tasks that run
-/// until the end of the test; returns their names.
+/// Creates a [`running_cluster`] with six more machines in zone `b`. All machines of the zone
+/// are filled with tasks that run until the end of the test. Returns the names of the six.
 pub fn full_zone(nodes: usize) -> (Simulation, Vec<String>) {
     let mut sim = running_cluster(nodes);
     sim.task_duration_ms = 600_000;
     sim.capacity = 0;
-    let names: Vec<String> = (1..7).map(|n| format!("vm-z{n}")).collect();
+    let names: Vec<String> = (1..7).map(|index| format!("vm-z{index}")).collect();
     for name in &names {
         sim.add_machine(name, "b", false, true);
     }
@@ -71,44 +72,55 @@
     (sim, names)
 }
 
-/// Lets machines become silent, or respond again.
-pub fn set_silent(sim: &mut Simulation, names: &[String], silent: bool) {
+/// Makes machines unresponsive, or responsive again.
+pub fn set_unresponsive(sim: &mut Simulation, names: &[String], unresponsive: bool) {
     for name in names {
-        sim.workers.get_mut(name).unwrap().silent = silent;
+        sim.workers.get_mut(name).unwrap().unresponsive = unresponsive;
     }
 }
 
-/// Those of the machines that were released.
+/// Returns those of the named machines that have been released.
 pub fn released<'a>(sim: &Simulation, names: &'a [String]) -> Vec<&'a String> {
-    names.iter().filter(|n| sim.workers[*n].released).collect()
+    names
+        .iter()
+        .filter(|name| sim.workers[*name].released)
+        .collect()
 }
 
-/// The node at a peer's address.
-pub fn node_at(addr: &str) -> usize {
-    usize::from(addr.as_bytes()[7] - b'1')
+/// Returns the index of the controller with a peer address such as `10.0.0.1:8081`.
+pub fn node_at(address: &str) -> usize {
+    usize::from(address.as_bytes()[7] - b'1')
 }
 
-/// This node's calls alone to the key-value store meet this fault, and, if `deaf`, it and
-/// the other controllers don't reach each other.
-pub fn isolate_node(sim: &mut Simulation, lone: usize, from_state: Delivery, deaf: bool) {
+/// Applies a delivery fault to one controller's calls to the key-value store. If
+/// `from_peers`, calls between this controller and its peers are lost in both directions
+/// too.
+pub fn isolate_node(
+    sim: &mut Simulation,
+    isolated: usize,
+    kv_store_delivery: Delivery,
+    from_peers: bool,
+) {
     sim.fault_injector = Box::new(move |_, node, call| match &call.destination {
-        Destination::KvStore | Destination::KvWatch if node == lone => from_state,
-        Destination::Peer(addr) if deaf && (node == lone || node_at(addr) == lone) => {
+        Destination::KvStore | Destination::KvWatch if node == isolated => kv_store_delivery,
+        Destination::Peer(address)
+            if from_peers && (node == isolated || node_at(address) == isolated) =>
+        {
             Delivery::RequestLost
         }
         _ => Delivery::Normal,
     });
 }
 
-/// A service of a class without a service-level objective, for which no capacity is
-/// reserved.
+/// Returns the specification of a service whose class has no service-level objective, so
+/// that no capacity is reserved for it.
 pub fn service_without_objective(id: &str) -> Value {
     let mut spec = service(id, 20);
     spec["gabarit"] = json!("help");
     spec
 }
 
-/// How often tasks of a job were started on any machine.
+/// Returns how many task attempts of a job have been started on all machines.
 pub fn task_starts(sim: &Simulation, job: &str) -> usize {
     let prefix = format!(" {job}/");
     sim.start_log
--- a/tests/integration/simulation/jobs.rs
+++ b/tests/integration/simulation/jobs.rs
@@ -1,8 +1,9 @@
-//! Specifications of jobs; tests change the fields that matter to them.
+//! Default job specifications, in which tests override individual fields.
 
 use serde_json::{json, Value};
 
-/// An array of quick tasks.
+/// Returns the specification of an array in class `batch` of team `red`, with tasks of one GPU
+/// and an estimated duration of 3 s, which may run on spot machines.
 pub fn array(id: &str, tasks: u32) -> Value {
     json!({"id": id, "gabarit": "batch", "equipe": "red", "genre": "array", "rang": "standard",
         "pieces": tasks, "cpus": 8.0, "gpus": 1.0, "memoryGb": 64.0, "moule": "img-1", "pullGb": 6.2,
@@ -10,7 +11,8 @@
         "prevuS": 3.0, "jalonS": 0.0, "sauvegardeS": 0.0, "echeanceS": 60.0})
 }
 
-/// A critical service of the class with a service-level objective.
+/// Returns the specification of a critical service in class `chat`, which has a service-level
+/// objective. Its tasks may not run on spot machines.
 pub fn service(id: &str, tasks: u32) -> Value {
     let mut spec = array(id, tasks);
     spec["genre"] = json!("service");
--- a/tests/integration/simulation/kv_store.rs
+++ b/tests/integration/simulation/kv_store.rs
@@ -1,5 +1,5 @@
-//! Stand-in for the consensus-backed key-value store: compare-and-swap transactions,
-//! leases, lists and watches.
+//! Simulated consensus-backed key-value store with compare-and-swap transactions, leases,
+//! lists and watches.
 
 use super::events::{CallOrigin, Event};
 use super::Simulation;
@@ -7,21 +7,24 @@
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, HashMap};
 
-/// Records in one page of a list.
-const PAGE: usize = 500;
-/// From a change until its event reaches a watch.
+/// Largest number of records in one page of a list.
+const MAX_PAGE_RECORDS: usize = 500;
+/// Delay from the answer to a watch until the outcome reaches the watching controller.
 const WATCH_LATENCY_MS: u64 = 1;
-/// The store's own limits, whatever [`SizeLimits`] a test sets.
-const MAX_WRITES: usize = 16;
+/// Limits of the protocol, which hold regardless of the [`SizeLimits`] that a test sets. A
+/// transaction that exceeds one of them fails the test.
+const MAX_TXN_WRITES: usize = 16;
 const MAX_TXN_BYTES: usize = 64 * 1024;
 const MAX_VALUE_BYTES: usize = 32 * 1024;
-/// Compares that a transaction may have for each of its operations.
+/// Compares allowed in a transaction for each operation that [`SizeLimits`] allow.
 const COMPARES_PER_OP: usize = 4;
 
-/// How large a transaction and a value may be.
+/// The largest values and transactions that the store accepts.
 #[derive(Clone, Copy, Debug)]
 pub struct SizeLimits {
+    /// Largest size of a value as JSON text.
     pub value_bytes: usize,
+    /// Largest number of puts and deletes in a transaction.
     pub txn_ops: usize,
 }
 
@@ -30,14 +33,14 @@
     expires_ms: u64,
 }
 
-/// A change of a key; without a value it was deleted.
+/// A change of a key. The value is `None` if the key was deleted.
 struct Change {
     revision: u64,
     key: String,
     value: Option<Value>,
 }
 
-/// A call that waits for changes under a prefix.
+/// A pending watch call, which waits for changes after a revision to keys under a prefix.
 struct Watch {
     origin: CallOrigin,
     prefix: String,
@@ -45,34 +48,35 @@
     until_ms: u64,
 }
 
-/// The store's records, and what a test may make of it.
+/// The state of the store, and the faults and limits that tests set.
 #[derive(Default)]
 pub struct KvStore {
-    /// Value, revision of the last change and lease, by key.
+    /// Value, revision of the last change, and lease if there is one, by key.
     pub items: BTreeMap<String, (Value, u64, Option<u64>)>,
-    /// The revision of the last transaction.
+    /// The revision of the last change.
     pub revision: u64,
     leases: HashMap<u64, Lease>,
     last_lease: u64,
     history: Vec<Change>,
     watches: Vec<Watch>,
-    /// Every call but a watch is answered with 503, and no lease expires.
+    /// While set, calls other than watches are rejected with status 503, watches aren't answered
+    /// and no lease expires.
     pub unavailable: bool,
-    /// Watches stay open and are not answered.
+    /// While set, watches stay open and aren't answered.
     pub watches_stalled: bool,
-    /// Larger transactions and values than these are rejected.
+    /// Transactions that exceed these limits, or contain larger values, are rejected.
     pub limits: Option<SizeLimits>,
-    /// Puts and deletes carried out so far.
-    pub changes: usize,
-    /// Transactions rejected as too large.
-    pub too_large: usize,
+    /// Number of puts and deletes applied so far.
+    pub write_count: usize,
+    /// Number of transactions rejected because they exceed [`KvStore::limits`].
+    pub oversized_transactions: usize,
 }
 
 fn reply(status: u16, body: Value) -> CallResult {
     Ok((status, body.to_string().into_bytes()))
 }
 
-/// A parameter of a URL's query, or the empty string.
+/// Returns the value of a parameter in a URL query, or the empty string if it is missing.
 fn query_parameter<'a>(query: &'a str, name: &str) -> &'a str {
     query
         .split('&')
@@ -81,6 +85,7 @@
 }
 
 impl KvStore {
+    /// Adds a change at the current revision to the history.
     fn record_change(&mut self, key: &str, value: Option<Value>) {
         self.history.push(Change {
             revision: self.revision,
@@ -89,7 +94,8 @@
         });
     }
 
-    /// Changes under a prefix after a revision, and the store's revision.
+    /// Returns the response to a watch: the changes under a prefix after a revision, and the
+    /// store's current revision.
     fn changes_after(&self, prefix: &str, from_revision: u64) -> Value {
         let changes = self
             .history
@@ -110,17 +116,17 @@
         json!({"tirage": self.revision, "events": events})
     }
 
-    /// A page of the records under a prefix, after a key.
+    /// Returns a page of the records under a prefix whose keys follow `after`.
     fn list(&self, prefix: &str, after: &str) -> CallResult {
         let mut rows: Vec<Value> = self
             .items
             .iter()
             .filter(|(key, _)| key.starts_with(prefix) && key.as_str() > after)
-            .take(PAGE + 1)
+            .take(MAX_PAGE_RECORDS + 1)
             .map(|(key, item)| json!({"k": key, "v": item.0, "retouche": item.1}))
             .collect();
-        let truncated = rows.len() > PAGE;
-        rows.truncate(PAGE);
+        let truncated = rows.len() > MAX_PAGE_RECORDS;
+        rows.truncate(MAX_PAGE_RECORDS);
         let page = json!({"rows": rows, "truncated": truncated, "tirage": self.revision});
         reply(200, page)
     }
@@ -132,8 +138,8 @@
         }
     }
 
-    /// Whether a test's limits forbid a transaction.
-    fn is_too_large(&self, txn: &Value, writes: &[Value]) -> bool {
+    /// Returns whether a transaction exceeds the limits set by the test.
+    fn exceeds_limits(&self, txn: &Value, writes: &[Value]) -> bool {
         let Some(limits) = self.limits else {
             return false;
         };
@@ -146,7 +152,8 @@
                 .any(|write| value_bytes(write) > limits.value_bytes)
     }
 
-    /// Keys of a transaction whose revision isn't the one it compares with.
+    /// Returns the keys whose current revision differs from the revision that the transaction
+    /// compares it with.
     fn failed_compares(&self, txn: &Value) -> Vec<String> {
         let key = |compare: &Value| compare["k"].as_str().unwrap_or("").to_string();
         let revision = |key: &str| self.items.get(key).map_or(0, |item| item.1);
@@ -157,15 +164,16 @@
             .collect()
     }
 
+    /// Applies the writes of a transaction in one new revision.
     fn apply(&mut self, writes: &[Value]) {
         self.revision += 1;
-        self.changes += writes.len();
+        self.write_count += writes.len();
         for write in writes {
             if let Some(key) = write["set"].as_str() {
                 let value = &write["v"];
                 assert!(
                     value.to_string().len() <= MAX_VALUE_BYTES,
-                    "value too large"
+                    "the value exceeds {MAX_VALUE_BYTES} bytes"
                 );
                 let item = (value.clone(), self.revision, write["bail"].as_u64());
                 self.items.insert(key.into(), item);
@@ -177,7 +185,7 @@
         }
     }
 
-    /// Deletes the keys of a lease, each in a revision of its own.
+    /// Ends a lease and deletes its keys, each in a separate revision.
     fn end_lease(&mut self, lease: u64) {
         self.leases.remove(&lease);
         let keys: Vec<String> = self
@@ -195,7 +203,7 @@
 }
 
 impl Simulation {
-    /// Carries out a call; `None`: a watch that waits.
+    /// Executes a call. Returns `None` for a watch, whose outcome is returned later.
     pub(super) fn kv_store_call(&mut self, origin: CallOrigin, call: &Call) -> Option<CallResult> {
         let (path, query) = call.path.split_once('?').unwrap_or((&call.path, ""));
         let is_watch = path == "/follow" && !query_parameter(query, "waitMs").is_empty();
@@ -231,9 +239,10 @@
         Some(outcome)
     }
 
+    /// Registers a watch call, and answers it if there are changes already.
     fn open_watch(&mut self, origin: CallOrigin, query: &str) {
         let wait_ms: u64 = query_parameter(query, "waitMs").parse().unwrap_or(0);
-        let until_ms = self.now + wait_ms;
+        let until_ms = self.now_ms + wait_ms;
         self.kv_store.watches.push(Watch {
             origin,
             prefix: query_parameter(query, "under").into(),
@@ -244,7 +253,7 @@
         self.serve_watches();
     }
 
-    /// Answers the watches that have changes or have waited for long enough.
+    /// Answers the watches that have changes or whose waiting time is over.
     fn serve_watches(&mut self) {
         if self.kv_store.unavailable || self.kv_store.watches_stalled {
             return;
@@ -253,8 +262,8 @@
             let changes = self
                 .kv_store
                 .changes_after(&watch.prefix, watch.from_revision);
-            let nothing_new = changes["events"].as_array().is_none_or(Vec::is_empty);
-            if nothing_new && self.now < watch.until_ms {
+            let has_no_changes = changes["events"].as_array().is_none_or(Vec::is_empty);
+            if has_no_changes && self.now_ms < watch.until_ms {
                 self.kv_store.watches.push(watch);
             } else {
                 self.return_outcome(watch.origin, WATCH_LATENCY_MS, reply(200, changes));
@@ -264,7 +273,7 @@
 
     fn grant_lease(&mut self, body: &Value) -> CallResult {
         let ttl_ms = body["ttlMs"].as_u64().unwrap_or(1000);
-        let expires_ms = self.now + ttl_ms;
+        let expires_ms = self.now_ms + ttl_ms;
         self.kv_store.last_lease += 1;
         let id = self.kv_store.last_lease;
         self.kv_store
@@ -274,7 +283,7 @@
         reply(200, json!({ "bail": id }))
     }
 
-    /// Renews a lease or revokes it.
+    /// Revokes a lease (`DELETE`) or renews it.
     fn lease_call(&mut self, path: &str, method: &str) -> CallResult {
         let id = path.split('/').next().and_then(|id| id.parse().ok());
         let id: u64 = id.unwrap_or(0);
@@ -285,21 +294,21 @@
             self.kv_store.end_lease(id);
             self.serve_watches();
         } else {
-            lease.expires_ms = self.now + lease.ttl_ms;
+            lease.expires_ms = self.now_ms + lease.ttl_ms;
             let check_ms = lease.expires_ms + 1;
             self.schedule(check_ms, Event::LeaseExpiry);
         }
         reply(200, json!({}))
     }
 
-    /// Ends the leases that have expired; an outage ends none.
+    /// Ends the leases that have expired. No lease expires during an outage.
     pub(super) fn expire_leases(&mut self) {
         if self.kv_store.unavailable {
             return;
         }
         let leases = self.kv_store.leases.iter();
         let expired: Vec<u64> = leases
-            .filter(|(_, lease)| lease.expires_ms <= self.now)
+            .filter(|(_, lease)| lease.expires_ms <= self.now_ms)
             .map(|(id, _)| *id)
             .collect();
         for id in expired {
@@ -308,13 +317,13 @@
         }
     }
 
-    /// The outage is over: every lease has its full time again.
+    /// Ends an outage and renews every lease for its full duration.
     pub fn end_kv_store_outage(&mut self) {
         self.kv_store.unavailable = false;
-        let now = self.now;
+        let now_ms = self.now_ms;
         let mut checks_ms = Vec::new();
         for lease in self.kv_store.leases.values_mut() {
-            lease.expires_ms = now + lease.ttl_ms;
+            lease.expires_ms = now_ms + lease.ttl_ms;
             checks_ms.push(lease.expires_ms + 1);
         }
         for check_ms in checks_ms {
@@ -323,11 +332,11 @@
         self.serve_watches();
     }
 
-    /// Carries out writes if all compares hold.
+    /// Applies the writes of a transaction if all its compares succeed.
     fn transaction(&mut self, txn: &Value, bytes: usize) -> CallResult {
         let writes = txn["writes"].as_array().cloned().unwrap_or_default();
-        if self.kv_store.is_too_large(txn, &writes) {
-            self.kv_store.too_large += 1;
+        if self.kv_store.exceeds_limits(txn, &writes) {
+            self.kv_store.oversized_transactions += 1;
             return reply(400, json!({"error": "too large"}));
         }
         let failed = self.kv_store.failed_compares(txn);
@@ -336,10 +345,13 @@
             return reply(409, json!({"failed": failed, "tirage": revision}));
         }
         assert!(
-            writes.len() <= MAX_WRITES,
-            "too many writes in a transaction"
+            writes.len() <= MAX_TXN_WRITES,
+            "the transaction exceeds {MAX_TXN_WRITES} writes"
+        );
+        assert!(
+            bytes <= MAX_TXN_BYTES,
+            "the transaction exceeds {MAX_TXN_BYTES} bytes"
         );
-        assert!(bytes <= MAX_TXN_BYTES, "transaction too large");
         self.kv_store.apply(&writes);
         let revision = self.kv_store.revision;
         self.serve_watches();
--- a/tests/integration/simulation/mod.rs
+++ b/tests/integration/simulation/mod.rs
@@ -1,9 +1,9 @@
-//! Simulation of controllers in virtual time, with stand-ins for the key-value store,
-//! the cloud and workers that follow their published protocols. Nothing sleeps, and
-//! every run of a test is the same.
+//! Deterministic simulation of controllers in virtual time. The key-value store, the cloud
+//! and the workers are simulated according to their published protocols. Nothing sleeps, and
+//! every run of a test takes the same course.
 //!
-//! An [`observer::Observer`] checks the protocol's rules throughout; a history that
-//! breaks one fails the test.
+//! An [`observer::Observer`] checks the protocol's rules throughout the simulation; a history
+//! that violates a rule fails the test.
 
 mod cloud;
 mod commands;
@@ -42,102 +42,106 @@
 pub use settings::{settings, CANCEL_MS, LEASE_MS, SETTINGS};
 pub use workers::Worker;
 
-/// Controllers, and everything that they talk to.
+/// A cluster of controllers with the simulated services, workers and users around it.
+/// Controllers are identified by their index in [`Simulation::nodes`].
 pub struct Simulation {
-    /// Virtual time.
-    pub now: u64,
+    /// Virtual time in milliseconds, which starts at 0.
+    pub now_ms: u64,
     queue: EventQueue,
-    /// The controllers; one that is down is `None`.
+    /// The controllers. A controller that is down is `None`.
     pub nodes: Vec<Option<Node>>,
-    /// Starts and ends of each node's processes so far.
+    /// The process epoch of each controller, which increases whenever its process is started or
+    /// killed.
     epochs: Vec<u64>,
-    /// When each node's timer is due.
+    /// When the timer of each controller is due; `u64::MAX` if none is scheduled.
     next_ticks_ms: Vec<u64>,
     network: Network,
-    /// The key-value store.
     pub kv_store: KvStore,
-    /// All machines that there ever were, and their workers.
+    /// All machines and their workers, including released machines, by machine name.
     pub workers: BTreeMap<String, Worker>,
     cloud: Cloud,
-    /// How long a provisioned machine boots.
+    /// Boot time of a provisioned machine.
     pub boot_ms: u64,
-    /// The cloud answers every call with 503.
+    /// While set, the cloud rejects every call with status 503.
     pub cloud_unavailable: bool,
-    /// The largest number of machines that the cloud provides.
+    /// The number of unreleased machines up to which the cloud provisions more.
     pub capacity: usize,
     /// Injects faults into the controllers' calls.
     pub fault_injector: FaultInjector,
-    /// Replies to users, by the number of the request.
+    /// Replies to users, by request number.
     pub replies: HashMap<u64, Reply>,
-    last_user: u64,
+    last_request: u64,
     observed_requests: HashMap<u64, UserRequest>,
     pub observer: Observer,
-    observed_ms: u64,
-    /// Starts that workers carried out, as "time machine task #attempt".
+    last_observation_ms: u64,
+    /// Task starts that workers executed, as "time_ms machine task #attempt".
     pub start_log: Vec<String>,
-    /// How long a task runs.
+    /// How long the first task of a job runs.
     pub task_duration_ms: u64,
-    /// Each task of a job runs so much longer than the one before it.
+    /// By how much longer each task of a job runs than the previous one.
     pub stagger_ms: u64,
-    /// How long an image is fetched.
+    /// How long fetching an image takes; 0 if images need no fetch.
     pub image_fetch_ms: u64,
     tuning: Tuning,
-    /// Limits of the key-value store in the nodes' settings, if not those of
+    /// Limits of the key-value store in the controllers' settings, if they differ from those in
     /// [`SETTINGS`].
-    state_limits: Option<StateLimits>,
-    /// Jobs, or single tasks, that fail on every machine.
+    kv_store_limits: Option<StateLimits>,
+    /// Names of jobs and of single tasks that fail on every machine.
     pub failing_jobs: BTreeSet<String>,
-    /// Nodes whose processes are paused, and until when.
-    pub paused_until: BTreeMap<usize, u64>,
-    /// A resumed node handles responses to its calls before anything else.
+    /// When the paused process of each paused controller resumes.
+    pub paused_until_ms: BTreeMap<usize, u64>,
+    /// Whether a resumed controller handles the responses to its calls before requests of peers
+    /// and its timer.
     pub responses_first_on_resume: bool,
-    /// Replies to heartbeats: time, node and status.
-    pub heartbeat_replies: Vec<(u64, usize, u16)>,
-    /// Redirects of workers: time, node and the node to which they are sent.
+    /// Heartbeat responses: time in milliseconds, controller and status.
+    pub heartbeat_responses: Vec<(u64, usize, u16)>,
+    /// Redirects of workers: time in milliseconds, redirecting controller and target controller.
     pub redirects: Vec<(u64, usize, usize)>,
-    /// Nodes and zones whose machines can't reach each other.
+    /// Network partitions: pairs of a controller and a zone between whose machines and the
+    /// controller nothing is delivered, in either direction.
     pub partitions: Vec<(usize, String)>,
-    /// The share of a core in the nodes' settings.
+    /// The share of a core in the controllers' settings.
     cores: f64,
+    /// Events that controllers have handled so far.
     handled_events: u64,
-    /// Jobs whose replicas span machines and are watched.
-    pub watched: BTreeMap<String, replica_groups::Watched>,
-    /// Of everything that controllers send, if a digest was asked for.
+    /// Trackers of replicas that span several machines, by job.
+    pub replicas: BTreeMap<String, replica_groups::ReplicaTracker>,
+    /// Digest of everything that controllers send, if the environment requests one.
     digest: Option<Digest>,
 }
 
 impl Simulation {
-    /// Controllers with the settings of [`SETTINGS`].
+    /// Creates a cluster of `nodes` controllers with the settings in [`SETTINGS`].
     pub fn new(nodes: usize) -> Simulation {
         Simulation::with(nodes, CORES, Tuning::default(), None)
     }
 
-    /// Controllers with this share of a core: with very little, their rounds take many
-    /// slices.
+    /// Creates a cluster whose controllers have this share of a core. With a very small share,
+    /// a scheduling round takes many slices.
     pub fn with_cores(nodes: usize, cores: f64) -> Simulation {
         Simulation::with(nodes, cores, Tuning::default(), None)
     }
 
-    /// Controllers whose settings announce lower limits of the key-value store.
-    pub fn announcing(nodes: usize, next: NextStateLimits) -> Simulation {
+    /// Creates a cluster whose settings announce lower limits of the key-value store.
+    pub fn with_announced_limits(nodes: usize, next: NextStateLimits) -> Simulation {
         let mut limits = settings("n-0", nodes).site.state;
         limits.next = Some(next);
         Simulation::with(nodes, CORES, Tuning::default(), Some(limits))
     }
 
-    /// Controllers with tuning of their operators.
-    pub fn with_tuning(nodes: usize, options: Tuning) -> Simulation {
-        Simulation::with(nodes, CORES, options, None)
+    /// Creates a cluster with operators' tuning.
+    pub fn with_tuning(nodes: usize, tuning: Tuning) -> Simulation {
+        Simulation::with(nodes, CORES, tuning, None)
     }
 
     fn with(
         nodes: usize,
         cores: f64,
-        options: Tuning,
-        state_limits: Option<StateLimits>,
+        tuning: Tuning,
+        kv_store_limits: Option<StateLimits>,
     ) -> Simulation {
         let mut simulation = Simulation {
-            now: 0,
+            now_ms: 0,
             queue: EventQueue::default(),
             nodes: Vec::new(),
             epochs: vec![0; nodes],
@@ -151,25 +155,25 @@
             capacity: 100,
             fault_injector: faults::no_faults(),
             replies: HashMap::new(),
-            last_user: 0,
+            last_request: 0,
             observed_requests: HashMap::new(),
             observer: Observer::new(CANCEL_MS, &[("blue", 16.0)]),
-            observed_ms: 0,
+            last_observation_ms: 0,
             start_log: Vec::new(),
             task_duration_ms: 3000,
             stagger_ms: 0,
             image_fetch_ms: 0,
-            tuning: options,
-            state_limits,
+            tuning,
+            kv_store_limits,
             failing_jobs: BTreeSet::new(),
-            paused_until: BTreeMap::new(),
+            paused_until_ms: BTreeMap::new(),
             responses_first_on_resume: false,
-            heartbeat_replies: Vec::new(),
+            heartbeat_responses: Vec::new(),
             redirects: Vec::new(),
             partitions: Vec::new(),
             cores,
             handled_events: 0,
-            watched: BTreeMap::new(),
+            replicas: BTreeMap::new(),
             digest: Digest::from_environment(),
         };
         for node in 0..nodes {
@@ -179,28 +183,29 @@
         simulation
     }
 
-    /// Schedules an event, at once if its time is past.
+    /// Schedules an event at `at_ms`, or at the current time if `at_ms` has passed.
     fn schedule(&mut self, at_ms: u64, event: Event) {
-        self.queue.schedule(at_ms.max(self.now), event);
+        self.queue.schedule(at_ms.max(self.now_ms), event);
     }
 
-    /// Handles all events that are due by then.
+    /// Advances virtual time to `until_ms` and handles all events that are due by then.
     pub fn run_until(&mut self, until_ms: u64) {
         while let Some((at_ms, event)) = self.queue.pop_due(until_ms) {
-            self.now = at_ms;
+            self.now_ms = at_ms;
             if let Some(event) = self.postpone_if_paused(event) {
                 self.handle(event);
             }
-            if self.now >= self.observed_ms + OBSERVATION_INTERVAL_MS {
+            if self.now_ms >= self.last_observation_ms + OBSERVATION_INTERVAL_MS {
                 self.observe();
             }
         }
-        self.now = until_ms;
+        self.now_ms = until_ms;
         self.observe();
     }
 
+    /// Advances virtual time by `duration_ms`.
     pub fn run_for(&mut self, duration_ms: u64) {
-        self.run_until(self.now + duration_ms);
+        self.run_until(self.now_ms + duration_ms);
     }
 
     fn handle(&mut self, event: Event) {
--- a/tests/integration/simulation/network.rs
+++ b/tests/integration/simulation/network.rs
@@ -1,5 +1,5 @@
-//! The network between controllers and everything that they talk to: calls, requests,
-//! their responses, and faults on the way.
+//! Simulated network: delivers the calls of controllers, requests to controllers and their
+//! responses, and applies injected faults.
 
 use super::events::{CallOrigin, Event, Response, Sender};
 use super::fixtures::node_at;
@@ -11,29 +11,32 @@
 use lilacfork::reactor::Handler;
 use std::collections::HashMap;
 
-/// One way between a controller and an external service or worker.
+/// One-way latency between a controller and an external service or worker.
 const LATENCY_MS: u64 = 2;
-/// One way between two controllers, and from workers to controllers.
+/// One-way latency between two controllers, and from workers to controllers.
 pub(super) const PEER_LATENCY_MS: u64 = 1;
-/// From a call until the response of something that doesn't carry it out.
+/// Delay from a call until its rejection, if the call isn't executed.
 const REJECTION_MS: u64 = 4;
+/// Delay from a call until its response, if the response is garbled.
 const GARBLED_RESPONSE_MS: u64 = 5;
 
-/// Requests that wait for the replies of controllers, and calls whose responses a
-/// fault delays.
+/// Requests and calls in transit.
 #[derive(Default)]
 pub(super) struct Network {
+    /// Senders of the requests that controllers haven't replied to, by controller, process epoch
+    /// and connection.
     senders: HashMap<(usize, u64, ConnectionId), Sender>,
     last_connection: u64,
+    /// Additional delays that faults impose on the responses to calls.
     response_delays_ms: HashMap<CallOrigin, u64>,
 }
 
 impl Simulation {
-    /// Sends what a controller wants to send.
+    /// Sends the messages that a controller has produced.
     pub(super) fn apply_effects(&mut self, node: usize, effects: Vec<Effect>) {
         for effect in effects {
             if let Some(digest) = &mut self.digest {
-                digest.add(self.now, node, &effect);
+                digest.add(self.now_ms, node, &effect);
             }
             match effect {
                 Effect::Reply(connection, reply) => self.deliver_reply(node, connection, reply),
@@ -45,20 +48,20 @@
     fn send_call(&mut self, node: usize, id: CallId, call: Call) {
         let epoch = self.epochs[node];
         let origin = CallOrigin { node, epoch, id };
-        match (self.fault_injector)(self.now, node, &call) {
-            Delivery::Normal => self.carry(origin, call, LATENCY_MS, Response::Returned),
+        match (self.fault_injector)(self.now_ms, node, &call) {
+            Delivery::Normal => self.schedule_arrival(origin, call, LATENCY_MS, Response::Returned),
             Delivery::ResponseDelayed(delay_ms) => {
                 self.network.response_delays_ms.insert(origin, delay_ms);
-                self.carry(origin, call, LATENCY_MS, Response::Returned);
+                self.schedule_arrival(origin, call, LATENCY_MS, Response::Returned);
             }
             Delivery::RequestLost => self.time_out(origin, &call),
             Delivery::ResponseLost => {
                 self.time_out(origin, &call);
-                self.carry(origin, call, LATENCY_MS, Response::Lost);
+                self.schedule_arrival(origin, call, LATENCY_MS, Response::Lost);
             }
             Delivery::RequestDelayed(delay_ms) => {
                 self.time_out(origin, &call);
-                self.carry(origin, call, delay_ms, Response::Lost);
+                self.schedule_arrival(origin, call, delay_ms, Response::Lost);
             }
             Delivery::Rejected => {
                 self.return_outcome(origin, REJECTION_MS, Ok((503, b"{}".to_vec())));
@@ -66,36 +69,46 @@
             Delivery::Garbled(status) => {
                 let body = b"{\"tirage\":[],\"rows\":7}".to_vec();
                 self.return_outcome(origin, GARBLED_RESPONSE_MS, Ok((status, body)));
-                self.carry(origin, call, LATENCY_MS, Response::Lost);
+                self.schedule_arrival(origin, call, LATENCY_MS, Response::Lost);
             }
         }
     }
 
-    /// Lets a call arrive after so long.
-    fn carry(&mut self, origin: CallOrigin, call: Call, delay_ms: u64, response: Response) {
+    /// Schedules the arrival of a call at its destination.
+    fn schedule_arrival(
+        &mut self,
+        origin: CallOrigin,
+        call: Call,
+        delay_ms: u64,
+        response: Response,
+    ) {
         let arrival = Event::CallArrives {
             origin,
             call,
             response,
         };
-        self.schedule(self.now + delay_ms, arrival);
+        self.schedule(self.now_ms + delay_ms, arrival);
     }
 
-    /// The caller waits for the call's timeout and doesn't learn what became of it.
+    /// Returns an indeterminate outcome to the caller after the call's timeout.
     fn time_out(&mut self, origin: CallOrigin, call: &Call) {
         self.return_outcome(origin, call.timeout_ms, Err(CallError::Indeterminate));
     }
 
+    /// Schedules the return of an outcome to the caller.
     pub(super) fn return_outcome(
         &mut self,
         origin: CallOrigin,
         delay_ms: u64,
         outcome: CallResult,
     ) {
-        self.schedule(self.now + delay_ms, Event::CallReturns { origin, outcome });
+        self.schedule(
+            self.now_ms + delay_ms,
+            Event::CallReturns { origin, outcome },
+        );
     }
 
-    /// Carries out a call at its destination.
+    /// Executes a call at its destination and returns the outcome unless the response is lost.
     pub(super) fn deliver_call(&mut self, origin: CallOrigin, call: Call, response: Response) {
         let outcome = match &call.destination {
             Destination::KvStore | Destination::KvWatch => self.kv_store_call(origin, &call),
@@ -119,6 +132,7 @@
         self.return_outcome(origin, LATENCY_MS + delay_ms, outcome);
     }
 
+    /// Forwards a call to a peer as a request. A peer that is down refuses the connection.
     fn deliver_to_peer(&mut self, origin: CallOrigin, peer: usize, call: Call) {
         if self.nodes.get(peer).is_none_or(Option::is_none) {
             return self.return_outcome(origin, PEER_LATENCY_MS, Err(CallError::NotSent));
@@ -131,7 +145,7 @@
         self.send_request(peer, 0, Sender::Peer(origin), Listener::Peer, request);
     }
 
-    /// Lets a request arrive at a node after so long.
+    /// Schedules the arrival of a request at a controller.
     pub(super) fn send_request(
         &mut self,
         node: usize,
@@ -146,10 +160,10 @@
             listener,
             request,
         };
-        self.schedule(self.now + delay_ms, arrival);
+        self.schedule(self.now_ms + delay_ms, arrival);
     }
 
-    /// Hands a request to a node; one that is down drops it.
+    /// Delivers a request to a controller. A request to a controller that is down is dropped.
     pub(super) fn deliver_request(
         &mut self,
         node: usize,
@@ -169,13 +183,13 @@
         });
     }
 
-    /// Hands a node's reply to whoever sent the request.
+    /// Delivers a controller's reply to the sender of the request.
     fn deliver_reply(&mut self, node: usize, connection: ConnectionId, reply: Reply) {
         let key = (node, self.epochs[node], connection);
         match self.network.senders.remove(&key) {
-            Some(Sender::User(user)) => self.user_answered(user, reply),
+            Some(Sender::User(user)) => self.receive_user_reply(user, reply),
             Some(Sender::Worker(name, sent_ms)) => {
-                self.heartbeat_answered(node, &name, sent_ms, &reply);
+                self.receive_heartbeat_response(node, &name, sent_ms, &reply);
             }
             Some(Sender::Peer(origin)) => {
                 let outcome = Ok((reply.status, reply.body));
--- a/tests/integration/simulation/nodes.rs
+++ b/tests/integration/simulation/nodes.rs
@@ -1,4 +1,4 @@
-//! The controllers' processes: start, end, pause, and what each is given to handle.
+//! Processes of the controllers: starting, killing, pausing, and handling events.
 
 use super::events::Event;
 use super::settings::settings;
@@ -9,61 +9,64 @@
 use lilacfork::settings::StateLimits;
 use lilacfork::tuning::Tuning;
 
-/// What the wall clock shows when virtual time begins.
+/// The time of day at the start of virtual time.
 const WALL_OFFSET_MS: u64 = 1_000_000;
 
-/// In fleets of at most so many machines a node's invariants are checked, after one of
-/// so many events. Checking them after every event would take too long in a large
-/// fleet, and hide what isn't brought up to date before it is used.
+/// The largest fleet, in machines, in which the invariants of controllers are checked. The
+/// checks would take too long in larger fleets.
 const MAX_CHECKED_MACHINES: usize = 40;
+/// A controller's invariants are checked once per this number of handled events. A check
+/// after every event would hide state that isn't brought up to date before it is used.
 const EVENTS_PER_CHECK: u64 = 3;
 
 impl Simulation {
-    /// Starts a node's process.
+    /// Starts the process of a controller, with a new incarnation.
     pub fn start(&mut self, node: usize) {
         self.epochs[node] += 1;
         let incarnation = self.epochs[node] * 100 + node as u64 + 1;
         let mut settings = settings(&format!("n-{node}"), self.epochs.len());
         settings.site.limits.cores = self.cores;
-        if let Some(limits) = &self.state_limits {
+        if let Some(limits) = &self.kv_store_limits {
             settings.site.state = limits.clone();
         }
         self.nodes[node] = Some(Node::new(settings, self.tuning.clone(), incarnation));
-        self.schedule_tick(node, self.now + 1);
+        self.schedule_tick(node, self.now_ms + 1);
     }
 
-    /// Kills a node's process; it sends nothing more.
+    /// Kills the process of a controller. Outcomes of its pending calls are dropped.
     pub fn kill(&mut self, node: usize) {
         self.nodes[node] = None;
         self.epochs[node] += 1;
         self.next_ticks_ms[node] = u64::MAX;
     }
 
-    /// From now on nodes start with this tuning.
-    pub fn set_tuning(&mut self, options: Tuning) {
-        self.tuning = options;
+    /// Sets the tuning with which controllers start from now on.
+    pub fn set_tuning(&mut self, tuning: Tuning) {
+        self.tuning = tuning;
     }
 
-    /// From now on nodes start with these limits of the key-value store.
-    pub fn set_state_limits(&mut self, limits: StateLimits) {
-        self.state_limits = Some(limits);
+    /// Sets the limits of the key-value store in the settings with which controllers start from
+    /// now on.
+    pub fn set_kv_store_limits(&mut self, limits: StateLimits) {
+        self.kv_store_limits = Some(limits);
     }
 
-    /// The first node that leads.
+    /// Returns the first controller that considers itself leader.
     pub fn leader(&self) -> Option<usize> {
         self.nodes
             .iter()
             .position(|node| node.as_ref().is_some_and(Node::is_leader))
     }
 
-    /// The time that nodes are given.
+    /// Returns the current monotonic time and time of day, as controllers receive them.
     pub fn clock(&self) -> Now {
         Now {
-            ms: self.now,
-            wall: WALL_OFFSET_MS + self.now,
+            ms: self.now_ms,
+            wall: WALL_OFFSET_MS + self.now_ms,
         }
     }
 
+    /// Schedules the timer of a controller, unless it is due earlier already.
     fn schedule_tick(&mut self, node: usize, at_ms: u64) {
         if at_ms < self.next_ticks_ms[node] {
             self.next_ticks_ms[node] = at_ms;
@@ -71,16 +74,16 @@
         }
     }
 
-    /// A node's timer is due, unless an earlier event has replaced it.
+    /// Runs the timer of a controller, unless the controller has rescheduled it meanwhile.
     pub(super) fn tick(&mut self, node: usize) {
-        if self.next_ticks_ms[node] <= self.now {
+        if self.next_ticks_ms[node] <= self.now_ms {
             self.next_ticks_ms[node] = u64::MAX;
             self.with_node(node, |_, _, _| {});
         }
     }
 
-    /// Lets a node that is up handle something, then its timers, and sends what it
-    /// wants to send.
+    /// Lets a controller handle an event and then its due timers, sends the resulting messages
+    /// and schedules its next timer. Does nothing if the controller is down.
     pub(super) fn with_node(
         &mut self,
         index: usize,
@@ -92,12 +95,13 @@
         };
         let mut effects = Vec::new();
         handle(node, now, &mut effects);
-        let next_ms = node.tick(now, &mut effects).max(self.now + 1);
+        let next_ms = node.tick(now, &mut effects).max(self.now_ms + 1);
         self.check_invariants(index);
         self.apply_effects(index, effects);
         self.schedule_tick(index, next_ms);
     }
 
+    /// Checks the invariants of a controller after every [`EVENTS_PER_CHECK`]th event.
     fn check_invariants(&mut self, index: usize) {
         self.handled_events += 1;
         let is_due = self.handled_events.is_multiple_of(EVENTS_PER_CHECK);
@@ -106,19 +110,27 @@
         }
         let checked = self.nodes[index].as_mut().map(Node::check_invariants);
         if let Some(Err(violation)) = checked {
-            panic!("node {index} at {}: {violation}", self.now);
+            panic!(
+                "controller {index} violates an invariant at {} ms: {violation}",
+                self.now_ms
+            );
         }
     }
 
-    /// Postpones what a paused process would handle until it resumes.
+    /// Reschedules an event for a paused process to the time at which the process resumes.
+    /// Returns all other events unchanged.
     pub(super) fn postpone_if_paused(&mut self, event: Event) -> Option<Event> {
-        let resumes_ms = event.node().and_then(|node| self.paused_until.get(&node));
-        let resumes_ms = resumes_ms.copied().filter(|ms| self.now < *ms);
+        let resumes_ms = event
+            .node()
+            .and_then(|node| self.paused_until_ms.get(&node));
+        let resumes_ms = resumes_ms
+            .copied()
+            .filter(|resumes_ms| self.now_ms < *resumes_ms);
         let Some(resumes_ms) = resumes_ms else {
             return Some(event);
         };
-        // Which socket a resumed process reads first isn't defined: here that of users
-        // and workers.
+        // A resumed process may read its sockets in any order. In the simulation it reads those
+        // of users and workers first.
         let is_first = match &event {
             Event::RequestArrives { listener, .. } => *listener == Listener::Client,
             Event::CallReturns { .. } => self.responses_first_on_resume,
--- a/tests/integration/simulation/observation.rs
+++ b/tests/integration/simulation/observation.rs
@@ -1,14 +1,14 @@
-//! What the observer and the replica watchers see of a simulation.
+//! Periodic observation of the tasks on machines by the observer and the replica trackers.
 
-use super::observer::{RunningTask, Verdict};
-use super::replica_groups::Watched;
+use super::observer::{PlacedTask, Verdict};
+use super::replica_groups::ReplicaTracker;
 use super::{Simulation, Worker, LEASE_MS};
 use std::collections::BTreeMap;
 
-/// How often the observer sees what is on machines.
+/// Interval between two observations, in virtual time.
 pub(super) const OBSERVATION_INTERVAL_MS: u64 = 100;
 
-/// Fails the test if the history breaks a rule.
+/// Fails the test if the history violates a rule.
 #[track_caller]
 pub(super) fn check(verdict: Verdict) {
     if let Err(violation) = verdict {
@@ -16,16 +16,16 @@
     }
 }
 
-/// What is on machines.
-pub(super) fn running_tasks(
+/// Returns the tasks on machines that have not ended.
+pub(super) fn placed_tasks(
     workers: &BTreeMap<String, Worker>,
-) -> impl Iterator<Item = RunningTask<'_>> + Clone {
+) -> impl Iterator<Item = PlacedTask<'_>> + Clone {
     workers.iter().flat_map(|(machine, worker)| {
         let present = worker
             .tasks
             .iter()
             .filter(|(_, task)| task.state != "ended");
-        present.map(move |(task, _)| RunningTask {
+        present.map(move |(task, _)| PlacedTask {
             task,
             machine,
             zone: &worker.zone,
@@ -35,38 +35,44 @@
 }
 
 impl Simulation {
-    /// Shows the observer what is on machines. A lease expires by itself, whether or
-    /// not its worker sends anything.
+    /// Passes the tasks on machines to the observer and the replica trackers. Worker leases
+    /// that have expired are ended first, because a lease expires whether or not its worker
+    /// sends heartbeats.
     pub(super) fn observe(&mut self) {
-        self.observed_ms = self.now;
-        let now = self.now;
+        self.last_observation_ms = self.now_ms;
+        let now_ms = self.now_ms;
         for worker in self.workers.values_mut() {
-            if now > worker.lease_renewed_ms + LEASE_MS && !worker.tasks.is_empty() {
-                worker.end_session(now);
+            if now_ms > worker.lease_renewed_ms + LEASE_MS && !worker.tasks.is_empty() {
+                worker.end_session(now_ms);
             }
         }
-        check(self.observer.present(now, running_tasks(&self.workers)));
+        check(
+            self.observer
+                .check_placed_tasks(now_ms, placed_tasks(&self.workers)),
+        );
         self.observe_replicas();
     }
 
-    /// From now on the replicas of this job, of `parts` tasks each, are watched.
-    pub fn watch_replicas(&mut self, job: &str, parts: u32, tasks: u32) {
-        self.watched.insert(job.into(), Watched::new(parts, tasks));
+    /// Tracks the replicas of a job from now on. The job has `tasks` tasks; each replica consists
+    /// of `parts` of them.
+    pub fn track_replicas(&mut self, job: &str, parts: u32, tasks: u32) {
+        self.replicas
+            .insert(job.into(), ReplicaTracker::new(parts, tasks));
     }
 
     fn observe_replicas(&mut self) {
-        for (job, watched) in &mut self.watched {
-            let mut present = BTreeMap::new();
-            for (name, running) in self.workers.values().flat_map(|worker| &worker.tasks) {
+        for (job, tracker) in &mut self.replicas {
+            let mut states = BTreeMap::new();
+            for (name, task) in self.workers.values().flat_map(|worker| &worker.tasks) {
                 let index = name
                     .strip_prefix(job.as_str())
                     .and_then(|rest| rest.strip_prefix('/'))
                     .and_then(|index| index.parse().ok());
-                if let Some(index) = index.filter(|_| running.state != "ended") {
-                    present.insert(index, running.state);
+                if let Some(index) = index.filter(|_| task.state != "ended") {
+                    states.insert(index, task.state);
                 }
             }
-            watched.look(self.now, &present);
+            tracker.update(self.now_ms, &states);
         }
     }
 }
--- a/tests/integration/simulation/observer.rs
+++ b/tests/integration/simulation/observer.rs
@@ -1,69 +1,72 @@
-//! An independent observer of the protocol's rules. It learns what users ask and are
-//! told and what workers start and finish, knows nothing of how controllers work, and
-//! reports the rule that a history breaks.
+//! An independent observer of the protocol's rules. The observer receives the requests of
+//! users, the responses to them, and the tasks that workers start and complete. The
+//! observer doesn't depend on how controllers work, and reports the first rule that a
+//! history violates.
 
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::fmt;
 
-/// The job of a task, by the task's name.
+/// Returns the name of a task's job. Tasks are named `job/index`.
 pub(super) fn job_of(task: &str) -> &str {
     task.rsplit_once('/').map_or("", |(job, _)| job)
 }
 
-/// A task on a machine, at the moment of the observation.
+/// A task on a machine that has not ended, or a task that is about to start there.
 #[derive(Clone, Copy, Debug)]
-pub struct RunningTask<'a> {
+pub struct PlacedTask<'a> {
     pub task: &'a str,
     pub machine: &'a str,
     pub zone: &'a str,
+    /// Whether the machine is a spot machine.
     pub spot: bool,
 }
 
-impl RunningTask<'_> {
+impl PlacedTask<'_> {
     fn job(&self) -> &str {
         job_of(self.task)
     }
 }
 
-/// What a user asks for.
+/// What a user requests.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Verb {
+pub enum RequestKind {
     Submit,
-    Show,
+    Query,
     Cancel,
 }
 
 /// A user's request about a job.
 #[derive(Clone, Debug)]
 pub struct UserRequest {
-    pub verb: Verb,
+    pub kind: RequestKind,
     pub job: String,
-    pub asked_ms: u64,
+    pub sent_ms: u64,
 }
 
 /// The rules of the protocol.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Rule {
-    /// A job that was confirmed to a user stays known.
+    /// A job that was reported to a user stays known.
     Forgotten,
-    /// Only what users submitted is known and started.
+    /// Controllers report and start only jobs that users submitted.
     Invented,
-    /// A final state doesn't change, and only users cancel.
+    /// A final state doesn't change, and a job is cancelled only after a user requested its
+    /// cancellation or that of one of its dependencies.
     WentBack,
-    /// A job is done once all of its tasks have completed.
+    /// A job is reported as done only once all of its tasks have completed.
     NotDone,
-    /// Jobs end with the cancellation of one that they need.
+    /// The cancellation of a job cancels its dependents too.
     Orphaned,
-    /// A task is on one machine at most.
+    /// A task is on at most one machine.
     RanTwice,
-    /// A cancelled job's tasks end in time.
+    /// The tasks of a cancelled job end within the cancellation period.
     RanCancelled,
-    /// A task starts after the jobs that its job needs.
+    /// A task starts only once the dependencies of its job are done.
     TooEarly,
-    /// A task runs only where its job may.
+    /// A task starts only where the placement constraints of its job allow it.
     WrongPlace,
-    /// A team stays within its limit.
+    /// A team uses at most the GPUs of its quota.
     Quota,
 }
 
@@ -84,7 +87,7 @@
     }
 }
 
-/// The rule that a history breaks, and how.
+/// The rule that a history violates, and how.
 #[derive(Clone, PartialEq, Eq, Debug, thiserror::Error)]
 #[error("{rule}: {details}")]
 pub struct Violation {
@@ -92,9 +95,10 @@
     details: String,
 }
 
+/// The result of checking one event.
 pub type Verdict = Result<(), Violation>;
 
-fn broken(rule: Rule, details: String) -> Verdict {
+fn violation(rule: Rule, details: String) -> Verdict {
     Err(Violation { rule, details })
 }
 
@@ -102,61 +106,65 @@
 #[derive(Debug)]
 struct FinalState {
     state: String,
-    /// When it was first reported to a user.
+    /// When the state was first reported to a user.
     reported_ms: u64,
 }
 
-/// What has happened so far, as far as the rules need it.
+/// The part of the history that the rules need. All times are virtual.
 pub struct Observer {
+    /// The cancellation period: how long tasks may remain on machines after the confirmed
+    /// cancellation of their job.
     cancel_ms: u64,
-    /// GPUs that a team may use at once.
-    limits: HashMap<String, f64>,
+    /// GPUs that each limited team may use at once.
+    team_gpu_limits: HashMap<String, f64>,
     specs: HashMap<String, Value>,
-    /// When the job was first confirmed to a user.
+    /// When each job was first reported to a user.
     accepted_ms: HashMap<String, u64>,
-    cancel_asked: HashSet<String>,
+    cancellation_requested: HashSet<String>,
     final_states: BTreeMap<String, FinalState>,
-    /// Tasks that have completed, by job.
-    finished: HashMap<String, BTreeSet<u32>>,
-    /// Starts after a confirmed cancellation: allowed for `cancel_s`, and
-    /// counted.
+    /// Indices of the tasks that have completed, by job.
+    completed_tasks: HashMap<String, BTreeSet<u32>>,
+    /// Starts within the cancellation period after a confirmed cancellation. The protocol
+    /// allows them; some tests limit their number.
     pub starts_after_cancel: Vec<String>,
 }
 
 impl Observer {
-    /// `cancel_ms`: how long tasks may be on machines after their job's cancellation.
-    /// `limits`: GPUs that each limited team may use at once.
-    pub fn new(cancel_ms: u64, limits: &[(&str, f64)]) -> Self {
+    /// Creates an observer without history. `cancel_ms` is how long tasks may remain on
+    /// machines after the confirmed cancellation of their job; `team_gpu_limits` is how many
+    /// GPUs each limited team may use at once.
+    pub fn new(cancel_ms: u64, team_gpu_limits: &[(&str, f64)]) -> Self {
         Observer {
             cancel_ms,
-            limits: limits
+            team_gpu_limits: team_gpu_limits
                 .iter()
                 .map(|(team, limit)| (team.to_string(), *limit))
                 .collect(),
             specs: HashMap::new(),
             accepted_ms: HashMap::new(),
-            cancel_asked: HashSet::new(),
+            cancellation_requested: HashSet::new(),
             final_states: BTreeMap::new(),
-            finished: HashMap::new(),
+            completed_tasks: HashMap::new(),
             starts_after_cancel: Vec::new(),
         }
     }
 
-    /// The specification with which a job was first submitted.
+    /// Returns the specification with which a job was first submitted.
     pub fn spec(&self, job: &str) -> Option<&Value> {
         self.specs.get(job)
     }
 
-    /// When the job's cancellation was first confirmed to any user.
-    fn confirmed_ms(&self, job: &str) -> Option<u64> {
+    /// Returns when the cancellation of a job was first confirmed to a user.
+    fn cancellation_confirmed_ms(&self, job: &str) -> Option<u64> {
         self.final_states
             .get(job)
-            .filter(|last| last.state == "cancelled")
-            .map(|last| last.reported_ms)
+            .filter(|reported| reported.state == "cancelled")
+            .map(|reported| reported.reported_ms)
     }
 
-    /// A user submits a job.
-    pub fn submitted(&mut self, spec: &Value) {
+    /// Records that a user submits a job. Repeated submissions don't change the recorded
+    /// specification.
+    pub fn record_submission(&mut self, spec: &Value) {
         if let Some(id) = spec["id"].as_str() {
             self.specs
                 .entry(id.to_string())
@@ -164,16 +172,16 @@
         }
     }
 
-    /// A user asks for a job's cancellation.
-    pub fn cancel_asked(&mut self, job: &str) {
-        self.cancel_asked.insert(job.to_string());
+    /// Records that a user requests the cancellation of a job.
+    pub fn record_cancellation_request(&mut self, job: &str) {
+        self.cancellation_requested.insert(job.to_string());
     }
 
-    /// A task has completed by itself.
-    pub fn finished(&mut self, task: &str) {
+    /// Records that a task has completed without failing or being stopped.
+    pub fn record_completion(&mut self, task: &str) {
         if let Some((job, index)) = task.rsplit_once('/') {
             if let Ok(index) = index.parse() {
-                self.finished
+                self.completed_tasks
                     .entry(job.to_string())
                     .or_default()
                     .insert(index);
@@ -181,6 +189,7 @@
         }
     }
 
+    /// Returns the direct dependencies of a job.
     fn dependencies(&self, job: &str) -> impl Iterator<Item = &str> {
         let names = self
             .specs
@@ -189,199 +198,227 @@
         names.into_iter().flatten().filter_map(Value::as_str)
     }
 
-    /// The jobs that this one needs, directly or through others.
-    fn all_dependencies<'a>(&'a self, job: &'a str) -> BTreeSet<&'a str> {
+    /// Returns the direct and indirect dependencies of a job.
+    fn transitive_dependencies<'a>(&'a self, job: &'a str) -> BTreeSet<&'a str> {
         let mut found = BTreeSet::new();
-        let mut left = vec![job];
-        while let Some(job) = left.pop() {
+        let mut unvisited = vec![job];
+        while let Some(job) = unvisited.pop() {
             let dependencies = self.dependencies(job);
-            left.extend(dependencies.filter(|dependency| found.insert(*dependency)));
+            unvisited.extend(dependencies.filter(|dependency| found.insert(*dependency)));
         }
         found
     }
 
-    fn finished_tasks(&self, job: &str) -> usize {
-        self.finished.get(job).map_or(0, BTreeSet::len)
+    fn completed_task_count(&self, job: &str) -> usize {
+        self.completed_tasks.get(job).map_or(0, BTreeSet::len)
     }
 
-    /// All tasks of the job have completed.
+    /// Returns whether all tasks of a job have completed.
     fn is_done(&self, job: &str) -> bool {
         let tasks = self.specs.get(job).and_then(|spec| spec["pieces"].as_u64());
-        tasks.is_some_and(|tasks| self.finished_tasks(job) as u64 >= tasks)
+        tasks.is_some_and(|tasks| self.completed_task_count(job) as u64 >= tasks)
     }
 
-    fn cancelled_by_its_user(&self, job: &str) -> bool {
-        let mut with_it = self.all_dependencies(job).into_iter().chain([job]);
-        // A cancellation that was answered with done cancels no dependents.
+    /// Returns whether a user requested the cancellation of a job or of one of its
+    /// dependencies.
+    fn is_cancellation_requested(&self, job: &str) -> bool {
+        let dependencies = self.transitive_dependencies(job);
+        let mut job_and_dependencies = dependencies.into_iter().chain([job]);
+        // A cancellation request whose response reports the job as done cancels no dependents.
         let done = |job: &str| {
             self.final_states
                 .get(job)
-                .is_some_and(|t| t.state == "done")
+                .is_some_and(|reported| reported.state == "done")
         };
-        with_it.any(|job| self.cancel_asked.contains(job) && !done(job))
+        job_and_dependencies.any(|job| self.cancellation_requested.contains(job) && !done(job))
     }
 
-    /// A user gets a response. It may be as old as its request: only what users were
-    /// told before the request is binding.
-    pub fn answered(
+    /// Records and checks a response to a user. The state in the response may date from any
+    /// time since the request was sent, so only responses that users received before then
+    /// bind it.
+    pub fn check_response(
         &mut self,
-        now: u64,
+        now_ms: u64,
         request: &UserRequest,
         status: u16,
         state: &str,
     ) -> Verdict {
         let job = &request.job;
-        self.still_known(now, request, status)?;
+        self.check_not_forgotten(now_ms, request, status)?;
         if status != 200 && status != 201 {
             return Ok(());
         }
         let Some(spec) = self.specs.get(job) else {
-            return broken(Rule::Invented, format!("nobody submitted {job}"));
+            let details = format!("{job} is reported, but no user submitted it");
+            return violation(Rule::Invented, details);
         };
-        self.accepted_ms.entry(job.clone()).or_insert(now);
-        if let Some(last) = self.final_states.get(job) {
-            if last.reported_ms < request.asked_ms && last.state != state {
-                let (before, at) = (&last.state, last.reported_ms);
-                let details = format!("{job} was {before} at {at} and is {state} at {now}");
-                return broken(Rule::WentBack, details);
+        self.accepted_ms.entry(job.clone()).or_insert(now_ms);
+        if let Some(reported) = self.final_states.get(job) {
+            if reported.reported_ms < request.sent_ms && reported.state != state {
+                let FinalState {
+                    state: final_state,
+                    reported_ms,
+                } = reported;
+                let details = format!(
+                    "{job} was reported {final_state} at {reported_ms} ms and {state} at {now_ms} ms"
+                );
+                return violation(Rule::WentBack, details);
             }
         }
         match state {
             "done" => {
                 let tasks = spec["pieces"].as_u64().unwrap_or(0) as usize;
-                let finished = self.finished_tasks(job);
-                if finished < tasks {
-                    let details = format!("{job} has {finished} of {tasks} at {now}");
-                    return broken(Rule::NotDone, details);
+                let completed = self.completed_task_count(job);
+                if completed < tasks {
+                    let details = format!(
+                        "{job} is reported done at {now_ms} ms with {completed} of {tasks} tasks completed"
+                    );
+                    return violation(Rule::NotDone, details);
                 }
             }
-            "cancelled" if !self.cancelled_by_its_user(job) => {
-                let details = format!("{job} is cancelled, its user didn't");
-                return broken(Rule::WentBack, details);
+            "cancelled" if !self.is_cancellation_requested(job) => {
+                let details = format!("{job} is reported cancelled without a request of a user");
+                return violation(Rule::WentBack, details);
             }
             "cancelled" => {}
-            _ => return self.orphaned(now, job, state),
+            _ => return self.check_not_orphaned(now_ms, job, state),
         }
         self.final_states
             .entry(job.clone())
             .or_insert_with(|| FinalState {
                 state: state.to_string(),
-                reported_ms: now,
+                reported_ms: now_ms,
             });
         Ok(())
     }
 
-    /// Whether a job that was known before a request is known to its response.
-    fn still_known(&self, now: u64, request: &UserRequest, status: u16) -> Verdict {
+    /// Checks that a job that was reported before a request was sent is known in its
+    /// response.
+    fn check_not_forgotten(&self, now_ms: u64, request: &UserRequest, status: u16) -> Verdict {
         let job = &request.job;
         let accepted_ms = self.accepted_ms.get(job);
-        if accepted_ms.is_none_or(|at| *at >= request.asked_ms) {
+        if accepted_ms.is_none_or(|accepted_ms| *accepted_ms >= request.sent_ms) {
             return Ok(());
         }
         if status == 404 {
-            return broken(Rule::Forgotten, format!("{job} gets a 404 at {now}"));
+            let details = format!("a request for {job} got status 404 at {now_ms} ms");
+            return violation(Rule::Forgotten, details);
         }
-        if request.verb == Verb::Submit && (status == 400 || status == 422) {
-            let details = format!("{job} repeated gets {status} at {now}");
-            return broken(Rule::Forgotten, details);
+        if request.kind == RequestKind::Submit && (status == 400 || status == 422) {
+            let details =
+                format!("a repeated submission of {job} got status {status} at {now_ms} ms");
+            return violation(Rule::Forgotten, details);
         }
         Ok(())
     }
 
-    /// Whether a job that hasn't ended may live on after those that it needs.
-    fn orphaned(&self, now: u64, job: &str, state: &str) -> Verdict {
-        for dependency in self.all_dependencies(job) {
-            let confirmed_ms = self.confirmed_ms(dependency);
-            if let Some(at) = confirmed_ms.filter(|at| now > at + self.cancel_ms) {
-                let details = format!("{job} is {state} at {now}, {dependency} cancelled at {at}");
-                return broken(Rule::Orphaned, details);
+    /// Checks that no dependency of a job that hasn't ended was cancelled longer ago than the
+    /// cancellation period.
+    fn check_not_orphaned(&self, now_ms: u64, job: &str, state: &str) -> Verdict {
+        for dependency in self.transitive_dependencies(job) {
+            let confirmed_ms = self.cancellation_confirmed_ms(dependency);
+            let is_overdue = |confirmed_ms: &u64| now_ms > confirmed_ms + self.cancel_ms;
+            if let Some(confirmed_ms) = confirmed_ms.filter(is_overdue) {
+                let details = format!(
+                    "{job} is {state} at {now_ms} ms, its dependency {dependency} was cancelled at {confirmed_ms} ms"
+                );
+                return violation(Rule::Orphaned, details);
             }
         }
         Ok(())
     }
 
-    /// A task starts while the others are on machines.
-    pub fn starts<'a>(
+    /// Checks the start of a task while `others` are on machines.
+    pub fn check_start<'a>(
         &mut self,
-        now: u64,
-        start: RunningTask<'a>,
-        others: impl Iterator<Item = RunningTask<'a>> + Clone,
+        now_ms: u64,
+        start: PlacedTask<'a>,
+        others: impl Iterator<Item = PlacedTask<'a>> + Clone,
     ) -> Verdict {
-        let RunningTask { task, machine, .. } = start;
+        let PlacedTask { task, machine, .. } = start;
         if let Some(other) = others.clone().find(|other| other.task == task) {
-            let details = format!("{task} starts on {machine} while on {}", other.machine);
-            return broken(Rule::RanTwice, details);
+            let details = format!(
+                "{task} starts on {machine} while it is on {}",
+                other.machine
+            );
+            return violation(Rule::RanTwice, details);
         }
-        if let Some(at) = self.confirmed_ms(start.job()) {
-            if now > at + self.cancel_ms {
-                let details = format!("{task} starts on {machine} at {now}");
-                return broken(Rule::RanCancelled, details);
+        if let Some(confirmed_ms) = self.cancellation_confirmed_ms(start.job()) {
+            if now_ms > confirmed_ms + self.cancel_ms {
+                let details = format!(
+                    "{task} starts on {machine} at {now_ms} ms, cancelled at {confirmed_ms} ms"
+                );
+                return violation(Rule::RanCancelled, details);
             }
             self.starts_after_cancel.push(format!(
                 "{task} on {machine} {} ms after its cancellation",
-                now - at
+                now_ms - confirmed_ms
             ));
         }
         let Some(spec) = self.specs.get(start.job()) else {
-            return broken(Rule::Invented, format!("{task} of no job starts"));
+            let details = format!("{task} starts, but no user submitted its job");
+            return violation(Rule::Invented, details);
         };
         let mut dependencies = self.dependencies(start.job());
         if let Some(dependency) = dependencies.find(|dependency| !self.is_done(dependency)) {
             let details = format!("{task} starts before {dependency} is done");
-            return broken(Rule::TooEarly, details);
+            return violation(Rule::TooEarly, details);
         }
-        self.place(spec, start, others.clone())?;
-        self.quota(spec, start, others)
+        self.check_placement(spec, start, others.clone())?;
+        self.check_quota(spec, start, others)
     }
 
-    /// Whether a job's task may start there.
-    fn place<'a>(
+    /// Checks a start against the zone, spot, colocation and spread constraints of its job.
+    fn check_placement<'a>(
         &self,
         spec: &Value,
-        start: RunningTask<'a>,
-        others: impl Iterator<Item = RunningTask<'a>>,
+        start: PlacedTask<'a>,
+        others: impl Iterator<Item = PlacedTask<'a>>,
     ) -> Verdict {
-        let wrong = |why: &str| {
-            let details = format!("{} on {}: {why}", start.task, start.machine);
-            broken(Rule::WrongPlace, details)
+        let wrong_place = |reason: &str| {
+            let details = format!("{} on {}: {reason}", start.task, start.machine);
+            violation(Rule::WrongPlace, details)
         };
-        if spec["secteur"].as_str().is_some_and(|z| z != start.zone) {
-            return wrong("zone");
+        if spec["secteur"]
+            .as_str()
+            .is_some_and(|zone| zone != start.zone)
+        {
+            return wrong_place("the job requires another zone");
         }
         if start.spot && spec["occasion"] != Value::Bool(true) {
-            return wrong("spot");
+            return wrong_place("the job doesn't allow spot machines");
         }
-        let together = spec["samePlace"] == Value::Bool(true);
+        let same_place = spec["samePlace"] == Value::Bool(true);
         let spread = spec["spread"] == Value::Bool(true);
-        if !together && !spread {
+        if !same_place && !spread {
             return Ok(());
         }
-        let (mut here, mut elsewhere) = (1, 0);
+        let (mut in_zone, mut in_other_zones) = (1, 0);
         for other in others.filter(|other| other.job() == start.job()) {
             if other.zone == start.zone {
-                here += 1;
+                in_zone += 1;
             } else {
-                elsewhere += 1;
+                in_other_zones += 1;
             }
         }
-        if together && elsewhere > 0 {
-            return wrong("apart from the job's others");
+        if same_place && in_other_zones > 0 {
+            return wrong_place("other tasks of the job are in another zone");
         }
-        if spread && here > spec["pieces"].as_u64().unwrap_or(0).div_ceil(2) {
-            return wrong("too many of the job in one zone");
+        if spread && in_zone > spec["pieces"].as_u64().unwrap_or(0).div_ceil(2) {
+            return wrong_place("more than half of the job's tasks in one zone");
         }
         Ok(())
     }
 
-    /// Whether a team stays within its limit with one task more.
-    fn quota<'a>(
+    /// Checks that a start keeps its team within its GPU quota.
+    fn check_quota<'a>(
         &self,
         spec: &Value,
-        start: RunningTask<'a>,
-        others: impl Iterator<Item = RunningTask<'a>>,
+        start: PlacedTask<'a>,
+        others: impl Iterator<Item = PlacedTask<'a>>,
     ) -> Verdict {
         let team = spec["equipe"].as_str().unwrap_or("");
-        let Some(limit) = self.limits.get(team) else {
+        let Some(limit) = self.team_gpu_limits.get(team) else {
             return Ok(());
         };
         let gpus = |spec: &Value| spec["gpus"].as_f64().unwrap_or(0.0);
@@ -392,22 +429,28 @@
             .sum();
         if used + gpus(spec) > limit + 1e-9 {
             let task = start.task;
-            let details = format!("{team} uses {used} of {limit} when {task} starts");
-            return broken(Rule::Quota, details);
+            let details = format!("team {team} uses {used} of {limit} GPUs when {task} starts");
+            return violation(Rule::Quota, details);
         }
         Ok(())
     }
 
-    /// Whether all that are on machines may be there.
-    pub fn present<'a>(&self, now: u64, running: impl Iterator<Item = RunningTask<'a>>) -> Verdict {
+    /// Checks that no task of a cancelled job is on a machine after the cancellation period.
+    pub fn check_placed_tasks<'a>(
+        &self,
+        now_ms: u64,
+        placed: impl Iterator<Item = PlacedTask<'a>>,
+    ) -> Verdict {
         if self.final_states.is_empty() {
             return Ok(());
         }
-        for RunningTask { task, machine, .. } in running {
-            if let Some(at) = self.confirmed_ms(job_of(task)) {
-                if now > at + self.cancel_ms {
-                    let details = format!("{task} is on {machine} at {now}, cancelled at {at}");
-                    return broken(Rule::RanCancelled, details);
+        for PlacedTask { task, machine, .. } in placed {
+            if let Some(confirmed_ms) = self.cancellation_confirmed_ms(job_of(task)) {
+                if now_ms > confirmed_ms + self.cancel_ms {
+                    let details = format!(
+                        "{task} is on {machine} at {now_ms} ms, cancelled at {confirmed_ms} ms"
+                    );
+                    return violation(Rule::RanCancelled, details);
                 }
             }
         }
--- a/tests/integration/simulation/settings.rs
+++ b/tests/integration/simulation/settings.rs
@@ -1,8 +1,9 @@
-//! Settings of the simulated controllers, and the durations that follow from them.
+//! Settings of the simulated controllers, and constants that mirror them.
 
 use lilacfork::settings::Settings;
 
-/// Settings of one controller of three. `NAME` and `ZONE` stand for its own name and zone.
+/// Settings template of one controller of three. `NAME` and `ZONE` are placeholders for the
+/// controller's name and zone.
 pub const SETTINGS: &str = r#"
 node_name = "NAME"
 domain = "ZONE"
@@ -58,17 +59,18 @@
 /// The share of a core in [`SETTINGS`].
 pub(super) const CORES: f64 = 0.1;
 
-/// The workers' heartbeat interval in [`SETTINGS`].
+/// The workers' heartbeat interval (`report_s`) in [`SETTINGS`].
 pub(super) const HEARTBEAT_INTERVAL_MS: u64 = 1000;
 
-/// The workers' lease in [`SETTINGS`].
+/// The duration of the workers' lease (`lease_s`) in [`SETTINGS`].
 pub const LEASE_MS: u64 = 10_000;
 
-/// How long after its confirmed cancellation a job may have tasks on machines, in
+/// How long a job may have tasks on machines after its confirmed cancellation (`cancel_s`), in
 /// [`SETTINGS`].
 pub const CANCEL_MS: u64 = 30_000;
 
-/// Settings of the controller `name`, one of `nodes` but at least of three.
+/// Returns the settings of the controller `name` in a cluster of `nodes`, or of three if
+/// `nodes` is smaller.
 pub fn settings(name: &str, nodes: usize) -> Settings {
     let zone = if name == "n-1" { "b" } else { "a" };
     let mut text = SETTINGS.replace("NAME", name).replace("ZONE", zone);
@@ -79,15 +81,21 @@
         );
         text = text.replace("[services]", &format!("{peer}[services]"));
     }
-    Settings::parse(&without_own_peer(&text, name), "test").expect("test settings")
+    Settings::parse(&without_own_peer(&text, name), "test").expect("valid test settings")
 }
 
-/// Settings files don't list a node among its own peers.
+/// Removes a controller's own entry from the list of peers, which settings files must not
+/// contain.
 fn without_own_peer(text: &str, name: &str) -> String {
-    const PEER_LINES: usize = 4;
+    const LINES_PER_PEER: usize = 4;
     let own_entry = format!("[[peers]]\nnode_name = \"{name}\"\n");
-    let (before, from_entry) = text.split_once(&own_entry).expect("its own entry");
-    let lines_left = PEER_LINES - own_entry.lines().count();
-    let after: String = from_entry.split_inclusive('\n').skip(lines_left).collect();
+    let (before, after_node_name) = text
+        .split_once(&own_entry)
+        .expect("an entry for the controller itself");
+    let remaining_lines = LINES_PER_PEER - own_entry.lines().count();
+    let after: String = after_node_name
+        .split_inclusive('\n')
+        .skip(remaining_lines)
+        .collect();
     format!("{before}{after}")
 }
--- a/tests/integration/simulation/users.rs
+++ b/tests/integration/simulation/users.rs
@@ -1,137 +1,168 @@
-//! Users of the published API; the observer learns what they ask and are told.
+//! Simulated users of the published API. Their requests and the replies are passed to the
+//! observer.
 
 use super::events::Sender;
 use super::observation::check;
-use super::observer::{UserRequest, Verb};
+use super::observer::{RequestKind, UserRequest};
 use super::Simulation;
 use lilacfork::messages::{Listener, Reply, Request};
 use serde_json::Value;
 
-/// How long users wait for a submission, and for the state of a job.
+/// How long users wait for the reply to a submission.
 const SUBMISSION_TIMEOUT_MS: u64 = 5000;
+/// How long users wait for the reply to a query of a job.
 const QUERY_TIMEOUT_MS: u64 = 2000;
-/// How long a test waits before it looks for a reply, and between two looks.
+/// Time from a request until the first check for its reply.
 const FIRST_WAIT_MS: u64 = 50;
+/// Interval between two checks for a reply.
 const WAIT_STEP_MS: u64 = 10;
 
 impl Simulation {
-    /// Sends a request with a JSON body, or with none for `null`; returns the number by
-    /// which its reply is found.
-    pub fn ask(&mut self, node: usize, method: &str, path: &str, body: Value) -> u64 {
+    /// Sends a user's request with a JSON body, or without a body if `body` is `null`. Returns
+    /// the request number, which identifies the reply in [`Simulation::replies`].
+    pub fn request(&mut self, node: usize, method: &str, path: &str, body: Value) -> u64 {
         let bytes = if body.is_null() {
             Vec::new()
         } else {
             body.to_string().into_bytes()
         };
-        self.ask_raw(node, method, path, bytes)
+        self.request_with_body(node, method, path, bytes)
     }
 
-    /// [`Simulation::ask`] with any body.
-    pub fn ask_raw(&mut self, node: usize, method: &str, path: &str, body: Vec<u8>) -> u64 {
-        self.last_user += 1;
-        let user = self.last_user;
-        self.observe_request(user, path, &body);
+    /// Sends a user's request with an arbitrary body; otherwise like [`Simulation::request`].
+    pub fn request_with_body(
+        &mut self,
+        node: usize,
+        method: &str,
+        path: &str,
+        body: Vec<u8>,
+    ) -> u64 {
+        self.last_request += 1;
+        let request_number = self.last_request;
+        self.observe_request(request_number, path, &body);
         let request = Request {
             method: method.into(),
             path: path.into(),
             body,
         };
-        self.send_request(node, 0, Sender::User(user), Listener::Client, request);
-        user
+        self.send_request(
+            node,
+            0,
+            Sender::User(request_number),
+            Listener::Client,
+            request,
+        );
+        request_number
     }
 
-    /// Shows the observer what a user asks.
-    fn observe_request(&mut self, user: u64, path: &str, body: &[u8]) {
+    /// Passes a user's request about a job to the observer.
+    fn observe_request(&mut self, request_number: u64, path: &str, body: &[u8]) {
         let Some(rest) = path.strip_prefix("/v2/runs") else {
             return;
         };
-        let (verb, job) = match rest.strip_prefix('/').map(|rest| rest.split_once('/')) {
+        let (kind, job) = match rest.strip_prefix('/').map(|rest| rest.split_once('/')) {
             None => {
                 let spec: Value = serde_json::from_slice(body).unwrap_or(Value::Null);
-                self.observer.submitted(&spec);
+                self.observer.record_submission(&spec);
                 let id = spec["id"].as_str().unwrap_or("").to_string();
-                (Verb::Submit, id)
+                (RequestKind::Submit, id)
             }
             Some(Some((id, _))) => {
-                self.observer.cancel_asked(id);
-                (Verb::Cancel, id.to_string())
+                self.observer.record_cancellation_request(id);
+                (RequestKind::Cancel, id.to_string())
             }
-            Some(None) => (Verb::Show, rest[1..].to_string()),
+            Some(None) => (RequestKind::Query, rest[1..].to_string()),
         };
         let request = UserRequest {
-            verb,
+            kind,
             job,
-            asked_ms: self.now,
+            sent_ms: self.now_ms,
         };
-        self.observed_requests.insert(user, request);
+        self.observed_requests.insert(request_number, request);
     }
 
-    /// A node has replied to a user.
-    pub(super) fn user_answered(&mut self, user: u64, reply: Reply) {
-        self.replies.insert(user, reply);
-        if let Some(request) = self.observed_requests.remove(&user) {
-            let (status, state) = self.answer(user);
-            check(self.observer.answered(self.now, &request, status, &state));
+    /// Stores a controller's reply to a user and passes it to the observer.
+    pub(super) fn receive_user_reply(&mut self, request_number: u64, reply: Reply) {
+        self.replies.insert(request_number, reply);
+        if let Some(request) = self.observed_requests.remove(&request_number) {
+            let (status, state) = self.status_and_state(request_number);
+            check(
+                self.observer
+                    .check_response(self.now_ms, &request, status, &state),
+            );
         }
     }
 
-    /// Submits a job and returns the reply's status, or 0 after a timeout.
+    /// Submits a job and returns the status of the reply, or 0 after a timeout.
     pub fn submit(&mut self, node: usize, spec: &Value) -> u16 {
-        let user = self.ask(node, "POST", "/v2/runs", spec.clone());
-        self.wait(user, SUBMISSION_TIMEOUT_MS);
-        self.answer(user).0
+        let request_number = self.request(node, "POST", "/v2/runs", spec.clone());
+        self.wait(request_number, SUBMISSION_TIMEOUT_MS);
+        self.status_and_state(request_number).0
     }
 
-    /// Cancels a job and returns the reply's status and state if it comes soon.
+    /// Cancels a job and returns the status and state in the reply, or status 0 if no reply
+    /// arrives within [`FIRST_WAIT_MS`].
     pub fn cancel(&mut self, node: usize, id: &str) -> (u16, String) {
         let path = format!("/v2/runs/{id}/abort");
-        let user = self.ask(node, "POST", &path, Value::Null);
+        let request_number = self.request(node, "POST", &path, Value::Null);
         self.run_for(FIRST_WAIT_MS);
-        self.answer(user)
+        self.status_and_state(request_number)
     }
 
-    /// Asks for a job and returns the reply's status and state.
+    /// Queries a job and returns the status and state in the reply, or status 0 after a timeout.
     pub fn poll(&mut self, node: usize, id: &str) -> (u16, String) {
-        let user = self.ask(node, "GET", &format!("/v2/runs/{id}"), Value::Null);
-        self.wait(user, QUERY_TIMEOUT_MS);
-        self.answer(user)
+        let request_number = self.request(node, "GET", &format!("/v2/runs/{id}"), Value::Null);
+        self.wait(request_number, QUERY_TIMEOUT_MS);
+        self.status_and_state(request_number)
     }
 
-    /// How many tasks of a watched job a node reports as running. It must not report
-    /// more than it can know to run.
+    /// Returns how many tasks of a tracked job a controller reports as running. Fails the test
+    /// if the controller reports a number that [`ReplicaTracker::may_report_running`] rejects.
+    ///
+    /// [`ReplicaTracker::may_report_running`]: super::replica_groups::ReplicaTracker::may_report_running
     pub fn reported_running_tasks(&mut self, node: usize, id: &str) -> u64 {
-        let user = self.ask(node, "GET", &format!("/v2/runs/{id}"), Value::Null);
-        self.wait(user, QUERY_TIMEOUT_MS);
-        let running = self.reply_body(user)["running"].as_u64().unwrap_or(0);
-        let watched = &self.watched[id];
+        let request_number = self.request(node, "GET", &format!("/v2/runs/{id}"), Value::Null);
+        self.wait(request_number, QUERY_TIMEOUT_MS);
+        let running = self.reply_body(request_number)["running"]
+            .as_u64()
+            .unwrap_or(0);
+        let tracker = &self.replicas[id];
         assert!(
-            watched.may_run(self.now, running),
-            "{running} tasks of {id} are said to run at {}: {watched:?}",
-            self.now
+            tracker.may_report_running(self.now_ms, running),
+            "{running} tasks of {id} are reported as running at {} ms: {tracker:?}",
+            self.now_ms
         );
         running
     }
 
-    /// Runs until a reply has come, or for so long.
-    fn wait(&mut self, user: u64, timeout_ms: u64) {
-        let until_ms = self.now + timeout_ms;
+    /// Runs the simulation until the reply to a request arrives or the timeout expires.
+    fn wait(&mut self, request_number: u64, timeout_ms: u64) {
+        let until_ms = self.now_ms + timeout_ms;
         self.run_for(FIRST_WAIT_MS);
-        while self.now < until_ms && !self.replies.contains_key(&user) {
+        while self.now_ms < until_ms && !self.replies.contains_key(&request_number) {
             self.run_for(WAIT_STEP_MS);
         }
     }
 
-    fn reply_body(&self, user: u64) -> Value {
-        let reply = self.replies.get(&user);
+    /// Returns the JSON body of a reply, or `null` if there is no reply or no valid body.
+    fn reply_body(&self, request_number: u64) -> Value {
+        let reply = self.replies.get(&request_number);
         reply
             .and_then(|reply| serde_json::from_slice(&reply.body).ok())
             .unwrap_or(Value::Null)
     }
 
-    /// The status and the job's state in a reply; status 0 while there is none.
-    pub fn answer(&self, user: u64) -> (u16, String) {
-        let status = self.replies.get(&user).map_or(0, |reply| reply.status);
-        let state = self.reply_body(user)["etat"].as_str().unwrap_or("").into();
+    /// Returns the status and the job's state in the reply to a request, or status 0 if no
+    /// reply has arrived.
+    pub fn status_and_state(&self, request_number: u64) -> (u16, String) {
+        let status = self
+            .replies
+            .get(&request_number)
+            .map_or(0, |reply| reply.status);
+        let state = self.reply_body(request_number)["etat"]
+            .as_str()
+            .unwrap_or("")
+            .into();
         (status, state)
     }
 }
