--- a/tests/integration/simulation/workers.rs
+++ b/tests/integration/simulation/workers.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for workers: heartbeats, leases, fencing tokens and redirects.
+//! Simulated machines and workers: heartbeats, leases, fencing tokens and redirects.
 
 use super::events::{Event, Sender};
 use super::network::PEER_LATENCY_MS;
@@ -8,16 +8,16 @@
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 
-/// How long a worker waits for the reply to a heartbeat.
+/// How long a worker waits for a heartbeat response.
 const HEARTBEAT_TIMEOUT_MS: u64 = 4000;
 
 /// A task on a machine, as its worker reports it.
 #[derive(Clone, Debug)]
 pub struct WorkerTask {
     pub attempt: u64,
-    /// The state in the protocol's terms.
+    /// The state as named in the protocol, for example `pulling` or `flushing`.
     pub state: &'static str,
-    /// Why an ended task has ended.
+    /// Why the task ended, as named in the protocol; `None` until it ends.
     pub end_reason: Option<&'static str>,
 }
 
@@ -25,77 +25,84 @@
 #[derive(Clone, Debug)]
 pub struct Worker {
     pub(super) provisioned_ms: u64,
+    /// Whether the machine has booted.
     pub up: bool,
-    /// Released, also if it was never up.
+    /// Whether the machine was returned to the cloud, also before it booted.
     pub released: bool,
-    /// Receives and sends nothing.
-    pub silent: bool,
-    /// Reaches no controller; direct commands reach it.
-    pub mute: bool,
-    /// Its heartbeats arrive; replies and direct commands are lost.
-    pub deaf: bool,
+    /// Whether the worker neither sends nor receives anything.
+    pub unresponsive: bool,
+    /// Whether the worker's heartbeats are lost while direct commands are delivered (one-way
+    /// partition).
+    pub outbound_blocked: bool,
+    /// Whether heartbeat responses and direct commands are lost while the worker's heartbeats
+    /// are delivered (one-way partition).
+    pub inbound_blocked: bool,
+    /// Whether the machine is a spot machine.
     pub spot: bool,
     pub zone: String,
     pub(super) session: u64,
     pub(super) sequence: u64,
     pub(super) fencing_token: u64,
     pub(super) lease_renewed_ms: u64,
-    /// When the heartbeat was sent that waits for its reply.
+    /// When the worker sent the heartbeat that awaits its response; `None` if no heartbeat is
+    /// pending.
     heartbeat_sent_ms: Option<u64>,
-    /// The controller that gets its heartbeats.
+    /// The index of the controller to which the worker sends its heartbeats.
     pub node: usize,
+    /// Tasks by name, including ended tasks that controllers haven't acknowledged.
     pub tasks: BTreeMap<String, WorkerTask>,
-    /// Every task fails here.
+    /// Whether every task on the machine fails.
     pub faulty: bool,
-    /// How many times as long as usual its tasks run.
-    pub slowness: u64,
-    /// The notice that it reports before the cloud reclaims it.
+    /// Factor by which tasks run longer on this machine.
+    pub slowdown_factor: u64,
+    /// The preemption notice that the worker reports: seconds until the cloud reclaims the
+    /// machine.
     pub preemption_notice_s: Option<f64>,
-    /// Never gets an image.
+    /// Whether image fetches never complete.
     pub image_fetch_stuck: bool,
 }
 
 impl Worker {
-    pub(super) fn new(zone: &str, spot: bool, up: bool, now: u64) -> Worker {
+    pub(super) fn new(zone: &str, spot: bool, up: bool, now_ms: u64) -> Worker {
         Worker {
-            provisioned_ms: now,
+            provisioned_ms: now_ms,
             up,
             released: false,
-            silent: false,
-            mute: false,
-            deaf: false,
+            unresponsive: false,
+            outbound_blocked: false,
+            inbound_blocked: false,
             spot,
             zone: zone.into(),
             session: 1,
             sequence: 0,
             fencing_token: 0,
-            lease_renewed_ms: now,
+            lease_renewed_ms: now_ms,
             heartbeat_sent_ms: None,
             node: 0,
             tasks: BTreeMap::new(),
             faulty: false,
-            slowness: 1,
+            slowdown_factor: 1,
             preemption_notice_s: None,
             image_fetch_stuck: false,
         }
     }
 
-    /// The lease has expired: a new session without tasks.
-    pub(super) fn end_session(&mut self, now: u64) {
+    /// Ends the session after the lease has expired: stops all tasks and starts a new session.
+    pub(super) fn end_session(&mut self, now_ms: u64) {
         self.tasks.clear();
         self.session += 1;
         self.sequence = 0;
-        self.lease_renewed_ms = now;
+        self.lease_renewed_ms = now_ms;
     }
 
-    /// This attempt of a task, if it is here.
+    /// Returns a task if the machine has this attempt of it.
     pub(super) fn attempt_mut(&mut self, task: &str, attempt: u64) -> Option<&mut WorkerTask> {
         let task = self.tasks.get_mut(task)?;
         (task.attempt == attempt).then_some(task)
     }
 }
 
-/// The request with which a worker sends a heartbeat.
+/// Returns the HTTP request that carries a heartbeat.
 fn heartbeat_request(heartbeat: &Value) -> Request {
     Request {
         method: "POST".into(),
@@ -104,9 +111,13 @@
     }
 }
 
-/// The node to which a reply to a heartbeat redirects the worker.
-fn redirect_target(reply: &Value) -> Option<usize> {
-    reply["rendreA"].as_str()?.strip_prefix("n-")?.parse().ok()
+/// Returns the controller to which a heartbeat response redirects the worker.
+fn redirect_target(response: &Value) -> Option<usize> {
+    response["rendreA"]
+        .as_str()?
+        .strip_prefix("n-")?
+        .parse()
+        .ok()
 }
 
 fn commands_of(body: &Value) -> &[Value] {
@@ -114,7 +125,8 @@
 }
 
 impl Simulation {
-    /// The worker's next heartbeat, with status.
+    /// Creates the next heartbeat of a worker, with the status of its tasks. Returns `null` for
+    /// an unknown machine.
     pub fn next_heartbeat(&mut self, name: &str) -> Value {
         let Some(worker) = self.workers.get_mut(name) else {
             return Value::Null;
@@ -137,26 +149,28 @@
             "preavisS": worker.preemption_notice_s, "pieces": tasks})
     }
 
-    /// A heartbeat is due; unless one still waits for its reply, it is sent.
+    /// Sends a heartbeat and schedules the next one, unless the machine is down or released. No
+    /// heartbeat is sent while an earlier one awaits its response; after
+    /// [`HEARTBEAT_TIMEOUT_MS`] the worker tries the next controller instead.
     pub(super) fn heartbeat_due(&mut self, name: &str) {
-        let now = self.now;
+        let now_ms = self.now_ms;
         let Some(worker) = self.workers.get_mut(name) else {
             return;
         };
         if worker.released || !worker.up {
             return;
         }
-        if now > worker.lease_renewed_ms + LEASE_MS {
-            worker.end_session(now);
+        if now_ms > worker.lease_renewed_ms + LEASE_MS {
+            worker.end_session(now_ms);
         }
-        let (silent, sent_ms) = (worker.silent, worker.heartbeat_sent_ms);
+        let (unresponsive, sent_ms) = (worker.unresponsive, worker.heartbeat_sent_ms);
         let next = Event::HeartbeatDue(name.into());
-        self.schedule(now + HEARTBEAT_INTERVAL_MS, next);
-        if silent {
+        self.schedule(now_ms + HEARTBEAT_INTERVAL_MS, next);
+        if unresponsive {
             return;
         }
         if let Some(sent_ms) = sent_ms {
-            if now < sent_ms + HEARTBEAT_TIMEOUT_MS {
+            if now_ms < sent_ms + HEARTBEAT_TIMEOUT_MS {
                 return;
             }
             self.use_next_node(name);
@@ -164,37 +178,44 @@
         self.send_heartbeat(name);
     }
 
+    /// Sends a heartbeat to the worker's controller. If the controller can't be reached, the
+    /// worker tries the next one at its next heartbeat.
     fn send_heartbeat(&mut self, name: &str) {
-        let now = self.now;
+        let now_ms = self.now_ms;
         let heartbeat = self.next_heartbeat(name);
         let Some(worker) = self.workers.get_mut(name) else {
             return;
         };
-        worker.heartbeat_sent_ms = Some(now);
-        let (node, mute) = (worker.node, worker.mute);
-        if self.nodes[node].is_none() || self.is_partitioned(node, name) || mute {
+        worker.heartbeat_sent_ms = Some(now_ms);
+        let (node, outbound_blocked) = (worker.node, worker.outbound_blocked);
+        if self.nodes[node].is_none() || self.is_partitioned(node, name) || outbound_blocked {
             self.use_next_node(name);
             return;
         }
-        let sender = Sender::Worker(name.into(), now);
+        let sender = Sender::Worker(name.into(), now_ms);
         let request = heartbeat_request(&heartbeat);
         self.send_request(node, PEER_LATENCY_MS, sender, Listener::Client, request);
     }
 
-    /// Delivers a heartbeat whose reply nobody reads.
-    pub fn deliver_heartbeat(&mut self, node: usize, report: &Value) {
-        self.last_user += 1;
-        let sender = Sender::User(self.last_user);
-        let request = heartbeat_request(report);
+    /// Delivers a given heartbeat to a controller. The response doesn't reach the worker.
+    pub fn deliver_heartbeat(&mut self, node: usize, heartbeat: &Value) {
+        self.last_request += 1;
+        let sender = Sender::User(self.last_request);
+        let request = heartbeat_request(heartbeat);
         self.send_request(node, 0, sender, Listener::Client, request);
     }
 
-    /// Whether a partition is between a node and a machine.
+    /// Returns whether a controller and a machine are separated by a network partition.
     fn is_partitioned(&self, node: usize, name: &str) -> bool {
         let zone = &self.workers[name].zone;
-        self.partitions.iter().any(|(n, z)| *n == node && z == zone)
+        self.partitions
+            .iter()
+            .any(|(partitioned_node, partitioned_zone)| {
+                *partitioned_node == node && partitioned_zone == zone
+            })
     }
 
+    /// Makes a worker send its next heartbeat to the next controller.
     fn use_next_node(&mut self, name: &str) {
         let nodes = self.nodes.len();
         if let Some(worker) = self.workers.get_mut(name) {
@@ -203,52 +224,59 @@
         }
     }
 
-    /// A node has replied to a heartbeat.
-    pub(super) fn heartbeat_answered(
+    /// Handles a heartbeat response. The worker ignores it if it is late or doesn't belong to the
+    /// pending heartbeat.
+    pub(super) fn receive_heartbeat_response(
         &mut self,
         node: usize,
         name: &str,
         sent_ms: u64,
-        reply: &Reply,
+        response: &Reply,
     ) {
-        let now = self.now;
-        self.heartbeat_replies.push((now, node, reply.status));
-        let body: Value = serde_json::from_slice(&reply.body).unwrap_or(Value::Null);
+        let now_ms = self.now_ms;
+        self.heartbeat_responses
+            .push((now_ms, node, response.status));
+        let body: Value = serde_json::from_slice(&response.body).unwrap_or(Value::Null);
         let redirect = redirect_target(&body);
         if let Some(target) = redirect {
-            self.redirects.push((now, node, target));
+            self.redirects.push((now_ms, node, target));
         }
         let Some(worker) = self.workers.get_mut(name) else {
             return;
         };
-        let is_late = now > sent_ms + HEARTBEAT_TIMEOUT_MS;
+        let is_late = now_ms > sent_ms + HEARTBEAT_TIMEOUT_MS;
         if worker.heartbeat_sent_ms != Some(sent_ms) || is_late {
             return;
         }
         worker.heartbeat_sent_ms = None;
-        match (reply.status, redirect) {
+        match (response.status, redirect) {
             (200, _) => self.heartbeat_accepted(name, sent_ms, &body),
             (421, Some(target)) => worker.node = target,
             _ => self.use_next_node(name),
         }
     }
 
-    /// A leader has renewed the lease and perhaps sent commands.
-    fn heartbeat_accepted(&mut self, name: &str, sent_ms: u64, reply: &Value) {
+    /// Renews the worker's lease and executes the commands of a heartbeat response, unless the
+    /// response doesn't reach the worker or its fencing token is stale.
+    fn heartbeat_accepted(&mut self, name: &str, sent_ms: u64, response: &Value) {
         let Some(worker) = self.workers.get_mut(name) else {
             return;
         };
-        let token = reply["jeton"].as_u64().unwrap_or(0);
-        if token < worker.fencing_token || worker.released || worker.silent || worker.deaf {
+        let token = response["jeton"].as_u64().unwrap_or(0);
+        if token < worker.fencing_token
+            || worker.released
+            || worker.unresponsive
+            || worker.inbound_blocked
+        {
             return;
         }
         worker.fencing_token = token;
         worker.lease_renewed_ms = sent_ms;
-        self.execute(name, commands_of(reply));
+        self.execute(name, commands_of(response));
     }
 
-    /// Commands that a controller sends without waiting for a heartbeat; `None`: the
-    /// machine doesn't answer.
+    /// Executes commands that a controller sends without waiting for a heartbeat. Returns `None`
+    /// if the commands or the response don't reach their destination.
     pub(super) fn direct_command(
         &mut self,
         node: usize,
@@ -261,14 +289,14 @@
             return None;
         }
         let worker = self.workers.get_mut(name)?;
-        if worker.released || !worker.up || worker.silent || worker.deaf {
+        if worker.released || !worker.up || worker.unresponsive || worker.inbound_blocked {
             return None;
         }
         let token = body["jeton"].as_u64().unwrap_or(0);
         let is_stale = token < worker.fencing_token;
-        let other_session = body["quart"].as_u64() != Some(worker.session);
+        let is_other_session = body["quart"].as_u64() != Some(worker.session);
         worker.fencing_token = worker.fencing_token.max(token);
-        let status = if is_stale || other_session {
+        let status = if is_stale || is_other_session {
             409
         } else {
             self.execute(name, commands_of(&body));
@@ -278,7 +306,8 @@
         Some(Ok((status, heartbeat)))
     }
 
-    /// How many tasks whose names begin so are on machines.
+    /// Returns how many tasks with names that start with `prefix` are on machines and haven't
+    /// ended.
     pub fn on_machines(&self, prefix: &str) -> usize {
         self.workers
             .values()
--- a/tests/integration/traces.rs
+++ b/tests/integration/traces.rs
@@ -39,13 +39,13 @@
         "\"run-9\"",
         "{\"id\":\"run-../x\"}",
     ] {
-        let user = sim.ask_raw(0, "POST", "/v2/runs", body.into());
+        let user = sim.request_with_body(0, "POST", "/v2/runs", body.into());
         sim.run_for(50);
-        assert_eq!(sim.answer(user).0, 400, "{body}");
+        assert_eq!(sim.status_and_state(user).0, 400, "{body}");
     }
-    let user = sim.ask(0, "PUT", "/v2/runs", json!(null));
+    let user = sim.request(0, "PUT", "/v2/runs", json!(null));
     sim.run_for(50);
-    assert_eq!(sim.answer(user).0, 405);
+    assert_eq!(sim.status_and_state(user).0, 405);
 }
 
 #[test]
@@ -59,7 +59,7 @@
         _ => Delivery::Normal,
     });
     for worker in sim.workers.values_mut() {
-        worker.silent = true;
+        worker.unresponsive = true;
     }
     assert_eq!(sim.submit((leader + 1) % 3, &service("run-1", 2)), 201);
     assert!(sim.kv_store.items.contains_key("p/run-1/0"), "recorded");
@@ -67,7 +67,7 @@
     sim.kill(leader);
     sim.fault_injector = Box::new(|_, _, _| Delivery::Normal);
     for worker in sim.workers.values_mut() {
-        worker.silent = false;
+        worker.unresponsive = false;
     }
     sim.run_for(9000);
     assert_eq!(
@@ -158,10 +158,10 @@
         }
         Delivery::Normal
     });
-    let user = sim.ask(0, "POST", "/v2/runs", array("run-1", 3));
+    let user = sim.request(0, "POST", "/v2/runs", array("run-1", 3));
     sim.run_for(4000);
     assert!(
-        matches!(sim.answer(user).0, 200 | 201),
+        matches!(sim.status_and_state(user).0, 200 | 201),
         "reading shows that it was stored"
     );
     sim.run_for(10_000);
@@ -225,7 +225,7 @@
     assert_eq!(sim.submit(0, &more), 201);
     sim.cloud_unavailable = true;
     if let Some(worker) = sim.workers.get_mut("vm-a") {
-        worker.silent = true;
+        worker.unresponsive = true;
     }
     sim.run_for(60_000);
     assert_eq!(sim.on_machines("run-2"), 0, "silence frees nothing");
@@ -245,7 +245,7 @@
     assert_eq!(sim.submit(0, &service("run-1", 2)), 201);
     sim.run_for(2000);
     for worker in sim.workers.values_mut() {
-        worker.silent = true;
+        worker.unresponsive = true;
     }
     assert_eq!(sim.cancel(0, "run-1"), (200, "cancelled".into()));
     sim.run_for(29_000);
@@ -389,7 +389,7 @@
 #[test]
 fn a_machine_that_runs_far_too_slowly_is_left_and_returned() {
     let mut sim = running_cluster(1);
-    sim.workers.get_mut("vm-b").unwrap().slowness = 5;
+    sim.workers.get_mut("vm-b").unwrap().slowdown_factor = 5;
     assert_eq!(sim.submit(0, &array("run-1", 40)), 201);
     sim.run_for(60_000);
     assert_eq!(sim.poll(0, "run-1").1, "done");
--- a/tests/integration/version_compatibility.rs
+++ b/tests/integration/version_compatibility.rs
@@ -40,7 +40,7 @@
 /// Three controllers and machines with capacity for 400 small tasks.
 fn wide(next: Option<NextStateLimits>) -> Simulation {
     let mut sim = match next {
-        Some(next) => Simulation::announcing(3, next),
+        Some(next) => Simulation::with_announced_limits(3, next),
         None => Simulation::new(3),
     };
     for n in 0..4 {
@@ -216,7 +216,10 @@
         if kill_after.is_none() {
             assert_eq!(sim.kv_store.items["leader/term"].0["term"], term);
         }
-        assert!(sim.kv_store.too_large > 0, "the first refusal told it");
+        assert!(
+            sim.kv_store.oversized_transactions > 0,
+            "the first refusal told it"
+        );
     }
     assert!(half_cut > 2, "{half_cut} leaders ended within a cut");
 }
@@ -228,7 +231,7 @@
     for (offset, carried_out) in (0..300).step_by(25).flat_map(|n| [(n, true), (n, false)]) {
         let mut sim = wide(Some(announced()));
         sim.task_duration_ms = 9000;
-        let from = sim.now;
+        let from = sim.now_ms;
         sim.fault_injector = Box::new(move |at, _, call| {
             let places = call.body.windows(8).any(|b| b == b"p/run-1/");
             match call.path == "/txn" && places && at < from + 1500 {
@@ -237,7 +240,7 @@
                 false => Delivery::Normal,
             }
         });
-        sim.ask(0, "POST", "/v2/runs", many("run-1", 200));
+        sim.request(0, "POST", "/v2/runs", many("run-1", 200));
         sim.run_for(offset);
         sim.kv_store.limits = Some(LOWERED);
         sim.run_for(40_000);
@@ -254,11 +257,11 @@
     let mut sim = wide(Some(announced()));
     sim.task_duration_ms = 3000;
     for n in 0..7 {
-        sim.ask(n % 3, "POST", "/v2/runs", many(&format!("run-{n}"), 1));
+        sim.request(n % 3, "POST", "/v2/runs", many(&format!("run-{n}"), 1));
     }
     sim.run_for(1000);
     let term = sim.kv_store.items["leader/term"].0["term"].clone();
-    let until = sim.now + 3500;
+    let until = sim.now_ms + 3500;
     sim.fault_injector = Box::new(move |at, _, call| {
         let ends = call.body.windows(6).any(|b| b == b"f/run-");
         match call.path == "/txn" && ends && at < until {
@@ -282,7 +285,10 @@
     assert!(ended.count() > 3, "more changes than the lower limit takes");
     sim.kv_store.limits = Some(LOWERED);
     sim.run_for(20_000);
-    assert!(sim.kv_store.too_large > 0, "the repeat was refused");
+    assert!(
+        sim.kv_store.oversized_transactions > 0,
+        "the repeat was refused"
+    );
     for n in 0..7 {
         assert_eq!(sim.poll(1, &format!("run-{n}")).1, "done");
     }
@@ -309,7 +315,7 @@
     sim.kv_store.limits = Some(LOWERED);
     assert_eq!(sim.submit(0, &many("run-1", 200)), 201);
     sim.run_for(10_000);
-    let refused = sim.kv_store.too_large;
+    let refused = sim.kv_store.oversized_transactions;
     assert!(refused > 0);
     for all_end in [false, true] {
         let leader = sim.leader().unwrap();
@@ -318,12 +324,12 @@
         sim.run_for(6000);
         ends.iter().for_each(|n| sim.start(*n));
         sim.run_for(6000);
-        let id = format!("run-{}", sim.now);
+        let id = format!("run-{}", sim.now_ms);
         assert_eq!(sim.submit(0, &many(&id, 200)), 201);
         sim.run_for(30_000);
         assert_eq!(sim.poll(1, &id).1, "done");
     }
-    assert_eq!(sim.kv_store.too_large, refused);
+    assert_eq!(sim.kv_store.oversized_transactions, refused);
 }
 
 /// The announced limits become those of the settings, and processes start with them.
@@ -337,7 +343,7 @@
     let mut now = crate::simulation::settings("n-0", 3).site.state;
     now.value_kb = 2.0;
     now.txn_ops = 6;
-    sim.set_state_limits(now);
+    sim.set_kv_store_limits(now);
     (0..3).for_each(|n| {
         sim.kill(n);
         sim.start(n);
@@ -346,7 +352,7 @@
     // What was there is started again elsewhere, and nothing else.
     let lost = sim.workers["vm-0"].tasks.len();
     assert!(lost > 0);
-    sim.workers.get_mut("vm-0").unwrap().silent = true;
+    sim.workers.get_mut("vm-0").unwrap().unresponsive = true;
     sim.run_for(90_000);
     assert_eq!(sim.poll(0, "run-1").1, "done");
     let starts = sim.start_log.iter().filter(|l| l.contains(" run-1/"));
@@ -390,7 +396,7 @@
         let mut sim = Simulation::new(3);
         sim.add_machine("vm-a", "a", false, true);
         let spec = array("run-1", 2);
-        sim.observer.submitted(&spec);
+        sim.observer.record_submission(&spec);
         for (key, record) in [
             ("j/run-1", json!({"spec": spec, "t": 1_000_000})),
             (key, record.clone()),
@@ -422,7 +428,7 @@
     sim.run_for(100);
     assert_eq!(sim.kv_store.items["j/run-1"].1, version);
     let path = "/v2/runs/run-1/abort";
-    sim.ask(1, "POST", path, Value::Null);
+    sim.request(1, "POST", path, Value::Null);
     sim.run_for(10);
     let (record, ..) = &sim.kv_store.items["j/run-1"];
     assert_eq!(record["later"], json!({"kept": [1, 2]}));
@@ -532,8 +538,8 @@
     sim.run_for(10_000);
     assert!(sim.leader().is_some());
     assert!(
-        (1..=10).contains(&sim.kv_store.too_large),
+        (1..=10).contains(&sim.kv_store.oversized_transactions),
         "{}",
-        sim.kv_store.too_large
+        sim.kv_store.oversized_transactions
     );
 }
--- a/tests/integration/write_batching.rs
+++ b/tests/integration/write_batching.rs
@@ -28,11 +28,11 @@
         guest["cpus"] = 0.25.into();
         guest["gpus"] = 0.0.into();
         guest["memoryGb"] = 1.0.into();
-        sim.ask((leader + 1 + step % 2) % 3, "POST", "/v2/runs", guest);
+        sim.request((leader + 1 + step % 2) % 3, "POST", "/v2/runs", guest);
         sim.run_for(50);
         if step % 40 == 39 {
             let id = format!("run-s{step}");
-            let asked_ms = sim.now;
+            let asked_ms = sim.now_ms;
             assert_eq!(sim.submit(leader, &service(&id, 2)), 201);
             sim.run_for(2000);
             waits.push(started_at(&sim, &id).map(|at| at - asked_ms));
