--- a/benches/events.rs
+++ b/benches/events.rs
@@ -1,5 +1,6 @@
-//! What one event costs a leader of a full fleet: time, allocations and bytes.
-//! `cargo bench` prints them; only the counts are the same everywhere.
+//! Measures the time, the number of allocations and the allocated bytes of one event in a
+//! leader whose fleet is fully occupied. `cargo bench` prints the results. The counts are
+//! the same on every host; the times are not.
 
 #[path = "../tests/full_leader/mod.rs"]
 mod full_leader;
@@ -14,7 +15,7 @@
 #[global_allocator]
 static ALLOCATOR: AllocProfiler = AllocProfiler::system();
 
-/// Machines of the fleet; each runs eight tasks.
+/// Fleet sizes to measure. Each machine runs eight tasks.
 const MACHINES: [usize; 2] = [20, 150];
 
 fn main() {
@@ -29,20 +30,24 @@
     }
 }
 
-fn bench_requests(bencher: Bencher, machines: usize, mut next: impl FnMut(&mut Leader) -> Request) {
+fn bench_requests(
+    bencher: Bencher,
+    machines: usize,
+    mut next_request: impl FnMut(&mut Leader) -> Request,
+) {
     let leader = RefCell::new(Leader::new(machines));
     bencher
-        .with_inputs(|| next(&mut leader.borrow_mut()))
+        .with_inputs(|| next_request(&mut leader.borrow_mut()))
         .bench_local_values(|request| leader.borrow_mut().request(request));
 }
 
-/// A heartbeat with nothing new.
+/// Measures a heartbeat that reports no change.
 #[divan::bench(args = MACHINES)]
 fn heartbeat_unchanged(bencher: Bencher, machines: usize) {
     bench_requests(bencher, machines, Leader::next_heartbeat);
 }
 
-/// A heartbeat whose first task goes from fetching its image to running and back.
+/// Measures a heartbeat whose first task alternates between pulling its image and running.
 #[divan::bench(args = MACHINES)]
 fn heartbeat_changed(bencher: Bencher, machines: usize) {
     bench_requests(bencher, machines, |leader| {
@@ -56,19 +61,19 @@
     });
 }
 
-/// A health probe.
+/// Measures a health probe.
 #[divan::bench(args = MACHINES)]
 fn probe(bencher: Bencher, machines: usize) {
     bench_requests(bencher, machines, |_| get("/ready"));
 }
 
-/// A query, up to where it waits for the poll that answers it.
+/// Measures a job query up to the point at which it waits for the poll that answers it.
 #[divan::bench(args = MACHINES)]
 fn query(bencher: Bencher, machines: usize) {
     bench_requests(bencher, machines, |_| get("/v2/runs/run-s1"));
 }
 
-/// A submission, up to the call that stores it.
+/// Measures a submission up to the key-value store call that stores the job.
 #[divan::bench(args = MACHINES)]
 fn submission(bencher: Bencher, machines: usize) {
     let mut count = 0;
@@ -84,19 +89,20 @@
     });
 }
 
-/// A turn in which a full round is due: a heartbeat interval has passed.
+/// Measures a turn of the event loop in which a full scheduling round is due because a
+/// heartbeat interval has passed.
 #[divan::bench(args = MACHINES)]
 fn full_round(bencher: Bencher, machines: usize) {
     let mut leader = Leader::new(machines);
     bencher.bench_local(|| {
         leader.now.ms += 1000;
-        leader.now.wall += 1000;
+        leader.now.wall_ms += 1000;
         let (now, mut effects) = (leader.now, Vec::new());
         leader.node.tick(now, &mut effects);
     });
 }
 
-/// A turn in which nothing is due.
+/// Measures a turn of the event loop in which nothing is due.
 #[divan::bench(args = MACHINES)]
 fn idle_turn(bencher: Bencher, machines: usize) {
     let mut leader = Leader::new(machines);
--- a/common/src/faults.rs
+++ b/common/src/faults.rs
@@ -1,152 +1,161 @@
-//! Failure attribution: whether a failed task speaks against its machine or
-//! against its job.
+//! Failure attribution: decides whether a failed task is evidence of a faulty machine or
+//! of a faulty job.
 //!
-//! On a faulty machine the tasks of all jobs fail; a job that was submitted with
-//! a mistake fails on every machine. Each side keeps its own evidence: a machine
-//! its [`MachineFaults`], and a job its [`CircuitBreaker`].
+//! On a faulty machine the tasks of all jobs fail; a job that was submitted with a
+//! mistake fails on every machine. [`MachineFaults`] holds the evidence against a
+//! machine, and [`CircuitBreaker`] the evidence against a job.
 
 use crate::ids::{JobId, MachineId};
 use std::collections::BTreeSet;
 
-/// After so many failed tasks a machine is cordoned. Two tasks of one job are
-/// enough: on a faulty machine all of them fail.
+/// The number of failed tasks after which a machine is cordoned. Two tasks of one job
+/// are enough, because on a faulty machine all tasks of a job fail.
 const FAILURES_TO_CORDON: usize = 2;
 
-/// A job that has failed on so many machines, and none of whose tasks has
-/// succeeded, is at fault itself.
+/// The number of machines on which a job without a successful task must have failed
+/// before its circuit breaker opens.
 const FAILED_MACHINES_TO_OPEN: usize = 3;
 
-/// The pause before the first probe of an open breaker, as a share of the
-/// workers' heartbeat interval.
-const FIRST_PAUSE_HEARTBEATS: f64 = 0.5;
+/// The delay before the first probe of an open breaker, as a share of the workers'
+/// heartbeat interval.
+const FIRST_PROBE_DELAY_INTERVALS: f64 = 0.5;
 
-/// The pause doubles with every failed probe, so many times at most.
-const MAX_DOUBLINGS: u32 = 7;
+/// The probe delay doubles with every failed probe, at most this many times.
+const MAX_DELAY_DOUBLINGS: u32 = 7;
 
-/// The failed tasks that speak against a machine. A task that succeeds there
-/// clears them.
+/// The failed tasks that are evidence of a faulty machine. A task that succeeds on the
+/// machine clears the evidence.
 #[derive(Clone, Debug, Default)]
 pub struct MachineFaults {
-    /// The job of each task that failed here.
-    jobs: Vec<JobId>,
-    /// One of these jobs has succeeded elsewhere, so it isn't at fault itself.
-    confirmed: bool,
+    /// The job of each task that failed on the machine.
+    failed_jobs: Vec<JobId>,
+    /// Whether one of `failed_jobs` has succeeded elsewhere, which rules the job out as
+    /// the cause.
+    job_succeeded_elsewhere: bool,
 }
 
 impl MachineFaults {
-    /// A task of this job failed here, or ran far too slowly. `job_succeeds`:
-    /// other tasks of the job have succeeded.
-    pub fn add(&mut self, job: &JobId, job_succeeds: bool) {
-        self.jobs.push(job.clone());
-        self.confirmed |= job_succeeds;
+    /// Records that a task of the job failed on the machine or ran far too slowly.
+    /// `job_succeeds` states whether other tasks of the job have succeeded.
+    pub fn record_failure(&mut self, job: &JobId, job_succeeds: bool) {
+        self.failed_jobs.push(job.clone());
+        self.job_succeeded_elsewhere |= job_succeeds;
     }
 
-    /// A task succeeded here.
-    pub fn clear(&mut self) {
+    /// Clears the evidence because a task succeeded on the machine.
+    pub fn record_success(&mut self) {
         *self = MachineFaults::default();
     }
 
-    /// The job turned out to be at fault itself, or ended without success.
-    pub fn exonerate(&mut self, job: &JobId) {
-        self.jobs.retain(|failed| failed != job);
-        if self.jobs.is_empty() {
-            self.confirmed = false;
+    /// Discards the failures of a job that turned out to be faulty itself or that ended
+    /// without success.
+    pub fn discard_failures_of(&mut self, job: &JobId) {
+        self.failed_jobs.retain(|failed| failed != job);
+        if self.failed_jobs.is_empty() {
+            self.job_succeeded_elsewhere = false;
         }
     }
 
-    /// The job, which failed here, has succeeded elsewhere.
-    pub fn confirm(&mut self, job: &JobId) {
-        self.confirmed |= self.jobs.contains(job);
+    /// Records that a task of the job succeeded on another machine. Has no effect if the
+    /// job hasn't failed on this machine.
+    pub fn record_success_elsewhere(&mut self, job: &JobId) {
+        self.job_succeeded_elsewhere |= self.failed_jobs.contains(job);
     }
 
-    /// Whether the machine should be cordoned: it gets no new tasks.
+    /// Returns whether the machine should be cordoned, so that it gets no new tasks.
     pub fn is_suspect(&self) -> bool {
-        self.jobs.len() >= FAILURES_TO_CORDON
+        self.failed_jobs.len() >= FAILURES_TO_CORDON
     }
 
-    /// Whether the machine should be released: as far as one can tell, no single
-    /// job is at fault.
+    /// Returns whether the machine should be released: it is suspect, and no single job
+    /// explains the failures.
     pub fn is_faulty(&self) -> bool {
-        let several_jobs = self.jobs.iter().any(|job| *job != self.jobs[0]);
-        self.is_suspect() && (self.confirmed || several_jobs)
+        let several_jobs = self
+            .failed_jobs
+            .iter()
+            .any(|job| *job != self.failed_jobs[0]);
+        self.is_suspect() && (self.job_succeeded_elsewhere || several_jobs)
     }
 }
 
-/// A job's circuit breaker. While it is closed, the job's tasks are placed like
-/// any other's. Once the job has failed on several machines without a success, it
-/// opens: one task at a time probes whether the job can succeed, with growing
-/// pauses, and no machine is provisioned and no task preempted or migrated for
-/// the job. The first success closes it.
+/// A job's circuit breaker. While the breaker is closed, the job's tasks are placed
+/// normally. The breaker opens once the job has failed on several machines without a
+/// success. While it is open, one task at a time probes whether the job can succeed, with
+/// growing delays between probes, and no machine is provisioned and no task preempted or
+/// migrated for the job. The first success closes the breaker.
 #[derive(Clone, Debug, Default)]
 pub struct CircuitBreaker {
-    machines: BTreeSet<MachineId>,
+    failed_machines: BTreeSet<MachineId>,
     succeeded: bool,
-    /// The breaker was open under an earlier leader.
+    /// Whether the breaker was open in the state that an earlier leader stored.
     inherited_open: bool,
-    /// How many probes have failed in a row.
+    /// The number of consecutive failed probes.
     failed_probes: u32,
     retry_at_ms: u64,
 }
 
 impl CircuitBreaker {
-    /// A task failed on this machine. `last`: no other task of the job is on
-    /// any machine, so the next one is a probe.
+    /// Records that a task failed on the machine. `is_last` states that no other task of
+    /// the job is on any machine, so that the next one is a probe.
     pub fn record_failure(
         &mut self,
         now_ms: u64,
         machine: &MachineId,
-        last: bool,
-        heartbeat_ms: u64,
+        is_last: bool,
+        heartbeat_interval_ms: u64,
     ) {
-        self.machines.insert(machine.clone());
-        if !self.is_open() || !last {
+        self.failed_machines.insert(machine.clone());
+        if !self.is_open() || !is_last {
             return;
         }
-        let first_ms = (heartbeat_ms as f64 * FIRST_PAUSE_HEARTBEATS) as u64;
-        let pause_ms = first_ms << self.failed_probes.min(MAX_DOUBLINGS);
+        let first_delay_ms = (heartbeat_interval_ms as f64 * FIRST_PROBE_DELAY_INTERVALS) as u64;
+        let delay_ms = first_delay_ms << self.failed_probes.min(MAX_DELAY_DOUBLINGS);
         self.failed_probes += 1;
-        self.retry_at_ms = now_ms + pause_ms;
+        self.retry_at_ms = now_ms + delay_ms;
     }
 
-    /// A task succeeded. Returns whether it is the first.
+    /// Records a successful task and closes the breaker. Returns whether the task is the
+    /// first known success of the job.
     pub fn record_success(&mut self) -> bool {
         self.failed_probes = 0;
         self.inherited_open = false;
         !std::mem::replace(&mut self.succeeded, true)
     }
 
-    /// Whether any of the job's tasks is known to have succeeded.
+    /// Returns whether any of the job's tasks is known to have succeeded.
     pub fn has_succeeded(&self) -> bool {
         self.succeeded
     }
 
-    /// Whether the breaker is open: the job is taken to be at fault itself.
+    /// Returns whether the breaker is open, that is, whether the job is presumed faulty.
     pub fn is_open(&self) -> bool {
-        !self.succeeded && (self.inherited_open || self.machines.len() >= FAILED_MACHINES_TO_OPEN)
+        !self.succeeded
+            && (self.inherited_open || self.failed_machines.len() >= FAILED_MACHINES_TO_OPEN)
     }
 
-    /// No task of the job is placed before then.
-    pub fn defer_until(&mut self, at_ms: u64) {
-        self.retry_at_ms = self.retry_at_ms.max(at_ms);
+    /// Prevents tasks of the job from being placed before `until_ms`. An earlier call with
+    /// a later time stays in effect.
+    pub fn defer_until(&mut self, until_ms: u64) {
+        self.retry_at_ms = self.retry_at_ms.max(until_ms);
     }
 
-    /// Whether a task of the job may be placed now.
+    /// Returns whether a task of the job may be placed now.
     pub fn allows_attempt(&self, now_ms: u64) -> bool {
         now_ms >= self.retry_at_ms
     }
 
-    /// Whether a task of the job has failed on this machine.
+    /// Returns whether a task of the job has failed on the machine.
     pub fn failed_on(&self, machine: &MachineId) -> bool {
-        self.machines.contains(machine)
+        self.failed_machines.contains(machine)
     }
 
-    /// The machines on which a task of the job has failed.
-    pub fn machines(&self) -> impl Iterator<Item = &MachineId> {
-        self.machines.iter()
+    /// Returns the machines on which a task of the job has failed.
+    pub fn failed_machines(&self) -> impl Iterator<Item = &MachineId> {
+        self.failed_machines.iter()
     }
 
-    /// The state to be stored for the next leader: 0 for a closed breaker, and
-    /// otherwise one more than the number of failed probes.
+    /// Returns the value to store for the next leader: 0 for a closed breaker, otherwise
+    /// the number of failed probes plus 1.
     pub fn to_record(&self) -> u32 {
         if self.is_open() {
             self.failed_probes + 1
@@ -155,7 +164,7 @@
         }
     }
 
-    /// Restores what an earlier leader stored; see [`Self::to_record`].
+    /// Restores the state from a value of [`Self::to_record`] that an earlier leader stored.
     pub fn restore(&mut self, stored: u32) {
         if stored > 0 {
             self.inherited_open = true;
--- a/common/src/ids.rs
+++ b/common/src/ids.rs
@@ -1,12 +1,12 @@
-//! Newtypes for identifiers, so that the compiler tells an agent epoch from an
-//! attempt and a fencing token from a sequence number.
+//! Newtypes for identifiers. They prevent one kind of number, such as an agent epoch or a
+//! fencing token, from being passed as another, such as an attempt or a sequence number.
 
 use serde::de::Visitor;
 use serde::{Deserialize, Deserializer, Serialize};
 use std::fmt;
 use std::rc::Rc;
 
-macro_rules! name {
+macro_rules! string_id {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
         #[derive(Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Debug, Serialize, Deserialize)]
@@ -14,12 +14,12 @@
         pub struct $name(pub Rc<str>);
 
         impl $name {
-            /// From the name, as it goes over the wire.
+            /// Creates the identifier from its form in messages and records.
             pub fn new(name: &str) -> Self {
                 $name(Rc::from(name))
             }
 
-            /// The name, as it goes over the wire.
+            /// Returns the identifier in the form used in messages and records.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -33,16 +33,16 @@
     };
 }
 
-name!(
-    /// A job, named by its user.
+string_id!(
+    /// The identifier of a job, chosen by the user.
     JobId
 );
-name!(
-    /// A machine, named by the cloud.
+string_id!(
+    /// The identifier of a machine, assigned by the cloud.
     MachineId
 );
 
-macro_rules! number {
+macro_rules! numeric_id {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
         #[derive(
@@ -59,61 +59,63 @@
     };
 }
 
-number!(
-    /// An attempt to run a task; its number is never reused within a placement range
+numeric_id!(
+    /// The number of an attempt to run a task. It is never reused within a placement range
     /// of the job.
     Attempt
 );
-number!(
-    /// A worker's epoch; it rises when the worker's lease expires.
+numeric_id!(
+    /// A worker's agent epoch, which increases when the worker's lease expires.
     AgentEpoch
 );
-number!(
+numeric_id!(
     /// A revision of the key-value store.
     Revision
 );
-number!(
-    /// A leader's term; it rises with every election.
+numeric_id!(
+    /// A leader's term, which increases with every election.
     Term
 );
-number!(
-    /// A fencing token, which workers compare: (term, sequence) in one integer.
+numeric_id!(
+    /// A fencing token: a term and a sequence number packed into one integer, so that
+    /// workers can compare tokens.
     FencingToken
 );
 
-/// Bits of a token that hold the sequence within the term. Twenty leave the whole
-/// token exact even for a peer that reads numbers as doubles, for 2^33 terms.
+/// The number of bits of a fencing token that hold the sequence number within the term.
+/// With 20 bits, the token is exactly representable as a double for 2^33 terms, so that
+/// programs that parse numbers as doubles read it correctly.
 const SEQUENCE_BITS: u32 = 20;
 
 impl FencingToken {
-    /// The token of a term with this sequence number.
+    /// Creates a token from a term and a sequence number, of which the low 20 bits count.
     pub fn new(term: Term, sequence: u64) -> Self {
         FencingToken((term.0 << SEQUENCE_BITS) | (sequence & ((1 << SEQUENCE_BITS) - 1)))
     }
 
-    /// The term that it belongs to.
+    /// Returns the term of the leader that issued the token.
     pub fn term(self) -> Term {
         Term(self.0 >> SEQUENCE_BITS)
     }
 
-    /// The next token of the same term; `None` when the term's tokens are used up.
+    /// Returns the next token of the same term, or `None` if the term has no more tokens.
     pub fn next(self) -> Option<FencingToken> {
         let next = FencingToken(self.0 + 1);
         (next.term() == self.term()).then_some(next)
     }
 }
 
-/// A task of a job: `run-000412/3`.
+/// The identifier of a task, written as `JOB/INDEX`, for example `run-000412/3`.
 #[derive(Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Debug)]
 pub struct TaskRef {
-    /// Its job.
+    /// The job that the task belongs to.
     pub job: JobId,
-    /// Its index in the job.
+    /// The task's index within the job, starting at 0.
     pub index: u32,
 }
 
 impl TaskRef {
-    /// Reads `JOB/INDEX`; `None` for anything else.
+    /// Parses `JOB/INDEX`. Returns `None` if `name` doesn't have that form.
     pub fn parse(name: &str) -> Option<TaskRef> {
         let (job, index) = name.rsplit_once('/')?;
         Some(TaskRef {
@@ -122,7 +124,7 @@
         })
     }
 
-    /// Deserializes a task's name; one that no task can have is `None`.
+    /// Deserializes a task name. Returns `None` for a string that isn't a valid task name.
     pub fn deserialize_name<'de, D: Deserializer<'de>>(
         deserializer: D,
     ) -> Result<Option<TaskRef>, D::Error> {
--- a/common/src/lib.rs
+++ b/common/src/lib.rs
@@ -1,5 +1,5 @@
-//! What lilacfork's packages share and what depends on none of them: identifiers,
-//! time, resources, and the attribution of failures.
+//! Types shared by the lilacfork packages: identifiers, time, resources and failure
+//! attribution. This package depends on none of the others.
 
 #![warn(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
--- a/common/src/resources.rs
+++ b/common/src/resources.rs
@@ -1,36 +1,36 @@
-//! Resources: what a machine holds, or what a task requests.
+//! Amounts of CPU cores, GPUs and memory.
 
-/// Amounts that differ by less are equal: the rounding of decimals must not make a
-/// task too large for a machine.
+/// Amounts that differ by less than this are treated as equal, so that rounding errors
+/// don't make a task too large for a machine.
 const ROUNDING_TOLERANCE: f64 = 1e-6;
 
-/// What a machine holds, or what a task requests.
+/// The resources of a machine, or those requested by a task.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Resources {
-    /// Processor cores.
+    /// The number of CPU cores, which may be fractional.
     pub cpus: f64,
-    /// GPUs.
+    /// The number of GPUs, which may be fractional.
     pub gpus: f64,
-    /// Memory in GB.
+    /// Memory, in GB.
     pub memory_gb: f64,
 }
 
 impl Resources {
-    /// Whether a request fits in here.
+    /// Returns whether a request fits in these resources.
     pub fn covers(&self, request: &Resources) -> bool {
         request.cpus <= self.cpus + ROUNDING_TOLERANCE
             && request.gpus <= self.gpus + ROUNDING_TOLERANCE
             && request.memory_gb <= self.memory_gb + ROUNDING_TOLERANCE
     }
 
-    /// Adds to each amount.
+    /// Adds each amount of `other`.
     pub fn add(&mut self, other: &Resources) {
         self.cpus += other.cpus;
         self.gpus += other.gpus;
         self.memory_gb += other.memory_gb;
     }
 
-    /// So many times as much.
+    /// Returns these resources with each amount multiplied by `times`.
     pub fn scaled(&self, times: f64) -> Resources {
         Resources {
             cpus: self.cpus * times,
@@ -39,15 +39,15 @@
         }
     }
 
-    /// Subtracts from each amount.
+    /// Subtracts each amount of `other`. Amounts may become negative.
     pub fn subtract(&mut self, other: &Resources) {
         self.cpus -= other.cpus;
         self.gpus -= other.gpus;
         self.memory_gb -= other.memory_gb;
     }
 
-    /// How many times a request fits in here.
-    pub fn count_of(&self, request: &Resources) -> u32 {
+    /// Returns how many times a request fits in these resources.
+    pub fn fit_count(&self, request: &Resources) -> u32 {
         let ratio = |available: f64, requested: f64| {
             if requested > 0.0 {
                 (available + ROUNDING_TOLERANCE) / requested
@@ -61,8 +61,8 @@
         count.min(f64::from(u32::MAX)).max(0.0) as u32
     }
 
-    /// The share of `total` that this takes of the resource of which it takes the
-    /// largest share (dominant resource).
+    /// Returns the largest share that any of these amounts has of the same amount in
+    /// `total` (the share of the dominant resource).
     pub fn dominant_share(&self, total: &Resources) -> f64 {
         let share = |part: f64, total: f64| if total > 0.0 { part / total } else { 0.0 };
         share(self.cpus, total.cpus)
--- a/common/src/time.rs
+++ b/common/src/time.rs
@@ -1,11 +1,11 @@
-//! The time, which actors get with every message.
+//! The current time, which is passed to components with every event.
 
-/// Both clocks, read once per turn of the event loop.
+/// The readings of the monotonic and the wall clock, taken once per turn of the event loop.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Now {
-    /// Monotonic clock, in milliseconds.
+    /// The monotonic clock, in milliseconds.
     pub ms: u64,
-    /// Time of day, in milliseconds since 1970. Controllers' clocks differ by no
-    /// more than the bound in the settings.
-    pub wall: u64,
+    /// The wall clock, in milliseconds since the Unix epoch. The wall clocks of different
+    /// controllers differ by at most the bound in the settings.
+    pub wall_ms: u64,
 }
--- a/dependencies/src/graph.rs
+++ b/dependencies/src/graph.rs
@@ -1,17 +1,18 @@
-//! The graph of dependencies between the jobs that a leader holds.
+//! The dependency graph of the jobs that a leader manages.
 
 use lilacfork_common::ids::JobId;
 use std::collections::{BTreeSet, HashMap, HashSet};
 
-/// The open dependencies, which aren't known to be done, in both directions.
+/// The open dependencies between jobs, in both directions. A dependency is open until the
+/// job that it names is known to be done.
 #[derive(Clone, Default, Debug)]
 pub struct DependencyGraph {
-    open: HashMap<JobId, BTreeSet<JobId>>,
+    open_dependencies: HashMap<JobId, BTreeSet<JobId>>,
     dependents: HashMap<JobId, BTreeSet<JobId>>,
 }
 
 impl DependencyGraph {
-    /// Adds a job that depends on these.
+    /// Adds a job and its dependencies, all of which are open.
     pub fn add(&mut self, job: &JobId, dependencies: &[JobId]) {
         if dependencies.is_empty() {
             return;
@@ -20,32 +21,32 @@
             let dependents = self.dependents.entry(dependency.clone()).or_default();
             dependents.insert(job.clone());
         }
-        self.open
+        self.open_dependencies
             .insert(job.clone(), dependencies.iter().cloned().collect());
     }
 
-    /// Whether the job has an open dependency.
+    /// Returns whether the job has an open dependency.
     pub fn is_blocked(&self, job: &JobId) -> bool {
-        self.open.contains_key(job)
+        self.open_dependencies.contains_key(job)
     }
 
-    /// Whether any job waits for this one.
+    /// Returns whether any job has an open dependency on this one.
     pub fn has_dependents(&self, job: &JobId) -> bool {
         self.dependents.contains_key(job)
     }
 
-    /// The open dependencies of the job.
+    /// Returns the open dependencies of the job.
     pub fn open_dependencies_of(&self, job: &JobId) -> impl Iterator<Item = &JobId> {
-        self.open.get(job).into_iter().flatten()
+        self.open_dependencies.get(job).into_iter().flatten()
     }
 
-    /// The jobs that depend on this one directly.
+    /// Returns the jobs that directly depend on this one, as long as it isn't done.
     pub fn dependents_of(&self, job: &JobId) -> impl Iterator<Item = &JobId> {
         self.dependents.get(job).into_iter().flatten()
     }
 
-    /// The job is done, and stored as such. Returns the jobs for which it was the last
-    /// open dependency.
+    /// Marks a job as done, once that is stored. Returns the jobs for which the job was the
+    /// last open dependency.
     pub fn mark_done(&mut self, job: &JobId) -> Vec<JobId> {
         let dependents = self.dependents.remove(job).unwrap_or_default();
         dependents
@@ -54,22 +55,23 @@
             .collect()
     }
 
-    /// One dependency of a job is done. Returns whether it was the last open one.
+    /// Removes one open dependency of `dependent`. Returns whether it was the last one.
     fn remove_open_dependency(&mut self, dependent: &JobId, dependency: &JobId) -> bool {
-        let Some(open) = self.open.get_mut(dependent) else {
+        let Some(open) = self.open_dependencies.get_mut(dependent) else {
             return false;
         };
         open.remove(dependency);
         if open.is_empty() {
-            self.open.remove(dependent);
+            self.open_dependencies.remove(dependent);
             return true;
         }
         false
     }
 
-    /// The job is over, or all its dependencies are known to be done.
+    /// Removes all open dependencies of a job, either because the job is over or because
+    /// its dependencies are known to be done.
     pub fn remove_dependencies(&mut self, job: &JobId) {
-        for dependency in self.open.remove(job).unwrap_or_default() {
+        for dependency in self.open_dependencies.remove(job).unwrap_or_default() {
             if let Some(dependents) = self.dependents.get_mut(&dependency) {
                 dependents.remove(job);
                 if dependents.is_empty() {
@@ -79,7 +81,7 @@
         }
     }
 
-    /// All jobs that depend on this one, directly or through others, each once.
+    /// Returns all jobs that depend on this one, directly or through others, each once.
     pub fn transitive_dependents(&self, job: &JobId) -> Vec<JobId> {
         let mut seen: HashSet<&JobId> = HashSet::new();
         let mut found: Vec<JobId> = Vec::new();
--- a/dependencies/src/lib.rs
+++ b/dependencies/src/lib.rs
@@ -1,12 +1,12 @@
-//! Dependencies between jobs. A job starts once every job that it depends on is done,
-//! and is cancelled as soon as one of them is. Nothing here does I/O or knows the
-//! time.
+//! Dependencies between jobs. A job starts once every job that it depends on is done, and
+//! is cancelled as soon as one of them is cancelled. This package does no I/O and reads no
+//! clock.
 //!
-//! - [`validation`]: which dependencies a submission may name.
-//! - [`status`]: whether a job may start, by the records of its dependencies alone;
-//!   any controller can tell.
-//! - [`graph`]: the dependencies between the jobs that a leader holds.
-//! - [`propagation`]: how urgent a job is by its dependents.
+//! - [`validation`]: checks the dependencies that a submission names.
+//! - [`status`]: determines whether a job may start from the records of its dependencies
+//!   alone, which any controller can do.
+//! - [`graph`]: the dependency graph of the jobs that a leader manages.
+//! - [`propagation`]: derives a job's priority and deadlines from those of its dependents.
 
 #![warn(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
--- a/dependencies/src/propagation.rs
+++ b/dependencies/src/propagation.rs
@@ -1,42 +1,48 @@
-//! How urgent a job is by its dependents: a pipeline has one deadline, at its end, and
-//! every earlier job has to be done by then, less the time that the later jobs take.
+//! Propagation of priorities and deadlines from jobs to their dependencies. A pipeline has
+//! one deadline, which is that of its last job. Every earlier job has to be done by that
+//! deadline minus the run time of the later jobs.
 
-/// How important a job is, and by when it should be done. `P` is the scheduler's
-/// priority, of which the most important is the least.
+/// The priority and the deadlines of one job of a pipeline. `P` is the scheduler's priority
+/// type, in which a smaller value means more important.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct StageUrgency<P> {
-    /// Its priority.
+    /// The job's own priority or the most important one among its dependents.
     pub priority: P,
-    /// The times of day by which it should be done, in milliseconds, in order: if the
-    /// first can't be met any more, the next one still counts. Empty: none.
-    pub deadlines: Vec<u64>,
+    /// The wall-clock times by which the job should be done, in milliseconds, in ascending
+    /// order. If the first can't be met any more, the next one applies. Empty if the job
+    /// has no deadline.
+    pub deadlines_wall_ms: Vec<u64>,
 }
 
 impl<P: Ord + Copy> StageUrgency<P> {
-    /// How urgent a job is that has to be done before this one, which takes
-    /// `takes_ms`.
-    pub fn for_predecessor(&self, takes_ms: u64) -> StageUrgency<P> {
-        let deadlines = self.deadlines.iter();
+    /// Returns the urgency of a job that has to be done before this one, whose run time is
+    /// `run_time_ms`.
+    pub fn for_predecessor(&self, run_time_ms: u64) -> StageUrgency<P> {
+        let deadlines = self.deadlines_wall_ms.iter();
         StageUrgency {
             priority: self.priority,
-            deadlines: deadlines
-                .map(|deadline| deadline.saturating_sub(takes_ms))
+            deadlines_wall_ms: deadlines
+                .map(|deadline| deadline.saturating_sub(run_time_ms))
                 .collect(),
         }
     }
 
-    /// The more important priority of both, and the deadlines that come first.
+    /// Combines two urgencies: the more important priority, and the deadlines of whichever
+    /// has the earlier first deadline.
     pub fn merge(self, other: StageUrgency<P>) -> StageUrgency<P> {
-        let own_come_first = match (self.deadlines.first(), other.deadlines.first()) {
+        let own_come_first = match (
+            self.deadlines_wall_ms.first(),
+            other.deadlines_wall_ms.first(),
+        ) {
             (Some(own), Some(others)) => own <= others,
             (own, _) => own.is_some(),
         };
         StageUrgency {
             priority: self.priority.min(other.priority),
-            deadlines: if own_come_first {
-                self.deadlines
+            deadlines_wall_ms: if own_come_first {
+                self.deadlines_wall_ms
             } else {
-                other.deadlines
+                other.deadlines_wall_ms
             },
         }
     }
--- a/dependencies/src/status.rs
+++ b/dependencies/src/status.rs
@@ -1,39 +1,41 @@
-//! Whether a job may start, by its dependencies. It follows from records alone: those
-//! of unfinished jobs, which name their dependencies, and those of jobs that are over,
-//! which never change. So any controller can tell, whoever leads, and a job counts as
-//! cancelled from the moment at which the record of a dependency says so.
+//! Determines whether a job may start, given its dependencies. The result follows from
+//! records alone: those of unfinished jobs, which name their dependencies, and those of
+//! jobs that are over, which never change. Any controller can therefore determine it, and
+//! a job counts as cancelled as soon as the record of a dependency says that the
+//! dependency is cancelled.
 
 use lilacfork_common::ids::JobId;
 use std::collections::HashSet;
 
-/// What is known of a job by the records.
+/// The state of a dependency according to its records.
 #[derive(Clone, Copy, Debug)]
 pub enum DependencyState<'a> {
-    /// It is over, and done.
+    /// The job is over and is done.
     Done,
-    /// Its record says that it is cancelled, or it is over and was.
+    /// The job is being cancelled according to its record, or was cancelled and is over.
     Cancelled,
-    /// It is unfinished by its record; these are its dependencies.
+    /// The job is unfinished according to its record, which names these dependencies.
     Unfinished(&'a [JobId]),
-    /// It has no record as an unfinished job, and how it ended hasn't been read.
+    /// The job has no record as an unfinished job, and the record of its outcome hasn't
+    /// been read.
     Unknown,
 }
 
-/// Whether a job may start, by its dependencies.
+/// Whether a job may start, given its dependencies.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum DependencyStatus {
-    /// All of them are done.
+    /// All dependencies are done.
     Ready,
-    /// Some aren't done yet, none is cancelled.
+    /// Some dependencies aren't done yet, and none is cancelled.
     Waiting,
-    /// One of them is cancelled, directly or through others.
+    /// A direct or transitive dependency is cancelled.
     Cancelled,
-    /// It can't be told before it is read how these ended.
+    /// The status can't be determined before the outcomes of these jobs are read.
     Unknown(Vec<JobId>),
 }
 
-/// Works out the status of a job from its dependencies. Looks at each job at most
-/// once, and not beyond jobs that are over.
+/// Determines the status of a job from its dependencies. Visits each job at most once and
+/// doesn't follow the dependencies of jobs that are over.
 pub fn dependency_status<'a>(
     dependencies: &'a [JobId],
     state_of: impl Fn(&JobId) -> DependencyState<'a>,
--- a/dependencies/src/validation.rs
+++ b/dependencies/src/validation.rs
@@ -1,23 +1,23 @@
-//! Which dependencies a submission may name.
+//! Checks the dependencies that a submission names.
 
 use lilacfork_common::ids::JobId;
 use std::collections::HashSet;
 use thiserror::Error;
 
-/// What is wrong with the dependencies that a submission names.
+/// The reason for which the dependencies of a submission are rejected.
 #[derive(Clone, PartialEq, Eq, Debug, Error)]
 pub enum DependencyError {
-    /// A job can't depend on itself.
+    /// The submission names its own job as a dependency.
     #[error("a job can't need itself")]
     SelfDependency,
-    /// A job is named twice.
+    /// The submission names a job more than once.
     #[error("{0} is named twice")]
     Duplicate(JobId),
 }
 
-/// Checks the dependencies of a submission. That each is the name of a job that was
-/// accepted follows from the records alone and isn't checked here; since only accepted
-/// jobs may be named, and a job's dependencies never change, there can be no cycle.
+/// Checks the dependencies of a submission. The caller checks from the records that each
+/// dependency is an accepted job. Only accepted jobs may be named and a job's dependencies
+/// never change, so there can be no cycle.
 pub fn validate(own: &JobId, dependencies: &[JobId]) -> Result<(), DependencyError> {
     let mut seen = HashSet::new();
     for dependency in dependencies {
--- a/dependencies/tests/dependencies.rs
+++ b/dependencies/tests/dependencies.rs
@@ -1,5 +1,5 @@
-//! Validation, status, graph and urgency of dependencies, against plain reference
-//! implementations.
+//! Tests the validation, status, graph and urgency of dependencies against simple
+//! reference implementations.
 
 use lilacfork_common::ids::JobId;
 use lilacfork_dependencies::graph::DependencyGraph;
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn submissions_name_other_jobs_once_each() {
+fn validation_rejects_self_dependency_and_duplicates() {
     assert_eq!(validate(&id(0), &[]), Ok(()));
     assert_eq!(validate(&id(0), &[id(1), id(2)]), Ok(()));
     assert_eq!(
@@ -26,7 +26,8 @@
     assert_eq!(twice, Err(DependencyError::Duplicate(id(1))));
 }
 
-/// The state of a job in a generated pipeline.
+/// The state of a job in a generated pipeline. `Unread` means that the job is over and that
+/// its outcome hasn't been read.
 #[derive(Clone, Copy, PartialEq, Debug)]
 enum JobState {
     Done,
@@ -35,7 +36,7 @@
     Unread,
 }
 
-/// Jobs, each of which depends on some of those before it.
+/// Generates jobs, each of which depends on some of the preceding ones.
 fn pipelines() -> impl Strategy<Value = Vec<(JobState, Vec<JobId>)>> {
     let state = prop_oneof![
         Just(JobState::Done),
@@ -64,7 +65,8 @@
     })
 }
 
-/// All jobs that a job depends on, up to jobs that are over, by recursion.
+/// Returns all direct and transitive dependencies by recursion. Doesn't follow the
+/// dependencies of jobs that are over.
 fn transitive_dependencies(
     jobs: &BTreeMap<JobId, (JobState, Vec<JobId>)>,
     dependencies: &[JobId],
@@ -88,7 +90,7 @@
     })]
 
     #[test]
-    fn status_follows_from_transitive_dependencies(generated in pipelines()) {
+    fn status_matches_transitive_dependencies(generated in pipelines()) {
         let jobs: BTreeMap<JobId, _> =
             generated.iter().enumerate().map(|(n, job)| (id(n), job.clone())).collect();
         for (_, dependencies) in &generated {
@@ -125,10 +127,10 @@
         }
     }
 
-    /// Jobs are added, end and are removed in any order: the graph agrees with a list of
-    /// open dependencies.
+    /// Adds jobs, marks them as done and removes them in random order, and compares the
+    /// graph with a list of open dependencies after each step.
     #[test]
-    fn graph_agrees_with_a_list_of_open_dependencies(
+    fn graph_matches_list_of_open_dependencies(
         generated in pipelines(),
         steps in proptest::collection::vec((0..3, any::<prop::sample::Index>()), 0..60),
     ) {
@@ -175,7 +177,7 @@
                     all.insert(next.0.clone());
                 }
                 let reported = graph.transitive_dependents(&job);
-                prop_assert_eq!(reported.len(), all.len(), "each once");
+                prop_assert_eq!(reported.len(), all.len(), "a job is reported more than once");
                 prop_assert_eq!(reported.into_iter().collect::<BTreeSet<_>>(), all);
             }
         }
@@ -183,17 +185,17 @@
 }
 
 #[test]
-fn merged_urgency_has_the_first_deadlines() {
-    let urgency = |priority: u32, dates: &[u64]| StageUrgency {
+fn merged_urgency_has_most_important_priority_and_earliest_deadlines() {
+    let urgency = |priority: u32, deadlines: &[u64]| StageUrgency {
         priority,
-        deadlines: dates.to_vec(),
+        deadlines_wall_ms: deadlines.to_vec(),
     };
     let summary = urgency(1, &[1000, 1500]);
     assert_eq!(summary.for_predecessor(400), urgency(1, &[600, 1100]));
     assert_eq!(
-        summary.for_predecessor(1200).deadlines,
+        summary.for_predecessor(1200).deadlines_wall_ms,
         [0, 300],
-        "it is late already"
+        "a deadline that has passed becomes 0"
     );
     for (other, all) in [
         (urgency(3, &[]), urgency(1, &[1000, 1500])),
--- a/src/gateway/admission.rs
+++ b/src/gateway/admission.rs
@@ -87,7 +87,7 @@
 
     /// The transaction that accepts it.
     pub(super) fn accept(&self, now: Now) -> Txn {
-        let value = serde_json::to_value(self.record(now.wall)).unwrap_or_default();
+        let value = serde_json::to_value(self.record(now.wall_ms)).unwrap_or_default();
         self.compare_absent().put(job_key(&self.spec.id), value)
     }
 
@@ -97,7 +97,7 @@
             state: FinalState::Cancelled,
             tasks: self.spec.tasks,
             write_id: 0,
-            ended_at: now.wall,
+            ended_at: now.wall_ms,
         };
         let value = serde_json::to_value(record).unwrap_or_default();
         self.compare_absent().put(final_key(&self.spec.id), value)
--- a/src/gateway/writes.rs
+++ b/src/gateway/writes.rs
@@ -40,7 +40,7 @@
         let key = job_key(&request.id);
         let txn = Txn::default()
             .compare(key.clone(), job.mod_revision)
-            .put(key, job.cancelled(now.wall, self.guaranteed_value_bytes));
+            .put(key, job.cancelled(now.wall_ms, self.guaranteed_value_bytes));
         self.write(now, request, CallPriority::Cancel, &txn, effects);
     }
 
--- a/src/node/lease_proxy.rs
+++ b/src/node/lease_proxy.rs
@@ -76,7 +76,7 @@
         let obsolete = records.len()..previously_stored;
         let puts = records.into_iter().enumerate().map(|(number, machines)| {
             let record = LeaseProxyRecord {
-                at: now.wall,
+                at: now.wall_ms,
                 machines,
             };
             let value = serde_json::to_value(record).unwrap_or_default();
--- a/src/reactor/clock.rs
+++ b/src/reactor/clock.rs
@@ -27,7 +27,7 @@
     pub(super) fn at(&self, instant: Instant) -> Now {
         Now {
             ms: instant.duration_since(self.started).as_millis() as u64 + START_MS,
-            wall: SystemTime::now()
+            wall_ms: SystemTime::now()
                 .duration_since(UNIX_EPOCH)
                 .map_or(0, |since_epoch| since_epoch.as_millis() as u64),
         }
--- a/src/scheduler/dependencies/mod.rs
+++ b/src/scheduler/dependencies/mod.rs
@@ -107,7 +107,7 @@
         self.dependencies.graph.remove_dependencies(id);
         if let Some(job) = self.jobs.get_mut(id) {
             job.dependencies_open = false;
-            let waited_ms = now.wall.saturating_sub(job.submitted);
+            let waited_ms = now.wall_ms.saturating_sub(job.submitted);
             log::info!(
                 "job ready job={id} class={} waited_ms={waited_ms}",
                 job.spec.class
@@ -154,7 +154,7 @@
             return;
         }
         log::info!("job cancelled job={id} reason=\"a job that it depends on is cancelled\"");
-        job.cancelled = Some(now.wall);
+        job.cancelled = Some(now.wall_ms);
         self.commits.has_changes = true;
     }
 
@@ -172,13 +172,13 @@
         let is_stage = |job: &Job| has_dependents || !job.spec.dependencies.is_empty();
         let job = self.jobs.get(id).filter(|job| is_stage(job));
         if let Some(job) = job.filter(|_| state == FinalState::Done) {
-            let took_ms = now.wall.saturating_sub(job.ready_at);
+            let took_ms = now.wall_ms.saturating_sub(job.ready_at);
             self.estimates
                 .stage_took(&job.spec, took_ms as f64 / 1000.0);
         }
         self.dependencies.graph.remove_dependencies(id);
         self.propagate_urgency(open);
-        self.on_dependency_finished(now, id, state, now.wall);
+        self.on_dependency_finished(now, id, state, now.wall_ms);
     }
 
     /// Reads how dependencies ended that aren't held here.
--- a/src/scheduler/dependencies/propagation.rs
+++ b/src/scheduler/dependencies/propagation.rs
@@ -17,7 +17,7 @@
         let deadline = |multiple: &f64| Some(job.submitted + (deadline_ms? * multiple) as u64);
         let own = StageUrgency {
             priority: job.own_priority,
-            deadlines: multiples.iter().filter_map(deadline).collect(),
+            deadlines_wall_ms: multiples.iter().filter_map(deadline).collect(),
         };
         let urgency = match job.inherited_urgency.clone() {
             Some(inherited) => own.merge(inherited),
@@ -71,8 +71,8 @@
             return;
         };
         let takes_s = self.estimates.expected_stage_s(&job.spec) + self.slowest_boot_s();
-        let expected_end = now.wall + (takes_s * 1000.0) as u64;
-        let first_deadline = urgency.deadlines.first();
+        let expected_end = now.wall_ms + (takes_s * 1000.0) as u64;
+        let first_deadline = urgency.deadlines_wall_ms.first();
         let is_pressed = first_deadline.is_some_and(|deadline| *deadline < expected_end);
         if is_pressed && urgency.priority < job.spec.priority {
             let priority = urgency.priority;
--- a/src/scheduler/displacement/image_displacement.rs
+++ b/src/scheduler/displacement/image_displacement.rs
@@ -114,7 +114,7 @@
     ) -> Option<Slot> {
         let spec = &request.spec;
         self.settings.start_slo_ms(spec)?;
-        let slack_ms = request.deadline_wall_ms.saturating_sub(now.wall) as f64;
+        let slack_ms = request.deadline_wall_ms.saturating_sub(now.wall_ms) as f64;
         let pull_ms = self.nominal_pull_s(&self.capacity.get(cold)?.id, spec)? * 1000.0;
         let handover_ms = self.handover_s() * 1000.0;
         if slack_ms < handover_ms || pull_ms * MAX_PULL_FACTOR < slack_ms {
--- a/src/scheduler/displacement/migration.rs
+++ b/src/scheduler/displacement/migration.rs
@@ -106,7 +106,7 @@
         let settled = now.ms > running_since_ms + settled_ms;
         // A new leader doesn't know the start times of running tasks, only the time at
         // which the job was submitted.
-        let old = assignment.started_by_earlier_leader && now.wall > job.submitted + settled_ms;
+        let old = assignment.started_by_earlier_leader && now.wall_ms > job.submitted + settled_ms;
         job.shape.is_none()
             && assignment.stop.is_none()
             && (old || assignment.missed_start_slo || settled)
--- a/src/scheduler/displacement/preemption.rs
+++ b/src/scheduler/displacement/preemption.rs
@@ -171,7 +171,7 @@
             return None;
         }
         let pull_s = self.expected_pull_s(machine, &unplaced.spec)?;
-        let slack_s = (unplaced.deadline_wall_ms as f64 - now.wall as f64) / 1000.0;
+        let slack_s = (unplaced.deadline_wall_ms as f64 - now.wall_ms as f64) / 1000.0;
         let need = unplaced.spec.task_request();
         let mut free = machine.free_after_stops();
         let mut plan = PreemptionPlan {
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -233,7 +233,7 @@
         self.term = term;
         self.leader_key_revision = key_revision.0;
         self.elected_ms = now.ms;
-        self.estimates.restart_arrivals(now.wall);
+        self.estimates.restart_arrivals(now.wall_ms);
         log::info!("leader elected term={term}");
         self.list_records(now, effects);
         self.read_estimates(now, effects);
--- a/src/scheduler/provisioning/estimate_store.rs
+++ b/src/scheduler/provisioning/estimate_store.rs
@@ -65,7 +65,7 @@
                 return;
             }
         };
-        let age_ms = now.wall.saturating_sub(record.written_at);
+        let age_ms = now.wall_ms.saturating_sub(record.written_at);
         if age_ms > self.lease_ms() * MAX_AGE_LEASES {
             log::info!("estimates ignored key={ESTIMATES_KEY} reason=\"outdated\" age_ms={age_ms}");
             return;
@@ -86,7 +86,7 @@
         store.write_in_flight = true;
         store.samples_stored = samples;
         store.due_ms = now.ms + pause_ms;
-        let mut record = self.estimates.to_record(now.wall, MAX_VALUES);
+        let mut record = self.estimates.to_record(now.wall_ms, MAX_VALUES);
         truncate_to(&mut record, self.limits.value_bytes);
         let value = serde_json::to_value(record).unwrap_or_default();
         let txn = Txn::default()
--- a/src/scheduler/provisioning/offer_choice.rs
+++ b/src/scheduler/provisioning/offer_choice.rs
@@ -25,7 +25,7 @@
         crowd: &BTreeMap<Rc<str>, u32>,
     ) -> Option<ProvisioningOption> {
         let spec = &unplaced.spec;
-        let slack_ms = unplaced.deadline_wall_ms as i64 - now.wall as i64;
+        let slack_ms = unplaced.deadline_wall_ms as i64 - now.wall_ms as i64;
         // Among equals, the zone with the fewest machines, new ones included.
         let with_crowd = |option: &ProvisioningOption| ProvisioningOption {
             machines_in_zone: crowd.get(&option.offer.zone).copied().unwrap_or(0),
@@ -73,7 +73,7 @@
                     .expected_boot_s(&feasible.offer.machine_type, feasible.nominal_boot_s);
                 let tasks = feasible
                     .capacity
-                    .count_of(&request)
+                    .fit_count(&request)
                     .clamp(1, MAX_TASKS_PER_MACHINE);
                 ProvisioningOption {
                     latency_ms: ((boot_s + run_s) * 1000.0) as u64,
--- a/src/scheduler/replica_groups/migration.rs
+++ b/src/scheduler/replica_groups/migration.rs
@@ -79,7 +79,7 @@
         let job = self.jobs.get(&id.job)?;
         let bound = self.bound_parts(now, id);
         let generation = bound.first()?.binding.generation;
-        let mut request = PlacementRequest::new(job, now.wall);
+        let mut request = PlacementRequest::new(job, now.wall_ms);
         request.zones = job.zone_counts();
         for part in &bound {
             request.zones.remove(&job.assignments.get(&part.task)?.zone);
--- a/src/scheduler/replica_groups/mod.rs
+++ b/src/scheduler/replica_groups/mod.rs
@@ -121,13 +121,15 @@
         }
         let breaker = group.circuit_breaker();
         if breaker.is_open() {
-            for id in breaker.machines() {
+            for id in breaker.failed_machines() {
                 if let Some(machine) = self.fleet.get_mut(id) {
-                    machine.faults.exonerate(&task.job);
+                    machine.faults.discard_failures_of(&task.job);
                 }
             }
         } else if let Some(machine) = self.fleet.get_mut(machine) {
-            machine.faults.add(&task.job, breaker.has_succeeded());
+            machine
+                .faults
+                .record_failure(&task.job, breaker.has_succeeded());
         }
     }
 
--- a/src/scheduler/rounds/demand_forecast.rs
+++ b/src/scheduler/rounds/demand_forecast.rs
@@ -70,7 +70,7 @@
         let boot_s = self.slowest_boot_s();
         let rates: Vec<ArrivalRate> = self
             .estimates
-            .arrival_rates(now.wall)
+            .arrival_rates(now.wall_ms)
             .into_iter()
             .filter(|rate| self.settings.start_slo_ms(&rate.spec).is_some())
             .collect();
@@ -148,7 +148,7 @@
             // A reservation makes the machine fuller, so the machine remains the first
             // choice until no further task fits. All tasks that fit can be reserved at
             // once.
-            let fitting = machine.free().count_of(&need).clamp(1, remaining);
+            let fitting = machine.free().fit_count(&need).clamp(1, remaining);
             if !has_image {
                 let reservation = || ColdReservation {
                     spec: spec.clone(),
--- a/src/scheduler/rounds/machine_choice.rs
+++ b/src/scheduler/rounds/machine_choice.rs
@@ -73,7 +73,7 @@
         }
         // The task waits for capacity that is being freed on its target as long as its
         // deadline has not passed.
-        if now.wall < request.deadline_wall_ms
+        if now.wall_ms < request.deadline_wall_ms
             && target.free_after_stops().covers(&request.resources)
         {
             self.capacity.hold(slot, &request.resources);
--- a/src/scheduler/rounds/queue_order.rs
+++ b/src/scheduler/rounds/queue_order.rs
@@ -40,8 +40,10 @@
         let own = self.own_deadline_wall_ms(now, job);
         let run_ms = self.estimated_run_ms(&job.spec);
         let inherited = job.inherited_urgency.as_ref();
-        let mut deadlines = inherited.into_iter().flat_map(|urgency| &urgency.deadlines);
-        let attainable = deadlines.find(|deadline| now.wall + run_ms <= **deadline);
+        let mut deadlines = inherited
+            .into_iter()
+            .flat_map(|urgency| &urgency.deadlines_wall_ms);
+        let attainable = deadlines.find(|deadline| now.wall_ms + run_ms <= **deadline);
         attainable.map_or(own, |deadline| own.min(*deadline))
     }
 
@@ -80,7 +82,7 @@
         deadlines.sort_unstable();
         deadlines
             .into_iter()
-            .find(|deadline| now.wall + run_ms <= *deadline)
+            .find(|deadline| now.wall_ms + run_ms <= *deadline)
             .unwrap_or_else(|| after(LAST_DEADLINE_MULTIPLE))
     }
 
--- a/src/scheduler/rounds/round.rs
+++ b/src/scheduler/rounds/round.rs
@@ -168,7 +168,7 @@
     /// Queues the forecast demand. Its deadline is the time at which a machine ordered now
     /// would have booted.
     fn enqueue_forecast(&mut self, now: Now, round: &mut Round) {
-        let deadline_wall_ms = now.wall + (self.slowest_boot_s() * 1000.0) as u64;
+        let deadline_wall_ms = now.wall_ms + (self.slowest_boot_s() * 1000.0) as u64;
         for demand in &self.demand_forecast {
             let key = QueueKey {
                 priority: demand.spec.priority,
--- a/src/scheduler/state/commit_outcome.rs
+++ b/src/scheduler/state/commit_outcome.rs
@@ -153,7 +153,7 @@
             log::info!(
                 "job finished job={id} state={state:?} class={} after_ms={}",
                 job.spec.class,
-                now.wall.saturating_sub(job.submitted)
+                now.wall_ms.saturating_sub(job.submitted)
             );
         }
     }
--- a/src/scheduler/state/job_watch.rs
+++ b/src/scheduler/state/job_watch.rs
@@ -91,7 +91,7 @@
             // Stored jobs tell a new leader of arrivals, too.
             let arrived_at = match source {
                 JobRecordSource::InitialList => job.submitted,
-                JobRecordSource::Update => now.wall,
+                JobRecordSource::Update => now.wall_ms,
             };
             self.estimates.job_arrived(arrived_at, &job.spec);
         }
@@ -192,7 +192,7 @@
         let Some(job) = self.jobs.get_mut(id).filter(|job| job.cancelled.is_none()) else {
             return;
         };
-        job.cancelled = Some(now.wall);
+        job.cancelled = Some(now.wall_ms);
         // Its record has changed: it is read before anything of it is written.
         job.stale = true;
         self.enforce_cancel(now, id);
--- a/src/scheduler/state/transaction.rs
+++ b/src/scheduler/state/transaction.rs
@@ -115,7 +115,7 @@
             state,
             tasks: job.spec.tasks,
             write_id: self.write_id,
-            ended_at: now.wall,
+            ended_at: now.wall_ms,
         };
         let value = serde_json::to_value(record).unwrap_or_default();
         self.txn = std::mem::take(&mut self.txn)
--- a/src/scheduler/workers/failure_attribution.rs
+++ b/src/scheduler/workers/failure_attribution.rs
@@ -25,7 +25,7 @@
         }
         let job_succeeds = job.failures.has_succeeded();
         if let Some(machine) = self.fleet.get_mut(id) {
-            machine.faults.add(&task.job, job_succeeds);
+            machine.faults.record_failure(&task.job, job_succeeds);
             if machine.faults.is_suspect() {
                 log::info!("machine cordoned machine={id} reason=\"failed tasks\"");
             }
@@ -37,9 +37,9 @@
         let Some(job) = self.jobs.get(job_id) else {
             return;
         };
-        for id in job.failures.machines() {
+        for id in job.failures.failed_machines() {
             if let Some(machine) = self.fleet.get_mut(id) {
-                machine.faults.exonerate(job_id);
+                machine.faults.discard_failures_of(job_id);
             }
         }
     }
@@ -65,9 +65,9 @@
         if !job.failures.record_success() {
             return;
         }
-        for id in job.failures.machines() {
+        for id in job.failures.failed_machines() {
             if let Some(machine) = self.fleet.get_mut(id) {
-                machine.faults.confirm(job_id);
+                machine.faults.record_success_elsewhere(job_id);
             }
         }
     }
--- a/src/scheduler/workers/lease_proxies.rs
+++ b/src/scheduler/workers/lease_proxies.rs
@@ -76,7 +76,7 @@
     fn apply_lease_proxy_record(&mut self, now: Now, record: LeaseProxyRecord) {
         // The controllers' clocks differ a little. A record that is older than
         // a lease says nothing.
-        let age_ms = now.wall.saturating_sub(record.at);
+        let age_ms = now.wall_ms.saturating_sub(record.at);
         if age_ms > self.lease_ms() {
             return;
         }
--- a/src/scheduler/workers/reconciliation.rs
+++ b/src/scheduler/workers/reconciliation.rs
@@ -103,7 +103,7 @@
         };
         if phase != TaskPhase::PullingImage && assignment.running_since_ms.is_none() {
             assignment.running_since_ms = Some(now.ms);
-            let waited_ms = now.wall.saturating_sub(job.ready_at);
+            let waited_ms = now.wall_ms.saturating_sub(job.ready_at);
             assignment.missed_start_slo = self
                 .settings
                 .start_slo_ms(&job.spec)
--- a/src/scheduler/workers/task_exits.rs
+++ b/src/scheduler/workers/task_exits.rs
@@ -36,9 +36,9 @@
             machine.unassign(task, &job.task_request, now.ms);
             if slow {
                 log::info!("machine slow machine={id} task={task}");
-                machine.faults.add(&task.job, true);
+                machine.faults.record_failure(&task.job, true);
             } else if reason == ExitReason::Done {
-                machine.faults.clear();
+                machine.faults.record_success();
             }
         }
         self.pacing.requested = true;
--- a/tests/integration/cancellations.rs
+++ b/tests/integration/cancellations.rs
@@ -235,7 +235,7 @@
     use serde_json::json;
 
     fn at(ms: u64) -> Now {
-        Now { ms, wall: ms }
+        Now { ms, wall_ms: ms }
     }
 
     fn node(name: &str, incarnation: u64) -> Cancellations {
--- a/tests/integration/failure_attribution.rs
+++ b/tests/integration/failure_attribution.rs
@@ -15,24 +15,24 @@
 fn a_machine_is_faulty_by_two_jobs_or_by_one_that_succeeds_elsewhere() {
     let (one, other) = (JobId::new("run-1"), JobId::new("run-2"));
     let mut evidence = MachineFaults::default();
-    evidence.add(&one, false);
+    evidence.record_failure(&one, false);
     assert!(!evidence.is_suspect());
-    evidence.add(&one, false);
+    evidence.record_failure(&one, false);
     assert!(
         evidence.is_suspect() && !evidence.is_faulty(),
         "it may be the job"
     );
-    evidence.confirm(&other);
+    evidence.record_success_elsewhere(&other);
     assert!(!evidence.is_faulty(), "that job never failed here");
     let mut by_success = evidence.clone();
-    by_success.confirm(&one);
+    by_success.record_success_elsewhere(&one);
     assert!(by_success.is_faulty());
     let mut by_two = evidence.clone();
-    by_two.add(&other, false);
+    by_two.record_failure(&other, false);
     assert!(by_two.is_faulty());
-    by_two.exonerate(&one);
+    by_two.discard_failures_of(&one);
     assert!(!by_two.is_suspect());
-    by_success.clear();
+    by_success.record_success();
     assert!(!by_success.is_suspect());
 }
 
--- a/tests/integration/policy.rs
+++ b/tests/integration/policy.rs
@@ -127,7 +127,7 @@
         gpus: 2.0,
         memory_gb: 40.0,
     };
-    assert_eq!(whole.count_of(&need), 4);
+    assert_eq!(whole.fit_count(&need), 4);
     let mut free = whole;
     for _ in 0..4 {
         assert!(free.covers(&need));
@@ -213,7 +213,7 @@
 
 #[test]
 fn a_bucket_paces_and_lets_a_large_cost_through_when_full() {
-    let at = |ms| Now { ms, wall: 0 };
+    let at = |ms| Now { ms, wall_ms: 0 };
     let mut bucket = TokenBucket::new(10.0, 1.0);
     assert!((0..10).all(|_| bucket.take(at(1), 1.0)));
     assert!(!bucket.take(at(1), 1.0));
@@ -288,7 +288,7 @@
     for n in 0..1000 {
         let now = Now {
             ms: from_ms + n * 10,
-            wall: 0,
+            wall_ms: 0,
         };
         for _ in 0..2 {
             let (call, writes) = kv_client::txn(&Txn::default().delete("x"), 1000);
@@ -310,7 +310,7 @@
 /// minutes to store a burst of one-task jobs after its end.
 #[test]
 fn the_leader_takes_the_changes_that_others_leave() {
-    let at = |ms| Now { ms, wall: 0 };
+    let at = |ms| Now { ms, wall_ms: 0 };
     let mut store: KvClient<u32> = KvClient::new(200.0, 50.0);
     store.set_share(at(0), 0.6, 1.0);
     let share = changes_sent(&mut store, 0);
--- a/tests/integration/simulation/nodes.rs
+++ b/tests/integration/simulation/nodes.rs
@@ -60,7 +60,7 @@
     pub fn clock(&self) -> Now {
         Now {
             ms: self.now,
-            wall: WALL_OFFSET_MS + self.now,
+            wall_ms: WALL_OFFSET_MS + self.now,
         }
     }
 
