--- a/common/src/faults.rs
+++ b/common/src/faults.rs
@@ -95,7 +95,7 @@
 }
 
 impl CircuitBreaker {
-    /// Records that a task failed on the machine. `is_last` states that no other task of
+    /// Records that a task failed on `machine`. `is_last` states that no other task of
     /// the job is on any machine, so that the next one is a probe.
     pub fn record_failure(
         &mut self,
--- a/src/capacity_index/best_fit.rs
+++ b/src/capacity_index/best_fit.rs
@@ -1,6 +1,6 @@
-//! Best fit: the machine on which a task ranks best. The rank is that of [`FitScore`];
-//! the index is ordered by the part of it that is the same for all tasks, so that there
-//! is a lower bound of the rank for machines that haven't been examined yet.
+//! Best-fit search: finds the machine with the best rank for a task. The rank is computed
+//! by [`FitScore`]. The index is ordered by the part of the rank that is the same for all
+//! tasks, which gives a lower bound for the ranks of machines not yet examined.
 
 use super::levels::FreeLevels;
 use super::{CapacityIndex, MachineCapacity, OfferGroup, Slot};
@@ -9,34 +9,35 @@
 use crate::wire::users::{JobKind, JobSpec};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Ranks that differ by less are equal.
+/// Ranks that differ by less than this are treated as equal.
 const RANK_TOLERANCE: f64 = 1e-9;
-/// Added where a task of the same job has failed.
+/// Added to the rank of a machine on which a task of the same job has failed.
 const FAILED_BEFORE_PENALTY: f64 = 10.0;
 
-/// What one task of a job asks for.
+/// The requirements of one task of a job.
 #[derive(Clone, Copy)]
 pub struct TaskDemand<'a> {
-    /// The job.
+    /// The specification of the task's job.
     pub spec: &'a JobSpec,
-    /// The resources that the task takes.
+    /// The resources that the task requests.
     pub resources: &'a Resources,
-    /// The zones of the job's tasks.
+    /// The number of the job's tasks in each zone.
     pub zones: &'a ZoneCounts,
-    /// For a service: the number of its replicas on each machine.
+    /// The number of the job's replicas on each machine, for services only.
     pub siblings: &'a BTreeMap<MachineId, u32>,
-    /// Whether a task of the job has failed on a machine.
+    /// Returns whether a task of the job has failed on a machine.
     pub failed_on: &'a dyn Fn(&MachineId) -> bool,
-    /// Which machines are excluded.
+    /// Restrictions for a part of a replica that spans machines.
     pub constraint: SearchConstraint<'a>,
 }
 
-/// Which machines are excluded for a part of a replica that spans machines.
+/// Restricts the machines that a search returns for a part of a replica that spans
+/// machines.
 #[derive(Clone, Copy, Default, Debug)]
 pub struct SearchConstraint<'a> {
-    /// All but those in this zone.
+    /// The zone to search; `None` allows all zones.
     pub zone: Option<&'a str>,
-    /// Those of the replica's other parts.
+    /// The machines of the replica's other parts, which are not searched.
     pub excluded: &'a [Slot],
 }
 
@@ -51,16 +52,16 @@
         self.zones.allows(self.spec, zone) && self.constraint.allows_zone(zone)
     }
 
-    /// The penalty for replicas of the same service in a zone; tasks that end fill
-    /// machines up instead.
-    fn zone_crowding(&self, zone: &str) -> f64 {
+    /// Returns the penalty for replicas of the same service in a zone. It is 0 for tasks
+    /// that run to completion, which are packed onto few machines instead.
+    fn zone_penalty(&self, zone: &str) -> f64 {
         match self.spec.kind {
-            JobKind::Service => FitScore::zone_crowding(self.zones.count(zone)),
+            JobKind::Service => FitScore::zone_sibling_penalty(self.zones.count(zone)),
             _ => 0.0,
         }
     }
 
-    /// The rank of a machine; `None`: the task doesn't fit.
+    /// Returns the rank of a machine, or `None` if the task doesn't fit.
     fn rank(&self, machine: &MachineCapacity) -> Option<f64> {
         let free_share = share_left(machine.free(), self.resources, &machine.state.total)?;
         let fit = FitScore {
@@ -76,28 +77,29 @@
         } else {
             0.0
         };
-        Some(fit.rank() + failure_penalty + self.zone_crowding(&machine.state.offer.zone))
+        Some(fit.rank() + failure_penalty + self.zone_penalty(&machine.state.offer.zone))
     }
 }
 
-/// The best machine for a task.
+/// The result of a best-fit search.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub struct BestFit {
-    /// The machine.
+    /// The position of the best machine.
     pub slot: Slot,
-    /// Its rank; smaller is better.
+    /// The rank of the machine for the task; smaller is better.
     pub rank: f64,
 }
 
-/// A search among machines of one group that are alike in their images.
+/// A search among the machines of one group that are in the same state regarding the
+/// task's image.
 struct Search<'a> {
     demand: &'a TaskDemand<'a>,
     /// The total capacity of a machine of the group.
     total: Resources,
     /// The share of a machine that the task takes.
     need_share: f64,
-    /// The rank of a machine on which the task would leave nothing free: the lower
-    /// bound for all of them.
+    /// The rank of a machine on which the task would leave nothing free, which is a lower
+    /// bound for the ranks of all machines searched.
     base_rank: f64,
     best: Option<BestFit>,
 }
@@ -110,20 +112,20 @@
 }
 
 impl CapacityIndex {
-    /// The rank of a machine for a task; `None`: the task doesn't fit or isn't allowed
-    /// there.
+    /// Returns the rank of a machine for a task, or `None` if the task doesn't fit or isn't
+    /// allowed on the machine.
     pub fn rank(&self, slot: Slot, demand: &TaskDemand) -> Option<f64> {
         let machine = self.get(slot)?;
         let offer = &machine.state.offer;
         let allowed = machine.index_key.is_some()
-            && self.is_fresh(machine)
+            && self.has_recent_heartbeat(machine)
             && offer_allowed(demand.spec, offer)
             && demand.allows_zone(&offer.zone)
             && !demand.constraint.excluded.contains(&slot);
         allowed.then(|| demand.rank(machine)).flatten()
     }
 
-    /// The best machine for one more task of a job.
+    /// Returns the best machine for one more task of a job.
     pub fn best(&self, demand: &TaskDemand) -> Option<BestFit> {
         let mut best = None;
         for group in &self.groups {
@@ -135,7 +137,7 @@
         best
     }
 
-    /// The best machine of a group, or the best one so far.
+    /// Returns the best machine of the group, or `best` if none of them improves on it.
     fn best_of_group(
         &self,
         group: &OfferGroup,
@@ -143,7 +145,7 @@
         best: Option<BestFit>,
     ) -> Option<BestFit> {
         let image = &demand.spec.image;
-        let crowding = demand.zone_crowding(&group.offer.zone);
+        let zone_penalty = demand.zone_penalty(&group.offer.zone);
         let cached = FitScore {
             image_cached: true,
             image_pulling: false,
@@ -156,7 +158,7 @@
             demand,
             total: group.total,
             need_share: demand.resources.dominant_share(&group.total),
-            base_rank: cached.rank() + crowding,
+            base_rank: cached.rank() + zone_penalty,
             best,
         };
         if let Some(levels) = group.with_image.get(image) {
@@ -168,7 +170,7 @@
                 image_pulling: true,
                 ..cached
             };
-            search.base_rank = pulling.rank() + crowding;
+            search.base_rank = pulling.rank() + zone_penalty;
             self.search_levels(levels, &mut search);
         }
         for (pulls, levels) in &group.by_concurrent_pulls {
@@ -177,7 +179,7 @@
                 concurrent_pulls: *pulls,
                 ..cached
             };
-            search.base_rank = cold.rank() + crowding;
+            search.base_rank = cold.rank() + zone_penalty;
             if search.improves(search.base_rank) {
                 self.search_levels(levels, &mut search);
             }
@@ -208,8 +210,8 @@
         }
     }
 
-    /// Examines machines with the same free amounts, until one ranks as good as any of
-    /// them can.
+    /// Examines machines with the same free amounts. Stops as soon as a machine has the
+    /// best rank that any of them can have.
     fn search_equally_free(&self, slots: &BTreeSet<Slot>, min_rank: f64, search: &mut Search) {
         for slot in slots {
             if !search.improves(min_rank) {
@@ -219,7 +221,10 @@
             if search.demand.constraint.excluded.contains(slot) {
                 continue;
             }
-            let Some(machine) = self.get(*slot).filter(|machine| self.is_fresh(machine)) else {
+            let Some(machine) = self
+                .get(*slot)
+                .filter(|machine| self.has_recent_heartbeat(machine))
+            else {
                 continue;
             };
             let rank = search.demand.rank(machine);
@@ -230,7 +235,8 @@
     }
 }
 
-/// The share of a machine that a task leaves free; `None`: the task doesn't fit.
+/// Returns the share of a machine that a task leaves free, or `None` if the task doesn't
+/// fit.
 fn share_left(mut free: Resources, need: &Resources, total: &Resources) -> Option<f64> {
     if !free.covers(need) {
         return None;
--- a/src/capacity_index/entries.rs
+++ b/src/capacity_index/entries.rs
@@ -1,5 +1,5 @@
-//! The ordered entries of a machine: they are removed and inserted anew whenever it
-//! changes.
+//! Maintains the index entries of a machine. They are removed and inserted again whenever
+//! the machine changes.
 
 use super::levels::{FreeLevels, IndexKey, ShareKey};
 use super::{CapacityIndex, CapacityState, MachineCapacity, OccupiedKey, OfferGroup, Slot};
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 
 impl OfferGroup {
-    /// The group of machines like this one, with no machines yet.
+    /// Creates an empty group for machines with the offer and total capacity of `state`.
     pub(super) fn new(state: &CapacityState) -> OfferGroup {
         OfferGroup {
             offer: state.offer.clone(),
@@ -17,7 +17,7 @@
             by_concurrent_pulls: BTreeMap::new(),
             with_image: HashMap::new(),
             with_pulling_image: HashMap::new(),
-            stoppable: BTreeMap::new(),
+            preemptible: BTreeMap::new(),
         }
     }
 
@@ -36,7 +36,7 @@
             levels.insert(key, slot);
         }
         if let Some(priority) = machine.state.least_important {
-            self.stoppable.entry(priority).or_default().insert(slot);
+            self.preemptible.entry(priority).or_default().insert(slot);
         }
     }
 
@@ -56,7 +56,7 @@
             remove_image_entry(&mut self.with_pulling_image, image, key, slot);
         }
         if let Some(priority) = machine.state.least_important {
-            if let Some(slots) = self.stoppable.get_mut(&priority) {
+            if let Some(slots) = self.preemptible.get_mut(&priority) {
                 slots.remove(&slot);
             }
         }
@@ -78,13 +78,15 @@
 }
 
 impl CapacityIndex {
-    /// Inserts the entries of a machine, or files it as unschedulable.
+    /// Inserts the entries of a machine, or lists the machine as unschedulable.
     pub(super) fn insert_entry(&mut self, slot: Slot) {
-        let fresh = self.get(slot).is_some_and(|machine| self.is_fresh(machine));
+        let recent_heartbeat = self
+            .get(slot)
+            .is_some_and(|machine| self.has_recent_heartbeat(machine));
         let Some(machine) = self.slots[slot.0 as usize].as_mut() else {
             return;
         };
-        if !machine.state.schedulable || !fresh {
+        if !machine.state.schedulable || !recent_heartbeat {
             self.unschedulable.insert(slot);
             return;
         }
@@ -122,7 +124,7 @@
         }
     }
 
-    /// Changes a machine and inserts its entries anew.
+    /// Applies `change` to a machine and updates the machine's entries.
     pub(super) fn change(&mut self, slot: Slot, change: impl FnOnce(&mut MachineCapacity)) {
         self.remove_entry(slot);
         if let Some(machine) = self.get_mut(slot) {
--- a/src/capacity_index/first_fit.rs
+++ b/src/capacity_index/first_fit.rs
@@ -1,5 +1,5 @@
-//! First fit: the first machine, in order of what is free, that fits a task and is
-//! accepted by the caller; and the fullest one for forecast demand.
+//! First-fit search: finds the first machine, in order of free capacity, that fits a task
+//! and that the caller accepts. Also finds the fullest machine for forecast demand.
 
 use super::levels::{FreeAmounts, FreeLevels};
 use super::{CapacityIndex, MachineCapacity, OfferGroup, Slot};
@@ -10,13 +10,13 @@
 /// The fullest machine that fits a task.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct FullestMachine {
-    /// The machine.
+    /// The position of the machine.
     pub slot: Slot,
-    /// Whether it has the task's image.
+    /// Whether the machine has the task's image cached.
     pub has_image: bool,
 }
 
-/// The fullest machine so far.
+/// The fullest machine found so far in a search.
 #[derive(Clone, Copy)]
 struct Fullest {
     free_share: f64,
@@ -24,8 +24,8 @@
 }
 
 impl CapacityIndex {
-    /// The fullest machine for forecast demand: any that has the image before all that
-    /// don't. Nothing is reserved on spot instances.
+    /// Returns the fullest machine for forecast demand. Machines that have the image come
+    /// before all others. Spot instances are skipped, because nothing is reserved on them.
     pub fn fullest(&self, spec: &JobSpec, need: &Resources) -> Option<FullestMachine> {
         let on_demand_groups = || self.groups_allowed(spec).filter(|group| !group.offer.spot);
         let mut fullest = None;
@@ -73,7 +73,7 @@
                 if fullest.is_some_and(|fullest| free_share >= fullest.free_share) {
                     break;
                 }
-                if let Some(slot) = self.first_fresh(amounts, slots, need, &|_, _| true) {
+                if let Some(slot) = self.first_accepted(amounts, slots, need, &|_, _| true) {
                     *fullest = Some(Fullest { free_share, slot });
                     break;
                 }
@@ -81,7 +81,7 @@
         }
     }
 
-    /// The first machine that has the image, fits a task like this and is accepted.
+    /// Returns the first machine that has the job's image, fits `need` and is accepted.
     pub fn first_with_image(
         &self,
         spec: &JobSpec,
@@ -94,8 +94,8 @@
             .find_map(|(group, levels)| self.first_of(group, levels, need, &accept))
     }
 
-    /// For each group that the job allows, the first machine that fits a task like this
-    /// and is accepted, of those that are pulling the fewest images.
+    /// Returns, for each group that the job allows, the first machine that fits `need` and
+    /// is accepted, among those that are pulling the fewest images.
     pub fn first_of_each_group<'a>(
         &'a self,
         spec: &'a JobSpec,
@@ -112,7 +112,7 @@
             })
     }
 
-    /// The first machine of these levels that fits a task and is accepted.
+    /// Returns the first machine of these levels that fits `need` and is accepted.
     fn first_of(
         &self,
         group: &OfferGroup,
@@ -127,7 +127,7 @@
             }
             for (amounts, slots) in by_free {
                 self.examined.add(1);
-                let found = self.first_fresh(amounts, slots, need, accept);
+                let found = self.first_accepted(amounts, slots, need, accept);
                 if found.is_some() {
                     return found;
                 }
@@ -136,9 +136,9 @@
         None
     }
 
-    /// The first machine with these free amounts that is fresh, fits the task and is
-    /// accepted.
-    fn first_fresh(
+    /// Returns the first machine with these free amounts that fits `need`, has sent a recent
+    /// heartbeat and is accepted.
+    fn first_accepted(
         &self,
         amounts: &FreeAmounts,
         slots: &BTreeSet<Slot>,
@@ -151,7 +151,7 @@
         let is_accepted = |slot: &Slot| {
             self.examined.add(1);
             self.get(*slot)
-                .is_some_and(|machine| self.is_fresh(machine) && accept(*slot, machine))
+                .is_some_and(|machine| self.has_recent_heartbeat(machine) && accept(*slot, machine))
         };
         slots.iter().copied().find(is_accepted)
     }
--- a/src/capacity_index/invariants.rs
+++ b/src/capacity_index/invariants.rs
@@ -1,28 +1,29 @@
-//! The check that the index is consistent, for tests.
+//! Consistency checks of the index, for tests.
 
 use super::levels::{FreeLevels, IndexKey};
 use super::{CapacityIndex, CapacityIndexViolation, CapacityState, Slot};
 use crate::ids::MachineId;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What the index holds.
+/// The machines in the index.
 #[derive(Debug)]
 pub struct IndexContents<'a> {
-    /// The state of each machine that accepts tasks.
+    /// The state of each machine that is indexed as accepting tasks.
     pub schedulable: BTreeMap<MachineId, &'a CapacityState>,
-    /// The machines that accept none.
+    /// The machines that are indexed as not accepting tasks.
     pub unschedulable: BTreeSet<MachineId>,
 }
 
 impl IndexContents<'_> {
-    /// All machines.
+    /// Returns the identifiers of all machines in the index.
     pub fn ids(&self) -> impl Iterator<Item = &MachineId> {
         self.schedulable.keys().chain(&self.unschedulable)
     }
 }
 
 impl CapacityIndex {
-    /// What the index holds, for tests that recompute everything.
+    /// Returns the machines in the index, for tests that compare them with a full
+    /// recomputation.
     pub fn contents(&self) -> IndexContents<'_> {
         let mut contents = IndexContents {
             schedulable: BTreeMap::new(),
@@ -39,8 +40,8 @@
         contents
     }
 
-    /// Whether every machine has its entries where they belong, and nowhere else; the
-    /// error names one that doesn't. For tests.
+    /// Checks that every machine has exactly the entries that follow from its state. The
+    /// error names a machine that doesn't, or the wrong numbers of entries. For tests.
     pub fn check_invariants(&self) -> Result<(), CapacityIndexViolation> {
         let (mut machines, mut images, mut pulling_images) = (0, 0, 0);
         for (number, machine) in self.slots.iter().enumerate() {
--- a/src/capacity_index/levels.rs
+++ b/src/capacity_index/levels.rs
@@ -1,22 +1,22 @@
-//! Machines ordered by what they have free, so that a search begins with the fullest
-//! ones that could fit a task and ends as soon as nothing better can come.
+//! Orders machines by their free capacity, so that a search begins with the fullest
+//! machines that could fit a task and ends as soon as no better machine can follow.
 //!
 //! Each free amount is rounded down to a step of the machine's total. Machines with the
-//! same three steps share a [`FreeLevel`]; within a level, those with the same amounts
-//! share [`FreeAmounts`]. As tasks come in few sizes, so do free amounts, and examining
-//! these once covers all their machines.
+//! same three steps share a [`FreeLevel`]. Within a level, machines with the same amounts
+//! share a [`FreeAmounts`]. Tasks come in few sizes, so there are few distinct free
+//! amounts, and examining an amount once covers all machines that have it.
 
 use super::Slot;
 use crate::placement::Resources;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Steps between nothing free and everything free.
+/// The number of steps between nothing free and everything free.
 const STEPS: f64 = 16.0;
-/// Sums of decimals may be a little below what they stand for.
+/// Compensates for sums of decimals that are slightly too small because of rounding.
 const ROUNDING_TOLERANCE: f64 = 1e-6;
-/// Amounts are compared as integers of this fraction, so that sums of decimals that
-/// should be equal are.
-const MILLIONTHS: f64 = 1e6;
+/// Amounts are compared as integer multiples of 1/1,000,000, so that rounding errors don't
+/// make equal sums differ.
+const FIXED_POINT_SCALE: f64 = 1e6;
 
 /// Free amounts, in steps of the machine's total, rounded down.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
@@ -26,7 +26,7 @@
     memory: u8,
 }
 
-/// One resource of a level, and the task's share of the machine's total.
+/// The free steps of one resource, and the share of that resource that a task requests.
 struct LevelDemand {
     steps: f64,
     need_share: f64,
@@ -47,8 +47,8 @@
     }
 }
 
-fn millionths(amount: f64) -> u64 {
-    (amount.max(0.0) * MILLIONTHS).round() as u64
+fn to_fixed_point(amount: f64) -> u64 {
+    (amount.max(0.0) * FIXED_POINT_SCALE).round() as u64
 }
 
 impl FreeLevel {
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Each resource with the task's share of it.
+    /// Returns the free steps and the requested share of each resource.
     fn demands(&self, need: &Resources, total: &Resources) -> [LevelDemand; 3] {
         let demand = |steps: u8, need: f64, total: f64| LevelDemand {
             steps: f64::from(steps),
@@ -73,21 +73,22 @@
         ]
     }
 
-    /// Whether a machine of this level could fit the task at all.
+    /// Returns whether a machine of this level may fit the task. `false` rules out all of
+    /// them.
     pub(super) fn may_fit(&self, need: &Resources, total: &Resources) -> bool {
         self.demands(need, total)
             .iter()
             .all(|demand| demand.need_share <= (demand.steps + 1.0) / STEPS + ROUNDING_TOLERANCE)
     }
 
-    /// The minimum share of the GPUs that the task leaves free on machines of this level
-    /// and of all that come after it: levels are ordered by GPUs first.
+    /// Returns the minimum share of the GPUs that the task leaves free on machines of this
+    /// level and of all later levels. Levels are ordered by GPUs first.
     pub(super) fn min_gpus_left(&self, need: &Resources, total: &Resources) -> f64 {
         f64::from(self.gpus) / STEPS - share(need.gpus, total.gpus)
     }
 
-    /// The minimum share of a machine of this level that the task leaves free, by the
-    /// scarcest resource.
+    /// Returns the minimum share that the task leaves free on a machine of this level, of
+    /// the resource with the largest free share.
     pub(super) fn min_share_left(&self, need: &Resources, total: &Resources) -> f64 {
         self.demands(need, total)
             .iter()
@@ -96,8 +97,8 @@
     }
 }
 
-/// The free amounts of machines, ordered by the share of the machine that they make up,
-/// by the scarcest resource.
+/// The free amounts of a machine as fixed-point numbers, ordered by the largest free share
+/// of any resource.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub(super) struct FreeAmounts {
     share: u64,
@@ -109,25 +110,25 @@
 impl FreeAmounts {
     fn of(free: &Resources, total: &Resources) -> FreeAmounts {
         FreeAmounts {
-            share: millionths(free.dominant_share(total)),
-            gpus: millionths(free.gpus),
-            cpus: millionths(free.cpus),
-            memory: millionths(free.memory_gb),
+            share: to_fixed_point(free.dominant_share(total)),
+            gpus: to_fixed_point(free.gpus),
+            cpus: to_fixed_point(free.cpus),
+            memory: to_fixed_point(free.memory_gb),
         }
     }
 
-    /// What is free.
+    /// Returns the free amounts as resources.
     pub(super) fn free(&self) -> Resources {
         Resources {
-            cpus: self.cpus as f64 / MILLIONTHS,
-            gpus: self.gpus as f64 / MILLIONTHS,
-            memory_gb: self.memory as f64 / MILLIONTHS,
+            cpus: self.cpus as f64 / FIXED_POINT_SCALE,
+            gpus: self.gpus as f64 / FIXED_POINT_SCALE,
+            memory_gb: self.memory as f64 / FIXED_POINT_SCALE,
         }
     }
 
-    /// The share of the machine that is free.
+    /// Returns the largest free share of any resource of the machine.
     pub(super) fn share(&self) -> f64 {
-        self.share as f64 / MILLIONTHS
+        self.share as f64 / FIXED_POINT_SCALE
     }
 }
 
@@ -147,10 +148,10 @@
     }
 }
 
-/// Machines of one level, by their free amounts.
+/// The machines of one level, by free amounts.
 type SlotsByFree = BTreeMap<FreeAmounts, BTreeSet<Slot>>;
 
-/// Machines of one kind, by level and then by their free amounts.
+/// A set of machines with the same total capacity, by level and then by free amounts.
 #[derive(Debug, Default)]
 pub(super) struct FreeLevels {
     levels: BTreeMap<FreeLevel, SlotsByFree>,
@@ -188,7 +189,7 @@
             .is_some_and(|slots| slots.contains(&slot))
     }
 
-    /// The number of machines.
+    /// Returns the number of machines.
     pub(super) fn len(&self) -> usize {
         self.levels
             .values()
@@ -197,8 +198,8 @@
             .sum()
     }
 
-    /// The levels with enough GPUs for the task, those with the fewest free GPUs first,
-    /// each with its machines by their free amounts, the smallest first.
+    /// Returns the levels that may have enough GPUs for the task, in ascending order of free
+    /// GPUs. Each comes with its machines in ascending order of free amounts.
     pub(super) fn for_task(
         &self,
         need: &Resources,
@@ -213,7 +214,7 @@
         self.levels.range(lowest..)
     }
 
-    /// All machines, roughly the fullest first.
+    /// Returns all machines, approximately in descending order of use.
     pub(super) fn slots(&self) -> impl Iterator<Item = Slot> + '_ {
         self.levels
             .values()
@@ -223,13 +224,13 @@
     }
 }
 
-/// A share of a machine that can be ordered: it is never below 0 and always a number.
+/// A share of a machine as a sort key. Negative shares are raised to 0.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub(super) struct ShareKey(u64);
 
 impl ShareKey {
     pub(super) fn new(share: f64) -> ShareKey {
-        // The bits of numbers from 0 up are ordered as the numbers are.
+        // Non-negative floating-point numbers have the same order as their bit patterns.
         ShareKey(share.max(0.0).to_bits())
     }
 }
--- a/src/capacity_index/listing.rs
+++ b/src/capacity_index/listing.rs
@@ -1,4 +1,4 @@
-//! Lists of machines by what they have or run.
+//! Lists of machines by their reservations, tasks and images.
 
 use super::levels::ShareKey;
 use super::{CapacityIndex, MachineCapacity, OccupiedKey, OfferGroup, Slot};
@@ -14,33 +14,34 @@
 pub struct OccupiedCursor {
     /// The share of the machine that assigned tasks use.
     pub used_share: f64,
-    /// The machine.
+    /// The position of the machine.
     pub slot: Slot,
 }
 
 impl CapacityIndex {
-    /// The machines on which something is expected or to which something migrates.
-    pub fn reserved_machines(&self) -> impl Iterator<Item = &MachineId> {
-        self.held
+    /// Returns the machines that must be neither compacted nor released in the current
+    /// round, because of a reservation for forecast demand or for an incoming task.
+    pub fn retained_machines(&self) -> impl Iterator<Item = &MachineId> {
+        self.with_reservations
             .iter()
             .filter_map(|slot| self.get(*slot))
-            .filter(|machine| machine.reserved)
+            .filter(|machine| machine.retained)
             .map(|machine| &machine.id)
     }
 
-    /// Machines of which something is reserved for forecast demand.
+    /// Returns the machines with reservations for forecast demand.
     pub fn with_forecast_reservation(&self) -> impl Iterator<Item = (Slot, &MachineCapacity)> {
-        self.accepting_tasks(self.held.iter().copied())
+        self.accepting_tasks(self.with_reservations.iter().copied())
             .filter(|(_, machine)| machine.forecast_reserved != Resources::default())
     }
 
-    /// Machines on which tasks are being stopped.
-    pub fn stopping_tasks(&self) -> impl Iterator<Item = (Slot, &MachineCapacity)> {
+    /// Returns the machines on which tasks are being stopped.
+    pub fn with_stopping_tasks(&self) -> impl Iterator<Item = (Slot, &MachineCapacity)> {
         self.accepting_tasks(self.freeing.iter().copied())
     }
 
-    /// Machines that accept tasks and have some, the least used first, from the one
-    /// after `after` on.
+    /// Returns the machines that accept tasks and have some, the least used first. The list
+    /// starts after the position `after`, or at the beginning for `None`.
     pub fn occupied(
         &self,
         after: Option<OccupiedCursor>,
@@ -59,14 +60,15 @@
             })
     }
 
-    /// The machines that accept no tasks: booting, silent, faulty or leaving.
+    /// Returns the machines that accept no tasks because they are booting, send no
+    /// heartbeats, are cordoned, are draining or are being released.
     pub fn unschedulable(&self) -> impl Iterator<Item = &MachineId> {
         self.unschedulable
             .iter()
             .filter_map(|slot| Some(&self.get(*slot)?.id))
     }
 
-    /// The number of known machines in each zone.
+    /// Returns the number of known machines in each zone, schedulable or not.
     pub fn machines_by_zone(&self) -> BTreeMap<Rc<str>, u32> {
         let mut zones = BTreeMap::new();
         for group in &self.groups {
@@ -75,7 +77,8 @@
         zones
     }
 
-    /// Machines that have the image, at most `limit` of each group that the job allows.
+    /// Returns machines that have the job's image, at most `limit` of each group that the
+    /// job allows.
     pub fn with_image<'a>(
         &'a self,
         spec: &'a JobSpec,
@@ -89,16 +92,16 @@
         self.accepting_tasks(slots)
     }
 
-    /// Machines that run something less important, at most `limit` of each group that
-    /// the job allows.
-    pub fn stoppable<'a>(
+    /// Returns machines that run a task of lower priority than the job, at most `limit` of
+    /// each group that the job allows.
+    pub fn with_preemptible_tasks<'a>(
         &'a self,
         spec: &'a JobSpec,
         limit: usize,
     ) -> impl Iterator<Item = (Slot, &'a MachineCapacity)> {
         let slots = self.groups_allowed(spec).flat_map(move |group| {
             group
-                .stoppable
+                .preemptible
                 .iter()
                 .rev()
                 .take_while(|(priority, _)| **priority > spec.priority)
@@ -109,7 +112,7 @@
         self.accepting_tasks(slots)
     }
 
-    /// All machines that fit a task like this now.
+    /// Returns all machines that have enough free capacity for a task of the job now.
     pub fn fitting<'a>(
         &'a self,
         spec: &'a JobSpec,
@@ -129,7 +132,7 @@
             .filter(|(_, machine)| machine.free().covers(need))
     }
 
-    /// The groups whose type and purchase option the job allows.
+    /// Returns the groups whose machine type and purchase option the job allows.
     pub(super) fn groups_allowed<'a>(
         &'a self,
         spec: &'a JobSpec,
@@ -139,7 +142,7 @@
             .filter(|group| offer_allowed(spec, &group.offer))
     }
 
-    /// The groups that the job allows, given the zones of its tasks.
+    /// Returns the groups that the job allows, given the zones of its tasks.
     pub(super) fn groups_allowed_in<'a>(
         &'a self,
         spec: &'a JobSpec,
@@ -149,7 +152,8 @@
             .filter(|group| zones.allows(spec, &group.offer.zone))
     }
 
-    /// Those of these machines that accept tasks. Each of them counts as examined.
+    /// Filters out machines that accept no tasks. Every machine in `slots` counts as
+    /// examined.
     fn accepting_tasks<'a>(
         &'a self,
         slots: impl Iterator<Item = Slot> + 'a,
@@ -157,7 +161,7 @@
         slots.filter_map(|slot| {
             self.examined.add(1);
             let machine = self.get(slot)?;
-            let accepts = machine.index_key.is_some() && self.is_fresh(machine);
+            let accepts = machine.index_key.is_some() && self.has_recent_heartbeat(machine);
             accepts.then_some((slot, machine))
         })
     }
--- a/src/capacity_index/mod.rs
+++ b/src/capacity_index/mod.rs
@@ -1,11 +1,11 @@
-//! The capacity index: what each machine has free, kept in order as it changes.
+//! The capacity index: the free capacity of each machine, in sorted order.
 //!
 //! The scheduler updates the [`CapacityIndex`] for each machine that has changed, and
-//! searches it for the machine on which a task fits best. A search examines candidates
-//! by machine type, zone, purchase option, image and free amount; its cost depends on
-//! the number of kinds of machines and of free amounts, and not on the number of
-//! machines. What the round under way holds for tasks is kept on top of a machine's
-//! state, until the next round begins.
+//! searches it for the machine on which a task fits best. A search examines candidates by
+//! machine type, zone, purchase option, image and free amount. Its cost depends on the
+//! number of distinct machine configurations and free amounts, and not on the number of
+//! machines. The reservations of the current scheduling round are kept separately from a
+//! machine's state and are dropped when the next round begins.
 
 mod best_fit;
 mod entries;
@@ -31,90 +31,94 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::rc::Rc;
 
-/// The position of a machine in the index, as long as the machine is known.
+/// The position of a machine in the index. It is valid until the machine is removed.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Debug)]
 pub struct Slot(u32);
 
-/// The state of a machine as of its last change.
+/// The state of a machine on which the scheduler's choices depend, as of the machine's
+/// last change.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CapacityState {
-    /// Its type, zone and purchase option.
+    /// The machine's type, zone and purchase option.
     pub offer: Offer,
-    /// Its total capacity.
+    /// The machine's total capacity.
     pub total: Resources,
-    /// What assigned tasks leave free.
+    /// The capacity that isn't allocated to assigned tasks.
     pub unassigned: Resources,
-    /// What tasks that are being stopped will free.
+    /// The capacity that tasks that are being stopped will free.
     pub freeing: Resources,
-    /// Whether it accepts tasks, as long as its worker sends heartbeats.
+    /// Whether the machine accepts tasks, provided that its worker sends heartbeats.
     pub schedulable: bool,
-    /// Whether it has tasks.
+    /// Whether any tasks are assigned to the machine.
     pub occupied: bool,
-    /// The priority of the least important of its tasks that aren't being stopped.
+    /// The priority of the least important task that isn't being stopped; `None` if there is
+    /// no such task.
     pub least_important: Option<Priority>,
-    /// Images that it has.
+    /// The images in the machine's cache.
     pub images: Vec<Rc<str>>,
-    /// Images that it is pulling.
+    /// The images that the machine is pulling.
     pub pulling_images: Vec<Rc<str>>,
 }
 
-/// A machine, and what the round under way holds of it.
+/// A machine and its reservations in the current round.
 #[derive(Debug)]
 pub struct MachineCapacity {
-    /// Its identifier.
+    /// The identifier that the cloud assigned to the machine.
     pub id: MachineId,
-    /// As of its last change.
+    /// The machine's state as of its last change, without reservations.
     pub state: CapacityState,
-    /// When its worker last sent a heartbeat.
+    /// The time at which the machine's worker last sent a heartbeat.
     last_heartbeat_ms: u64,
-    /// Held in the round under way, for tasks or for forecast demand.
-    held: Resources,
-    /// The part of that which is reserved for forecast demand.
+    /// The capacity reserved in the current round, for tasks and for forecast demand.
+    reserved: Resources,
+    /// The part of `reserved` that is for forecast demand.
     forecast_reserved: Resources,
-    /// Something is expected on it or migrates to it, so that it is neither compacted
-    /// nor released.
-    reserved: bool,
-    /// The position of its [`OfferGroup`].
+    /// Whether the machine must be neither compacted nor released in the current round,
+    /// because of a reservation for forecast demand or for an incoming task.
+    retained: bool,
+    /// The index of the machine's [`OfferGroup`].
     group: usize,
-    /// Its key in the ordered entries; `None`: it accepts no tasks.
+    /// The key of the machine's ordered entries; `None` if it accepts no tasks.
     index_key: Option<IndexKey>,
-    /// Its key among the occupied machines; `None`: it isn't one.
+    /// The machine's key in the list of occupied machines; `None` if it isn't in the list.
     occupied_key: Option<OccupiedKey>,
 }
 
 impl MachineCapacity {
-    /// What is free and not held.
+    /// Returns the capacity that is neither allocated nor reserved.
     pub fn free(&self) -> Resources {
         let mut free = self.state.unassigned;
-        free.subtract(&self.held);
+        free.subtract(&self.reserved);
         free
     }
 
-    /// What will be free once all tasks that are being stopped have ended.
+    /// Returns the capacity that will be free once all tasks that are being stopped have
+    /// ended.
     pub fn free_after_stops(&self) -> Resources {
         let mut free = self.free();
         free.add(&self.state.freeing);
         free
     }
 
-    /// What is reserved for forecast demand.
+    /// Returns the capacity that is reserved for forecast demand.
     pub fn forecast_reserved(&self) -> Resources {
         self.forecast_reserved
     }
 
-    /// Whether something is expected on it or migrates to it.
-    pub fn is_reserved(&self) -> bool {
-        self.reserved
+    /// Returns whether the machine must be neither compacted nor released in the current
+    /// round, because of a reservation for forecast demand or for an incoming task.
+    pub fn is_retained(&self) -> bool {
+        self.retained
     }
 
-    /// The share of the machine that assigned tasks use.
+    /// Returns the share of the machine that assigned tasks use.
     pub fn used_share(&self) -> f64 {
         let mut used = self.state.total;
         used.subtract(&self.state.unassigned);
         used.dominant_share(&self.state.total)
     }
 
-    /// Whether the machine has the image.
+    /// Returns whether the machine has the image in its cache.
     pub fn has_image(&self, image: &str) -> bool {
         self.state.images.iter().any(|cached| &**cached == image)
     }
@@ -128,21 +132,23 @@
 #[derive(Debug)]
 struct OfferGroup {
     offer: Offer,
-    /// The total capacity of each of them.
+    /// The total capacity of each machine.
     total: Resources,
-    /// How many there are, schedulable or not.
+    /// The number of machines, schedulable or not.
     machines: u32,
-    /// The schedulable ones, by how many images they are pulling.
+    /// The schedulable machines, by the number of images that they are pulling.
     by_concurrent_pulls: BTreeMap<u32, FreeLevels>,
-    /// Those that have an image.
+    /// The schedulable machines that have an image in their cache, by image.
     with_image: HashMap<Rc<str>, FreeLevels>,
-    /// Those that are pulling an image.
+    /// The schedulable machines that are pulling an image, by image.
     with_pulling_image: HashMap<Rc<str>, FreeLevels>,
-    /// Those with tasks that aren't being stopped, by the least of their priorities.
-    stoppable: BTreeMap<Priority, BTreeSet<Slot>>,
+    /// The schedulable machines with tasks that aren't being stopped, by the priority of
+    /// the least important such task.
+    preemptible: BTreeMap<Priority, BTreeSet<Slot>>,
 }
 
-/// Counts the entries that were examined, in searches through a shared reference too.
+/// Counts examined entries. The counter can be changed through a shared reference, as
+/// searches need.
 #[derive(Debug, Default)]
 struct ExaminedCounter(Cell<u64>);
 
@@ -152,35 +158,35 @@
     }
 }
 
-/// The order of occupied machines: by the share in use, the least used first.
+/// The sort key of occupied machines: the least used machine comes first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 struct OccupiedKey {
     used_share: ShareKey,
     slot: Slot,
 }
 
-/// All machines, in order of what they have free.
+/// All known machines, sorted by free capacity.
 #[derive(Debug, Default)]
 pub struct CapacityIndex {
     slots: Vec<Option<MachineCapacity>>,
-    unused: Vec<Slot>,
+    unused_slots: Vec<Slot>,
     by_id: HashMap<MachineId, Slot>,
     groups: Vec<OfferGroup>,
-    /// Those of which something is held or reserved.
-    held: BTreeSet<Slot>,
-    /// Those on which tasks are being stopped.
+    /// The machines with reservations in the current round.
+    with_reservations: BTreeSet<Slot>,
+    /// The schedulable machines on which tasks are being stopped.
     freeing: BTreeSet<Slot>,
-    /// Those that accept no tasks.
+    /// The machines that accept no tasks.
     unschedulable: BTreeSet<Slot>,
-    /// Those that accept tasks and have some, by the share in use.
+    /// The machines that accept tasks and have some, by the share in use.
     occupied: BTreeSet<OccupiedKey>,
     now_ms: u64,
-    fresh_ms: u64,
+    max_heartbeat_age_ms: u64,
     examined: ExaminedCounter,
 }
 
 impl CapacityIndex {
-    /// Forgets all machines, and keeps the count of examined entries.
+    /// Removes all machines. Keeps the count of examined entries.
     pub fn clear(&mut self) {
         let examined = std::mem::take(&mut self.examined);
         *self = CapacityIndex {
@@ -189,23 +195,24 @@
         };
     }
 
-    /// From now on machines that have been silent for `fresh_ms` accept no tasks.
-    pub fn set_time(&mut self, now_ms: u64, fresh_ms: u64) {
+    /// Sets the current time and the age of the last heartbeat from which on a machine
+    /// accepts no tasks.
+    pub fn set_time(&mut self, now_ms: u64, max_heartbeat_age_ms: u64) {
         self.now_ms = now_ms;
-        self.fresh_ms = fresh_ms;
+        self.max_heartbeat_age_ms = max_heartbeat_age_ms;
     }
 
-    /// Entries examined since the process began.
+    /// Returns the number of entries examined since the process started.
     pub fn examined(&self) -> u64 {
         self.examined.0.get()
     }
 
-    /// The slot of a machine.
+    /// Returns the slot of a machine, or `None` if the machine isn't known.
     pub fn slot(&self, id: &MachineId) -> Option<Slot> {
         self.by_id.get(id).copied()
     }
 
-    /// A machine; `None`: it is gone.
+    /// Returns the machine in a slot, or `None` if the machine was removed.
     pub fn get(&self, slot: Slot) -> Option<&MachineCapacity> {
         self.slots.get(slot.0 as usize)?.as_ref()
     }
@@ -214,12 +221,12 @@
         self.slots.get_mut(slot.0 as usize)?.as_mut()
     }
 
-    fn is_fresh(&self, machine: &MachineCapacity) -> bool {
-        self.now_ms < machine.last_heartbeat_ms + self.fresh_ms
+    fn has_recent_heartbeat(&self, machine: &MachineCapacity) -> bool {
+        self.now_ms < machine.last_heartbeat_ms + self.max_heartbeat_age_ms
     }
 
-    /// Updates a machine that has changed, or whose worker sent a heartbeat at this
-    /// time.
+    /// Adds or updates a machine that has changed, or whose worker sent a heartbeat at
+    /// `last_heartbeat_ms`.
     pub fn refresh(&mut self, id: &MachineId, state: CapacityState, last_heartbeat_ms: u64) {
         self.examined.add(1);
         match self.slot(id) {
@@ -229,7 +236,7 @@
     }
 
     fn add(&mut self, id: &MachineId, state: CapacityState, last_heartbeat_ms: u64) {
-        let slot = self.unused.pop().unwrap_or_else(|| {
+        let slot = self.unused_slots.pop().unwrap_or_else(|| {
             self.slots.push(None);
             Slot(self.slots.len() as u32 - 1)
         });
@@ -240,9 +247,9 @@
             id: id.clone(),
             state,
             last_heartbeat_ms,
-            held: Resources::default(),
+            reserved: Resources::default(),
             forecast_reserved: Resources::default(),
-            reserved: false,
+            retained: false,
             group,
             index_key: None,
             occupied_key: None,
@@ -250,7 +257,8 @@
         self.insert_entry(slot);
     }
 
-    /// Removes a machine that is gone.
+    /// Removes a machine, which must no longer be in the fleet. Has no effect if the machine
+    /// isn't known.
     pub fn remove(&mut self, id: &MachineId) {
         let Some(slot) = self.by_id.remove(id) else {
             return;
@@ -259,9 +267,9 @@
         if let Some(machine) = self.slots[slot.0 as usize].take() {
             self.groups[machine.group].machines -= 1;
         }
-        self.held.remove(&slot);
+        self.with_reservations.remove(&slot);
         self.unschedulable.remove(&slot);
-        self.unused.push(slot);
+        self.unused_slots.push(slot);
     }
 
     fn update(&mut self, slot: Slot, state: CapacityState, last_heartbeat_ms: u64) {
@@ -271,8 +279,10 @@
         };
         machine.last_heartbeat_ms = last_heartbeat_ms;
         let unchanged = machine.state == state;
-        let fresh = self.get(slot).is_some_and(|machine| self.is_fresh(machine));
-        if unchanged && was_schedulable == (state.schedulable && fresh) {
+        let recent_heartbeat = self
+            .get(slot)
+            .is_some_and(|machine| self.has_recent_heartbeat(machine));
+        if unchanged && was_schedulable == (state.schedulable && recent_heartbeat) {
             return;
         }
         self.remove_entry(slot);
@@ -286,11 +296,12 @@
         self.insert_entry(slot);
     }
 
-    /// The position of the group of machines like this one.
+    /// Returns the index of the group for machines with the offer and total capacity of
+    /// `state`. Adds the group if there is none.
     fn offer_group(&mut self, state: &CapacityState) -> usize {
-        let same_kind =
+        let is_same_configuration =
             |group: &OfferGroup| group.offer == state.offer && group.total == state.total;
-        if let Some(found) = self.groups.iter().position(same_kind) {
+        if let Some(found) = self.groups.iter().position(is_same_configuration) {
             return found;
         }
         self.groups.push(OfferGroup::new(state));
--- a/src/capacity_index/violation.rs
+++ b/src/capacity_index/violation.rs
@@ -1,23 +1,24 @@
-//! Violations of the capacity index's invariants. Tests check for them.
+//! Violations of the capacity index's invariants, which tests check.
 
 use crate::ids::MachineId;
 use thiserror::Error;
 
-/// An invariant of the capacity index that doesn't hold.
+/// An inconsistency between the entries of the capacity index and the state of machines.
 #[derive(Clone, PartialEq, Eq, Debug, Error)]
 pub enum CapacityIndexViolation {
-    /// A machine is indexed as schedulable and as unschedulable, or as neither.
-    #[error("machine {0} is neither open nor closed")]
+    /// The machine is indexed both as schedulable and as unschedulable, or as neither.
+    #[error("machine {0} is indexed as both schedulable and unschedulable, or as neither")]
     Unclassified(MachineId),
-    /// A machine isn't where its free capacity belongs.
-    #[error("machine {0} isn't indexed by its free capacity")]
+    /// The machine's entry doesn't match the machine's current free capacity.
+    #[error("entry of machine {0} does not match its free capacity")]
     Misplaced(MachineId),
-    /// There are entries of machines that aren't indexed, or some are missing.
-    #[error("entries by capacity, image and pulling image: {found:?}, expected {expected:?}")]
+    /// The index has surplus or missing entries. The counts are those of entries by
+    /// capacity, by cached image and by image being pulled.
+    #[error("entry counts (capacity, cached, pulling): found {found:?}, expected {expected:?}")]
     EntryCounts {
-        /// The entries that the index holds.
+        /// The numbers of entries in the index.
         found: [usize; 3],
-        /// The entries that it should hold.
+        /// The numbers of entries that follow from the states of all machines.
         expected: [usize; 3],
     },
 }
--- a/src/cloud/client.rs
+++ b/src/cloud/client.rs
@@ -1,5 +1,5 @@
-//! The cloud client: paces the calls to the cloud and repeats them until their
-//! outcome is known.
+//! The cloud client. It limits the rate of calls to the cloud and retries each call until
+//! the outcome is known.
 
 use crate::cloud::machine_listing::MachineListing;
 use crate::cloud::orders::{is_no_capacity, Orders};
@@ -11,32 +11,33 @@
 use crate::wire::cloud::{CLOUD_CATALOG_PATH, CLOUD_MACHINES_PATH, CLOUD_RELEASE_PATH};
 use std::collections::{BTreeSet, VecDeque};
 
-/// The most machines of one release (PROTOCOL).
+/// The maximum number of machines in one release request, set by the cloud's API.
 const MAX_MACHINES_PER_RELEASE: usize = 100;
-/// The leader's share of the cloud's rate: followers read the catalog at most.
+/// The leader's share of the cloud's request rate. Followers read nothing but the catalog.
 const LEADER_RATE_SHARE: f64 = 0.85;
-/// Unused rate is saved up for so many seconds.
+/// The time over which unused request rate accumulates, in seconds.
 const BURST_S: f64 = 1.5;
-/// How long a call is waited for.
+/// The time after which an unanswered call fails.
 const CALL_TIMEOUT_MS: u64 = 4000;
-/// The machine list is read so many times in the time by which it may lag.
+/// The number of times that the machine list is read within its maximum lag.
 const LISTS_PER_LAG: f64 = 2.0;
-/// The shortest time between two machine lists.
+/// The minimum time between two reads of the machine list.
 const MIN_LIST_INTERVAL_MS: u64 = 1000;
-/// Spot prices change; the rest of the catalog hardly ever does.
+/// The time between two reads of the catalog. Spot prices change often, and the rest of the
+/// catalog rarely.
 const CATALOG_INTERVAL_MS: u64 = 60_000;
-/// The catalog or the list is read again so long after a failure.
-const READ_RETRY_MS: u64 = 1000;
-/// The pause after the cloud has limited the rate.
+/// The delay before a failed read of the catalog or the machine list is retried.
+const READ_RETRY_DELAY_MS: u64 = 1000;
+/// The pause in sending after the cloud has rejected a call because of its rate limit.
 const RATE_LIMIT_PAUSE_MS: u64 = 500;
-/// The pause after the cloud was unavailable.
+/// The pause in sending after the cloud was unavailable.
 const UNAVAILABLE_PAUSE_MS: u64 = 1000;
-/// While releases or orders wait, the client is called at least this often.
-const PENDING_WAKE_MS: u64 = 150;
-/// The client isn't called more often than this.
-const MIN_WAKE_MS: u64 = 50;
+/// The time after which the client is called again while releases or orders are unsent.
+const PENDING_WAKE_INTERVAL_MS: u64 = 150;
+/// The minimum time between two calls of the client.
+const MIN_WAKE_INTERVAL_MS: u64 = 50;
 
-/// What a call's result says of the cloud.
+/// The state of the cloud that follows from a call's result.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum CloudHealth {
     Available,
@@ -55,12 +56,13 @@
     }
 }
 
-/// Paces the calls to the cloud and repeats them until their outcome is known.
+/// Sends calls to the cloud within its rate limit and retries each call until the outcome
+/// is known.
 pub struct CloudClient {
     bucket: TokenBucket,
     list_interval_ms: u64,
     orders: Orders,
-    /// Machines to be released.
+    /// Machines whose release is unsent.
     releases: BTreeSet<MachineId>,
     /// Machines whose release is in flight.
     releasing: BTreeSet<MachineId>,
@@ -69,7 +71,7 @@
     listing: MachineListing,
     /// The reads in flight.
     in_flight: VecDeque<CloudCall>,
-    /// Nothing is sent before this time: the cloud has limited the rate or was
+    /// The time before which nothing is sent, because the cloud has rejected a call or was
     /// unavailable.
     pause_until_ms: u64,
     unavailable: bool,
@@ -77,7 +79,8 @@
 }
 
 impl CloudClient {
-    /// A client that has sent nothing yet.
+    /// Creates a client. `rps` is the cloud's rate limit in requests per second, and
+    /// `list_lag_s` the maximum lag of the machine list in seconds.
     pub fn new(rps: f64, list_lag_s: f64) -> Self {
         let list_interval_ms = (list_lag_s * (1000.0 / LISTS_PER_LAG)) as u64;
         CloudClient {
@@ -96,9 +99,9 @@
         }
     }
 
-    /// A new leader starts with a list; a deposed one forgets its orders and
-    /// releases. An order whose outcome isn't known may still be carried out:
-    /// its machines will appear in the list.
+    /// Sets whether this controller is the leader, and drops all orders and releases. A new
+    /// leader begins by reading the machine list. An order of a former leader whose outcome
+    /// isn't known may still be executed, in which case its machines appear in the list.
     pub fn set_leading(&mut self, now: Now, leading: bool) {
         self.leading = leading;
         self.orders.clear();
@@ -107,17 +110,17 @@
         self.list_due_ms = now.ms;
     }
 
-    /// Whether the cloud answered the last call that wasn't rate-limited.
+    /// Returns whether the cloud was available at the last call that wasn't rate-limited.
     pub fn reachable(&self) -> bool {
         !self.unavailable
     }
 
-    /// Places an order; its name must never have been used.
+    /// Places a provisioning order for `count` machines. `name` must never have been used.
     pub fn provision(&mut self, name: String, offer: Offer, count: u32) {
         self.orders.add(name, offer, count);
     }
 
-    /// How many machines of an offer are ordered and not yet named.
+    /// Returns the number of machines of an offer in orders whose outcome isn't known.
     pub fn pending_count(&self, offer: &Offer) -> u32 {
         self.pending_orders()
             .filter(|(pending, _)| *pending == offer)
@@ -125,19 +128,19 @@
             .sum()
     }
 
-    /// The offers that are ordered, with the numbers of machines.
+    /// Returns the offers and machine counts of the orders whose outcome isn't known.
     pub fn pending_orders(&self) -> impl Iterator<Item = (&Offer, u32)> {
         self.orders.pending()
     }
 
-    /// Releases a machine; repeated until the cloud says 200.
+    /// Queues the release of a machine. The call is retried until the cloud responds with 200.
     pub fn release(&mut self, machine: MachineId) {
         if !self.releasing.contains(&machine) {
             self.releases.insert(machine);
         }
     }
 
-    /// Sends what is due, as fast as the cloud's limit allows.
+    /// Sends all calls that are due, within the cloud's rate limit.
     pub fn dispatch(&mut self, now: Now, mut send: impl FnMut(CloudCall, Call)) {
         if now.ms < self.pause_until_ms {
             return;
@@ -149,8 +152,8 @@
         if !self.leading {
             return;
         }
-        // A release is proof that a machine's tasks have ended, so it comes
-        // before orders; the list is only a hint.
+        // Releases come first, because a confirmed release proves that the machine's tasks
+        // have ended. The list comes last, because its information may be out of date.
         self.send_releases(now, &mut send);
         let bucket = &mut self.bucket;
         for order in self.orders.take_due(now, || bucket.take(now, 1.0)) {
@@ -163,7 +166,8 @@
         }
     }
 
-    /// Whether a read that is due then may be sent now; if so, its token is taken.
+    /// Returns whether a read that is due at `due_ms` may be sent now. If so, takes a token
+    /// from the token bucket.
     fn may_read(&mut self, now: Now, due_ms: u64, call: &CloudCall) -> bool {
         now.ms >= due_ms && !self.in_flight.contains(call) && self.bucket.take(now, 1.0)
     }
@@ -184,20 +188,22 @@
         }
     }
 
-    /// When `dispatch` should be called next at the latest.
-    pub fn due_ms(&self, now: Now) -> u64 {
+    /// Returns the time at which `dispatch` should be called next, at the latest.
+    pub fn next_wake_ms(&self, now: Now) -> u64 {
         let pending = !self.releases.is_empty() || self.orders.any_unsent();
         let next_ms = if pending {
-            now.ms + PENDING_WAKE_MS
+            now.ms + PENDING_WAKE_INTERVAL_MS
         } else if self.leading {
             self.list_due_ms.min(self.catalog_due_ms)
         } else {
             self.catalog_due_ms
         };
-        next_ms.max(self.pause_until_ms).max(now.ms + MIN_WAKE_MS)
+        next_ms
+            .max(self.pause_until_ms)
+            .max(now.ms + MIN_WAKE_INTERVAL_MS)
     }
 
-    /// Handles the result of a call.
+    /// Handles the result of a call. Returns an event if the result concerns the scheduler.
     pub fn on_result(
         &mut self,
         now: Now,
@@ -238,7 +244,7 @@
         let pause_ms = if catalog.is_some() {
             CATALOG_INTERVAL_MS
         } else {
-            READ_RETRY_MS
+            READ_RETRY_DELAY_MS
         };
         self.catalog_due_ms = now.ms + pause_ms;
         catalog.map(CloudEvent::Catalog)
@@ -251,7 +257,7 @@
         };
         let Some(page) = page else {
             self.listing.reset();
-            self.list_due_ms = now.ms + READ_RETRY_MS;
+            self.list_due_ms = now.ms + READ_RETRY_DELAY_MS;
             return None;
         };
         let machines = self.listing.add_page(page);
@@ -267,7 +273,7 @@
         if matches!(outcome, Ok((200, _))) {
             return Some(CloudEvent::Released(machines));
         }
-        // Repeating it is harmless, and only a 200 is proof.
+        // Only a 200 proves the release, and releasing a machine twice is harmless.
         if self.leading {
             self.releases.extend(machines);
         }
--- a/src/cloud/mod.rs
+++ b/src/cloud/mod.rs
@@ -1,5 +1,5 @@
-//! The cloud's API: which calls are made, at what rate, and what their responses
-//! mean. Which machines to provision and release is decided elsewhere.
+//! Access to the cloud's API: sends calls, limits their rate and interprets their
+//! responses. The scheduler decides which machines to provision and release.
 
 mod client;
 mod machine_listing;
@@ -11,46 +11,50 @@
 use crate::wire::cloud::{Catalog, ListedMachine};
 use std::rc::Rc;
 
-/// The most machines of one order (PROTOCOL).
+/// The maximum number of machines in one provisioning order, set by the cloud's API.
 pub const MAX_MACHINES_PER_ORDER: u32 = 50;
 
-/// What can be ordered: a machine type in a zone, as spot or on-demand instances.
+/// A kind of machine that can be provisioned: a machine type in a zone, as a spot or an
+/// on-demand instance.
 #[derive(Clone, PartialEq, Eq, Hash, Debug, PartialOrd, Ord)]
 pub struct Offer {
-    /// The machine type's name.
+    /// The name of the machine type in the catalog.
     pub machine_type: Rc<str>,
-    /// The zone.
+    /// The zone in which the machine is provisioned.
     pub zone: Rc<str>,
-    /// A spot instance, which may be reclaimed.
+    /// Whether the machine is a spot instance, which the cloud may reclaim. Otherwise it is
+    /// an on-demand instance.
     pub spot: bool,
 }
 
-/// Which call to the cloud a response belongs to.
+/// A call to the cloud, by which its response is matched.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum CloudCall {
-    /// The machine types.
+    /// Reads the catalog of machine types.
     Catalog,
-    /// A page of the machine list.
+    /// Reads the next page of the machine list.
     List,
-    /// The order of this name.
+    /// Places the provisioning order with this name.
     Provision(String),
-    /// The release of these machines.
+    /// Releases these machines.
     Release(Vec<MachineId>),
 }
 
-/// What the cloud's responses tell the leader.
+/// An event for the scheduler that follows from a response of the cloud.
 #[derive(Debug)]
 pub enum CloudEvent {
-    /// The machine types, with current prices.
+    /// The catalog of machine types was read, with current prices.
     Catalog(Catalog),
-    /// All machines; the list lags behind.
+    /// The machine list was read completely. It may be out of date.
     Listed(Vec<ListedMachine>),
-    /// Machines that were provisioned.
+    /// These machines of the offer were provisioned.
     Provisioned(Offer, Vec<MachineId>),
     /// The cloud has no capacity for this offer now.
     NoCapacity(Offer),
-    /// The order can't be placed now; whether to order again is decided anew.
+    /// The order for this offer failed without effect. It isn't retried; the scheduler
+    /// decides whether to place a new one.
     OrderFailed(Offer),
-    /// Released, which proves that everything on them has ended.
+    /// The cloud has confirmed the release of these machines, which proves that all tasks on
+    /// them have ended.
     Released(Vec<MachineId>),
 }
--- a/src/cloud/orders.rs
+++ b/src/cloud/orders.rs
@@ -1,37 +1,41 @@
-//! Orders: each is repeated under its name until its outcome is known.
+//! Provisioning orders. Each order is retried under its name until the outcome is known.
 
 use crate::cloud::{CloudEvent, Offer, MAX_MACHINES_PER_ORDER};
 use crate::ids::MachineId;
 use crate::messages::{CallError, CallResult, Now};
 use crate::wire::cloud::{MachineNames, ProvisionRequest};
 
-/// An order whose outcome isn't known is repeated after this time.
-const RETRY_MS: u64 = 1000;
+/// The delay before an order with an indeterminate outcome is retried.
+const ORDER_RETRY_DELAY_MS: u64 = 1000;
 
-/// An order that was placed and whose outcome isn't known yet.
+/// A provisioning order whose outcome isn't known yet.
 #[derive(Clone, Debug)]
 pub(super) struct ProvisionOrder {
-    /// Never reused, by any node: term, counter.
+    /// The unique name of the order, made of the leader's term and a counter. No controller
+    /// ever reuses a name.
     name: String,
     offer: Offer,
-    /// How many machines.
+    /// The number of machines ordered.
     count: u32,
-    retry_ms: u64,
+    /// The time before which the order isn't sent again.
+    retry_at_ms: u64,
     in_flight: bool,
-    /// A call may have been executed although it has failed.
+    /// Whether a call for the order failed with an indeterminate outcome, so that the cloud
+    /// may have executed it.
     indeterminate: bool,
 }
 
 impl ProvisionOrder {
-    /// Whether it should be sent now.
+    /// Returns whether the order should be sent now.
     fn is_due(&self, now: Now) -> bool {
-        !self.in_flight && now.ms >= self.retry_ms
+        !self.in_flight && now.ms >= self.retry_at_ms
     }
 
-    /// The same name again later: the cloud carries it out at most once.
+    /// Schedules the order to be sent again under the same name. The cloud executes an order
+    /// with the same name at most once.
     fn retry(&mut self, now: Now) {
         self.in_flight = false;
-        self.retry_ms = now.ms + RETRY_MS;
+        self.retry_at_ms = now.ms + ORDER_RETRY_DELAY_MS;
     }
 
     fn request(&self) -> ProvisionRequest<'_> {
@@ -45,49 +49,51 @@
     }
 }
 
-/// An order's call.
+/// A call to the cloud that places an order.
 pub(super) struct OrderCall {
-    /// The order's name.
+    /// The name of the order, to match the result with it.
     pub(super) name: String,
-    /// The body of the request.
+    /// The serialized request body.
     pub(super) body: Vec<u8>,
 }
 
-/// All orders whose outcome isn't known yet.
+/// The orders whose outcome isn't known yet.
 #[derive(Debug, Default)]
 pub(super) struct Orders {
     orders: Vec<ProvisionOrder>,
 }
 
 impl Orders {
-    /// Forgets all orders.
+    /// Drops all orders. Those already sent may still be executed.
     pub(super) fn clear(&mut self) {
         self.orders.clear();
     }
 
-    /// Adds an order; its name must never have been used.
+    /// Adds an order for at most [`MAX_MACHINES_PER_ORDER`] machines. `name` must never have
+    /// been used.
     pub(super) fn add(&mut self, name: String, offer: Offer, count: u32) {
         self.orders.push(ProvisionOrder {
             name,
             offer,
             count: count.min(MAX_MACHINES_PER_ORDER),
-            retry_ms: 0,
+            retry_at_ms: 0,
             in_flight: false,
             indeterminate: false,
         });
     }
 
-    /// The offers that are ordered, with the numbers of machines.
+    /// Returns the offer and the machine count of each order.
     pub(super) fn pending(&self) -> impl Iterator<Item = (&Offer, u32)> {
         self.orders.iter().map(|order| (&order.offer, order.count))
     }
 
-    /// Whether an order waits for being sent.
+    /// Returns whether any order has no call in flight.
     pub(super) fn any_unsent(&self) -> bool {
         self.orders.iter().any(|order| !order.in_flight)
     }
 
-    /// The calls of the orders that are due, as far as `may_send` allows.
+    /// Returns the calls for the orders that are due and marks these as in flight. Asks
+    /// `may_send` once for each call.
     pub(super) fn take_due(
         &mut self,
         now: Now,
@@ -106,7 +112,7 @@
         calls
     }
 
-    /// Handles the result of an order's call.
+    /// Handles the result of an order's call. Returns `None` if the outcome is still unknown.
     pub(super) fn on_result(
         &mut self,
         now: Now,
@@ -131,7 +137,8 @@
                 order.retry(now);
                 None
             }
-            // An earlier call may have been executed: only its repetition tells.
+            // An earlier call may have been executed. Only a retry under the same name shows
+            // whether it was.
             _ if self.orders[index].indeterminate => {
                 self.orders[index].retry(now);
                 None
@@ -144,8 +151,8 @@
     }
 }
 
-/// Whether the body of a 503 says that the cloud has no capacity for an offer;
-/// otherwise the cloud itself is unavailable.
+/// Returns whether the body of a 503 response says that the cloud has no capacity for an
+/// offer. Any other body of a 503 means that the cloud itself is unavailable.
 pub(super) fn is_no_capacity(body: &[u8]) -> bool {
     #[derive(serde::Deserialize)]
     struct ErrorBody {
--- a/src/fleet/image_cache.rs
+++ b/src/fleet/image_cache.rs
@@ -3,23 +3,22 @@
 use std::collections::VecDeque;
 use std::rc::Rc;
 
-/// An image in the cache.
 #[derive(Debug)]
 struct CachedImage {
     image: Rc<str>,
     size_gb: f64,
 }
 
-/// The images that a machine has, as far as the leader can tell.
+/// The leader's estimate of the images in a machine's cache.
 #[derive(Debug)]
 pub(super) struct ImageCache {
     capacity_gb: f64,
-    /// Most recently used last.
+    /// Ordered by last use, the most recently used image last.
     images: VecDeque<CachedImage>,
 }
 
 impl ImageCache {
-    /// An empty cache.
+    /// Creates an empty cache.
     pub(super) fn new(capacity_gb: f64) -> Self {
         ImageCache {
             capacity_gb,
@@ -27,23 +26,23 @@
         }
     }
 
-    /// The capacity has become known.
+    /// Sets the capacity once it is known. Evicts nothing until the next use.
     pub(super) fn resize(&mut self, capacity_gb: f64) {
         self.capacity_gb = capacity_gb;
     }
 
-    /// The images in the cache.
+    /// Returns the images in the cache, the least recently used first.
     pub(super) fn images(&self) -> impl Iterator<Item = &Rc<str>> {
         self.images.iter().map(|cached| &cached.image)
     }
 
-    /// Whether the image is in the cache.
+    /// Returns whether the image is in the cache.
     pub(super) fn contains(&self, image: &str) -> bool {
         self.images.iter().any(|cached| &*cached.image == image)
     }
 
-    /// A task uses the image: it is the most recently used one now, and others
-    /// are evicted to make room for it.
+    /// Marks the image as the most recently used one because a task uses it, and evicts the
+    /// least recently used images until the rest fits.
     pub(super) fn mark_used(&mut self, image: &Rc<str>, size_gb: f64) {
         let most_recent = self.images.back();
         if most_recent.is_some_and(|cached| cached.image == *image) {
--- a/src/fleet/machine.rs
+++ b/src/fleet/machine.rs
@@ -1,4 +1,4 @@
-//! A machine as the leader knows it, from stored assignments and heartbeats.
+//! The leader's view of a machine, derived from stored assignments and heartbeats.
 
 use crate::cloud::Offer;
 use crate::faults::MachineFaults;
@@ -11,73 +11,81 @@
 /// The phase of a machine's lifecycle.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum MachinePhase {
-    /// Provisioned; its worker hasn't sent a heartbeat yet.
+    /// The machine is provisioned, and its worker hasn't sent a heartbeat yet.
     Booting,
-    /// Its worker has sent a heartbeat.
+    /// The machine's worker has sent a heartbeat.
     Up,
-    /// It gets no more tasks; those that it has are stopped or run to their end.
+    /// The machine gets no more tasks. Its tasks are stopped or run to completion.
     Draining,
-    /// Its release was requested; it is gone once the cloud answers 200.
+    /// The release of the machine was requested. The machine is removed once the cloud
+    /// responds with 200.
     Releasing,
 }
 
-/// What the leader knows of a machine.
+/// The leader's view of a machine. All `_ms` times are readings of this controller's
+/// monotonic clock.
 #[derive(Debug)]
 pub struct Machine {
-    /// Its name.
+    /// The identifier that the cloud assigned to the machine.
     pub id: MachineId,
-    /// Its type and zone, and whether it is a spot instance.
+    /// The machine's type and zone, and whether it is a spot instance.
     pub offer: Offer,
-    /// What it holds in all.
+    /// The machine's total resources; all zero as long as its type isn't known.
     pub capacity: Resources,
-    /// Where its worker takes direct commands.
+    /// The address at which the worker receives direct commands, from a heartbeat or the
+    /// cloud's machine list; `None` as long as it isn't known.
     pub address: Option<String>,
-    /// The phase of its lifecycle.
+    /// The current phase of the machine's lifecycle.
     pub phase: MachinePhase,
-    /// When it was provisioned.
+    /// The time at which the machine was provisioned.
     pub provisioned_ms: u64,
-    /// Provisioned in this term, so that its boot time is known exactly.
+    /// Whether the machine was provisioned in this term, so that its boot time is known
+    /// exactly.
     pub provisioned_this_term: bool,
-    /// When its worker last sent a heartbeat.
+    /// The time at which the machine's worker last sent a heartbeat.
     pub last_heartbeat_ms: u64,
-    /// When a follower last renewed its lease for the leader.
+    /// The time at which a follower last renewed the worker's lease on the leader's behalf;
+    /// 0 if that hasn't happened.
     pub lease_proxied_ms: u64,
-    /// The worker's agent epoch.
+    /// The agent epoch in the worker's latest heartbeat.
     pub agent_epoch: AgentEpoch,
     /// The sequence number of the latest heartbeat in that epoch.
-    pub sequence: u64,
-    /// The token that commands to this worker carry.
+    pub heartbeat_sequence: u64,
+    /// The fencing token that commands to this worker carry.
     pub fencing_token: FencingToken,
-    /// Its worker has shown a token of this term.
-    pub fenced: bool,
-    /// Since when starts that were sent to it have had no effect.
-    pub unresponsive_since_ms: Option<u64>,
-    /// When the cloud reclaims it, by its preemption notice.
+    /// Whether the worker has acknowledged a fencing token of this term, so that it rejects
+    /// commands of earlier leaders.
+    pub token_acknowledged: bool,
+    /// The time since which the worker has ignored start commands; `None` if it executes
+    /// them.
+    pub starts_ignored_since_ms: Option<u64>,
+    /// The time at which the cloud reclaims the machine, according to its preemption notice;
+    /// `None` if there is no notice.
     pub reclaim_at_ms: Option<u64>,
-    /// Assigned tasks that may be on it.
+    /// The assigned tasks that may be on the machine. A task stays in the set until it is
+    /// proven not to be on the machine.
     pub tasks: BTreeSet<TaskRef>,
-    /// What its assigned tasks take.
+    /// The sum of the requests of `tasks`.
     pub allocated: Resources,
-    /// It runs a task that isn't assigned to it.
+    /// Whether the machine runs a task that isn't assigned to it.
     pub has_unassigned_tasks: bool,
-    /// The images that it has.
     image_cache: ImageCache,
-    /// Images that are being pulled, with the number of tasks that wait for each.
+    /// The images that are being pulled, with the number of tasks that wait for each.
     pub pulling_images: BTreeMap<Rc<str>, u32>,
-    /// The failed tasks that speak against it.
+    /// The failed tasks that are evidence of a fault of the machine.
     pub faults: MachineFaults,
-    /// Since when it has had no task.
+    /// The time since which the machine has had no task; `None` if it has any.
     pub idle_since_ms: Option<u64>,
-    /// The cloud's list has shown it as running.
+    /// Whether the cloud's machine list has shown the machine as running.
     pub listed_running: bool,
-    /// A direct call to its worker is in flight.
+    /// Whether a direct call to the worker is in flight.
     pub command_in_flight: bool,
-    /// It may have changed since [`super::Fleet::take_dirty`].
+    /// Whether the machine may have changed since the last [`super::Fleet::take_dirty`].
     pub(super) dirty: bool,
 }
 
 impl Machine {
-    /// A machine that was just provisioned or heard of.
+    /// Creates a booting machine that was just provisioned or reported for the first time.
     pub fn new(
         id: MachineId,
         offer: Offer,
@@ -97,10 +105,10 @@
             last_heartbeat_ms: now_ms,
             lease_proxied_ms: 0,
             agent_epoch: AgentEpoch(0),
-            sequence: 0,
+            heartbeat_sequence: 0,
             fencing_token: FencingToken::new(term, 1),
-            fenced: false,
-            unresponsive_since_ms: None,
+            token_acknowledged: false,
+            starts_ignored_since_ms: None,
             reclaim_at_ms: None,
             tasks: BTreeSet::new(),
             allocated: Resources::default(),
@@ -115,42 +123,44 @@
         }
     }
 
-    /// Whether its type and capacity are known: a stored assignment only names it.
-    pub fn is_described(&self) -> bool {
+    /// Returns whether the machine's type and capacity are known. A stored assignment
+    /// contains only the machine's identifier.
+    pub fn has_known_type(&self) -> bool {
         self.capacity != Resources::default()
     }
 
-    /// Its type and capacity have become known.
-    pub fn describe(&mut self, offer: Offer, capacity: Resources, image_cache_gb: f64) {
+    /// Sets the machine's type and capacity once they are known.
+    pub fn set_type(&mut self, offer: Offer, capacity: Resources, image_cache_gb: f64) {
         self.offer = offer;
         self.capacity = capacity;
         self.image_cache.resize(image_cache_gb);
     }
 
-    /// What assigned tasks leave free.
+    /// Returns the capacity that isn't allocated to assigned tasks.
     pub fn free(&self) -> Resources {
         let mut free = self.capacity;
         free.subtract(&self.allocated);
         free
     }
 
-    /// Whether nothing but silence keeps tasks from being assigned to it.
+    /// Returns whether tasks may be assigned to the machine, provided that its worker sends
+    /// heartbeats.
     pub fn is_schedulable(&self) -> bool {
         self.phase == MachinePhase::Up
-            && self.fenced
+            && self.token_acknowledged
             && !self.has_unassigned_tasks
-            && self.unresponsive_since_ms.is_none()
+            && self.starts_ignored_since_ms.is_none()
             && self.reclaim_at_ms.is_none()
             && !self.faults.is_suspect()
     }
 
-    /// Whether a task may be assigned to it now: it is schedulable, and its last
-    /// heartbeat isn't older than `fresh_ms`.
-    pub fn accepts_tasks(&self, now_ms: u64, fresh_ms: u64) -> bool {
-        self.is_schedulable() && now_ms < self.last_heartbeat_ms + fresh_ms
+    /// Returns whether a task may be assigned to the machine now: the machine is schedulable,
+    /// and its last heartbeat is less than `max_heartbeat_age_ms` old.
+    pub fn accepts_tasks(&self, now_ms: u64, max_heartbeat_age_ms: u64) -> bool {
+        self.is_schedulable() && now_ms < self.last_heartbeat_ms + max_heartbeat_age_ms
     }
 
-    /// A task that takes `request` is assigned to it.
+    /// Assigns a task to the machine and allocates `request` for it.
     pub fn assign(&mut self, task: TaskRef, request: &Resources) {
         if self.tasks.insert(task) {
             self.allocated.add(request);
@@ -158,35 +168,36 @@
         self.idle_since_ms = None;
     }
 
-    /// It is proven that a task is not on it.
+    /// Removes a task that is proven not to be on the machine, and frees its `request`.
     pub fn unassign(&mut self, task: &TaskRef, request: &Resources, now_ms: u64) {
         if self.tasks.remove(task) {
             self.allocated.subtract(request);
         }
         if self.tasks.is_empty() {
-            // Sums of decimals must not leave rounding errors behind.
+            // Resets the sum, so that rounding errors don't accumulate.
             self.allocated = Resources::default();
             self.idle_since_ms.get_or_insert(now_ms);
         }
     }
 
-    /// The images that it has.
+    /// Returns the images in the machine's cache, the least recently used first.
     pub fn images(&self) -> impl Iterator<Item = &Rc<str>> {
         self.image_cache.images()
     }
 
-    /// Whether it has this image, so that it need not be pulled.
+    /// Returns whether the image is in the machine's cache and needn't be pulled.
     pub fn has_image(&self, image: &str) -> bool {
         self.image_cache.contains(image)
     }
 
-    /// A task with this image runs here, so the machine has the image.
+    /// Marks the image as cached and most recently used, because a task with the image runs
+    /// on the machine.
     pub fn mark_image_used(&mut self, image: &Rc<str>, size_gb: f64) {
         self.image_cache.mark_used(image, size_gb);
     }
 
-    /// Raises the fencing token, so that whatever was sent before is refused once
-    /// the worker has seen it. `None`: this term's tokens are used up.
+    /// Advances the fencing token, so that the worker rejects earlier commands once it has
+    /// received the new token. Returns `None` if the term has no more tokens.
     pub fn advance_fencing_token(&mut self) -> Option<FencingToken> {
         self.fencing_token = self.fencing_token.next()?;
         Some(self.fencing_token)
--- a/src/node/turn.rs
+++ b/src/node/turn.rs
@@ -74,7 +74,7 @@
         for (cloud_call, call) in calls {
             self.send(OutgoingCall::Cloud(cloud_call), call, effects);
         }
-        self.cloud.due_ms(now)
+        self.cloud.next_wake_ms(now)
     }
 
     /// Sends what the rates allow, and informs the callers of expired calls.
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -1,5 +1,5 @@
-//! Pure placement policy: on which machines a task may be placed, and how the machines
-//! that fit are ranked. No state, no clock.
+//! Placement policy: determines on which machines a task may be placed, and ranks the
+//! machines that fit. The policy keeps no state and reads no clock.
 
 use crate::cloud::Offer;
 use crate::wire::cloud::{Catalog, MachineType};
@@ -8,24 +8,25 @@
 
 pub use lilacfork_common::resources::Resources;
 
-/// Rounding of decimal amounts must not rule a machine type out.
+/// Tolerance for rounding errors, which must not rule out a machine type.
 const ROUNDING_TOLERANCE: f64 = 1e-9;
 
-/// The tasks of a job that are, or may be, in one zone.
+/// The number of a job's tasks that are, or may be, in one zone.
 #[derive(Clone, Debug)]
 struct ZoneCount {
     zone: Rc<str>,
     tasks: u32,
 }
 
-/// The zones of a job's tasks, which restrict where further ones may be placed.
+/// The number of a job's tasks in each zone, which restricts the placement of further
+/// tasks.
 #[derive(Clone, Debug, Default)]
 pub struct ZoneCounts {
     counts: Vec<ZoneCount>,
 }
 
 impl ZoneCounts {
-    /// Adds a task in the zone.
+    /// Counts one more task in the zone.
     pub fn add(&mut self, zone: &Rc<str>) {
         match self.counts.iter_mut().find(|count| count.zone == *zone) {
             Some(count) => count.tasks += 1,
@@ -36,14 +37,14 @@
         }
     }
 
-    /// Removes a task from the zone.
+    /// Counts one task less in the zone.
     pub fn remove(&mut self, zone: &str) {
         if let Some(count) = self.counts.iter_mut().find(|count| &*count.zone == zone) {
             count.tasks = count.tasks.saturating_sub(1);
         }
     }
 
-    /// The number of tasks in the zone.
+    /// Returns the number of the job's tasks in the zone.
     pub fn count(&self, zone: &str) -> u32 {
         self.counts
             .iter()
@@ -51,7 +52,7 @@
             .map_or(0, |count| count.tasks)
     }
 
-    /// Whether one more task of the job may be placed in `zone`.
+    /// Returns whether one more task of the job may be placed in `zone`.
     pub fn allows(&self, spec: &JobSpec, zone: &str) -> bool {
         if spec.zone.as_ref().is_some_and(|only| &**only != zone) {
             return false;
@@ -60,7 +61,7 @@
         if spec.same_zone && self.counts.iter().any(elsewhere) {
             return false;
         }
-        // A spread job has at most half of its tasks, rounded up, in one zone.
+        // At most half of a spread job's tasks, rounded up, are placed in one zone.
         !spec.spread || self.count(zone) < spec.tasks.div_ceil(2)
     }
 }
@@ -71,19 +72,19 @@
         .is_none_or(|types| types.contains(machine_type))
 }
 
-/// Whether the job allows the machine type and the purchase option; zones are checked
-/// by [`ZoneCounts::allows`].
+/// Returns whether the job allows the offer's machine type and purchase option.
+/// [`ZoneCounts::allows`] checks the zone.
 pub fn offer_allowed(spec: &JobSpec, offer: &Offer) -> bool {
     (spec.spot || !offer.spot) && machine_type_allowed(spec, &offer.machine_type)
 }
 
-/// Whether one more task of the job may be placed on a machine of this offer, given the
-/// zones of its other tasks.
+/// Returns whether one more task of the job may be placed on a machine of this offer, given
+/// the zones of the job's other tasks.
 pub fn placement_allowed(spec: &JobSpec, zones: &ZoneCounts, offer: &Offer) -> bool {
     offer_allowed(spec, offer) && zones.allows(spec, &offer.zone)
 }
 
-/// Whether a task of the job could ever be placed on a machine of this type.
+/// Returns whether a task of the job fits an empty machine of this type in an allowed zone.
 pub fn fits_machine_type(spec: &JobSpec, machine_type: &MachineType) -> bool {
     let zone_allowed = spec
         .zone
@@ -95,20 +96,21 @@
     machine_type_allowed(spec, &machine_type.name) && zone_allowed && fits
 }
 
-/// A rental that could hold a task of a job.
+/// An offer whose machines fit a task of a job.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FeasibleOffer {
-    /// What would be rented.
+    /// The machine type, zone and purchase option.
     pub offer: Offer,
-    /// The price per hour.
+    /// The price per hour for the offer's purchase option, from the catalog.
     pub hourly_price: f64,
-    /// What a machine of the type holds.
+    /// The total resources of a machine of the type.
     pub capacity: Resources,
-    /// The boot time that the catalog states, in seconds.
+    /// The boot time stated in the catalog, in seconds.
     pub nominal_boot_s: f64,
 }
 
-/// Every rental that could hold a task of the job.
+/// Returns every offer in the catalog whose machines fit a task of the job. Spot offers are
+/// included only if the job allows spot instances and the type has a spot price.
 pub fn feasible_offers(spec: &JobSpec, catalog: &Catalog) -> Vec<FeasibleOffer> {
     let mut offers = Vec::new();
     let fitting = catalog.machine_types.iter();
@@ -139,44 +141,46 @@
     offers
 }
 
-/// The weight of image pulls: a start that is late by a second of pulling is worse than
-/// any loss of packing.
+/// The weight of image pulls in the rank. It is high because a start that an image pull
+/// delays by a second is worse than any loss in packing density.
 const PULL_WEIGHT: f64 = 2.0;
-/// An image that is being pulled for another task.
+/// Penalty for an image that is already being pulled for another task.
 const PULLING_IMAGE_PENALTY: f64 = 0.6;
-/// An image that has to be pulled.
+/// Penalty for an image that has to be pulled.
 const COLD_IMAGE_PENALTY: f64 = 1.0;
-/// Each other image that is being pulled, which shares the rate.
+/// Penalty for each other image that is being pulled, because concurrent pulls share the
+/// machine's pull rate.
 const CONCURRENT_PULL_PENALTY: f64 = 0.5;
-/// A machine at the on-demand price.
+/// Penalty for an on-demand instance, which costs more than a spot instance.
 const ON_DEMAND_PENALTY: f64 = 0.3;
-/// Each task of the same job on the machine.
+/// Penalty for each task of the same job on the machine.
 const SIBLING_PENALTY: f64 = 0.15;
-/// Each task of the same job in the zone.
+/// Penalty for each task of the same job in the zone.
 const ZONE_SIBLING_PENALTY: f64 = 0.05;
-/// Further siblings make no difference.
+/// The number of tasks of the same job beyond which further ones add no penalty.
 const MAX_SIBLINGS_COUNTED: u32 = 4;
 
-/// What ranks the machines that fit a task.
+/// The properties of a machine that determine its rank for a task that fits.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FitScore {
-    /// The machine has the image.
+    /// Whether the machine has the task's image in its cache.
     pub image_cached: bool,
-    /// It is pulling the image for another task.
+    /// Whether the machine is pulling the image for another task.
     pub image_pulling: bool,
-    /// Other images that it is pulling.
+    /// The number of other images that the machine is pulling.
     pub concurrent_pulls: u32,
-    /// It is a spot instance, and the job may use these.
+    /// Whether the machine is a spot instance. The job must allow these.
     pub spot: bool,
-    /// The share of it that stays free.
+    /// The share of the machine that the task would leave free.
     pub free_share: f64,
-    /// Tasks of the same job on it: replicas on one machine fail together.
+    /// The number of tasks of the same job on the machine. Replicas on one machine fail
+    /// together.
     pub siblings: u32,
 }
 
 impl FitScore {
-    /// The rank; smaller is better. Among equals the fullest machine is preferred, so
-    /// that others become empty.
+    /// Returns the rank; smaller is better. Among otherwise equal machines the fullest is
+    /// preferred, so that other machines become empty.
     pub fn rank(&self) -> f64 {
         let pull = if self.image_cached {
             0.0
@@ -190,8 +194,8 @@
         pull * PULL_WEIGHT + price + self.free_share + SIBLING_PENALTY * siblings
     }
 
-    /// The penalty that is added for tasks of the same job in the zone.
-    pub fn zone_crowding(zone_siblings: u32) -> f64 {
+    /// Returns the penalty to add to the rank for tasks of the same job in the zone.
+    pub fn zone_sibling_penalty(zone_siblings: u32) -> f64 {
         ZONE_SIBLING_PENALTY * f64::from(zone_siblings.min(MAX_SIBLINGS_COUNTED))
     }
 }
--- a/src/scheduler/displacement/compaction.rs
+++ b/src/scheduler/displacement/compaction.rs
@@ -94,7 +94,7 @@
     fn compact_machine(&mut self, now: Now, from: Slot) -> bool {
         // A reserved machine may be the target of replicas from a machine that was
         // drained earlier.
-        let Some(machine) = self.capacity.get(from).filter(|m| !m.is_reserved()) else {
+        let Some(machine) = self.capacity.get(from).filter(|m| !m.is_retained()) else {
             return false;
         };
         let id = machine.id.clone();
--- a/src/scheduler/displacement/image_displacement.rs
+++ b/src/scheduler/displacement/image_displacement.rs
@@ -134,7 +134,7 @@
                 .targets
                 .insert(displaced.task, displaced.target_machine);
         }
-        self.capacity.hold(from, &request.resources);
+        self.capacity.reserve(from, &request.resources);
         self.refresh(now);
         Some(from)
     }
--- a/src/scheduler/displacement/preemption.rs
+++ b/src/scheduler/displacement/preemption.rs
@@ -98,7 +98,7 @@
             log::info!("task preempted task={task} job={job} checkpoint={saves_checkpoint}");
             self.stop_task(now, &task, saves_checkpoint);
         }
-        self.capacity.hold(slot, &spec.task_request());
+        self.capacity.reserve(slot, &spec.task_request());
     }
 
     /// Returns the machines on which the work could be placed by preemption: those that
@@ -116,10 +116,12 @@
             .capacity
             .with_image(spec, &unplaced.zones, CANDIDATES_PER_GROUP)
             .filter(|(_, machine)| runs_less_important(machine));
-        let others = self.capacity.stoppable(spec, CANDIDATES_PER_GROUP);
+        let others = self
+            .capacity
+            .with_preemptible_tasks(spec, CANDIDATES_PER_GROUP);
         let slots: BTreeSet<Slot> = with_image
             .chain(others)
-            .chain(self.capacity.stopping_tasks())
+            .chain(self.capacity.with_stopping_tasks())
             .map(|(slot, _)| slot)
             .collect();
         let candidates: Vec<PreemptionCandidate> = slots
--- a/src/scheduler/provisioning/scale_in.rs
+++ b/src/scheduler/provisioning/scale_in.rs
@@ -89,7 +89,7 @@
         self.capacity
             .slot(id)
             .and_then(|slot| self.capacity.get(slot))
-            .is_some_and(MachineCapacity::is_reserved)
+            .is_some_and(MachineCapacity::is_retained)
     }
 
     /// Whether an idle machine should be released now.
--- a/src/scheduler/provisioning/scale_out.rs
+++ b/src/scheduler/provisioning/scale_out.rs
@@ -81,7 +81,7 @@
         if now.ms >= self.elected_ms + self.heartbeat_interval_ms() * LISTEN_HEARTBEATS {
             return false;
         }
-        let unheard = |machine: &Machine| machine.listed_running && !machine.fenced;
+        let unheard = |machine: &Machine| machine.listed_running && !machine.token_acknowledged;
         self.term > Term(1) || !self.provisioning.fleet_listed || self.fleet.iter().any(unheard)
     }
 
--- a/src/scheduler/replica_groups/observation.rs
+++ b/src/scheduler/replica_groups/observation.rs
@@ -32,8 +32,9 @@
     fn binding_of(&self, now: Now, assignment: &Assignment) -> Binding {
         let machine = self.fleet.get(&assignment.machine);
         // Only heartbeats of the machine's current agent epoch and of this term count.
-        let is_current = machine
-            .is_some_and(|machine| machine.fenced && machine.agent_epoch == assignment.agent_epoch);
+        let is_current = machine.is_some_and(|machine| {
+            machine.token_acknowledged && machine.agent_epoch == assignment.agent_epoch
+        });
         let activity = match assignment.phase.filter(|_| is_current) {
             Some(TaskPhase::Running | TaskPhase::Checkpointing) => PartActivity::Running,
             Some(_) => PartActivity::Starting,
@@ -52,7 +53,7 @@
         let silent = now.ms >= machine.last_heartbeat_ms + self.max_heartbeat_age_ms();
         if machine.phase == MachinePhase::Releasing {
             MachineHealth::Lost
-        } else if silent || machine.unresponsive_since_ms.is_some() {
+        } else if silent || machine.starts_ignored_since_ms.is_some() {
             MachineHealth::Silent
         } else if machine.reclaim_at_ms.is_some() || machine.phase == MachinePhase::Draining {
             MachineHealth::Leaving
--- a/src/scheduler/replica_groups/provisioning.rs
+++ b/src/scheduler/replica_groups/provisioning.rs
@@ -109,7 +109,7 @@
             return;
         };
         for machine in reclaimed.free {
-            self.capacity.hold(machine.slot, &request.resources);
+            self.capacity.reserve(machine.slot, &request.resources);
         }
         for candidate in reclaimed.candidates {
             self.carry_out_preemption(now, candidate.slot, candidate.plan, &unplaced.spec);
--- a/src/scheduler/replica_groups/reservations.rs
+++ b/src/scheduler/replica_groups/reservations.rs
@@ -92,7 +92,7 @@
         if self.settings.start_slo_ms(&request.spec).is_some() {
             if let Some(machines) = self.find_machines(&search, SearchScope::WithStopping) {
                 for machine in machines {
-                    self.capacity.hold(machine.slot, &request.resources);
+                    self.capacity.reserve(machine.slot, &request.resources);
                 }
                 return None;
             }
--- a/src/scheduler/replica_groups/search.rs
+++ b/src/scheduler/replica_groups/search.rs
@@ -194,7 +194,7 @@
                 })
             }
             SearchScope::WithStopping => {
-                let mut stopping = self.capacity.stopping_tasks();
+                let mut stopping = self.capacity.with_stopping_tasks();
                 stopping.find(|(slot, machine)| {
                     is_allowed(*slot, machine)
                         && machine.free_after_stops().covers(demand.resources)
--- a/src/scheduler/rounds/machine_choice.rs
+++ b/src/scheduler/rounds/machine_choice.rs
@@ -76,7 +76,7 @@
         if now.wall_ms < request.deadline_wall_ms
             && target.free_after_stops().covers(&request.resources)
         {
-            self.capacity.hold(slot, &request.resources);
+            self.capacity.reserve(slot, &request.resources);
             return Some(MachineChoice::Held(slot));
         }
         None
@@ -161,13 +161,13 @@
             };
             let fitting = self
                 .capacity
-                .stopping_tasks()
+                .with_stopping_tasks()
                 .find(|(_, machine)| fits(machine));
             let Some((slot, machine)) = fitting else {
                 return count - held;
             };
             request.zones.add(&machine.state.offer.zone);
-            self.capacity.hold(slot, &request.resources);
+            self.capacity.reserve(slot, &request.resources);
         }
         0
     }
--- a/src/scheduler/workers/commands.rs
+++ b/src/scheduler/workers/commands.rs
@@ -32,7 +32,11 @@
         heartbeat: Option<&WorkerHeartbeat>,
         out: &mut SchedulerEffects,
     ) -> Vec<Command> {
-        if !self.fleet.get(id).is_some_and(|machine| machine.fenced) {
+        if !self
+            .fleet
+            .get(id)
+            .is_some_and(|machine| machine.token_acknowledged)
+        {
             return Vec::new();
         }
         let mut commands = self.assigned_task_commands(now, id);
--- a/src/scheduler/workers/direct_commands.rs
+++ b/src/scheduler/workers/direct_commands.rs
@@ -52,7 +52,7 @@
         };
         // A call without commands is of use only to a worker that hasn't seen
         // this term's fencing token.
-        if commands.is_empty() && machine.fenced {
+        if commands.is_empty() && machine.token_acknowledged {
             return;
         }
         machine.command_in_flight = true;
--- a/src/scheduler/workers/failure_detection.rs
+++ b/src/scheduler/workers/failure_detection.rs
@@ -74,7 +74,7 @@
 impl Scheduler {
     /// Checks every machine and every stop that is due.
     pub(in crate::scheduler) fn check_machines(&mut self, now: Now, cloud: &mut CloudClient) {
-        self.fleet.forget_released(now.ms);
+        self.fleet.expire_released(now.ms);
         self.finished_jobs.retain(|_, until| now.ms < *until);
         self.jobs.refresh();
         let cancelled: Vec<_> = self.jobs.stopping().iter().cloned().collect();
@@ -114,7 +114,7 @@
     /// Assesses a machine that is up.
     fn assess_machine(&self, now: Now, machine: &Machine, zone: &ZoneSilence) -> MachineHealth {
         let unresponsive = machine
-            .unresponsive_since_ms
+            .starts_ignored_since_ms
             .is_some_and(|since_ms| now.ms > since_ms + self.lease_ms());
         let lost = if self.is_silent(now, machine, zone) {
             Some(MachineFailure::Silent)
--- a/src/scheduler/workers/heartbeats.rs
+++ b/src/scheduler/workers/heartbeats.rs
@@ -96,7 +96,7 @@
         if self.fleet.is_released(&id) {
             return false;
         }
-        if !self.fleet.get(&id).is_some_and(Machine::is_described) {
+        if !self.fleet.get(&id).is_some_and(Machine::has_known_type) {
             let offer = Offer {
                 machine_type: Rc::from(heartbeat.machine_type.as_str()),
                 zone: Rc::from(heartbeat.zone.as_str()),
@@ -118,8 +118,8 @@
         // of this leader.
         if heartbeat.fencing_token.term() == self.term {
             if let Some(machine) = self.fleet.get_mut(&id) {
-                self.pacing.requested |= !machine.fenced;
-                machine.fenced = true;
+                self.pacing.requested |= !machine.token_acknowledged;
+                machine.token_acknowledged = true;
             }
             self.reconcile(now, &id, heartbeat, out);
         }
@@ -176,12 +176,12 @@
     heartbeat: &WorkerHeartbeat,
     source: HeartbeatSource,
 ) -> bool {
-    let known = (machine.agent_epoch, machine.sequence);
+    let known = (machine.agent_epoch, machine.heartbeat_sequence);
     if (heartbeat.agent_epoch, heartbeat.sequence) <= known {
         return false;
     }
     machine.agent_epoch = heartbeat.agent_epoch;
-    machine.sequence = heartbeat.sequence;
+    machine.heartbeat_sequence = heartbeat.sequence;
     if source == HeartbeatSource::Heartbeat {
         machine.last_heartbeat_ms = now.ms;
     }
--- a/src/scheduler/workers/machines.rs
+++ b/src/scheduler/workers/machines.rs
@@ -88,9 +88,9 @@
                 now.ms,
             )
         });
-        if !machine.is_described() {
+        if !machine.has_known_type() {
             // It was known from a stored assignment only.
-            machine.describe(offer, capacity, image_cache_gb);
+            machine.set_type(offer, capacity, image_cache_gb);
         }
         machine.provisioned_ms = machine.provisioned_ms.min(provisioned_ms);
         machine
--- a/src/scheduler/workers/reconciliation.rs
+++ b/src/scheduler/workers/reconciliation.rs
@@ -78,9 +78,9 @@
         if let Some(machine) = self.fleet.get_mut(id) {
             machine.has_unassigned_tasks = unassigned_tasks;
             if start_overdue {
-                machine.unresponsive_since_ms.get_or_insert(now.ms);
+                machine.starts_ignored_since_ms.get_or_insert(now.ms);
             } else {
-                machine.unresponsive_since_ms = None;
+                machine.starts_ignored_since_ms = None;
             }
         }
     }
--- a/src/slackfit.rs
+++ b/src/slackfit.rs
@@ -1,34 +1,35 @@
-//! SlackFit (SuperServe, section 4.2), carried over from model variants to machines that
-//! could be provisioned. Pure policy: the offers go into evenly spaced latency buckets,
-//! each of which keeps its cheapest one, and the bucket closest under the most urgent
-//! slack is taken.
+//! The SlackFit policy (SuperServe, section 4.2), applied to machines to provision in place
+//! of model variants. Options are divided into evenly spaced latency buckets, each of which
+//! keeps its cheapest option. The policy chooses the bucket with the highest latency that
+//! doesn't exceed the slack of the most urgent task.
 
 use crate::cloud::Offer;
 
-/// Costs that differ by less than this share are equal.
+/// Costs whose relative difference is at most this are treated as equal.
 const COST_TOLERANCE: f64 = 0.01;
 
 /// A machine that could be provisioned for a task.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ProvisioningOption {
-    /// What would be provisioned.
+    /// The offer of which a machine would be provisioned.
     pub offer: Offer,
-    /// The estimated boot time plus the task's estimated run time.
+    /// The estimated boot time plus the estimated run time of the task.
     pub latency_ms: u64,
-    /// The price per task, in place of the paper's accuracy.
+    /// The price per task, which takes the place of the accuracy in the paper.
     pub cost: f64,
-    /// The number of machines in its zone: among equals the emptiest zone is taken.
+    /// The number of known machines in the offer's zone. Among options of equal cost the
+    /// zone with the fewest machines is preferred.
     pub machines_in_zone: u32,
 }
 
-/// One evenly spaced part of the range of latencies.
+/// A non-empty interval of the latency range.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Bucket {
-    /// Its cheapest option.
+    /// The cheapest option with a latency in the interval.
     pub option: ProvisioningOption,
 }
 
-/// Whether `a` is preferred to `b`.
+/// Returns whether `a` is preferred to `b`.
 fn is_better(a: &ProvisioningOption, b: &ProvisioningOption) -> bool {
     let tolerance = COST_TOLERANCE * a.cost.abs().max(b.cost.abs());
     if (a.cost - b.cost).abs() > tolerance {
@@ -37,20 +38,20 @@
     (a.machines_in_zone, a.latency_ms, &a.offer) < (b.machines_in_zone, b.latency_ms, &b.offer)
 }
 
-/// Evenly spaced buckets between the fastest and the slowest option; empty ones are left
-/// out.
+/// Divides the latency range from the fastest to the slowest option into `count` intervals
+/// of equal length. Returns the non-empty buckets in ascending order of latency.
 pub fn buckets(options: &[ProvisioningOption], count: usize) -> Vec<Bucket> {
     let latencies = || options.iter().map(|option| option.latency_ms);
     let (Some(fastest), Some(slowest)) = (latencies().min(), latencies().max()) else {
         return Vec::new();
     };
     let count = count.max(1) as u64;
-    let edge = |number: u64| fastest + (slowest - fastest) * number / count;
+    let edge = |index: u64| fastest + (slowest - fastest) * index / count;
     (0..count)
-        .filter_map(|number| {
-            let (lower, upper) = (edge(number), edge(number + 1));
+        .filter_map(|index| {
+            let (lower, upper) = (edge(index), edge(index + 1));
             let inside = options.iter().filter(|option| {
-                let is_fastest = number == 0 && option.latency_ms == fastest;
+                let is_fastest = index == 0 && option.latency_ms == fastest;
                 (option.latency_ms > lower || is_fastest) && option.latency_ms <= upper
             });
             let option = cheapest_of(inside)?.clone();
@@ -59,9 +60,9 @@
         .collect()
 }
 
-/// The option of the bucket closest under the slack. If the slack is below every bucket,
-/// the slowest one: the design's choice, so that what is late anyway isn't made
-/// expensive too.
+/// Returns the option of the bucket with the highest latency that doesn't exceed the slack.
+/// If the options of all buckets exceed the slack, returns that of the slowest bucket: the
+/// task is late anyway, so a faster and more expensive machine isn't worth its cost.
 pub fn choose(buckets: &[Bucket], slack_ms: i64) -> Option<&ProvisioningOption> {
     buckets
         .iter()
@@ -71,7 +72,7 @@
         .map(|bucket| &bucket.option)
 }
 
-/// The cheapest option, for work without a deadline of its own, such as services.
+/// Returns the cheapest option, for jobs without a deadline, such as services.
 pub fn cheapest(options: &[ProvisioningOption]) -> Option<&ProvisioningOption> {
     cheapest_of(options.iter())
 }
--- a/tests/allocations.rs
+++ b/tests/allocations.rs
@@ -1,5 +1,6 @@
-//! What a leader allocates for the message that comes most often. A program of its own:
-//! the allocator counts for the whole process.
+//! Measures the heap allocations of a leader for a heartbeat, which is the most frequent
+//! message. The test is a separate program because the allocator counts the allocations of
+//! the whole process.
 
 mod full_leader;
 
@@ -11,7 +12,8 @@
 
 const HEARTBEATS: u64 = 100;
 
-/// Blocks that a leader of a full fleet allocates for one heartbeat with nothing new.
+/// Returns the number of blocks that a leader with a full fleet allocates for a heartbeat
+/// that reports no change.
 fn blocks_per_heartbeat(machines: usize) -> u64 {
     let mut leader = Leader::new(machines);
     let heartbeats: Vec<Request> = (0..HEARTBEATS).map(|_| leader.next_heartbeat()).collect();
@@ -24,10 +26,10 @@
     (dhat::HeapStats::get().total_blocks - before) / HEARTBEATS
 }
 
-/// It was 41 blocks for eight tasks: names parsed up to three times, and copies
-/// of what was known.
+/// Guards against redundant allocations: a heartbeat with eight tasks once took 41 blocks,
+/// because task names were parsed up to three times and known state was copied.
 #[test]
-fn a_heartbeat_with_nothing_new_allocates_little_whatever_the_fleet() {
+fn unchanged_heartbeat_allocations_are_bounded_for_any_fleet_size() {
     let _profiler = dhat::Profiler::builder().testing().build();
     let small = blocks_per_heartbeat(20);
     let large = blocks_per_heartbeat(100);
@@ -35,5 +37,8 @@
         small <= 3 * TASKS_PER_MACHINE as u64,
         "blocks per heartbeat: {small}"
     );
-    assert!(large <= small + 1, "with five times the fleet: {large}");
+    assert!(
+        large <= small + 1,
+        "blocks per heartbeat in a fleet of five times the size: {large}"
+    );
 }
--- a/tests/full_leader/mod.rs
+++ b/tests/full_leader/mod.rs
@@ -1,11 +1,11 @@
-//! A leader of a full fleet, to which events are given one by one: what
-//! `tests/allocations.rs` counts and `benches/events.rs` measures.
+//! Fixture for `tests/allocations.rs` and `benches/events.rs`: a leader whose fleet is fully
+//! occupied, and which handles one event at a time.
 
 #[path = "../integration/simulation/mod.rs"]
 #[allow(
     dead_code,
     unused_imports,
-    reason = "measurements need a part of the simulation only"
+    reason = "the fixture uses only a part of the simulation"
 )]
 pub mod simulation;
 
@@ -15,12 +15,12 @@
 use serde_json::{json, Value};
 use simulation::{service, Simulation};
 
-/// Tasks of each machine.
+/// The number of tasks on each machine.
 pub const TASKS_PER_MACHINE: usize = 8;
-/// Tasks of each job.
+/// The number of tasks of each job.
 const TASKS_PER_JOB: usize = 40;
 
-/// Three controllers and full machines, all in one zone.
+/// Creates a simulation with three controllers and fully occupied machines in one zone.
 fn full_fleet(machines: usize) -> Simulation {
     let mut sim = Simulation::new(3);
     sim.capacity = 0;
@@ -39,18 +39,18 @@
     assert_eq!(
         sim.on_machines("run-"),
         machines * TASKS_PER_MACHINE,
-        "all are full"
+        "not all machines are fully occupied"
     );
     sim
 }
 
-/// The leader, without the controllers and machines beside it.
+/// The leader of a simulated fleet, detached from the other controllers and the machines.
 pub struct Leader {
     pub node: Node,
     pub now: Now,
-    /// What the last request made it send.
+    /// The effects of the last request.
     pub effects: Vec<Effect>,
-    /// The last heartbeat of one of its machines.
+    /// The last heartbeat of one of the leader's machines.
     pub heartbeat: Value,
     pub sequence: u64,
 }
@@ -58,18 +58,20 @@
 impl Leader {
     pub fn new(machines: usize) -> Leader {
         let mut sim = full_fleet(machines);
-        let leader = sim.leader().expect("somebody leads");
+        let leader = sim.leader().expect("no controller is the leader");
         let heartbeat = sim.next_heartbeat("vm-0001");
         Leader {
-            node: sim.nodes[leader].take().expect("the leader is up"),
+            node: sim.nodes[leader].take().expect("the leader is not running"),
             now: sim.clock(),
             effects: Vec::new(),
-            sequence: heartbeat["numero"].as_u64().expect("a number"),
+            sequence: heartbeat["numero"]
+                .as_u64()
+                .expect("sequence number is not an unsigned integer"),
             heartbeat,
         }
     }
 
-    /// Handles a request of a client.
+    /// Passes a client's request to the leader and records the effects.
     pub fn request(&mut self, request: Request) {
         self.effects.clear();
         self.node.request(
@@ -81,7 +83,7 @@
         );
     }
 
-    /// The next heartbeat of the machine, as bytes.
+    /// Returns a request with the machine's next heartbeat.
     pub fn next_heartbeat(&mut self) -> Request {
         self.sequence += 1;
         self.heartbeat["numero"] = self.sequence.into();
--- a/tests/integration/capacity_index.rs
+++ b/tests/integration/capacity_index.rs
@@ -117,7 +117,7 @@
         };
         let service = f64::from(u32::from(demand.spec.kind == JobKind::Service));
         let failed = f64::from(u32::from((demand.failed_on)(id)));
-        let crowded = service * FitScore::zone_crowding(demand.zones.count(&offer.zone));
+        let crowded = service * FitScore::zone_sibling_penalty(demand.zones.count(&offer.zone));
         Some(fit.rank() + 10.0 * failed + crowded)
     }
 
@@ -289,7 +289,7 @@
         );
         prop_assert!((best.rank - rank).abs() < 1e-9);
         prop_assert_eq!(rooms.rank(best.slot, &demand), Some(best.rank));
-        rooms.hold(best.slot, &need);
+        rooms.reserve(best.slot, &need);
         let (drawn, held) = plain.rooms.get_mut(&id).unwrap();
         held.add(&need);
         zones.add(&Rc::from(ZONES[drawn.zone]));
@@ -411,7 +411,7 @@
                 Change::Hold(n, k) => rooms
                     .slot(&machine(n))
                     .into_iter()
-                    .for_each(|s| rooms.hold(s, &some(k))),
+                    .for_each(|s| rooms.reserve(s, &some(k))),
                 Change::Keep(n, k) => rooms
                     .slot(&machine(n))
                     .into_iter()
@@ -435,7 +435,7 @@
         let contents = rooms.contents();
         let known = contents.schedulable.len() + contents.unschedulable.len();
         prop_assert_eq!(zones as usize, known);
-        prop_assert_eq!(rooms.reserved_machines().count(), 0);
+        prop_assert_eq!(rooms.retained_machines().count(), 0);
         Ok(())
     });
     verdict.unwrap();
