--- a/src/gateway/admission.rs
+++ b/src/gateway/admission.rs
@@ -89,7 +89,7 @@
 
     /// Builds the transaction that stores the job's record.
     pub(super) fn accept(&self, now: Now) -> Txn {
-        let value = serde_json::to_value(self.record(now.wall)).unwrap_or_default();
+        let value = serde_json::to_value(self.record(now.wall_ms)).unwrap_or_default();
         self.compare_absent().put(job_key(&self.spec.id), value)
     }
 
@@ -100,7 +100,7 @@
             state: FinalState::Cancelled,
             tasks: self.spec.tasks,
             write_id: 0,
-            ended_wall_ms: now.wall,
+            ended_wall_ms: now.wall_ms,
         };
         let value = serde_json::to_value(record).unwrap_or_default();
         self.compare_absent().put(final_key(&self.spec.id), value)
--- a/src/gateway/writes.rs
+++ b/src/gateway/writes.rs
@@ -41,7 +41,7 @@
         let key = job_key(&request.id);
         let txn = Txn::default().compare(key.clone(), job.mod_revision).put(
             key,
-            job.into_cancelled(now.wall, self.guaranteed_value_bytes),
+            job.into_cancelled(now.wall_ms, self.guaranteed_value_bytes),
         );
         self.write(now, request, CallPriority::Cancel, &txn, effects);
     }
--- a/src/node/turn.rs
+++ b/src/node/turn.rs
@@ -75,7 +75,7 @@
         for (cloud_call, call) in calls {
             self.send(OutgoingCall::Cloud(cloud_call), call, effects);
         }
-        self.cloud.due_ms(now)
+        self.cloud.next_wake_ms(now)
     }
 
     /// Sends the queued calls that the rates allow, and reports expired calls to their
--- a/src/scheduler/dependencies/mod.rs
+++ b/src/scheduler/dependencies/mod.rs
@@ -112,7 +112,7 @@
         self.dependencies.graph.remove_dependencies(id);
         if let Some(job) = self.jobs.get_mut(id) {
             job.has_open_dependencies = false;
-            let waited_ms = now.wall.saturating_sub(job.submitted_wall_ms);
+            let waited_ms = now.wall_ms.saturating_sub(job.submitted_wall_ms);
             log::info!(
                 "job ready job={id} class={} waited_ms={waited_ms}",
                 job.spec.class
@@ -170,7 +170,7 @@
             return;
         }
         log::info!("job cancelled job={id} reason=\"a dependency is cancelled\"");
-        job.cancelled_wall_ms = Some(now.wall);
+        job.cancelled_wall_ms = Some(now.wall_ms);
         self.commits.has_changes = true;
     }
 
@@ -188,13 +188,13 @@
         let is_pipeline_stage = |job: &Job| has_dependents || !job.spec.dependencies.is_empty();
         let job = self.jobs.get(id).filter(|job| is_pipeline_stage(job));
         if let Some(job) = job.filter(|_| state == FinalState::Done) {
-            let took_ms = now.wall.saturating_sub(job.ready_wall_ms);
+            let took_ms = now.wall_ms.saturating_sub(job.ready_wall_ms);
             self.estimates
                 .record_stage_time(&job.spec, took_ms as f64 / 1000.0);
         }
         self.dependencies.graph.remove_dependencies(id);
         self.propagate_urgency(open);
-        self.on_dependency_finished(now, id, state, now.wall);
+        self.on_dependency_finished(now, id, state, now.wall_ms);
     }
 
     /// Reads the final records of the unresolved dependencies that are due.
--- a/src/scheduler/dependencies/propagation.rs
+++ b/src/scheduler/dependencies/propagation.rs
@@ -23,7 +23,7 @@
             |multiple: &f64| Some(job.submitted_wall_ms + (deadline_ms? * multiple) as u64);
         let own = StageUrgency {
             priority: job.own_priority,
-            deadlines: multiples.iter().filter_map(deadline).collect(),
+            deadlines_wall_ms: multiples.iter().filter_map(deadline).collect(),
         };
         let urgency = match job.inherited_urgency.clone() {
             Some(inherited) => own.merge(inherited),
@@ -78,8 +78,8 @@
             return;
         };
         let boot_and_run_s = self.estimates.expected_stage_s(&job.spec) + self.slowest_boot_s();
-        let expected_end_wall_ms = now.wall + (boot_and_run_s * 1000.0) as u64;
-        let first_deadline = urgency.deadlines.first();
+        let expected_end_wall_ms = now.wall_ms + (boot_and_run_s * 1000.0) as u64;
+        let first_deadline = urgency.deadlines_wall_ms.first();
         let is_at_risk = first_deadline.is_some_and(|deadline| *deadline < expected_end_wall_ms);
         if is_at_risk && urgency.priority < job.spec.priority {
             let priority = urgency.priority;
--- a/src/scheduler/provisioning/offer_choice.rs
+++ b/src/scheduler/provisioning/offer_choice.rs
@@ -26,7 +26,7 @@
         machines_by_zone: &BTreeMap<Rc<str>, u32>,
     ) -> Option<ProvisioningOption> {
         let spec = &unplaced.spec;
-        let slack_ms = unplaced.deadline_wall_ms as i64 - now.wall as i64;
+        let slack_ms = unplaced.deadline_wall_ms as i64 - now.wall_ms as i64;
         // Ties are broken in favor of the zone with the fewest machines.
         let with_zone_machines = |option: &ProvisioningOption| ProvisioningOption {
             machines_in_zone: machines_by_zone
@@ -78,7 +78,7 @@
                     .expected_boot_s(&feasible.offer.machine_type, feasible.nominal_boot_s);
                 let tasks = feasible
                     .capacity
-                    .count_of(&request)
+                    .fit_count(&request)
                     .clamp(1, MAX_TASKS_PER_MACHINE);
                 ProvisioningOption {
                     latency_ms: ((boot_s + run_s) * 1000.0) as u64,
--- a/src/scheduler/provisioning/scale_out.rs
+++ b/src/scheduler/provisioning/scale_out.rs
@@ -84,7 +84,8 @@
         if now.ms >= self.elected_ms + self.heartbeat_interval_ms() * DISCOVERY_HEARTBEATS {
             return false;
         }
-        let awaits_heartbeat = |machine: &Machine| machine.listed_running && !machine.fenced;
+        let awaits_heartbeat =
+            |machine: &Machine| machine.listed_running && !machine.token_acknowledged;
         self.term > Term(1)
             || !self.provisioning.machine_list_received
             || self.fleet.iter().any(awaits_heartbeat)
--- a/src/scheduler/replica_groups/provisioning.rs
+++ b/src/scheduler/replica_groups/provisioning.rs
@@ -111,7 +111,7 @@
             return;
         };
         for machine in preemption_plan.free {
-            self.capacity.hold(machine.slot, &request.resources);
+            self.capacity.reserve(machine.slot, &request.resources);
         }
         for candidate in preemption_plan.candidates {
             self.carry_out_preemption(now, candidate.slot, candidate.plan, &unplaced.spec);
--- a/src/scheduler/state/commit_outcome.rs
+++ b/src/scheduler/state/commit_outcome.rs
@@ -156,7 +156,7 @@
             log::info!(
                 "job finished job={id} state={state:?} class={} after_ms={}",
                 job.spec.class,
-                now.wall.saturating_sub(job.submitted_wall_ms)
+                now.wall_ms.saturating_sub(job.submitted_wall_ms)
             );
         }
     }
--- a/src/scheduler/state/job_watch.rs
+++ b/src/scheduler/state/job_watch.rs
@@ -91,7 +91,7 @@
             // Stored jobs count as arrivals at their time of submission.
             let arrived_wall_ms = match source {
                 JobRecordSource::InitialList => job.submitted_wall_ms,
-                JobRecordSource::Update => now.wall,
+                JobRecordSource::Update => now.wall_ms,
             };
             self.estimates.record_arrival(arrived_wall_ms, &job.spec);
         }
@@ -199,7 +199,7 @@
         else {
             return;
         };
-        job.cancelled_wall_ms = Some(now.wall);
+        job.cancelled_wall_ms = Some(now.wall_ms);
         // The record has changed, so it has to be read before the job is written.
         job.stale = true;
         self.enforce_cancel(now, id);
--- a/src/scheduler/workers/direct_commands.rs
+++ b/src/scheduler/workers/direct_commands.rs
@@ -52,7 +52,7 @@
         };
         // A call without commands is only needed if the worker hasn't received a fencing
         // token of this term.
-        if commands.is_empty() && machine.fenced {
+        if commands.is_empty() && machine.token_acknowledged {
             return;
         }
         machine.command_in_flight = true;
--- a/src/scheduler/workers/failure_detection.rs
+++ b/src/scheduler/workers/failure_detection.rs
@@ -76,7 +76,7 @@
     /// Checks all machines: declares machines failed, drains those with a preemption notice,
     /// requests pending releases again and enforces the stops of cancelled jobs.
     pub(in crate::scheduler) fn check_machines(&mut self, now: Now, cloud: &mut CloudClient) {
-        self.fleet.forget_released(now.ms);
+        self.fleet.expire_released(now.ms);
         self.finished_jobs.retain(|_, until| now.ms < *until);
         self.jobs.refresh();
         let cancelled: Vec<_> = self.jobs.stopping().iter().cloned().collect();
@@ -116,7 +116,7 @@
     /// Checks a machine that is up.
     fn assess_machine(&self, now: Now, machine: &Machine, zone: &ZoneHealth) -> MachineHealth {
         let starts_ignored = machine
-            .unresponsive_since_ms
+            .starts_ignored_since_ms
             .is_some_and(|since_ms| now.ms > since_ms + self.lease_ms());
         let worker_failure = if self.is_unresponsive(now, machine, zone) {
             Some(MachineFailure::Unresponsive)
--- a/src/scheduler/workers/lease_proxies.rs
+++ b/src/scheduler/workers/lease_proxies.rs
@@ -80,7 +80,7 @@
     fn apply_lease_proxy_record(&mut self, now: Now, record: LeaseProxyRecord) {
         // The clocks of the controllers differ slightly, so the age may be a little off. The
         // renewals in a record older than a lease have expired.
-        let age_ms = now.wall.saturating_sub(record.written_wall_ms);
+        let age_ms = now.wall_ms.saturating_sub(record.written_wall_ms);
         if age_ms > self.lease_ms() {
             return;
         }
--- a/src/scheduler/workers/machines.rs
+++ b/src/scheduler/workers/machines.rs
@@ -93,9 +93,9 @@
                 now.ms,
             )
         });
-        if !machine.is_described() {
+        if !machine.has_known_type() {
             // The machine was known only from a stored assignment.
-            machine.describe(offer, capacity, image_cache_gb);
+            machine.set_type(offer, capacity, image_cache_gb);
         }
         machine.provisioned_ms = machine.provisioned_ms.min(provisioned_ms);
         machine
--- a/src/scheduler/workers/reconciliation.rs
+++ b/src/scheduler/workers/reconciliation.rs
@@ -78,9 +78,9 @@
         if let Some(machine) = self.fleet.get_mut(id) {
             machine.has_unassigned_tasks = unassigned_tasks;
             if start_overdue {
-                machine.unresponsive_since_ms.get_or_insert(now.ms);
+                machine.starts_ignored_since_ms.get_or_insert(now.ms);
             } else {
-                machine.unresponsive_since_ms = None;
+                machine.starts_ignored_since_ms = None;
             }
         }
     }
@@ -103,7 +103,7 @@
         };
         if phase != TaskPhase::PullingImage && assignment.running_since_ms.is_none() {
             assignment.running_since_ms = Some(now.ms);
-            let waited_ms = now.wall.saturating_sub(job.ready_wall_ms);
+            let waited_ms = now.wall_ms.saturating_sub(job.ready_wall_ms);
             assignment.missed_start_slo = self
                 .settings
                 .start_slo_ms(&job.spec)
--- a/tests/integration/simulation/nodes.rs
+++ b/tests/integration/simulation/nodes.rs
@@ -62,7 +62,7 @@
     pub fn clock(&self) -> Now {
         Now {
             ms: self.now_ms,
-            wall: WALL_OFFSET_MS + self.now_ms,
+            wall_ms: WALL_OFFSET_MS + self.now_ms,
         }
     }
 
