--- a/loadtest/tests/loopback.rs
+++ b/loadtest/tests/loopback.rs
@@ -111,7 +111,7 @@
         let set = options.replica_classes.insert("large", "2");
         set.expect("two parts");
         let endpoints = settings.endpoints();
-        let bounds = settings.site.limits.bounds();
+        let bounds = settings.site.limits.reactor_bounds();
         let mut node = Node::new(settings, options, 1);
         let reactor = Reactor::new(endpoints, bounds, 0).expect("it listens");
         reactor.run(&mut node)
--- a/src/bounded_map.rs
+++ b/src/bounded_map.rs
@@ -1,10 +1,10 @@
-//! A map that evicts its oldest entries, so that what a process remembers of jobs is
+//! A map that evicts its oldest entries, so that a controller's memory of jobs is
 //! bounded.
 
 use std::collections::{BTreeMap, HashMap};
 use std::hash::Hash;
 
-/// The number of an entry in the order of insertion.
+/// Position of an entry in the order of insertion, counted from 1.
 type Sequence = u64;
 
 #[derive(Debug)]
@@ -13,18 +13,18 @@
     value: V,
 }
 
-/// A map of at most `capacity` entries; a new one beyond that evicts the oldest.
+/// A map of at most `capacity` entries. Inserting a new key into a full map evicts the
+/// entry that was inserted first.
 #[derive(Debug)]
 pub struct BoundedMap<K, V> {
     capacity: usize,
     entries: HashMap<K, Entry<V>>,
-    /// Keys in the order of insertion.
     insertion_order: BTreeMap<Sequence, K>,
     last_sequence: Sequence,
 }
 
 impl<K: Clone + Eq + Hash, V> BoundedMap<K, V> {
-    /// An empty map.
+    /// Creates an empty map that holds at most `capacity` entries.
     pub fn new(capacity: usize) -> Self {
         BoundedMap {
             capacity,
@@ -34,22 +34,24 @@
         }
     }
 
-    /// The value of a key, if it is in the map.
+    /// Returns the value of a key, or `None` if the key was never inserted or has been
+    /// evicted.
     pub fn get(&self, key: &K) -> Option<&V> {
         self.entries.get(key).map(|entry| &entry.value)
     }
 
-    /// The number of entries.
+    /// Returns the number of entries.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether there are no entries.
+    /// Returns whether the map has no entries.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Sets a value; a key that is in the map keeps its age.
+    /// Sets the value of a key. A key that is already in the map keeps its position in
+    /// the order of eviction.
     pub fn insert(&mut self, key: K, value: V) {
         if let Some(entry) = self.entries.get_mut(&key) {
             entry.value = value;
@@ -70,7 +72,7 @@
         }
     }
 
-    /// Removes a key.
+    /// Removes a key and its value, if the key is in the map.
     pub fn remove(&mut self, key: &K) {
         if let Some(entry) = self.entries.remove(key) {
             self.insertion_order.remove(&entry.sequence);
--- a/src/cancellations/peer_logs.rs
+++ b/src/cancellations/peer_logs.rs
@@ -3,7 +3,7 @@
 
 use crate::messages::Now;
 use crate::wire::peers::{ConfirmationCursor, ConfirmedCancellations};
-use crate::wire::users::valid_job_id;
+use crate::wire::users::is_valid_job_id;
 
 /// The known part of one peer's log.
 #[derive(Debug, Default)]
@@ -41,7 +41,7 @@
         let well_formed = last <= message.total
             && message.incarnation != 0
             && message.node == self.name
-            && message.jobs.iter().all(|job| valid_job_id(job));
+            && message.jobs.iter().all(|job| is_valid_job_id(job));
         well_formed.then_some(last)
     }
 
--- a/src/cancellations/record_reader.rs
+++ b/src/cancellations/record_reader.rs
@@ -221,11 +221,11 @@
     }
 
     fn apply_event(&mut self, event: &WatchEvent) -> Option<RecordChange> {
-        if let Some(id) = event.delete.as_deref().and_then(job_of_key) {
+        if let Some(id) = event.deleted_key.as_deref().and_then(job_of_key) {
             self.unfinished.remove(&id);
             return Some(RecordChange::Removed(id));
         }
-        let id = event.put.as_deref().and_then(job_of_key)?;
+        let id = event.put_key.as_deref().and_then(job_of_key)?;
         self.unfinished
             .insert(id.clone(), dependencies_in(&event.value));
         is_cancelled(&event.value).then_some(RecordChange::Cancelled(id))
--- a/src/cloud/client.rs
+++ b/src/cloud/client.rs
@@ -218,7 +218,7 @@
         match health {
             CloudHealth::Available => self.unavailable = false,
             CloudHealth::RateLimited => {
-                self.bucket.mark_empty(now);
+                self.bucket.discard_available(now);
                 self.pause_until_ms = now.ms + RATE_LIMIT_PAUSE_MS;
             }
             CloudHealth::Unavailable => {
--- a/src/cloud/orders.rs
+++ b/src/cloud/orders.rs
@@ -36,7 +36,7 @@
 
     fn request(&self) -> ProvisionRequest<'_> {
         ProvisionRequest {
-            request: &self.name,
+            order_name: &self.name,
             machine_type: &self.offer.machine_type,
             zone: &self.offer.zone,
             spot: self.offer.spot,
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -21,7 +21,7 @@
 use crate::messages::{ConnectionId, Now, TaskProgress};
 use crate::settings::Settings;
 use crate::wire::cloud::Catalog;
-use crate::wire::users::{peek_job_id, valid_job_id};
+use crate::wire::users::{is_valid_job_id, peek_job_id};
 use admission::Admission;
 use dependencies::DependencyRead;
 use job_memory::{JobMemory, SettledFact};
@@ -61,7 +61,7 @@
         replica_classes: ReplicaClasses,
         leader_timeout_ms: u64,
     ) -> Self {
-        let limits = EffectiveLimits::new(&settings.site.state).guaranteed();
+        let limits = EffectiveLimits::new(&settings.site.kv_store).guaranteed();
         let memory = JobMemory::new(settings.site.limits.ram_mb, leader_timeout_ms);
         Gateway {
             admission: Admission::new(settings, replica_classes, limits.value_bytes),
@@ -146,7 +146,7 @@
         kind: RequestKind,
         effects: &mut GatewayEffects,
     ) {
-        if valid_job_id(id) {
+        if is_valid_job_id(id) {
             self.begin(now, conn, JobId::new(id), kind, effects);
         } else {
             effects.replies.push((conn, not_found_reply()));
--- a/src/gateway/writes.rs
+++ b/src/gateway/writes.rs
@@ -67,7 +67,7 @@
         effects: &mut GatewayEffects,
     ) {
         match response {
-            KvResponse::Status(200, _) if response.committed().is_some() => {
+            KvResponse::Status(200, _) if response.committed_revision().is_some() => {
                 self.on_committed(now, request, effects);
             }
             // Another controller wrote first, or the outcome is unknown: a read shows it.
--- a/src/http.rs
+++ b/src/http.rs
@@ -1,19 +1,21 @@
-//! HTTP/1.1, as far as the protocols need it: bounded and incremental. The
-//! parsers get all bytes received so far and tell whether a message is complete.
+//! The subset of HTTP/1.1 that the protocols need, with bounded message sizes. Parsing
+//! is incremental: a parser gets all bytes received so far and returns `None` until the
+//! message is complete.
 
 use crate::messages::{Reply, Request};
 use std::io::Write;
 use thiserror::Error;
 
-/// The largest request or status line with all headers, in bytes.
+/// The largest message head (request or status line with all headers), in bytes.
 pub const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// The protocol's limit on request bodies, in bytes.
+/// The limit that the protocol of users and workers sets on request bodies, in bytes.
 pub const MAX_REQUEST_BODY_BYTES: usize = 64 * 1024;
-/// The limit on bodies between controllers, which forward several heartbeats in one
-/// message.
+/// The limit on request bodies between controllers, in bytes. Controllers forward
+/// several worker heartbeats in one message.
 pub const MAX_PEER_BODY_BYTES: usize = 4 * MAX_REQUEST_BODY_BYTES;
-/// Responses to watches have no limit in the protocol; this one protects memory.
-pub const MAX_RESPONSE_BODY: usize = 6 * 1024 * 1024;
+/// The limit on response bodies, in bytes. The protocol has no limit on responses to
+/// watches; this limit bounds the memory that a response takes.
+pub const MAX_RESPONSE_BODY_BYTES: usize = 6 * 1024 * 1024;
 
 const LINE_END: &[u8] = b"\r\n";
 const HEAD_END: &[u8] = b"\r\n\r\n";
@@ -21,22 +23,22 @@
 /// Why a message is rejected.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Error)]
 pub enum HttpError {
-    /// It violates the grammar.
+    /// The message violates the HTTP grammar.
     #[error("malformed message")]
     Malformed,
-    /// Its head exceeds [`MAX_HEAD_BYTES`].
+    /// The head exceeds [`MAX_HEAD_BYTES`].
     #[error("head too large")]
     HeadTooLarge,
-    /// Its body exceeds the limit for its kind of message.
+    /// The body exceeds the limit for the kind of message.
     #[error("body too large")]
     BodyTooLarge,
-    /// It has a transfer coding other than `chunked`.
+    /// The transfer coding isn't `chunked`.
     #[error("transfer coding not supported")]
     UnsupportedTransferCoding,
 }
 
 impl HttpError {
-    /// The status of the response that rejects a request for this reason.
+    /// Returns the HTTP status of the response that rejects a request for this reason.
     pub fn status(self) -> u16 {
         match self {
             HttpError::Malformed => 400,
@@ -47,34 +49,36 @@
     }
 }
 
-/// A parsed head, without the body.
+/// The parsed head of a message.
 #[derive(Debug, PartialEq, Eq)]
 struct Head {
-    /// The three parts of the request or status line.
+    /// The three parts of the request line (method, path, version) or of the status line
+    /// (version, status, reason phrase).
     start_line: [String; 3],
     content_length: Option<usize>,
     chunked: bool,
-    /// The sender closes the connection after this message.
+    /// Whether the sender closes the connection after this message.
     close: bool,
-    /// How many bytes the head takes.
+    /// Bytes of the head, with the empty line that ends it.
     size: usize,
 }
 
-fn find(haystack: &[u8], needle: &[u8]) -> Option<usize> {
+fn find_bytes(haystack: &[u8], needle: &[u8]) -> Option<usize> {
     haystack
         .windows(needle.len())
         .position(|window| window == needle)
 }
 
-/// Where `needle` is within the first `limit` bytes. Once the buffer holds
-/// [`MAX_HEAD_BYTES`] bytes without it, the message is rejected for this reason.
+/// Returns the position of `needle` within the first `limit` bytes, or `None` if more
+/// bytes are needed. Returns `reason` as an error once the buffer holds
+/// [`MAX_HEAD_BYTES`] bytes without `needle`.
 fn find_or_reject(
     buffer: &[u8],
     needle: &[u8],
     limit: usize,
     reason: HttpError,
 ) -> Result<Option<usize>, HttpError> {
-    match find(&buffer[..buffer.len().min(limit)], needle) {
+    match find_bytes(&buffer[..buffer.len().min(limit)], needle) {
         None if buffer.len() >= MAX_HEAD_BYTES => Err(reason),
         position => Ok(position),
     }
@@ -104,7 +108,8 @@
         let (name, value) = line.split_once(':').ok_or(HttpError::Malformed)?;
         apply_header(&mut head, name, value.trim())?;
     }
-    // A message with both is a means of request smuggling.
+    // A message with both `Transfer-Encoding` and `Content-Length` permits request
+    // smuggling.
     if head.chunked && head.content_length.is_some() {
         return Err(HttpError::Malformed);
     }
@@ -130,20 +135,21 @@
 }
 
 fn parse_content_length(value: &str) -> Result<usize, HttpError> {
-    // `parse` would accept a sign; the grammar has digits only.
+    // `parse` would accept a sign, but the grammar allows digits only.
     if value.is_empty() || !value.bytes().all(|byte| byte.is_ascii_digit()) {
         return Err(HttpError::Malformed);
     }
     value.parse().map_err(|_| HttpError::BodyTooLarge)
 }
 
-/// A body with the number of bytes that it took, framing included.
 struct Body {
     bytes: Vec<u8>,
+    /// Bytes that the body took in the buffer, with its framing.
     size: usize,
 }
 
-/// The body of a chunked message, once all of it has arrived.
+/// Parses the body of a chunked message. Returns `None` until the buffer holds all of
+/// the body.
 fn parse_chunks(buffer: &[u8], max_body: usize) -> Result<Option<Body>, HttpError> {
     let mut bytes = Vec::new();
     let mut position = 0;
@@ -187,8 +193,8 @@
     usize::from_str_radix(digits, 16).map_err(|_| HttpError::BodyTooLarge)
 }
 
-/// The size of the trailers up to and with the empty line that ends them, once that
-/// has arrived.
+/// Returns the size in bytes of the trailers, with the empty line that ends them.
+/// Returns `None` until that line has been received.
 fn skip_trailers(buffer: &[u8]) -> Result<Option<usize>, HttpError> {
     let mut position = 0;
     loop {
@@ -204,14 +210,14 @@
     }
 }
 
-/// A complete message with its framing.
+/// A complete message, with what its framing says about the connection.
 #[derive(Debug)]
 pub struct Parsed<T> {
-    /// The message itself.
+    /// The request or response, without framing.
     pub message: T,
-    /// How many bytes it took.
+    /// Bytes of the buffer that the message took, head and framing included.
     pub size: usize,
-    /// The sender closes the connection after it.
+    /// Whether the sender closes the connection after this message.
     pub close: bool,
 }
 
@@ -239,16 +245,17 @@
     Ok(Some(Body { bytes, size }))
 }
 
-/// A response to a request of this process.
+/// A response received to a call of this process.
 #[derive(Clone, Default, Debug, PartialEq, Eq)]
 pub struct Response {
-    /// The HTTP status.
+    /// The HTTP status code.
     pub status: u16,
-    /// The body.
+    /// The decoded body; empty if the message has none.
     pub body: Vec<u8>,
 }
 
-/// Parses a request; `None`: `buffer` doesn't hold all of it yet.
+/// Parses a request whose body may have at most `max_body` bytes. Returns `None` while
+/// `buffer` doesn't hold the whole request.
 pub fn parse_request(buffer: &[u8], max_body: usize) -> Result<Option<Parsed<Request>>, HttpError> {
     let Some(head) = parse_head(buffer)? else {
         return Ok(None);
@@ -272,9 +279,13 @@
     }))
 }
 
-/// Parses a response; `None`: `buffer` doesn't hold all of it yet. `ended`: the
-/// sender has closed the connection, so a body without a length is complete.
-pub fn parse_response(buffer: &[u8], ended: bool) -> Result<Option<Parsed<Response>>, HttpError> {
+/// Parses a response. Returns `None` while `buffer` doesn't hold the whole response.
+/// `is_closed` says that the sender has closed the connection, which ends a body
+/// without a length.
+pub fn parse_response(
+    buffer: &[u8],
+    is_closed: bool,
+) -> Result<Option<Parsed<Response>>, HttpError> {
     let Some(head) = parse_head(buffer)? else {
         return Ok(None);
     };
@@ -289,10 +300,10 @@
         _ if has_no_body => 0,
         Some(length) => length,
         None if head.chunked => 0,
-        None if ended => buffer.len() - head.size,
+        None if is_closed => buffer.len() - head.size,
         None => return Ok(None),
     };
-    let Some(body) = parse_body(&head, buffer, content_length, MAX_RESPONSE_BODY)? else {
+    let Some(body) = parse_body(&head, buffer, content_length, MAX_RESPONSE_BODY_BYTES)? else {
         return Ok(None);
     };
     Ok(Some(Parsed {
@@ -324,7 +335,8 @@
     }
 }
 
-/// Appends a response to an output buffer.
+/// Appends a response to an output buffer. `close` announces that the connection is
+/// closed after the response.
 pub fn write_reply(output: &mut Vec<u8>, reply: &Reply, close: bool) {
     // Writing to a Vec cannot fail.
     let _ = write!(
--- a/src/kv_client.rs
+++ b/src/kv_client.rs
@@ -1,6 +1,6 @@
-//! The client of the key-value store: calls wait in priority queues behind two
-//! token buckets (requests and writes), and each gets an unambiguous response:
-//! a status, certainly not executed, or indeterminate.
+//! The client of the key-value store. Calls wait in priority queues, and two token
+//! buckets (requests and writes) limit the rate at which the client sends them. Each
+//! call has one of three results: a status, not executed, or an indeterminate outcome.
 
 use crate::ids::Revision;
 use crate::limits::StoreLimits;
@@ -10,33 +10,33 @@
 use std::collections::{HashMap, VecDeque};
 use std::fmt;
 
-/// How many writes the bucket lets through at once.
+/// The number of writes that the write token bucket allows at once.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct WriteBudget {
-    /// At this moment.
-    pub now: usize,
-    /// After a pause, when the bucket is full.
-    pub max: usize,
+    /// Writes that can be sent now.
+    pub available: usize,
+    /// Writes that can be sent at once when the bucket is full.
+    pub burst: usize,
 }
 
 /// The order in which calls are sent when tokens are short.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub enum CallPriority {
-    /// Leases and the election.
+    /// Leader election, and calls on which leadership and worker leases depend.
     Leadership,
     /// Users' cancellations.
     Cancel,
-    /// Users' submissions.
+    /// Users' submissions, and the reads that they need.
     Submission,
-    /// The leader's placements.
+    /// The leader's placements, and the reads that they need.
     Placement,
-    /// Writes that may be delayed.
+    /// Calls that may be delayed, such as queries and cleanup.
     Background,
 }
 
 const PRIORITY_COUNT: usize = CallPriority::Background as usize + 1;
 
-/// The priorities' names in the log, in the order of the variants.
+/// Names of the priorities in log lines, in the order of the variants.
 const PRIORITY_NAMES: [&str; PRIORITY_COUNT] = [
     "leadership",
     "cancel",
@@ -45,7 +45,7 @@
     "background",
 ];
 
-/// Calls sent to the key-value store and writes in them, by priority.
+/// Counts of calls sent to the key-value store and of their writes, by priority.
 #[derive(Clone, Default, PartialEq, Eq, Debug)]
 pub struct CallStats {
     calls: [u64; PRIORITY_COUNT],
@@ -70,30 +70,30 @@
     }
 }
 
-/// Time constant of the exponential average of the write rate.
-const WRITE_RATE_WINDOW_MS: f64 = 2000.0;
+/// Time constant of the exponential moving average of the write rate.
+const WRITE_RATE_TIME_CONSTANT_MS: f64 = 2000.0;
 
-/// The share of the store's write rate that is given out; the rest is headroom, so
-/// that bursts don't run into the store's limit.
+/// The share of the store's write rate that is allocated to controllers. The rest is
+/// headroom, so that bursts don't exceed the store's limit.
 const ALLOCATED_WRITE_SHARE: f64 = 0.9;
 
-/// A call of the key-value store, before it is sent.
+/// A call to the key-value store, with its place in the client's queues.
 #[derive(Clone, Debug)]
 pub struct KvCall<T> {
-    /// The queue that it waits in.
+    /// The queue that the call waits in.
     pub priority: CallPriority,
-    /// The request.
+    /// The HTTP request.
     pub call: Call,
-    /// How many writes it makes.
+    /// Write operations of the call, each of which takes a write token.
     pub writes: usize,
-    /// When the call is dropped from the queue if it hasn't been sent.
+    /// Monotonic time at which a call that hasn't been sent is removed from its queue.
     pub expires_ms: u64,
-    /// The caller's own context, returned with the response.
+    /// The caller's context, returned with the response.
     pub tag: T,
 }
 
 impl<T> KvCall<T> {
-    /// A call without writes that expires from the queue after its own timeout.
+    /// Creates a call without writes that expires in the queue after its own timeout.
     pub fn new(now: Now, priority: CallPriority, call: Call, tag: T) -> Self {
         KvCall {
             priority,
@@ -104,7 +104,7 @@
         }
     }
 
-    /// A transaction that expires from the queue after its own timeout.
+    /// Creates the call of a transaction that expires in the queue after `timeout_ms`.
     pub fn transaction(
         now: Now,
         priority: CallPriority,
@@ -119,12 +119,12 @@
         }
     }
 
-    /// The same call with another time of expiry.
+    /// Returns the call with another time of expiry in the queue.
     pub fn expiring_at(self, expires_ms: u64) -> Self {
         KvCall { expires_ms, ..self }
     }
 
-    /// The same call with its tag converted.
+    /// Returns the call with its tag converted.
     pub fn map_tag<U>(self, convert: impl FnOnce(T) -> U) -> KvCall<U> {
         KvCall {
             priority: self.priority,
@@ -136,19 +136,22 @@
     }
 }
 
-/// The result of a call.
+/// The result of a call to the key-value store.
 #[derive(Clone, Debug, PartialEq)]
 pub enum KvResponse {
     /// The store responded with this status and body.
     Status(u16, Vec<u8>),
-    /// Certainly not executed (503, or never sent).
+    /// The store did not execute the call: it rejected the call (503, or 429 after the call
+    /// expired), or the call wasn't sent.
     NotExecuted,
-    /// It may have been executed, or may be later.
+    /// The outcome is indeterminate: the store may have executed the call or may still
+    /// execute it.
     Indeterminate,
 }
 
 impl KvResponse {
-    /// Parses the body of a response with this status.
+    /// Parses the JSON body of a response with this status. Returns `None` for any other
+    /// result and for a malformed body.
     pub fn read<T: serde::de::DeserializeOwned>(&self, status: u16) -> Option<T> {
         match self {
             KvResponse::Status(actual, body) if *actual == status => {
@@ -158,7 +161,7 @@
         }
     }
 
-    /// The status, if the store responded.
+    /// Returns the HTTP status, or `None` if the store didn't respond.
     pub fn status(&self) -> Option<u16> {
         match self {
             KvResponse::Status(status, _) => Some(*status),
@@ -166,14 +169,15 @@
         }
     }
 
-    /// The revision of a transaction that was committed.
-    pub fn committed(&self) -> Option<Revision> {
+    /// Returns the revision at which the transaction was committed, or `None` if no
+    /// commit was reported.
+    pub fn committed_revision(&self) -> Option<Revision> {
         self.read::<TxnResponse>(200)
             .map(|response| Revision(response.revision))
     }
 }
 
-/// A number of writes that decays exponentially, to estimate the write rate.
+/// An exponentially decaying count of writes, which estimates the write rate.
 #[derive(Clone, Copy, Default, Debug)]
 struct DecayingWrites {
     writes: f64,
@@ -183,25 +187,26 @@
 impl DecayingWrites {
     fn add(&mut self, now: Now, writes: f64) {
         let elapsed_ms = now.ms.saturating_sub(self.updated_ms) as f64;
-        self.writes = self.writes * (-elapsed_ms / WRITE_RATE_WINDOW_MS).exp() + writes;
+        self.writes = self.writes * (-elapsed_ms / WRITE_RATE_TIME_CONSTANT_MS).exp() + writes;
         self.updated_ms = now.ms;
     }
 
     fn per_second(&mut self, now: Now) -> f64 {
         self.add(now, 0.0);
-        self.writes * 1000.0 / WRITE_RATE_WINDOW_MS
+        self.writes * 1000.0 / WRITE_RATE_TIME_CONSTANT_MS
     }
 }
 
-/// Queues and paces calls. `T` is the caller's own context, returned with the
-/// response.
+/// Queues calls to the key-value store and limits the rate at which they are sent. `T`
+/// is the caller's context, returned with the response.
 pub struct KvClient<T> {
     queues: [VecDeque<KvCall<T>>; PRIORITY_COUNT],
     in_flight: HashMap<u64, KvCall<T>>,
     request_tokens: TokenBucket,
     write_tokens: TokenBucket,
-    /// What the store takes per second from all controllers together.
+    /// Requests per second that the store accepts from all controllers together.
     rps: f64,
+    /// Writes per second that the store accepts from all controllers together.
     write_rps: f64,
     last_success_ms: Option<u64>,
     last_failure_ms: Option<u64>,
@@ -211,7 +216,8 @@
 }
 
 impl<T> KvClient<T> {
-    /// A client that may use the whole of the store's limits.
+    /// Creates a client whose share is the store's whole rates, in requests and writes
+    /// per second.
     pub fn new(rps: f64, write_rps: f64) -> Self {
         KvClient {
             queues: Default::default(),
@@ -228,22 +234,24 @@
         }
     }
 
-    /// Changes the store's rates; the shares have to be set anew afterwards.
+    /// Changes the store's rates. The caller has to set the shares again for the change
+    /// to take effect.
     pub fn set_limits(&mut self, limits: &StoreLimits) {
         self.rps = limits.rps;
         self.write_rps = limits.write_rps;
     }
 
-    /// Sets this controller's share of the store's rates, and for how many seconds
-    /// unused write tokens are saved up.
+    /// Sets this controller's share of the store's rates. Unused write tokens accumulate
+    /// for up to `write_burst_s` seconds.
     pub fn set_share(&mut self, now: Now, share: f64, write_burst_s: f64) {
         self.request_tokens.set_rate(now, self.rps * share, 1.0);
         self.write_tokens
             .set_rate(now, self.write_rps * share, write_burst_s);
     }
 
-    /// Sets the write rate to what the other controllers leave of
-    /// `ALLOCATED_WRITE_SHARE`, and to `min_share` of the store's rate at least.
+    /// Sets the write rate to the part of `ALLOCATED_WRITE_SHARE` that the other
+    /// controllers don't use (they make `others_per_s` writes per second), but to at
+    /// least `min_share` of the store's rate.
     pub fn set_write_share(&mut self, now: Now, min_share: f64, others_per_s: f64) {
         let min_per_s = self.write_rps * min_share;
         let available_per_s = self.write_rps * ALLOCATED_WRITE_SHARE - others_per_s;
@@ -251,20 +259,20 @@
             .set_rate(now, available_per_s.max(min_per_s), 1.0);
     }
 
-    /// How many writes could be sent at once.
+    /// Returns the number of writes that can be sent at once.
     pub fn write_budget(&mut self, now: Now) -> WriteBudget {
         WriteBudget {
-            now: self.write_tokens.level(now).max(0.0) as usize,
-            max: self.write_tokens.burst() as usize,
+            available: self.write_tokens.level(now).max(0.0) as usize,
+            burst: self.write_tokens.burst() as usize,
         }
     }
 
-    /// The recent rate of writes sent, per second.
+    /// Returns the recent rate of sent writes, per second.
     pub fn writes_per_s(&mut self, now: Now) -> f64 {
         self.sent_writes.per_second(now)
     }
 
-    /// Whether the store's last known result was a response, not a failure.
+    /// Returns whether the latest known result is a response and not a failure.
     pub fn reachable(&self) -> bool {
         match (self.last_success_ms, self.last_failure_ms) {
             (Some(success), Some(failure)) => success >= failure,
@@ -273,28 +281,28 @@
         }
     }
 
-    /// When the store last responded.
+    /// Returns the monotonic time of the store's last response; `None`: no response yet.
     pub fn last_success_ms(&self) -> Option<u64> {
         self.last_success_ms
     }
 
-    /// The calls sent since the last time that this was called.
+    /// Returns the counts of calls sent since the previous invocation, and resets them.
     pub fn take_stats(&mut self) -> CallStats {
         std::mem::take(&mut self.stats)
     }
 
-    /// Whether calls wait to be sent.
+    /// Returns whether any call waits in a queue.
     pub fn has_queued(&self) -> bool {
         self.queues.iter().any(|queue| !queue.is_empty())
     }
 
-    /// Queues a call.
+    /// Queues a call by its priority.
     pub fn submit(&mut self, call: KvCall<T>) {
         self.queues[call.priority as usize].push_back(call);
     }
 
-    /// Sends as many calls as the buckets allow, by priority. The tags of calls that
-    /// expired in the queue are appended to `expired`.
+    /// Sends as many queued calls as the token buckets allow, highest priority first.
+    /// Appends the tags of calls that expired in the queue to `expired`.
     pub fn dispatch(&mut self, now: Now, mut send: impl FnMut(u64, Call), expired: &mut Vec<T>) {
         for queue in &mut self.queues {
             while let Some(first) = queue.front() {
@@ -307,9 +315,9 @@
                 }
                 let writes = first.writes as f64;
                 if writes > 0.0 && !self.write_tokens.take(now, writes) {
-                    // The rest of this queue waits behind the write, or large writes
-                    // would never find the bucket full enough. Lower priorities may
-                    // pass: their reads need no write tokens.
+                    // The rest of this queue waits behind the write. Otherwise smaller
+                    // writes would keep the bucket too low for large ones. Queues of
+                    // lower priority may proceed: their reads need no write tokens.
                     break;
                 }
                 self.request_tokens.take(now, 1.0);
@@ -325,7 +333,8 @@
         }
     }
 
-    /// Takes the result of call `id`. A call that got a 429 returns to its queue.
+    /// Handles the result of call `id`. Returns `None` if the call is unknown, or if the
+    /// store responded 429 and the call was queued again.
     pub fn on_result(&mut self, now: Now, id: u64, result: CallResult) -> Option<(T, KvResponse)> {
         let call = self.in_flight.remove(&id)?;
         let response = match result {
@@ -359,69 +368,72 @@
         Some((call.tag, response))
     }
 
-    /// Empties the bucket whose rate the store says was exceeded.
+    /// Empties the token bucket whose rate a 429 response reports as exceeded.
     fn drain_tokens(&mut self, now: Now, call: &KvCall<T>) {
         if call.writes > 0 {
-            self.write_tokens.mark_empty(now);
+            self.write_tokens.discard_available(now);
         } else {
-            self.request_tokens.mark_empty(now);
+            self.request_tokens.discard_available(now);
         }
     }
 }
 
-/// Reads one key.
+/// Creates a call that reads one key.
 pub fn get(key: &str, timeout_ms: u64) -> Call {
     read_request(Destination::KvStore, format!("/kv/{key}"), timeout_ms)
 }
 
-/// Reads a page of the keys under a prefix, from the key `after` on.
+/// Creates a call that reads a page of the keys under a prefix. `after` is the last key
+/// of the previous page.
 pub fn list(prefix: &str, after: Option<&str>, timeout_ms: u64) -> Call {
     let after = after.map(|key| format!("&from={key}")).unwrap_or_default();
     let path = format!("/kv?under={prefix}{after}&limit=500");
     read_request(Destination::KvStore, path, timeout_ms)
 }
 
-/// Waits for changes under a prefix.
+/// Creates a watch: a call that waits up to `wait_ms` for changes under a prefix after
+/// a revision.
 pub fn watch(prefix: &str, after: Revision, wait_ms: u64, timeout_ms: u64) -> Call {
     let path = format!("/follow?under={prefix}&from={after}&waitMs={wait_ms}");
     read_request(Destination::KvWatch, path, timeout_ms)
 }
 
-/// Reads the changes under a prefix up to now: a watch that doesn't wait.
+/// Creates a watch that doesn't wait: a call that reads the changes under a prefix since
+/// a revision.
 pub fn read_changes(prefix: &str, after: Revision, timeout_ms: u64) -> Call {
     let path = format!("/follow?under={prefix}&from={after}");
     read_request(Destination::KvStore, path, timeout_ms)
 }
 
-/// A transaction, and how many writes it makes.
+/// Creates the call of a transaction. Returns it with its number of writes.
 pub fn txn(txn: &Txn, timeout_ms: u64) -> (Call, usize) {
-    // Keys are strings and numbers are finite: this can't fail.
+    // Serialization can't fail: keys are strings and numbers are finite.
     let body = serde_json::to_vec(txn).unwrap_or_default();
     let call = write_request("POST", "/txn".into(), body, timeout_ms);
     (call, txn.writes.len())
 }
 
-/// Requests a lease.
+/// Creates a call that requests a lease.
 pub fn lease_grant(ttl_ms: u64, timeout_ms: u64) -> Call {
     let body = format!("{{\"ttlMs\":{ttl_ms}}}").into_bytes();
     write_request("POST", "/leases".into(), body, timeout_ms)
 }
 
-/// Renews a lease.
+/// Creates a call that renews a lease.
 pub fn lease_renew(lease: u64, timeout_ms: u64) -> Call {
     let path = format!("/leases/{lease}/touch");
     write_request("POST", path, Vec::new(), timeout_ms)
 }
 
-/// Revokes a lease.
+/// Creates a call that revokes a lease.
 pub fn lease_revoke(lease: u64, timeout_ms: u64) -> Call {
     let path = format!("/leases/{lease}");
     write_request("DELETE", path, Vec::new(), timeout_ms)
 }
 
-fn read_request(target: Destination, path: String, timeout_ms: u64) -> Call {
+fn read_request(destination: Destination, path: String, timeout_ms: u64) -> Call {
     Call {
-        destination: target,
+        destination,
         method: "GET",
         path,
         body: Vec::new(),
--- a/src/limits.rs
+++ b/src/limits.rs
@@ -1,32 +1,33 @@
-//! The key-value store's limits: the present ones of the settings, those announced
-//! for later, and which of the two apply. That the announced limits apply is learned
-//! from a rejection that the present ones can't explain, from a record that a leader
-//! stored, or from a peer's report. Once learned it stays, since limits that were
-//! lowered aren't raised again.
+//! The limits of the key-value store. The settings give the initial limits and may
+//! announce lower ones, which apply from an unknown time on. A controller learns that
+//! the announced limits apply from a rejection that the initial limits don't explain,
+//! from a record that a leader stored, or from a peer's report. This knowledge is
+//! permanent, because lowered limits aren't raised again.
 //!
-//! A wrong belief costs time and nothing else: under the present limits a request
-//! sized by the lower ones is accepted all the same, and under the lower ones a
-//! request that is too large is rejected as a whole and written again in smaller ones.
+//! A wrong assumption delays requests but loses none. While the initial limits apply,
+//! the store accepts requests sized for the announced limits too. Once the announced
+//! limits apply, the store rejects a request that is too large as a whole, and the
+//! controller writes its content again in smaller requests.
 
-use crate::settings::StateLimits;
+use crate::settings::KvStoreLimits;
 use crate::wire::kv::{Txn, WriteOp};
 use std::fmt;
 
-/// What the key-value store accepts.
+/// Rates and sizes up to which the key-value store accepts requests.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub struct StoreLimits {
     /// Requests per second, from all controllers together.
     pub rps: f64,
     /// Writes per second, from all controllers together.
     pub write_rps: f64,
-    /// Bytes of a value.
+    /// Largest value, in bytes.
     pub value_bytes: usize,
-    /// Writes in a transaction.
+    /// Most write operations in a transaction.
     pub txn_ops: usize,
 }
 
 impl StoreLimits {
-    /// The lower one of each limit.
+    /// Returns the lower of the two values of each limit.
     fn min(self, other: StoreLimits) -> StoreLimits {
         StoreLimits {
             rps: self.rps.min(other.rps),
@@ -52,15 +53,15 @@
     }
 }
 
-/// What shows that the announced limits apply.
+/// The evidence that the announced limits apply.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum LimitEvidence {
-    /// The store responded 400 to a request that the present limits allow and the
-    /// announced ones don't.
+    /// The store responded 400 to a request that is within the initial limits and exceeds
+    /// the announced ones.
     Rejection,
-    /// A leader has stored that they apply.
+    /// A leader has stored a record that the announced limits apply.
     Stored,
-    /// A peer reported it.
+    /// A peer reported that the announced limits apply.
     Peer,
 }
 
@@ -74,17 +75,17 @@
     }
 }
 
-/// The sizes of a request that the store limits.
+/// The sizes of a request to which the store's limits apply.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub struct RequestSize {
-    /// Writes of the transaction.
+    /// Write operations of the transaction.
     pub write_ops: usize,
-    /// Bytes of the largest value.
+    /// Size of the largest value that the transaction puts, in bytes.
     pub largest_value_bytes: usize,
 }
 
 impl RequestSize {
-    /// The size of a transaction.
+    /// Returns the size of a transaction.
     pub fn of(txn: &Txn) -> RequestSize {
         let value_bytes = |write: &WriteOp| match write {
             WriteOp::Put { value, .. } => serde_json::to_vec(value).map_or(0, |json| json.len()),
@@ -97,58 +98,59 @@
     }
 }
 
-/// The limits that apply, as far as this controller knows.
+/// The initial and the announced limits, and which of the two apply as far as this
+/// controller knows.
 #[derive(Clone, Debug)]
 pub struct EffectiveLimits {
-    present: StoreLimits,
+    initial: StoreLimits,
     announced: Option<StoreLimits>,
-    /// It is known that the announced limits apply.
     announced_apply: bool,
 }
 
 impl EffectiveLimits {
-    /// The limits of the settings. The present ones apply until there is evidence
-    /// that the announced ones do.
-    pub fn new(settings: &StateLimits) -> EffectiveLimits {
-        let present = StoreLimits {
+    /// Creates the limits that the settings give. The initial limits apply until there is
+    /// evidence that the announced ones do.
+    pub fn new(settings: &KvStoreLimits) -> EffectiveLimits {
+        let initial = StoreLimits {
             rps: settings.rps,
             write_rps: settings.write_rps,
             value_bytes: kb_to_bytes(settings.value_kb),
             txn_ops: settings.txn_ops,
         };
-        let announced = settings.next.as_ref().map(|next| StoreLimits {
-            rps: next.rps.unwrap_or(present.rps),
-            write_rps: next.write_rps.unwrap_or(present.write_rps),
-            value_bytes: next.value_kb.map_or(present.value_bytes, kb_to_bytes),
-            txn_ops: next.txn_ops.unwrap_or(present.txn_ops),
+        let announced = settings.announced.as_ref().map(|announced| StoreLimits {
+            rps: announced.rps.unwrap_or(initial.rps),
+            write_rps: announced.write_rps.unwrap_or(initial.write_rps),
+            value_bytes: announced.value_kb.map_or(initial.value_bytes, kb_to_bytes),
+            txn_ops: announced.txn_ops.unwrap_or(initial.txn_ops),
         });
         EffectiveLimits {
-            present,
+            initial,
             announced,
             announced_apply: false,
         }
     }
 
-    /// The limits for requests that are sent now.
+    /// Returns the limits for requests that are sent now.
     pub fn current(&self) -> StoreLimits {
         self.announced
             .filter(|_| self.announced_apply)
-            .unwrap_or(self.present)
+            .unwrap_or(self.initial)
     }
 
-    /// The limits that hold now and later: a record that can't be split must not be
-    /// larger.
+    /// Returns the limits that hold before and after the announced limits apply. A record
+    /// that can't be split must not exceed them.
     pub fn guaranteed(&self) -> StoreLimits {
         self.announced
-            .map_or(self.present, |announced| self.present.min(announced))
+            .map_or(self.initial, |announced| self.initial.min(announced))
     }
 
-    /// Whether the announced limits apply, as far as this controller knows.
+    /// Returns whether this controller knows that the announced limits apply.
     pub fn announced_apply(&self) -> bool {
         self.announced_apply
     }
 
-    /// Takes in evidence that the announced limits apply. Returns whether that is new.
+    /// Makes the announced limits the current ones. Returns false if no limits are
+    /// announced or if they apply already.
     pub fn apply_announced(&mut self, evidence: LimitEvidence) -> bool {
         if self.announced.is_none() || self.announced_apply {
             return false;
@@ -161,8 +163,9 @@
         true
     }
 
-    /// The store responded 400 to a request of this size. Returns whether the announced
-    /// limits explain that, so that smaller requests will be accepted.
+    /// Handles a 400 response to a request of this size. If the request exceeds the
+    /// announced limits, applies them and returns true, so that the caller retries with
+    /// smaller requests.
     pub fn on_rejection(&mut self, size: RequestSize) -> bool {
         let Some(announced) = self.announced else {
             return false;
--- a/src/main.rs
+++ b/src/main.rs
@@ -58,13 +58,13 @@
 }
 
 fn print_keys() {
-    print!("{}", Tuning::describe());
+    print!("{}", Tuning::describe_defaults());
     println!("# [replica_parts] CLASS = PARTS, for each class whose replicas span machines");
 }
 
 fn run(settings: Settings, tuning: Tuning) -> ExitCode {
     let endpoints = settings.endpoints();
-    let bounds = settings.site.limits.bounds();
+    let bounds = settings.site.limits.reactor_bounds();
     let peers = settings.peers.len();
     let name = settings.node_name.clone();
     let mut node = Node::new(settings, tuning, fastrand::u64(1..1 << 50));
--- a/src/node/limits.rs
+++ b/src/node/limits.rs
@@ -6,7 +6,7 @@
 use crate::kv_client::{CallPriority, KvCall, KvResponse};
 use crate::limits::{EffectiveLimits, LimitEvidence, RequestSize, StoreLimits};
 use crate::messages::Now;
-use crate::settings::StateLimits;
+use crate::settings::KvStoreLimits;
 use serde::Serialize;
 
 /// Time between attempts to store that the announced limits apply.
@@ -21,7 +21,7 @@
 }
 
 impl LimitsTracker {
-    pub(super) fn new(settings: &StateLimits) -> LimitsTracker {
+    pub(super) fn new(settings: &KvStoreLimits) -> LimitsTracker {
         LimitsTracker {
             effective: EffectiveLimits::new(settings),
             next_write_ms: 0,
@@ -130,7 +130,7 @@
 
     /// The response to that write.
     pub(super) fn on_limits_written(&mut self, response: &KvResponse) {
-        if response.committed().is_some() {
+        if response.committed_revision().is_some() {
             self.election.on_limits_lowered_stored();
         }
     }
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -129,8 +129,8 @@
                 peers.iter().map(|peer| peer.name.as_str()),
             ),
             last_polled_request: 0,
-            kv: KvClient::new(site.state.rps, site.state.write_rps),
-            limits: LimitsTracker::new(&site.state),
+            kv: KvClient::new(site.kv_store.rps, site.kv_store.write_rps),
+            limits: LimitsTracker::new(&site.kv_store),
             gateway: Gateway::new(
                 settings.clone(),
                 tuning.replica_classes.clone(),
--- a/src/node/peer_heartbeats.rs
+++ b/src/node/peer_heartbeats.rs
@@ -11,7 +11,7 @@
 use crate::scheduler::SchedulerEffects;
 use crate::usage::Purpose;
 use crate::wire::peers::{self, JobProgress, PeerHeartbeat, PeerHeartbeatResponse, PEER_PATH};
-use crate::wire::users::valid_job_id;
+use crate::wire::users::is_valid_job_id;
 use crate::wire::workers::WorkerHeartbeat;
 
 impl Node {
@@ -23,7 +23,7 @@
         body: &[u8],
         effects: &mut Vec<Effect>,
     ) -> Reply {
-        let Some(heartbeat) = peers::decode(body) else {
+        let Some(heartbeat) = peers::decode_heartbeat(body) else {
             return Reply::error(400, "not a heartbeat");
         };
         let sender = self.peers.index_of(&heartbeat.node);
@@ -34,7 +34,7 @@
         self.observe_reported_leader(now, &heartbeat, effects);
         self.record_leader_progress(now, &heartbeat);
         let mut scheduler_effects = SchedulerEffects::default();
-        for job in heartbeat.announced.iter().filter(|id| valid_job_id(id)) {
+        for job in heartbeat.announced.iter().filter(|id| is_valid_job_id(id)) {
             self.scheduler
                 .on_job_announced(now, &JobId::new(job), &mut scheduler_effects);
         }
@@ -47,7 +47,7 @@
         }
         Reply {
             status: 200,
-            body: peers::encode_response(&response),
+            body: peers::encode_heartbeat_response(&response),
             retry_after_s: None,
         }
     }
@@ -178,7 +178,7 @@
             return;
         };
         peer.record_response(now);
-        let response = peers::decode_response(&body).unwrap_or_default();
+        let response = peers::decode_heartbeat_response(&body).unwrap_or_default();
         let Some(confirmations) = response.confirmations else {
             return;
         };
@@ -277,7 +277,7 @@
             destination: Destination::Peer(peer.address.clone()),
             method: "POST",
             path: PEER_PATH.to_string(),
-            body: peers::encode(heartbeat),
+            body: peers::encode_heartbeat(heartbeat),
             timeout_ms: self.peers.call_timeout_ms(),
         };
         let sent_ms = now.ms;
--- a/src/node/peers.rs
+++ b/src/node/peers.rs
@@ -41,7 +41,7 @@
         Peer {
             name: settings.name.clone(),
             zone: settings.zone.clone(),
-            address: settings.addr.to_string(),
+            address: settings.address.to_string(),
             heard_ms: None,
             responded_ms: None,
             store_reached_ms: None,
--- a/src/reactor/calls.rs
+++ b/src/reactor/calls.rs
@@ -1,4 +1,4 @@
-//! The client side: outgoing calls and their responses.
+//! The client side of the reactor: outgoing calls and their responses.
 
 use super::connection::{ConnectionKey, Role, SocketState};
 use super::connection_table::ConnectionDeadline;
@@ -10,15 +10,15 @@
 use std::io;
 use std::net::{SocketAddr, SocketAddrV4};
 
-/// Idle outgoing connections are closed after this time.
+/// Time after which an idle outgoing connection is closed.
 const POOL_IDLE_TIMEOUT_MS: u64 = 30_000;
-/// The `Host` header of calls.
+/// Value of the `Host` header of calls.
 const HOST_HEADER: &str = "lilacfork";
-/// Linux's error number of a non-blocking `connect` that is under way; its
+/// Linux's error number for a non-blocking `connect` in progress. The corresponding
 /// `io::ErrorKind` isn't stable.
 const EINPROGRESS: i32 = 115;
 
-/// Starts to establish a connection, without waiting for it.
+/// Starts to establish a connection without waiting for the result.
 fn start_connecting(address: SocketAddrV4) -> io::Result<Socket> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, Some(Protocol::TCP))?;
     socket.set_nonblocking(true)?;
@@ -36,8 +36,8 @@
 }
 
 impl Reactor {
-    /// Makes a call, as soon as a connection to its destination is free.
-    pub(super) fn call(&mut self, now: Now, id: CallId, call: Call) {
+    /// Sends a call, or queues it until a connection to its destination is idle.
+    pub(super) fn make_call(&mut self, now: Now, id: CallId, call: Call) {
         let deadline_ms = now.ms + call.timeout_ms;
         self.start_call(PendingCall {
             id,
@@ -54,8 +54,8 @@
                 self.pools.enqueue(pending);
                 return;
             }
-            None if !self.may_connect(destination) => {
-                self.pools.enqueue_starved(pending);
+            None if !self.ensure_connection_capacity(destination) => {
+                self.pools.enqueue_without_capacity(pending);
                 return;
             }
             None => match self.connect(destination, pending.deadline_ms) {
@@ -70,11 +70,11 @@
         self.send_call(key, &pending);
     }
 
-    /// Writes a call to a connection that has none.
+    /// Writes a call to a connection without a call in flight.
     fn send_call(&mut self, key: ConnectionKey, pending: &PendingCall) {
         if let Some(connection) = self.connections.get(key) {
-            self.pools.became_busy(ConnectionDeadline {
-                at_ms: connection.deadline_ms,
+            self.pools.mark_busy(ConnectionDeadline {
+                deadline_ms: connection.deadline_ms,
                 key,
             });
         }
@@ -83,8 +83,8 @@
             self.failed_calls.push((pending.id, CallError::NotSent));
             return;
         };
-        connection.call = Some(pending.id);
-        connection.sent = false;
+        connection.call_in_flight = Some(pending.id);
+        connection.any_byte_sent = false;
         self.usage.sent += 1;
         http::write_request(
             &mut connection.output,
@@ -98,13 +98,14 @@
         }
     }
 
-    /// Whether one more connection may be opened; if need be, the connection to a
-    /// worker that has been idle longest is closed for another worker's.
-    fn may_connect(&mut self, destination: &Destination) -> bool {
+    /// Returns whether a connection to the destination may be opened. If all connections to
+    /// workers are open, closes the one that has been idle longest to make room for the
+    /// connection to another worker.
+    fn ensure_connection_capacity(&mut self, destination: &Destination) -> bool {
         if !matches!(destination, Destination::Worker(_)) || self.pools.has_worker_capacity() {
             return true;
         }
-        let Some(key) = self.pools.longest_idle_worker() else {
+        let Some(key) = self.pools.longest_idle_worker_connection() else {
             return false;
         };
         self.close_connection(key);
@@ -125,11 +126,12 @@
         let role = Role::Client(destination.clone());
         let key = self.connections.insert(socket.into(), role, deadline_ms)?;
         self.usage.connected += 1;
-        self.pools.opened(destination);
+        self.pools.on_opened(destination);
         Some(key)
     }
 
-    /// Takes the response to the call in flight, if it is complete.
+    /// Parses the response to the call in flight and hands it to the handler, if the response
+    /// is complete.
     pub(super) fn read_response(
         &mut self,
         key: ConnectionKey,
@@ -139,8 +141,8 @@
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
-        if connection.call.is_none() {
-            // The other side of an idle connection sends something, or closes it.
+        if connection.call_in_flight.is_none() {
+            // The server sent bytes on an idle connection or closed it.
             self.close_connection(key);
             return;
         }
@@ -149,7 +151,7 @@
             Ok(None) if !is_closed => {}
             Ok(Some(parsed)) => {
                 connection.input = Vec::new();
-                let call = connection.call.take();
+                let call = connection.call_in_flight.take();
                 if parsed.close || is_closed {
                     self.close_connection(key);
                 } else {
@@ -157,14 +159,14 @@
                 }
                 if let Some(call) = call {
                     let response = parsed.message;
-                    context.outcome(call, Ok((response.status, response.body)));
+                    context.complete_call(call, Ok((response.status, response.body)));
                 }
             }
             Ok(None) | Err(_) => self.close_connection(key),
         }
     }
 
-    /// A connection has no call any more: queued calls go on.
+    /// Marks a connection without a call in flight as idle and starts queued calls.
     fn return_to_pool(&mut self, key: ConnectionKey, now: Now) {
         let Some(connection) = self.connections.get(key) else {
             return;
@@ -173,18 +175,19 @@
             return;
         };
         let destination = destination.clone();
-        let at_ms = now.ms + POOL_IDLE_TIMEOUT_MS;
-        self.connections.set_deadline(key, at_ms);
+        let deadline_ms = now.ms + POOL_IDLE_TIMEOUT_MS;
+        self.connections.set_deadline(key, deadline_ms);
         self.pools
-            .became_idle(&destination, ConnectionDeadline { at_ms, key });
+            .mark_idle(&destination, ConnectionDeadline { deadline_ms, key });
         self.start_queued_calls(&destination);
     }
 
-    /// A connection to the destination is idle or has been closed: its next queued
-    /// call goes on, and those to workers for which there was no connection.
+    /// Starts the next queued call to a destination, after a connection to it has become idle
+    /// or has been closed. Also starts calls to workers that wait for the capacity to open a
+    /// connection.
     pub(super) fn start_queued_calls(&mut self, destination: &Destination) {
         self.start_next_call(destination);
-        while let Some(worker) = self.pools.next_starved() {
+        while let Some(worker) = self.pools.next_worker_without_capacity() {
             self.start_next_call(&worker);
         }
     }
--- a/src/reactor/connection_table.rs
+++ b/src/reactor/connection_table.rs
@@ -1,4 +1,4 @@
-//! All open connections with the poller that watches them, and their deadlines.
+//! All open connections with their deadlines, and the poller that watches them.
 
 use super::connection::{Connection, ConnectionKey, Role};
 use polling::{PollMode, Poller};
@@ -6,14 +6,15 @@
 use std::io;
 use std::net::TcpStream;
 
-/// When a connection is closed unless its deadline is moved before.
+/// The monotonic time at which a connection is closed unless its deadline is moved. Ordered
+/// by time.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ConnectionDeadline {
-    pub(super) at_ms: u64,
+    pub(super) deadline_ms: u64,
     pub(super) key: ConnectionKey,
 }
 
-/// The open connections by key.
+/// The open connections by key, registered with the poller.
 pub(super) struct ConnectionTable {
     poller: Poller,
     connections: HashMap<ConnectionKey, Connection>,
@@ -22,7 +23,7 @@
 }
 
 impl ConnectionTable {
-    /// No connections yet; the first one gets this key.
+    /// Creates a table without connections. The first connection gets the key `first_key`.
     pub(super) fn new(poller: Poller, first_key: ConnectionKey) -> ConnectionTable {
         ConnectionTable {
             poller,
@@ -44,7 +45,7 @@
         self.connections.get_mut(&key)
     }
 
-    /// Adds a connection; `None`: the poller refused it.
+    /// Adds a connection and returns its key, or `None` if the poller rejects the socket.
     pub(super) fn insert(
         &mut self,
         stream: TcpStream,
@@ -55,55 +56,51 @@
         self.next_key += 1;
         let connection = Connection::new(stream, role, deadline_ms);
         let event = connection.interest.event(key);
-        // Safety: `remove` deletes a connection from the poller before it is dropped.
+        // Safety: `remove` deletes a connection from the poller before the connection is dropped.
         let added = unsafe {
             self.poller
                 .add_with_mode(&connection.stream, event, PollMode::Level)
         };
         if let Err(error) = added {
-            log::debug!("poller refused connection reason=\"{error}\"");
+            log::debug!("poller rejected connection reason=\"{error}\"");
             return None;
         }
-        self.deadlines.insert(ConnectionDeadline {
-            at_ms: deadline_ms,
-            key,
-        });
+        self.deadlines
+            .insert(ConnectionDeadline { deadline_ms, key });
         self.connections.insert(key, connection);
         Some(key)
     }
 
-    /// Takes a connection out. Dropping it closes its socket.
+    /// Removes and returns a connection. Dropping the connection closes its socket.
     pub(super) fn remove(&mut self, key: ConnectionKey) -> Option<Connection> {
         let connection = self.connections.remove(&key)?;
         self.deadlines.remove(&ConnectionDeadline {
-            at_ms: connection.deadline_ms,
+            deadline_ms: connection.deadline_ms,
             key,
         });
         let _ = self.poller.delete(&connection.stream);
         Some(connection)
     }
 
-    /// Moves a connection's deadline.
+    /// Changes the deadline of a connection.
     pub(super) fn set_deadline(&mut self, key: ConnectionKey, deadline_ms: u64) {
         if let Some(connection) = self.connections.get_mut(&key) {
             self.deadlines.remove(&ConnectionDeadline {
-                at_ms: connection.deadline_ms,
+                deadline_ms: connection.deadline_ms,
                 key,
             });
             connection.deadline_ms = deadline_ms;
-            self.deadlines.insert(ConnectionDeadline {
-                at_ms: deadline_ms,
-                key,
-            });
+            self.deadlines
+                .insert(ConnectionDeadline { deadline_ms, key });
         }
     }
 
-    /// The earliest deadline.
+    /// Returns the earliest deadline of all connections.
     pub(super) fn first_deadline(&self) -> Option<ConnectionDeadline> {
         self.deadlines.first().copied()
     }
 
-    /// Tells the poller what a connection waits for, if that has changed.
+    /// Updates the events for which the poller watches a connection, if they have changed.
     pub(super) fn update_interest(&mut self, key: ConnectionKey) -> io::Result<()> {
         let Some(connection) = self.connections.get_mut(&key) else {
             return Ok(());
@@ -117,8 +114,8 @@
             .modify_with_mode(&connection.stream, wanted.event(key), PollMode::Level)
     }
 
-    /// The incoming connection that has been idle longest.
-    pub(super) fn longest_idle_server(&self) -> Option<ConnectionKey> {
+    /// Returns the incoming connection that has been idle longest.
+    pub(super) fn longest_idle_server_connection(&self) -> Option<ConnectionKey> {
         self.deadlines
             .iter()
             .map(|deadline| deadline.key)
--- a/src/reactor/listeners.rs
+++ b/src/reactor/listeners.rs
@@ -1,4 +1,4 @@
-//! The two listeners, and accepting connections within the bound on them.
+//! The two listeners, which accept connections up to the bound on incoming connections.
 
 use super::connection::Role;
 use super::{Endpoints, Reactor, IDLE_TIMEOUT_MS};
@@ -8,18 +8,19 @@
 use std::io;
 use std::net::{SocketAddr, SocketAddrV4, TcpListener, TcpStream};
 
-/// The poller's keys of the listeners.
+// The poller's keys of the listeners.
 pub(super) const CLIENT_LISTENER_KEY: usize = Listener::Client as usize;
 pub(super) const PEER_LISTENER_KEY: usize = Listener::Peer as usize;
-/// The first key that is free for connections.
+/// The smallest key that isn't a listener's.
 pub(super) const FIRST_CONNECTION_KEY: usize = PEER_LISTENER_KEY + 1;
 
-/// At most so many connections are accepted in one turn, so that a burst of them
-/// can't starve the others.
+/// Most connections that a listener accepts in one turn, so that a burst of connections
+/// can't starve the open ones.
 const MAX_ACCEPTS_PER_TURN: usize = 32;
 
-/// Opens a non-blocking listener. After a failover all clients may connect at once:
-/// as many as may be open may wait to be accepted.
+/// Opens a non-blocking listener. `backlog` is the number of connections that may wait to
+/// be accepted. After a failover all clients may connect at once, so the backlog should be
+/// as large as the bound on open connections.
 fn listen(address: SocketAddrV4, backlog: usize) -> io::Result<TcpListener> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, Some(Protocol::TCP))?;
     socket.set_reuse_address(true)?;
@@ -29,7 +30,7 @@
     Ok(socket.into())
 }
 
-/// The listeners, and how many connections came in by them.
+/// The listeners, and the number of open connections that they accepted.
 pub(super) struct Listeners {
     sockets: [TcpListener; 2],
     accepting: bool,
@@ -59,7 +60,7 @@
     ///
     /// # Safety
     ///
-    /// The listeners have to live as long as the poller.
+    /// The listeners must live as long as the poller.
     pub(super) unsafe fn register(&self, poller: &Poller) -> io::Result<()> {
         for (key, socket) in self.sockets.iter().enumerate() {
             poller.add_with_mode(socket, Event::readable(key), PollMode::Level)?;
@@ -67,7 +68,7 @@
         Ok(())
     }
 
-    /// The address of a listener.
+    /// Returns the address on which a listener accepts connections.
     pub(super) fn local_address(&self, listener: Listener) -> io::Result<SocketAddr> {
         self.sockets[listener as usize].local_addr()
     }
@@ -81,15 +82,15 @@
         Ok(stream)
     }
 
-    /// Stops accepting until a connection is closed.
-    fn pause(&mut self, poller: &Poller) {
+    /// Stops accepting connections until a connection is closed.
+    fn pause_accepting(&mut self, poller: &Poller) {
         if std::mem::replace(&mut self.accepting, false) {
             self.set_interest(poller, Event::none);
         }
     }
 
-    /// A connection has been closed: others can be accepted again.
-    pub(super) fn connection_closed(&mut self, poller: &Poller) {
+    /// Counts an accepted connection as closed and resumes accepting connections.
+    pub(super) fn on_connection_closed(&mut self, poller: &Poller) {
         self.open_connections -= 1;
         if !std::mem::replace(&mut self.accepting, true) {
             self.set_interest(poller, Event::readable);
@@ -104,11 +105,12 @@
 }
 
 impl Reactor {
-    /// Accepts what waits at a listener, within the bounds.
+    /// Accepts connections that wait at a listener, within the bounds. Closes idle incoming
+    /// connections to make room for new ones.
     pub(super) fn accept(&mut self, now: Now, listener: Listener) {
         for _ in 0..MAX_ACCEPTS_PER_TURN {
-            if self.listeners.is_full() && !self.close_longest_idle_server() {
-                self.listeners.pause(self.connections.poller());
+            if self.listeners.is_full() && !self.close_longest_idle_server_connection() {
+                self.listeners.pause_accepting(self.connections.poller());
                 return;
             }
             match self.listeners.accept(listener) {
@@ -116,8 +118,8 @@
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
                 Err(error) => {
                     log::debug!("accept failed reason=\"{error}\"");
-                    if !self.close_longest_idle_server() {
-                        self.listeners.pause(self.connections.poller());
+                    if !self.close_longest_idle_server_connection() {
+                        self.listeners.pause_accepting(self.connections.poller());
                     }
                     return;
                 }
@@ -140,10 +142,10 @@
         }
     }
 
-    /// Closes the incoming connection that has been idle longest; false if none is
+    /// Closes the incoming connection that has been idle longest. Returns false if none is
     /// idle.
-    fn close_longest_idle_server(&mut self) -> bool {
-        let Some(key) = self.connections.longest_idle_server() else {
+    fn close_longest_idle_server_connection(&mut self) -> bool {
+        let Some(key) = self.connections.longest_idle_server_connection() else {
             return false;
         };
         self.close_connection(key);
--- a/src/reactor/mod.rs
+++ b/src/reactor/mod.rs
@@ -1,6 +1,6 @@
-//! The I/O loop of a controller, on one thread: listeners, connections, outgoing
-//! calls and timers. It speaks HTTP over non-blocking sockets and knows nothing
-//! about jobs.
+//! The I/O event loop of a controller: listeners, connections, outgoing calls and timers.
+//! The reactor runs on one thread, uses HTTP over non-blocking sockets, and is independent
+//! of jobs and scheduling.
 
 mod bounds;
 mod calls;
@@ -16,7 +16,7 @@
 use crate::messages::{
     CallError, CallId, CallResult, ConnectionId, Effect, Listener, Now, Request,
 };
-use crate::usage::{Purpose, Usage, LOG_EVERY_MS};
+use crate::usage::{Purpose, Usage, LOG_INTERVAL_MS};
 use clock::Clock;
 use connection::{ConnectionKey, Role, SocketState};
 use connection_table::{ConnectionDeadline, ConnectionTable};
@@ -28,14 +28,14 @@
 use std::net::{SocketAddr, SocketAddrV4};
 use std::time::{Duration, Instant};
 
-/// A server connection without a request for so long is closed.
+/// Time after which a server connection without a request is closed.
 const IDLE_TIMEOUT_MS: u64 = 90_000;
-/// The size of the buffer that sockets are read into.
 const READ_BUFFER_BYTES: usize = 32 * 1024;
 
-/// What the reactor's events are handled by.
+/// The application that handles the reactor's events. The methods append the replies and
+/// calls that the reactor should make to `effects`.
 pub trait Handler {
-    /// A request has arrived.
+    /// Handles a received request. The reply may follow in the effects of a later event.
     fn request(
         &mut self,
         now: Now,
@@ -44,7 +44,7 @@
         request: Request,
         effects: &mut Vec<Effect>,
     );
-    /// A call of this process has been answered, or has failed.
+    /// Handles the response to a call of this process, or the failure of the call.
     fn call_completed(
         &mut self,
         now: Now,
@@ -52,29 +52,32 @@
         outcome: CallResult,
         effects: &mut Vec<Effect>,
     );
-    /// Called every turn; returns when it wants to be called at the latest.
+    /// Runs expired timers. The reactor invokes this method at the start of every turn.
+    /// Returns the latest monotonic time, in milliseconds, for the next invocation.
     fn tick(&mut self, now: Now, effects: &mut Vec<Effect>) -> u64;
-    /// What the last of the calls above was mostly for.
+    /// Returns the main purpose of the latest invocation of a method above.
     fn purpose(&self) -> Purpose {
         Purpose::Other
     }
-    /// Called whenever the reactor logs its counters, to log counters of its own.
+    /// Logs the handler's own counters. The reactor invokes this method whenever it logs its
+    /// counters.
     fn log_usage(&mut self) {}
 }
 
-/// The addresses of a controller and of the services that it uses.
+/// The addresses on which a controller listens, and those of the services that it uses.
 pub struct Endpoints {
-    /// Where requests of users and workers are accepted.
+    /// Address on which the controller accepts requests of users and workers.
     pub client: SocketAddrV4,
-    /// Where requests of other controllers are accepted.
+    /// Address on which the controller accepts requests of other controllers.
     pub peer: SocketAddrV4,
-    /// The key-value store.
+    /// Address of the key-value store.
     pub kv_store: SocketAddrV4,
-    /// The cloud.
+    /// Address of the cloud.
     pub cloud: SocketAddrV4,
 }
 
-/// A handler with the time of an event and the effects that it asks for.
+/// A handler with the time of the current event and the effects that the handler has
+/// requested.
 struct HandlerContext<'a> {
     now: Now,
     handler: &'a mut dyn Handler,
@@ -82,25 +85,25 @@
 }
 
 impl HandlerContext<'_> {
-    fn request(&mut self, connection: ConnectionId, listener: Listener, request: Request) {
+    fn handle_request(&mut self, connection: ConnectionId, listener: Listener, request: Request) {
         self.handler
             .request(self.now, connection, listener, request, self.effects);
     }
 
-    fn outcome(&mut self, call: CallId, outcome: CallResult) {
+    fn complete_call(&mut self, call: CallId, outcome: CallResult) {
         self.handler
             .call_completed(self.now, call, outcome, self.effects);
     }
 }
 
-/// Sockets and timers of one controller, on one thread.
+/// The event loop of one controller, with its sockets and timers.
 pub struct Reactor {
     endpoints: Endpoints,
     connections: ConnectionTable,
     listeners: Listeners,
     pools: ConnectionPools,
     request_memory: RequestMemory,
-    /// Calls that failed while effects were carried out.
+    /// Failed calls that the handler hasn't been informed of yet.
     failed_calls: Vec<(CallId, CallError)>,
     clock: Clock,
     read_buffer: Vec<u8>,
@@ -109,10 +112,11 @@
 }
 
 impl Reactor {
-    /// Opens the listeners.
+    /// Opens the listeners. `peers` is the number of other controllers, for which outgoing
+    /// connections are reserved.
     pub fn new(endpoints: Endpoints, bounds: ResourceBounds, peers: usize) -> io::Result<Reactor> {
         let poller = Poller::new()?;
-        let max_server_connections = bounds.server_connections();
+        let max_server_connections = bounds.max_server_connections();
         let listeners =
             Listeners::open(&endpoints, bounds.max_connections, max_server_connections)?;
         // Safety: the listeners live as long as the poller, in one struct.
@@ -121,36 +125,36 @@
             endpoints,
             connections: ConnectionTable::new(poller, FIRST_CONNECTION_KEY),
             listeners,
-            pools: ConnectionPools::new(bounds.worker_connections(peers).unwrap_or(1)),
+            pools: ConnectionPools::new(bounds.max_worker_connections(peers).unwrap_or(1)),
             request_memory: RequestMemory::new(
-                bounds.unfinished_request_bytes(),
+                bounds.incomplete_request_bytes(),
                 max_server_connections,
             ),
             failed_calls: Vec::new(),
             clock: Clock::start(),
             read_buffer: vec![0; READ_BUFFER_BYTES],
             usage: Usage::default(),
-            usage_log_due_ms: clock::START_MS + LOG_EVERY_MS,
+            usage_log_due_ms: clock::MONOTONIC_START_MS + LOG_INTERVAL_MS,
         })
     }
 
-    /// Where requests of users and workers are accepted.
+    /// Returns the address on which requests of users and workers are accepted.
     pub fn client_address(&self) -> io::Result<SocketAddr> {
         self.listeners.local_address(Listener::Client)
     }
 
-    /// How many connections to workers may be open at once.
-    pub fn max_workers(&self) -> usize {
+    /// Returns how many connections to workers may be open at once.
+    pub fn max_worker_connections(&self) -> usize {
         self.pools.max_worker_connections()
     }
 
-    /// Runs until the process is killed.
+    /// Runs the event loop until the process is killed or the poller fails.
     pub fn run(mut self, handler: &mut dyn Handler) -> io::Result<()> {
         let mut events = Events::new();
         let mut effects = Vec::new();
         loop {
             let began = Instant::now();
-            let now = self.clock.at(began);
+            let now = self.clock.time_at(began);
             let wake_ms = handler.tick(now, &mut effects);
             let purpose = handler.purpose();
             self.apply(now, &mut effects, handler);
@@ -159,7 +163,7 @@
             self.usage.add(purpose, ended - began);
             let timeout_ms = self
                 .next_deadline_ms(wake_ms)
-                .saturating_sub(self.clock.at(ended).ms);
+                .saturating_sub(self.clock.time_at(ended).ms);
             let timeout = Duration::from_millis(timeout_ms.max(1));
             events.clear();
             match self.connections.poller().wait(&mut events, Some(timeout)) {
@@ -172,9 +176,12 @@
         }
     }
 
-    /// When the reactor has to wake up even if nothing arrives.
+    /// Returns the monotonic time at which the next turn starts even without an event.
     fn next_deadline_ms(&self, wake_ms: u64) -> u64 {
-        let connection_ms = self.connections.first_deadline().map(|first| first.at_ms);
+        let connection_ms = self
+            .connections
+            .first_deadline()
+            .map(|first| first.deadline_ms);
         [connection_ms, self.pools.first_deadline_ms()]
             .into_iter()
             .flatten()
@@ -189,20 +196,20 @@
     ) {
         let mut began = Instant::now();
         for event in events.iter() {
-            let now = self.clock.at(began);
+            let now = self.clock.time_at(began);
             let purpose = self.handle_event(now, event, handler, effects);
             self.apply(now, effects, handler);
             let ended = Instant::now();
             self.usage.add(purpose, ended - began);
             began = ended;
         }
-        let now = self.clock.at(began);
+        let now = self.clock.time_at(began);
         self.expire(now);
         self.apply(now, effects, handler);
         self.log_usage(now, handler);
     }
 
-    /// Handles one readiness event; tells what its handling was for.
+    /// Handles one readiness event and returns its purpose.
     fn handle_event(
         &mut self,
         now: Now,
@@ -228,14 +235,15 @@
 
     fn log_usage(&mut self, now: Now, handler: &mut dyn Handler) {
         if now.ms >= self.usage_log_due_ms {
-            self.usage_log_due_ms = now.ms + LOG_EVERY_MS;
+            self.usage_log_due_ms = now.ms + LOG_INTERVAL_MS;
             log::info!("usage {}", self.usage);
             self.usage = Usage::default();
             handler.log_usage();
         }
     }
 
-    /// Carries out effects, and those that their failures cause.
+    /// Applies effects. Informs the handler of the calls that fail, and applies the effects
+    /// of these failures too.
     fn apply(&mut self, now: Now, effects: &mut Vec<Effect>, handler: &mut dyn Handler) {
         loop {
             for effect in std::mem::take(effects) {
@@ -243,7 +251,7 @@
                     Effect::Reply(connection, reply) => {
                         self.reply(now, connection.0 as ConnectionKey, &reply);
                     }
-                    Effect::Call(id, call) => self.call(now, id, call),
+                    Effect::Call(id, call) => self.make_call(now, id, call),
                 }
             }
             if self.failed_calls.is_empty() {
@@ -258,7 +266,7 @@
     /// Closes connections and fails queued calls whose deadlines have passed.
     fn expire(&mut self, now: Now) {
         while let Some(first) = self.connections.first_deadline() {
-            if first.at_ms > now.ms {
+            if first.deadline_ms > now.ms {
                 break;
             }
             self.close_connection(first.key);
@@ -278,7 +286,7 @@
                 self.read(key, context);
             }
         } else if event.writable {
-            // Writable for the first time: the connection is established, or failed.
+            // The first writable event reports that the connect succeeded or failed.
             if !matches!(connection.stream.take_error(), Ok(None)) {
                 self.close_connection(key);
                 return;
@@ -290,7 +298,7 @@
         }
     }
 
-    /// Reads and handles what has arrived on a connection.
+    /// Reads received bytes from a connection and handles the request or response.
     fn read(&mut self, key: ConnectionKey, context: &mut HandlerContext) {
         let Some(connection) = self.connections.get_mut(key) else {
             return;
@@ -300,7 +308,7 @@
         let bytes_read = connection.input.len() - held_bytes;
         match connection.role {
             Role::Server(listener) => {
-                if self.hold_request_bytes(key, bytes_read) {
+                if self.reserve_request_memory(key, bytes_read) {
                     self.read_request(key, listener, state, context);
                 }
             }
@@ -308,7 +316,7 @@
         }
     }
 
-    /// Writes what is to be sent on a connection, as far as the socket takes it.
+    /// Writes as much pending output of a connection as the socket accepts.
     fn flush(&mut self, key: ConnectionKey) {
         let Some(connection) = self.connections.get_mut(key) else {
             return;
@@ -325,23 +333,26 @@
         }
     }
 
-    /// Closes a connection; a call in flight on it has failed.
+    /// Closes a connection. Fails its call in flight, with an indeterminate outcome if the
+    /// socket accepted any byte of the request.
     fn close_connection(&mut self, key: ConnectionKey) {
         let Some(connection) = self.connections.remove(key) else {
             return;
         };
         self.request_memory
-            .release(connection.unfinished_request_bytes());
+            .release(connection.incomplete_request_bytes());
         match &connection.role {
-            Role::Server(_) => self.listeners.connection_closed(self.connections.poller()),
+            Role::Server(_) => self
+                .listeners
+                .on_connection_closed(self.connections.poller()),
             Role::Client(destination) => {
                 let deadline = ConnectionDeadline {
-                    at_ms: connection.deadline_ms,
+                    deadline_ms: connection.deadline_ms,
                     key,
                 };
-                self.pools.closed(destination, deadline);
-                if let Some(call) = connection.call {
-                    let error = if connection.sent {
+                self.pools.on_closed(destination, deadline);
+                if let Some(call) = connection.call_in_flight {
+                    let error = if connection.any_byte_sent {
                         CallError::Indeterminate
                     } else {
                         CallError::NotSent
--- a/src/reactor/requests.rs
+++ b/src/reactor/requests.rs
@@ -1,26 +1,26 @@
-//! The server side: requests of users, workers and other controllers, and the
-//! responses to them.
+//! The server side of the reactor: requests of users, workers and other controllers, and
+//! the responses to them.
 
 use super::connection::{ConnectionKey, SocketState};
 use super::{HandlerContext, Reactor, IDLE_TIMEOUT_MS};
 use crate::http;
 use crate::messages::{ConnectionId, Listener, Now, Reply};
 
-/// A request that has begun has to be complete within this time.
+/// Time from the first byte of a request within which the whole request must be received.
 const REQUEST_TIMEOUT_MS: u64 = 10_000;
-/// After how long a client should retry whose request didn't fit into memory.
+/// `Retry-After` of the response to a request that was rejected for lack of memory.
 const MEMORY_RETRY_AFTER_S: u64 = 2;
 
-/// The memory that unfinished requests of users and workers hold together.
+/// Accounts for the memory that the incomplete requests of users and workers hold together.
 pub(super) struct RequestMemory {
     held_bytes: usize,
     max_bytes: usize,
-    /// What each connection may hold in any case.
+    /// Bytes that each connection may hold even when `max_bytes` is exceeded.
     max_bytes_per_connection: usize,
 }
 
 impl RequestMemory {
-    /// Nothing is held yet.
+    /// Creates an account of `max_bytes`, of which no byte is held.
     pub(super) fn new(max_bytes: usize, max_connections: usize) -> RequestMemory {
         RequestMemory {
             held_bytes: 0,
@@ -37,8 +37,8 @@
         self.held_bytes -= bytes;
     }
 
-    /// Whether all requests together hold more than they may, and this one more
-    /// than its even part.
+    /// Returns whether all requests together hold more than `max_bytes` and a request of this
+    /// size holds more than its equal part.
     fn is_exceeded_by(&self, request_bytes: usize) -> bool {
         self.held_bytes > self.max_bytes && request_bytes > self.max_bytes_per_connection
     }
@@ -52,14 +52,13 @@
 }
 
 impl Reactor {
-    /// Counts bytes that were read into the memory for unfinished requests. When
-    /// that is short, a large request is rejected at once and its sender told when
-    /// to retry: then false.
-    pub(super) fn hold_request_bytes(&mut self, key: ConnectionKey, bytes_read: usize) -> bool {
+    /// Counts bytes that were read toward the memory for incomplete requests. If this memory
+    /// is exhausted, rejects a large request with a time to retry and returns false.
+    pub(super) fn reserve_request_memory(&mut self, key: ConnectionKey, bytes_read: usize) -> bool {
         let Some(connection) = self.connections.get(key) else {
             return false;
         };
-        if !connection.is_from_client() {
+        if !connection.uses_request_memory() {
             return true;
         }
         self.request_memory.acquire(bytes_read);
@@ -67,7 +66,7 @@
             return true;
         }
         log::debug!(
-            "request rejected reason=\"memory for unfinished requests is short\" held_bytes={}",
+            "request rejected reason=\"memory for incomplete requests exhausted\" held_bytes={}",
             self.request_memory.held_bytes
         );
         let reply =
@@ -76,7 +75,8 @@
         false
     }
 
-    /// Hands the request over that has been read, if it is complete.
+    /// Parses a request from the received bytes and hands it to the handler, if the request
+    /// is complete.
     pub(super) fn read_request(
         &mut self,
         key: ConnectionKey,
@@ -96,7 +96,7 @@
         }
         match http::parse_request(&connection.input, max_request_body(listener)) {
             Ok(None) => {
-                // The time limit runs from the request's first byte.
+                // The time limit starts with the first byte of the request.
                 let deadline_ms = context.now.ms + REQUEST_TIMEOUT_MS;
                 if connection.deadline_ms > deadline_ms {
                     self.connections.set_deadline(key, deadline_ms);
@@ -120,39 +120,44 @@
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
-        if connection.is_from_client() {
+        if connection.uses_request_memory() {
             self.request_memory.release(parsed.size);
         }
         connection.consume_input(parsed.size);
-        connection.close_after |= parsed.close || !connection.input.is_empty();
+        connection.close_after_response |= parsed.close || !connection.input.is_empty();
         connection.busy = true;
         self.connections
             .set_deadline(key, context.now.ms + IDLE_TIMEOUT_MS);
         self.update_interest(key);
-        context.request(ConnectionId(key as u64), listener, parsed.message);
+        context.handle_request(ConnectionId(key as u64), listener, parsed.message);
     }
 
-    /// Answers a request that isn't handled, and closes its connection after that.
+    /// Sends an error response to a request without handing the request to the handler, and
+    /// closes the connection after the response.
     fn reject_request(&mut self, key: ConnectionKey, reply: &Reply) {
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
         self.request_memory
-            .release(connection.unfinished_request_bytes());
-        connection.close_after = true;
+            .release(connection.incomplete_request_bytes());
+        connection.close_after_response = true;
         connection.input = Vec::new();
         http::write_reply(&mut connection.output, reply, true);
         self.flush(key);
     }
 
-    /// Sends the response to a handled request.
+    /// Sends the handler's response to a request.
     pub(super) fn reply(&mut self, now: Now, key: ConnectionKey, reply: &Reply) {
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
         self.usage.sent += 1;
         connection.busy = false;
-        http::write_reply(&mut connection.output, reply, connection.close_after);
+        http::write_reply(
+            &mut connection.output,
+            reply,
+            connection.close_after_response,
+        );
         self.connections.set_deadline(key, now.ms + IDLE_TIMEOUT_MS);
         self.flush(key);
     }
--- a/src/scheduler/state/commit.rs
+++ b/src/scheduler/state/commit.rs
@@ -195,9 +195,9 @@
             .deferred_since_ms
             .is_some_and(|since| now.ms >= since + self.lazy_write_delay_ms());
         if unwritten.urgent || waited_long_enough {
-            return Some(budget.now.clamp(FINAL_CHANGES, txn_ops));
+            return Some(budget.available.clamp(FINAL_CHANGES, txn_ops));
         }
-        let wanted = unwritten.changes.min(txn_ops).min(budget.max);
-        (budget.now >= wanted).then_some(txn_ops)
+        let wanted = unwritten.changes.min(txn_ops).min(budget.burst);
+        (budget.available >= wanted).then_some(txn_ops)
     }
 }
--- a/src/scheduler/state/commit_outcome.rs
+++ b/src/scheduler/state/commit_outcome.rs
@@ -29,14 +29,14 @@
             return;
         };
         match response {
-            KvResponse::Status(200, _) => match response.committed() {
+            KvResponse::Status(200, _) => match response.committed_revision() {
                 Some(revision) => self.on_committed(now, revision.0),
                 None => effects.step_down = Some(StepDownReason::UnreadableCommitResponse),
             },
             KvResponse::Status(409, _) => {
                 transaction.failed_compares = response
                     .read::<TxnResponse>(409)
-                    .map(|response| response.failed)
+                    .map(|response| response.failed_keys)
                     .unwrap_or_default();
                 if transaction.indeterminate {
                     // An earlier copy of it may have been carried out.
--- a/src/scheduler/state/job_watch.rs
+++ b/src/scheduler/state/job_watch.rs
@@ -161,7 +161,7 @@
         match response.read::<WatchResponse>(200) {
             Some(changes) => {
                 for event in changes.events {
-                    if let Some(key) = event.put {
+                    if let Some(key) = event.put_key {
                         let source = JobRecordSource::Update;
                         self.apply_job_record(now, &key, event.value, event.mod_revision, source);
                     }
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,5 +1,5 @@
-//! The platform's settings file (TOML). Unknown keys are ignored, since new ones may
-//! come up; the known ones are checked.
+//! The platform's settings file (TOML). The values of known keys are checked. Unknown
+//! keys are ignored, because later versions of the platform may add keys.
 
 mod validation;
 
@@ -12,118 +12,123 @@
 use std::path::Path;
 use validation::{is_not_negative, InvalidKey};
 
-/// The platform's settings of one controller.
+/// The settings that the platform writes for one controller.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Settings {
-    /// This controller's name.
+    /// Name of this controller, unique in the deployment.
     pub node_name: String,
-    /// The zone that it is in.
+    /// Zone that this controller runs in.
     #[serde(rename = "domain")]
     pub zone: String,
-    /// The address for users and workers.
+    /// Address on which this controller accepts requests of users and workers.
     pub client_listen: SocketAddrV4,
-    /// The address for other controllers.
+    /// Address on which this controller accepts requests of other controllers.
     #[serde(rename = "back")]
     pub peer_listen: SocketAddrV4,
-    /// The other controllers; this one may be among them.
+    /// The controllers of the deployment. The list may include this controller.
     #[serde(default)]
     pub peers: Vec<PeerSettings>,
-    /// The addresses of the services that it uses.
-    pub services: Services,
-    /// The settings of the deployment.
+    /// Addresses of the services that this controller uses.
+    pub services: ServiceAddresses,
+    /// Settings that all controllers of the deployment share.
     #[serde(rename = "settings")]
-    pub site: Site,
+    pub site: SiteSettings,
 }
 
-/// Another controller.
+/// A controller as the other controllers see it.
 #[derive(Clone, Debug, Deserialize)]
 pub struct PeerSettings {
-    /// Its name.
+    /// The peer's `node_name`.
     #[serde(rename = "node_name")]
     pub name: String,
-    /// The zone that it is in.
+    /// Zone that the peer runs in.
     #[serde(rename = "domain")]
     pub zone: String,
-    /// Its address for other controllers.
+    /// Address on which the peer accepts requests of other controllers.
     #[serde(rename = "peer_addr")]
-    pub addr: SocketAddrV4,
+    pub address: SocketAddrV4,
 }
 
-/// Addresses of the services.
+/// Addresses of the services that controllers use.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Services {
-    /// The cloud.
+pub struct ServiceAddresses {
+    /// Address of the cloud.
     pub cloud: SocketAddrV4,
-    /// The key-value store.
-    pub state: SocketAddrV4,
+    /// Address of the key-value store.
+    #[serde(rename = "state")]
+    pub kv_store: SocketAddrV4,
 }
 
-/// The settings of the deployment, the same for all controllers.
+/// The settings of the deployment, which all controllers share.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Site {
-    /// The zones.
+pub struct SiteSettings {
+    /// Names of the zones in which machines may run.
     pub zones: Vec<String>,
-    /// How far the clocks of two machines may differ.
-    #[serde(default)]
-    pub skew_ms: f64,
-    /// The teams.
+    /// Largest difference between the wall clocks of two machines.
+    #[serde(rename = "skew_ms", default)]
+    pub max_clock_skew_ms: f64,
+    /// Teams that may submit jobs, with their quotas.
     #[serde(default)]
     pub teams: Vec<Team>,
-    /// The service-level objectives (SLO).
+    /// Service-level objectives of the deployment's jobs.
     #[serde(default)]
     pub objectives: Vec<ServiceLevelObjective>,
-    /// The workers' intervals.
-    pub workers: Workers,
-    /// The key-value store's limits.
-    pub state: StateLimits,
-    /// The cloud's limits.
+    /// Heartbeat, lease and cancellation times of the workers.
+    pub workers: WorkerTiming,
+    /// Limits that the key-value store sets on its clients.
+    #[serde(rename = "state")]
+    pub kv_store: KvStoreLimits,
+    /// Limits that the cloud sets on its clients.
     pub cloud: CloudLimits,
-    /// The resources that a controller may use.
+    /// Resources that one controller may use.
     pub limits: ProcessLimits,
 }
 
-impl Site {
-    /// Whether a service-level objective is about this class.
-    pub fn names_class(&self, class: &str) -> bool {
+impl SiteSettings {
+    /// Returns whether any service-level objective is for this class.
+    pub fn has_objective_for_class(&self, class: &str) -> bool {
         self.objectives
             .iter()
             .any(|objective| objective.is_for_class(class))
     }
 }
 
-/// A team's quota: its guarantee and its limit; 0 is none.
+/// A team with its quota, in resources that its running tasks take. 0 means no guarantee
+/// or no limit.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Team {
-    /// Its name.
+    /// Name that jobs give as their team.
     pub name: String,
     /// Guaranteed processor cores.
     #[serde(default)]
     pub cpus: f64,
-    /// The limit of processor cores.
+    /// Limit on processor cores.
     #[serde(default)]
     pub cpus_max: f64,
     /// Guaranteed GPUs.
     #[serde(default)]
     pub gpus: f64,
-    /// The limit of GPUs.
+    /// Limit on GPUs.
     #[serde(default)]
     pub gpus_max: f64,
 }
 
-/// A service-level objective on waiting or finishing. Unknown kinds are kept as they are
-/// and match nothing.
+/// A service-level objective on the waiting time or the completion of jobs. An objective
+/// of an unknown kind applies to no job.
 #[derive(Clone, Debug, Deserialize)]
 pub struct ServiceLevelObjective {
-    /// What it is about: `wait`, `finished` or `deadline`.
+    /// The quantity that is bounded: `wait` (time until a job starts), `finished` (time
+    /// until a job is done) or `deadline` (completion in relation to the job's deadline).
     pub kind: String,
-    /// The class of jobs that it is for.
+    /// Class of the jobs that the objective is for; `None`: it applies to no job.
     pub class: Option<String>,
-    /// The time that it names.
+    /// Bound in seconds, for the kinds `wait` and `finished`.
     pub within_s: Option<f64>,
-    /// The share of jobs that should meet it.
+    /// Share of jobs that should meet the objective, from 0 to 1.
     pub share: Option<f64>,
-    /// The multiple of the deadline that it names.
-    pub times: Option<f64>,
+    /// Bound as a multiple of a job's deadline, for the kind `deadline`.
+    #[serde(rename = "times")]
+    pub deadline_multiple: Option<f64>,
 }
 
 impl ServiceLevelObjective {
@@ -138,70 +143,71 @@
     }
 }
 
-/// The workers' intervals.
+/// Times that workers keep, in seconds.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Workers {
-    /// Between two heartbeats.
+pub struct WorkerTiming {
+    /// Interval between two heartbeats of a worker.
     #[serde(rename = "report_s")]
     pub heartbeat_s: f64,
-    /// The lease that an answered heartbeat renews.
+    /// Duration of a worker's lease, which each heartbeat response renews.
     pub lease_s: f64,
-    /// The time within which a cancelled job's tasks are gone.
+    /// Time after a cancellation by which no task of the job may run any more.
     pub cancel_s: f64,
 }
 
-/// The key-value store's limits.
+/// Limits of the key-value store. The rates are for all controllers together.
 #[derive(Clone, Debug, Deserialize)]
-pub struct StateLimits {
+pub struct KvStoreLimits {
     /// Requests per second.
     pub rps: f64,
     /// Write operations per second.
     pub write_rps: f64,
-    /// The size of a value.
+    /// Largest value in kilobytes (1024 bytes).
     pub value_kb: f64,
-    /// Write operations in a transaction.
+    /// Most write operations in a transaction.
     pub txn_ops: usize,
-    /// The limits that it will have from some later time on, without notice.
-    #[serde(default)]
-    pub next: Option<NextStateLimits>,
+    /// Announced limits, which apply from some later time on. The store gives no notice when
+    /// they come into force.
+    #[serde(rename = "next", default)]
+    pub announced: Option<AnnouncedKvStoreLimits>,
 }
 
-/// Announced limits of the key-value store. What isn't named stays as it is.
+/// Announced limits of the key-value store. A limit that is `None` doesn't change.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
-pub struct NextStateLimits {
+pub struct AnnouncedKvStoreLimits {
     /// Requests per second.
     pub rps: Option<f64>,
     /// Write operations per second.
     pub write_rps: Option<f64>,
-    /// The size of a value.
+    /// Largest value in kilobytes (1024 bytes).
     pub value_kb: Option<f64>,
-    /// Write operations in a transaction.
+    /// Most write operations in a transaction.
     pub txn_ops: Option<usize>,
 }
 
-/// The cloud's limits.
+/// Limits of the cloud.
 #[derive(Clone, Debug, Deserialize)]
 pub struct CloudLimits {
-    /// Requests per second.
+    /// Requests per second that the cloud accepts.
     pub rps: f64,
-    /// How far the machine list lags behind.
+    /// Longest time by which the machine list lags behind the cloud's state.
     pub list_lag_s: f64,
 }
 
-/// The resources that a controller may use.
+/// Resources that one controller may use.
 #[derive(Clone, Debug, Deserialize)]
 pub struct ProcessLimits {
-    /// Processor cores.
+    /// Processor cores, possibly a fraction.
     pub cores: f64,
-    /// Memory in MB.
+    /// Memory in megabytes.
     pub ram_mb: f64,
-    /// Connections.
+    /// Connections open at once, incoming and outgoing together.
     pub max_connections: usize,
 }
 
 impl ProcessLimits {
-    /// The bounds of the reactor.
-    pub fn bounds(&self) -> ResourceBounds {
+    /// Returns the bounds on the reactor's resources.
+    pub fn reactor_bounds(&self) -> ResourceBounds {
         ResourceBounds {
             max_connections: self.max_connections,
             ram_mb: self.ram_mb,
@@ -210,7 +216,7 @@
 }
 
 impl Settings {
-    /// Reads and checks a file.
+    /// Reads, parses and checks the settings file at `path`.
     pub fn load(path: &Path) -> Result<Settings, SettingsError> {
         let file = path.display().to_string();
         match std::fs::read_to_string(path) {
@@ -222,7 +228,7 @@
         }
     }
 
-    /// Parses and checks the text of a file; `file` is named in errors.
+    /// Parses and checks the text of a settings file. `file` is the path that errors name.
     pub fn parse(text: &str, file: &str) -> Result<Settings, SettingsError> {
         let settings: Settings =
             toml::from_str(text).map_err(|error| SettingsError::Unreadable {
@@ -239,30 +245,31 @@
         Ok(settings)
     }
 
-    /// The addresses on which it listens, and those of its services.
+    /// Returns the addresses on which the controller listens and those of the services.
     pub fn endpoints(&self) -> Endpoints {
         Endpoints {
             client: self.client_listen,
             peer: self.peer_listen,
-            kv_store: self.services.state,
+            kv_store: self.services.kv_store,
             cloud: self.services.cloud,
         }
     }
 
-    /// The team of this name.
+    /// Returns the team of this name; `None`: jobs of the team are rejected.
     pub fn team(&self, name: &str) -> Option<&Team> {
         self.site.teams.iter().find(|team| team.name == name)
     }
 
-    /// Whether a controller is in this zone.
+    /// Returns whether a controller runs in this zone.
     pub fn has_controller(&self, zone: &str) -> bool {
         self.zone == zone || self.peers.iter().any(|peer| peer.zone == zone)
     }
 
-    /// How long after the cancellation watermark leases may be renewed: a lease renewed at
-    /// the end of it has to end within the time a cancellation has, with a heartbeat
-    /// interval, or a twentieth of that time, to spare for a stop command that was just
-    /// being sent when the watermark stood still.
+    /// Returns how far the cancellation watermark may lag behind for leases to be renewed.
+    /// A lease renewed at the largest lag has to expire before `cancel_s` has passed since
+    /// the watermark. The time to spare, a heartbeat interval or a twentieth of `cancel_s`
+    /// if that is longer, is for a stop command that is being sent when the watermark stops
+    /// advancing.
     pub fn max_cancellation_lag_ms(&self) -> u64 {
         let workers = &self.site.workers;
         let spare_s = workers.heartbeat_s.max(workers.cancel_s / 20.0);
@@ -270,14 +277,14 @@
         (lag_s.max(0.0) * 1000.0) as u64
     }
 
-    /// How long after a machine's last heartbeat its tasks may survive by leases that a
-    /// controller renews without knowing of new cancellations.
+    /// Returns the longest time after a machine's last heartbeat for which its tasks may
+    /// keep running on leases from a controller that can't learn of new cancellations.
     pub fn max_task_survival_ms(&self) -> u64 {
         let workers = &self.site.workers;
         self.max_cancellation_lag_ms() + ((workers.lease_s + workers.heartbeat_s) * 1000.0) as u64
     }
 
-    /// The class's objectives of this kind.
+    /// Returns the objectives of this kind for the class.
     fn objectives<'a>(
         &'a self,
         kind: &'static str,
@@ -289,17 +296,17 @@
             .filter(move |objective| objective.kind == kind && objective.is_for_class(class))
     }
 
-    /// The class's objective on waiting, in milliseconds.
+    /// Returns the shortest objective of the class on waiting time, in milliseconds.
     pub fn wait_slo_ms(&self, class: &str) -> Option<u64> {
         self.objectives("wait", class)
             .filter_map(ServiceLevelObjective::within_ms)
             .min()
     }
 
-    /// The objective on waiting for which other work is preempted or displaced: that of
-    /// jobs without a deadline, such as services, which have no other objective. Jobs with
-    /// a deadline wait in the order of their deadlines, in which their objective on waiting
-    /// is one more date.
+    /// Returns the objective on waiting time for which other tasks may be preempted or
+    /// displaced. Only jobs without a deadline have one, for example services, which have
+    /// no other objective. Jobs with a deadline wait in the order of their deadlines, where
+    /// their objective on waiting time counts as an additional deadline.
     pub fn start_slo_ms(&self, spec: &JobSpec) -> Option<u64> {
         match spec.deadline_s {
             Some(_) => None,
@@ -307,19 +314,19 @@
         }
     }
 
-    /// The times after its submission, in milliseconds, by which a job of the
-    /// class should be done whatever its own deadline.
+    /// Returns the objectives on completion for the class: the times after submission, in
+    /// milliseconds, by which a job should be done regardless of its own deadline.
     pub fn finish_slos_ms<'a>(&'a self, class: &'a str) -> impl Iterator<Item = u64> + 'a {
         self.objectives("finished", class)
             .filter_map(ServiceLevelObjective::within_ms)
     }
 
-    /// The multiples of its deadline by which the class's jobs should be
-    /// done, in order; the deadline itself is always one.
+    /// Returns the multiples of its deadline by which a job of the class should be done, in
+    /// ascending order. The deadline itself, a multiple of 1, is always included.
     pub fn deadline_multiples(&self, class: &str) -> Vec<f64> {
         let mut multiples: Vec<f64> = self
             .objectives("deadline", class)
-            .filter_map(|objective| objective.times)
+            .filter_map(|objective| objective.deadline_multiple)
             .filter(|multiple| multiple.is_finite() && *multiple > 0.0)
             .collect();
         multiples.push(1.0);
--- a/src/settings/validation.rs
+++ b/src/settings/validation.rs
@@ -1,79 +1,80 @@
-//! Checks of the platform's settings, and what can be wrong with them.
+//! Validation of the platform's settings, and its errors.
 
-use super::{NextStateLimits, Settings, Site, Team};
+use super::{AnnouncedKvStoreLimits, Settings, SiteSettings, Team};
 use thiserror::Error;
 
-/// An idle controller takes 1 MB, one that leads 150 machines 2.5 MB, and
-/// requests up to a quarter of the whole.
+/// An idle controller takes 1 MB, a leader of 150 machines takes 2.5 MB, and incomplete
+/// requests take up to a quarter of the memory.
 const MIN_RAM_MB: f64 = 8.0;
 
-/// The end of a job takes two write operations, and a transaction should hold more than
-/// one end.
+/// The end of a job takes two write operations, and a transaction should have room for
+/// the ends of at least two jobs.
 const MIN_TXN_OPS: usize = 4;
 
-/// A job's own record, cut down to what its cancellation needs, fits into this.
-const MIN_NEXT_VALUE_KB: f64 = 2.0;
+/// Enough for a job's own record, reduced to the fields that its cancellation needs.
+const MIN_ANNOUNCED_VALUE_KB: f64 = 2.0;
 
-/// What is wrong with the platform's settings.
+/// An error in the platform's settings file.
 #[derive(Debug, Error)]
 pub enum SettingsError {
-    /// The file can't be read.
+    /// The file can't be read, or isn't TOML with the required keys.
     #[error("{file}: {reason}")]
     Unreadable {
-        /// The file.
+        /// Path of the settings file.
         file: String,
-        /// Why.
+        /// Error text of the file system or the parser, on one line.
         reason: String,
     },
     /// The value of a key is invalid.
     #[error("{file}: {key}: {reason}")]
     InvalidKey {
-        /// The file.
+        /// Path of the settings file.
         file: String,
-        /// The key.
+        /// Dotted path of the key in the file.
         key: &'static str,
-        /// Why.
+        /// The requirement that the value violates.
         reason: InvalidSetting,
     },
 }
 
-/// Why the value of a key in the platform's settings is invalid.
+/// The requirement that a value in the platform's settings violates.
 #[derive(Clone, Copy, PartialEq, Debug, Error)]
 pub enum InvalidSetting {
-    /// It has to be a positive number.
+    /// The value must be positive and finite.
     #[error("must be a number above 0")]
     NotPositive,
-    /// It has to be a number that isn't negative.
+    /// The value must be finite and must not be negative.
     #[error("must be 0 or more")]
     Negative,
-    /// One of several amounts is negative.
+    /// None of a team's amounts may be negative.
     #[error("amounts must be 0 or more")]
     NegativeAmount,
-    /// It is lower than the lowest that works.
+    /// The value is below the minimum.
     #[error("must be at least {min}")]
     TooLow {
-        /// The lowest value.
+        /// Smallest valid value.
         min: f64,
     },
-    /// The connections that aren't the workers' take more than there are.
+    /// The connections reserved for key-value store, cloud and peers leave none for calls
+    /// to workers.
     #[error("too few: a quarter is for calls to state service, cloud, peers and workers")]
     TooFewConnections,
-    /// A name is missing.
+    /// A name must not be empty.
     #[error("must not be empty")]
     Empty,
-    /// No zone is named.
+    /// The list of zones must not be empty.
     #[error("must name at least one zone")]
     NoZone,
 }
 
-/// A key whose value is invalid, in a file yet to be named.
+/// A key whose value is invalid. The caller adds the path of the file.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct InvalidKey {
     pub(super) key: &'static str,
     pub(super) reason: InvalidSetting,
 }
 
-/// Passes if `valid`; else the key is invalid for this reason.
+/// Returns an error that names the key and the reason unless `valid` is true.
 fn require(valid: bool, key: &'static str, reason: InvalidSetting) -> Result<(), InvalidKey> {
     if valid {
         Ok(())
@@ -93,15 +94,18 @@
 }
 
 impl Settings {
-    /// Checks the values; the first that is invalid is reported.
+    /// Checks all values and returns an error for the first one that is invalid.
     pub(super) fn check(&self) -> Result<(), InvalidKey> {
         let site = &self.site;
         site.check_rates_and_times()?;
-        check_txn_ops(site.state.txn_ops, "settings.state.txn_ops")?;
-        if let Some(next) = &site.state.next {
-            next.check()?;
+        check_txn_ops(site.kv_store.txn_ops, "settings.state.txn_ops")?;
+        if let Some(announced) = &site.kv_store.announced {
+            announced.check()?;
         }
-        let connections = site.limits.bounds().worker_connections(self.peers.len());
+        let connections = site
+            .limits
+            .reactor_bounds()
+            .max_worker_connections(self.peers.len());
         require(
             connections.is_some(),
             "settings.limits.max_connections",
@@ -122,15 +126,15 @@
     }
 }
 
-impl Site {
+impl SiteSettings {
     fn check_rates_and_times(&self) -> Result<(), InvalidKey> {
         let positive = [
             ("settings.workers.report_s", self.workers.heartbeat_s),
             ("settings.workers.lease_s", self.workers.lease_s),
             ("settings.workers.cancel_s", self.workers.cancel_s),
-            ("settings.state.rps", self.state.rps),
-            ("settings.state.write_rps", self.state.write_rps),
-            ("settings.state.value_kb", self.state.value_kb),
+            ("settings.state.rps", self.kv_store.rps),
+            ("settings.state.write_rps", self.kv_store.write_rps),
+            ("settings.state.value_kb", self.kv_store.value_kb),
             ("settings.cloud.rps", self.cloud.rps),
             ("settings.limits.cores", self.limits.cores),
             ("settings.limits.ram_mb", self.limits.ram_mb),
@@ -157,7 +161,7 @@
     }
 }
 
-impl NextStateLimits {
+impl AnnouncedKvStoreLimits {
     fn check(&self) -> Result<(), InvalidKey> {
         let rates = [
             ("settings.state.next.rps", self.rps),
@@ -170,7 +174,7 @@
         }
         if let Some(value_kb) = self.value_kb {
             let key = "settings.state.next.value_kb";
-            require_at_least(MIN_NEXT_VALUE_KB, value_kb, key)?;
+            require_at_least(MIN_ANNOUNCED_VALUE_KB, value_kb, key)?;
         }
         if let Some(txn_ops) = self.txn_ops {
             check_txn_ops(txn_ops, "settings.state.next.txn_ops")?;
@@ -183,7 +187,7 @@
     require_at_least(MIN_TXN_OPS as f64, txn_ops as f64, key)
 }
 
-/// Whether the value is a number that isn't negative.
+/// Returns whether the value is finite and not negative.
 pub(super) fn is_not_negative(value: f64) -> bool {
     value.is_finite() && value >= 0.0
 }
--- a/src/token_bucket.rs
+++ b/src/token_bucket.rs
@@ -1,23 +1,23 @@
-//! A token bucket: paces requests to a steady rate with bounded bursts.
+//! A token bucket, which limits requests to a steady rate with bounded bursts.
 
 use crate::messages::Now;
 
-/// Absorbs rounding errors of refills.
+/// Tokens by which a level may fall short of a cost because of rounding in refills.
 const ROUNDING_TOLERANCE: f64 = 1e-9;
 
-/// Tokens that arrive at a steady rate and are saved up for a bounded time.
+/// Tokens that accumulate at a steady rate, up to a capacity.
 #[derive(Clone, Debug)]
 pub struct TokenBucket {
     rate_per_ms: f64,
-    /// The capacity.
+    /// The capacity, in tokens.
     burst: f64,
-    /// The tokens at the last refill; negative after a cost above them was taken.
+    /// Tokens at the last refill. Negative after a cost above the level was taken.
     level: f64,
     refilled_ms: u64,
 }
 
 impl TokenBucket {
-    /// A full bucket that saves up tokens for `burst_s` seconds.
+    /// Creates a full bucket, whose capacity is the tokens of `burst_s` seconds.
     pub fn new(rate_per_s: f64, burst_s: f64) -> Self {
         let burst = capacity(rate_per_s, burst_s);
         TokenBucket {
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Changes the rate, and for how long tokens are saved up.
+    /// Changes the rate and the capacity. Tokens above the new capacity are lost.
     pub fn set_rate(&mut self, now: Now, rate_per_s: f64, burst_s: f64) {
         self.refill(now);
         self.rate_per_ms = rate_per_s / 1000.0;
@@ -42,19 +42,20 @@
         self.refilled_ms = now.ms;
     }
 
-    /// The tokens in a full bucket.
+    /// Returns the number of tokens in a full bucket.
     pub fn burst(&self) -> f64 {
         self.burst
     }
 
-    /// The tokens that are available.
+    /// Returns the number of available tokens, which may be negative.
     pub fn level(&mut self, now: Now) -> f64 {
         self.refill(now);
         self.level
     }
 
-    /// Takes tokens, and returns whether there were enough. A cost above the burst is
-    /// allowed on a full bucket, or it would wait for ever.
+    /// Takes `cost` tokens and returns true, or takes none and returns false if there
+    /// aren't enough. A full bucket accepts a cost above its capacity, which would
+    /// otherwise never be accepted.
     pub fn take(&mut self, now: Now, cost: f64) -> bool {
         self.refill(now);
         if self.level + ROUNDING_TOLERANCE < cost.min(self.burst) {
@@ -64,14 +65,15 @@
         true
     }
 
-    /// Discards the available tokens: the service reported that its rate was exceeded.
-    pub fn mark_empty(&mut self, now: Now) {
+    /// Discards the available tokens, after the service reported that its rate was
+    /// exceeded.
+    pub fn discard_available(&mut self, now: Now) {
         self.refill(now);
         self.level = self.level.min(0.0);
     }
 }
 
-/// What a bucket holds; at least one token, or nothing could ever be taken.
+/// Returns the capacity of a bucket: at least one token, because a request needs one.
 fn capacity(rate_per_s: f64, burst_s: f64) -> f64 {
     (rate_per_s * burst_s).max(1.0)
 }
--- a/src/usage.rs
+++ b/src/usage.rs
@@ -1,61 +1,60 @@
-//! Where a controller's processor time goes: events and time by purpose,
-//! counted by the reactor and logged at intervals.
+//! Counters of a controller's events and processing time by purpose, which the reactor
+//! updates and logs at intervals.
 //!
-//! What is timed is this program's own code, from an event until its effects
-//! are carried out. The kernel's time for packets isn't included, so the counts
-//! of messages and connections are logged beside it.
+//! The time of an event runs from its arrival in the reactor until the reactor has
+//! applied its effects. This time doesn't include the kernel's time for network packets, so the
+//! counts of messages and connections are logged with it.
 
 use std::fmt;
 use std::time::Duration;
 
-/// How often the counters are logged, in milliseconds.
-pub const LOG_EVERY_MS: u64 = 30_000;
+/// Interval at which the counters are logged, in milliseconds.
+pub const LOG_INTERVAL_MS: u64 = 30_000;
 
-/// What an event or a turn of the reactor was handled for.
+/// The purpose of an event or of a turn of the reactor.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Purpose {
-    /// A worker's heartbeat.
+    /// A heartbeat of a worker.
     WorkerHeartbeat,
-    /// A health probe.
+    /// A readiness probe of the load balancer.
     Probe,
-    /// A user submits a job.
+    /// A user's submission of a job.
     Submission,
-    /// A user queries a job.
+    /// A user's query of a job.
     Query,
-    /// A user cancels a job.
+    /// A user's cancellation of a job.
     Cancellation,
-    /// Another controller's heartbeat, or the response to one of this controller's.
+    /// A heartbeat of a peer, or a peer's response to a heartbeat of this controller.
     PeerHeartbeat,
-    /// Workers' heartbeats that another controller forwards.
+    /// Worker heartbeats that a peer forwards.
     ForwardedHeartbeats,
-    /// The key-value store's response about leadership.
+    /// A response of the key-value store to a call of the leader election.
     Election,
-    /// The key-value store's response to a call made for a user.
+    /// A response of the key-value store to a call made for a user's request.
     UserKvCall,
-    /// Changes that the key-value store reports to a watch.
+    /// A response of the key-value store to a watch.
     Watch,
-    /// The key-value store's response to the leader's transaction.
+    /// A response of the key-value store to a transaction of the leader.
     Transaction,
-    /// The stored records that a new leader loads.
+    /// A page of the stored records that a new leader loads.
     Loading,
-    /// The cloud's response.
+    /// A response of the cloud.
     Cloud,
-    /// A worker's response to direct commands.
+    /// A response of a worker to direct commands.
     Command,
     /// A scheduling round of the leader: placement, provisioning.
     Round,
-    /// The leader's check of every machine for failures.
+    /// The leader's failure detection over all machines.
     MachineCheck,
-    /// The leader assembles a transaction.
+    /// The leader's assembly of a transaction.
     Commit,
-    /// Anything else: expired timers, requests to unknown paths.
+    /// Everything else, such as expired timers and requests to unknown paths.
     Other,
 }
 
-/// How many purposes there are.
 const PURPOSE_COUNT: usize = Purpose::Other as usize + 1;
 
-/// The purposes' names in the log, in the order of the variants.
+/// Names of the purposes in log lines, in the order of the variants.
 const PURPOSE_NAMES: [&str; PURPOSE_COUNT] = [
     "worker_heartbeat",
     "probe",
@@ -77,39 +76,40 @@
     "other",
 ];
 
-/// How often something was done, and how long it took altogether.
+/// Number of events of one purpose, and their total time.
 #[derive(Clone, Copy, Default, PartialEq, Eq, Debug)]
 struct PurposeStats {
     events: u64,
     time: Duration,
 }
 
-/// The longest event or turn: for so long no other one was handled.
+/// The event or turn with the longest processing time. All other events waited meanwhile,
+/// because the reactor has one thread.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 struct LongestEvent {
     time: Duration,
     purpose: Purpose,
 }
 
-/// Counters since they were last logged.
+/// Counters since the previous log line.
 #[derive(Clone, Default, PartialEq, Eq, Debug)]
 pub struct Usage {
     by_purpose: [PurposeStats; PURPOSE_COUNT],
     longest: Option<LongestEvent>,
-    /// Turns of the reactor.
+    /// Turns of the reactor: one poll each, with the events that it returns.
     pub turns: u64,
-    /// Turns that no event caused.
+    /// Turns without an event, which a timer or a deadline caused.
     pub timer_turns: u64,
-    /// Connections accepted.
+    /// Incoming connections accepted on both listeners.
     pub accepted: u64,
-    /// Connections opened.
+    /// Outgoing connections opened.
     pub connected: u64,
-    /// Messages written: responses and calls.
+    /// HTTP messages written: responses and calls.
     pub sent: u64,
 }
 
 impl Usage {
-    /// Counts one event, or the work of one turn.
+    /// Counts one event, or the tick of one turn, with its processing time.
     pub fn add(&mut self, purpose: Purpose, time: Duration) {
         let stats = &mut self.by_purpose[purpose as usize];
         stats.events += 1;
--- a/src/wire/cloud.rs
+++ b/src/wire/cloud.rs
@@ -1,51 +1,52 @@
-//! The cloud: machine types, the machine list, provisioning and release.
+//! Messages to and from the cloud: machine types, the machine list, provisioning and
+//! release.
 
 use lilacfork_common::resources::Resources;
 use serde::{Deserialize, Serialize};
 use std::rc::Rc;
 
-/// Path of the machine types.
+/// Path of the machine types ([`Catalog`]).
 pub const CLOUD_CATALOG_PATH: &str = "/catalog";
-/// Path of the machine list, and of provisioning.
+/// Path of the machine list (GET) and of provisioning orders (POST).
 pub const CLOUD_MACHINES_PATH: &str = "/machines";
 /// Path of the release of machines.
 pub const CLOUD_RELEASE_PATH: &str = "/machines/release";
 
-/// A machine type.
+/// A type of machine that the cloud rents out.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 pub struct MachineType {
-    /// Its name.
+    /// Name by which jobs and orders refer to the type.
     #[serde(rename = "sku")]
     pub name: Rc<str>,
-    /// Processor cores.
+    /// Processor cores of a machine.
     pub cpus: f64,
-    /// GPUs.
+    /// GPUs of a machine.
     pub gpus: f64,
-    /// Memory in GB.
+    /// Memory of a machine in GB.
     #[serde(rename = "memoryGb")]
     pub memory_gb: f64,
-    /// The size of the image cache in GB.
+    /// Size of a machine's container image cache in GB.
     #[serde(rename = "cacheGb", default)]
     pub image_cache_gb: f64,
-    /// The rate at which it pulls images.
+    /// Rate at which a machine pulls container images, in GB per second.
     #[serde(rename = "pullGbPerS", default)]
     pub image_pull_gb_per_s: f64,
-    /// The price per hour.
+    /// Price per hour of an on-demand machine.
     #[serde(rename = "hourly")]
     pub hourly_price: f64,
-    /// The price per hour of a spot instance.
+    /// Price per hour of a spot instance.
     #[serde(rename = "marketPrice", default)]
     pub hourly_spot_price: f64,
-    /// The usual boot time in seconds.
+    /// Typical boot time in seconds.
     #[serde(rename = "startupS")]
     pub boot_s: f64,
-    /// The zones that offer it.
+    /// Zones in which the type is available.
     #[serde(rename = "secteurs")]
     pub zones: Vec<Rc<str>>,
 }
 
 impl MachineType {
-    /// The capacity of a machine of this type.
+    /// Returns the capacity of a machine of this type.
     pub fn capacity(&self) -> Resources {
         Resources {
             cpus: self.cpus,
@@ -69,23 +70,24 @@
     }
 }
 
-/// The cloud's machine types.
+/// The machine types that the cloud offers.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Catalog {
-    /// The machine types.
+    /// All machine types, in the order of the cloud's response.
     #[serde(rename = "gammes")]
     pub machine_types: Vec<MachineType>,
 }
 
 impl Catalog {
-    /// The catalog, if it has types and all their figures are plausible.
+    /// Returns the catalog, or `None` if it has no machine type or a type has a negative or
+    /// non-finite figure.
     pub fn validated(self) -> Option<Catalog> {
         let valid = !self.machine_types.is_empty()
             && self.machine_types.iter().all(MachineType::is_plausible);
         valid.then_some(self)
     }
 
-    /// The machine type of this name.
+    /// Returns the machine type of this name.
     pub fn find(&self, name: &str) -> Option<&MachineType> {
         self.machine_types
             .iter()
@@ -96,27 +98,29 @@
 /// A provisioning order.
 #[derive(Debug, Serialize)]
 pub struct ProvisionRequest<'a> {
-    /// Its name, which is never used twice.
+    /// Name of the order, which is never reused. The cloud executes orders of the same name
+    /// at most once, so that an order can be retried.
     #[serde(rename = "bon")]
-    pub request: &'a str,
-    /// The machine type.
+    pub order_name: &'a str,
+    /// Name of the machine type to provision.
     #[serde(rename = "gamme")]
     pub machine_type: &'a str,
-    /// The zone.
+    /// Zone to provision the machines in.
     #[serde(rename = "secteur")]
     pub zone: &'a str,
-    /// Whether spot instances are ordered.
+    /// Whether to provision spot instances.
     #[serde(rename = "occasion")]
     pub spot: bool,
-    /// How many machines are ordered.
+    /// Number of machines to provision.
     #[serde(rename = "howMany")]
     pub count: u32,
 }
 
-/// Machines by their names: the response to an order, or the machines to release.
+/// A list of machine names: the response to a provisioning order, or the request to release
+/// machines.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct MachineNames {
-    /// The names of the machines.
+    /// Names that the cloud gave to the machines.
     #[serde(rename = "bancs")]
     pub machines: Vec<String>,
 }
@@ -125,14 +129,14 @@
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ListedState {
-    /// It is booting.
+    /// The machine is booting.
     #[serde(rename = "starting")]
     Booting,
-    /// It is running.
+    /// The machine is running, whether or not its worker sends heartbeats.
     Running,
-    /// It stopped by itself.
+    /// The machine stopped without a release.
     Failed,
-    /// A state that this version doesn't know.
+    /// A state that this version of lilacfork doesn't know.
     #[serde(other)]
     Other,
 }
@@ -140,24 +144,24 @@
 /// A machine in the cloud's list.
 #[derive(Clone, Debug, Deserialize)]
 pub struct ListedMachine {
-    /// Its name.
+    /// Name that the cloud gave to the machine.
     pub id: String,
-    /// The address that takes direct commands.
+    /// Address at which the worker accepts direct commands; may be empty.
     #[serde(default)]
     pub address: String,
-    /// Its type.
+    /// Name of the machine's type.
     #[serde(rename = "gamme")]
     pub machine_type: String,
-    /// Its zone.
+    /// Zone that the machine runs in.
     #[serde(rename = "secteur")]
     pub zone: String,
-    /// Whether it is a spot instance.
+    /// Whether the machine is a spot instance.
     #[serde(rename = "occasion")]
     pub spot: bool,
-    /// Its state.
+    /// State of the machine when the cloud made the list.
     #[serde(rename = "etat")]
     pub state: ListedState,
-    /// Seconds since it was provisioned.
+    /// Seconds since the machine was provisioned.
     #[serde(rename = "heldS", default)]
     pub age_s: f64,
 }
@@ -165,10 +169,10 @@
 /// A page of the cloud's machine list.
 #[derive(Debug, Deserialize)]
 pub struct MachineList {
-    /// The machines, ordered by name.
+    /// Machines of this page, ordered by name.
     #[serde(rename = "bancs")]
     pub machines: Vec<ListedMachine>,
-    /// There are more pages.
+    /// Whether more pages follow.
     #[serde(rename = "truncated", default)]
     pub has_more: bool,
 }
--- a/src/wire/kv.rs
+++ b/src/wire/kv.rs
@@ -1,34 +1,35 @@
-//! The key-value store: keys, transactions (compare-and-swap), watches, leases.
+//! Messages to and from the key-value store: keys, transactions (compare-and-swap),
+//! watches and leases.
 
 use serde::{Deserialize, Serialize};
 
-/// The value of a key.
+/// A JSON value, as the store keeps it under a key.
 pub type Value = serde_json::Value;
 
-/// A key with its value.
+/// A key of the store with its value and revision.
 #[derive(Clone, Debug, Deserialize)]
 pub struct KeyValue {
-    /// The key.
+    /// Full key, with its prefix.
     #[serde(rename = "k")]
     pub key: String,
-    /// The value.
+    /// Value under the key when the store read it.
     #[serde(rename = "v")]
     pub value: Value,
-    /// The revision of its last change.
+    /// Store revision of the key's last change.
     #[serde(rename = "retouche")]
     pub mod_revision: u64,
 }
 
-/// A page of keys.
+/// A page of the keys under a prefix.
 #[derive(Debug, Deserialize)]
 pub struct KeyPage {
-    /// The keys, in order.
+    /// Keys of this page in lexicographic order, with their values.
     #[serde(rename = "rows")]
     pub items: Vec<KeyValue>,
-    /// There are more pages.
+    /// Whether more pages follow.
     #[serde(rename = "truncated", default)]
     pub has_more: bool,
-    /// The revision of the store at which they were read.
+    /// Store revision at which the page was read.
     #[serde(rename = "tirage")]
     pub revision: u64,
 }
@@ -36,21 +37,22 @@
 /// The response to a transaction.
 #[derive(Debug, Deserialize)]
 pub struct TxnResponse {
-    /// The revision of the store.
+    /// Store revision at the response: the revision of the commit if the transaction was
+    /// committed.
     #[serde(rename = "tirage")]
     pub revision: u64,
-    /// The keys whose compares failed.
-    #[serde(default)]
-    pub failed: Vec<String>,
+    /// Keys whose compares failed; empty if the transaction was committed.
+    #[serde(rename = "failed", default)]
+    pub failed_keys: Vec<String>,
 }
 
-/// A compare of a transaction.
+/// A compare of a transaction: the condition that a key has a given mod revision.
 #[derive(Clone, Debug, Serialize)]
 pub struct Compare {
-    /// The key.
+    /// Key whose mod revision is compared.
     #[serde(rename = "k")]
     pub key: String,
-    /// The mod revision that the key must have; 0: it must not exist.
+    /// Mod revision that the key must have; 0: the key must not exist.
     #[serde(rename = "retouche")]
     pub mod_revision: u64,
 }
@@ -59,39 +61,39 @@
 #[derive(Clone, Debug, Serialize)]
 #[serde(untagged)]
 pub enum WriteOp {
-    /// Puts a key.
+    /// Puts a value under a key.
     Put {
-        /// The key.
+        /// Key to put.
         #[serde(rename = "set")]
         key: String,
-        /// Its value.
+        /// Value to store under the key.
         #[serde(rename = "v")]
         value: Value,
-        /// The lease that the key expires with.
+        /// Lease that the key expires with; `None`: the key doesn't expire.
         #[serde(rename = "bail", skip_serializing_if = "Option::is_none")]
         lease: Option<u64>,
     },
     /// Deletes a key.
     Delete {
-        /// The key.
+        /// Key to delete.
         #[serde(rename = "drop")]
         key: String,
     },
 }
 
-/// A transaction: all its writes happen if all its compares hold, else none does.
+/// A transaction: the store applies all writes if all compares hold, and none otherwise.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Txn {
-    /// What has to hold.
+    /// Conditions for the commit.
     #[serde(rename = "guards")]
     pub compares: Vec<Compare>,
-    /// What it writes.
+    /// Write operations that the commit applies.
     #[serde(rename = "writes")]
     pub writes: Vec<WriteOp>,
 }
 
 impl Txn {
-    /// Requires that a key has this mod revision; 0: that it doesn't exist.
+    /// Adds a compare: the key must have this mod revision, or must not exist if 0.
     pub fn compare(mut self, key: impl Into<String>, mod_revision: u64) -> Self {
         self.compares.push(Compare {
             key: key.into(),
@@ -100,7 +102,7 @@
         self
     }
 
-    /// Puts a key.
+    /// Adds a write that puts a key.
     pub fn put(mut self, key: impl Into<String>, value: Value) -> Self {
         self.writes.push(WriteOp::Put {
             key: key.into(),
@@ -110,7 +112,7 @@
         self
     }
 
-    /// Puts a key that expires with a lease.
+    /// Adds a write that puts a key which expires with a lease.
     pub fn put_leased(mut self, key: impl Into<String>, value: Value, lease: u64) -> Self {
         self.writes.push(WriteOp::Put {
             key: key.into(),
@@ -120,34 +122,34 @@
         self
     }
 
-    /// Deletes a key.
+    /// Adds a write that deletes a key.
     pub fn delete(mut self, key: impl Into<String>) -> Self {
         self.writes.push(WriteOp::Delete { key: key.into() });
         self
     }
 }
 
-/// The response to the request for a lease.
+/// The response to a request for a lease.
 #[derive(Debug, Deserialize)]
 pub struct LeaseGranted {
-    /// The lease's number.
+    /// Number of the granted lease.
     #[serde(rename = "bail")]
     pub lease: u64,
 }
 
-/// A change of a key.
+/// A change of one key, as a watch reports it: a put or a delete.
 #[derive(Debug, Deserialize)]
 pub struct WatchEvent {
-    /// The key, if it was put.
+    /// Key of a put; `None`: the change is a delete.
     #[serde(rename = "set", default)]
-    pub put: Option<String>,
-    /// The key, if it was deleted.
+    pub put_key: Option<String>,
+    /// Key of a delete; `None`: the change is a put.
     #[serde(rename = "drop", default)]
-    pub delete: Option<String>,
-    /// The value that was put.
+    pub deleted_key: Option<String>,
+    /// Value of a put; null for a delete.
     #[serde(rename = "v", default)]
     pub value: Value,
-    /// The revision of the change.
+    /// Store revision of the change.
     #[serde(rename = "retouche")]
     pub mod_revision: u64,
 }
@@ -155,9 +157,9 @@
 /// The response to a watch.
 #[derive(Debug, Deserialize)]
 pub struct WatchResponse {
-    /// The revision of the store up to which it lists changes.
+    /// Store revision up to which the response lists changes.
     #[serde(rename = "tirage")]
     pub revision: u64,
-    /// The changes since.
+    /// Changes after the revision that the watch started from.
     pub events: Vec<WatchEvent>,
 }
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -1,11 +1,11 @@
-//! The messages of users, workers, cloud, key-value store and controllers, one module
-//! for each counterpart.
+//! Messages to and from users, workers, the cloud, the key-value store and other
+//! controllers, with one module for each of these.
 //!
-//! This is the one place where the protocol's field names are mapped to the terms of
-//! the code, by serde attributes. Names that the protocol shares with the code, or that
-//! differ only by case (`memoryGb`, `memory_gb`), aren't listed.
+//! Only this module maps the protocol's field names to the terms of the code, by serde
+//! attributes. The table lists the mapping, except names that the protocol shares with
+//! the code and names that differ only by case (`memoryGb`, `memory_gb`).
 //!
-//! | protocol | counterpart | term here |
+//! | protocol | used with | term in the code |
 //! | --- | --- | --- |
 //! | `run` (`/v2/runs`, ids `run-...`), `abort` | users | job, cancellation |
 //! | `pieces` | users | number of tasks |
@@ -32,7 +32,7 @@
 //! | `beat` (`/agent/beat`) | workers | heartbeat |
 //! | `banc` | workers | machine |
 //! | `bancs` | cloud | machines |
-//! | `quart` | workers | agent epoch: rises each time the worker's lease expires |
+//! | `quart` | workers | agent epoch: increases each time the worker's lease expires |
 //! | `numero` | workers | sequence number of a heartbeat within its epoch |
 //! | `jeton` | workers | fencing token |
 //! | `essai` | workers | attempt |
@@ -40,19 +40,20 @@
 //! | `preavisS` | workers | preemption notice |
 //! | `consignes`, `geste`, `delaiS` | workers | commands, command, grace period |
 //! | `pulling`, `flushing`, `stored` | workers | pulling the image, checkpointing, checkpointed |
-//! | `halt`, `reap` | workers | stop, acknowledge an end |
+//! | `halt`, `reap` | workers | stop, acknowledge the end of a task |
 //! | `rendreA` | workers | redirect to a controller |
 //! | `bon`, `howMany` | cloud | provisioning order, count |
 //! | `starting` | cloud | booting |
 //! | `startupS`, `heldS` | cloud | boot time, age |
-//! | `truncated` | cloud, key-value store | there are more pages |
+//! | `truncated` | cloud, key-value store | whether more pages follow |
 //! | `rows`, `k`, `v` | key-value store | items of a page, key, value |
 //! | `retouche` | key-value store | mod revision of a key |
 //! | `tirage` | key-value store | revision of the store |
 //! | `guards`, `writes`, `set`, `drop` | key-value store | compares, write operations, put, delete |
 //! | `bail` | key-value store | lease |
 //!
-//! Controllers' messages to each other are protocol buffers, whose fields have numbers.
+//! Messages between controllers are protocol buffers, whose fields are identified by
+//! numbers.
 
 pub mod cloud;
 pub mod kv;
--- a/src/wire/peers.rs
+++ b/src/wire/peers.rs
@@ -1,128 +1,132 @@
-//! The other controllers, in protocol buffers: hints, and each controller's log of the
-//! cancellations that it has confirmed to users, which is authoritative.
+//! Messages between controllers, in protocol buffers. Each controller's log of the
+//! cancellations that it has confirmed to users is authoritative; all other fields are
+//! hints.
 
 use prost::Message;
 
-/// Path of the controllers' messages to each other.
+/// Path of messages between controllers.
 pub const PEER_PATH: &str = "/peer";
 
-/// Sent by every controller to every other a few times per lease.
+/// The heartbeat that every controller sends to every other one several times per lease
+/// of the leader.
 #[derive(Clone, PartialEq, Message)]
 pub struct PeerHeartbeat {
-    /// The sender.
+    /// Name of the sender.
     #[prost(string, tag = "1")]
     pub node: String,
-    /// The leader that the sender knows from the key-value store; empty: none.
+    /// Name of the leader that the sender read from the key-value store; empty: none.
     #[prost(string, tag = "2")]
     pub leader: String,
-    /// The latest term that it knows.
+    /// Latest term that the sender knows.
     #[prost(uint64, tag = "3")]
     pub term: u64,
-    /// Whether the key-value store has responded to the sender lately.
+    /// Whether the sender's latest result from the key-value store was a response.
     #[prost(bool, tag = "4")]
     pub kv_reachable: bool,
-    /// From the leader: progress of jobs, for display.
+    /// Progress of jobs, which only the leader sends, for the job states that users see.
     #[prost(message, repeated, tag = "5")]
     pub job_progress: Vec<JobProgress>,
-    /// Jobs and cancellations that the sender has just written.
+    /// Ids of jobs for which the sender has just written a submission or a cancellation.
     #[prost(string, repeated, tag = "6")]
     pub announced: Vec<String>,
-    /// Write operations per second that the sender makes in the key-value store.
+    /// Recent rate of the sender's write operations in the key-value store, per second.
     #[prost(double, tag = "12")]
     pub writes_per_s: f64,
-    /// Up to where the sender knows the receiver's confirmed cancellations.
+    /// Position up to which the sender knows the receiver's confirmed cancellations.
     #[prost(message, optional, tag = "10")]
     pub cursor: Option<ConfirmationCursor>,
-    /// Cancellations that the receiver may not know.
+    /// Confirmed cancellations of the sender that the receiver may not know.
     #[prost(message, optional, tag = "11")]
     pub confirmations: Option<ConfirmedCancellations>,
-    /// No worker that should send its heartbeats to the sender reaches it.
+    /// Whether the sender receives no heartbeat from any worker that should send its
+    /// heartbeats to it.
     #[prost(bool, tag = "9")]
     pub unreachable: bool,
-    /// To the leader: workers' heartbeats that the sender has answered, as they were
-    /// received.
+    /// Bodies of the worker heartbeats that the sender has responded to, as received. Only
+    /// the leader gets them.
     #[prost(bytes = "vec", repeated, tag = "7")]
     pub worker_heartbeats: Vec<Vec<u8>>,
-    /// The sender knows that the key-value store's announced limits are in force.
+    /// Whether the sender knows that the key-value store's announced limits apply.
     #[prost(bool, tag = "13")]
     pub announced_limits_apply: bool,
-    /// The sender's version; versions before 0.2 leave it out.
+    /// Version of the sender's program; versions before 0.2 don't send it.
     #[prost(string, tag = "14")]
     pub version: String,
 }
 
-/// Progress of a job, for display.
+/// Progress of a job, for the job state that a user sees.
 #[derive(Clone, PartialEq, Message)]
 pub struct JobProgress {
-    /// The job's id.
+    /// Id of the job.
     #[prost(string, tag = "1")]
     pub job: String,
-    /// Tasks that are done.
+    /// Number of tasks that are done.
     #[prost(uint32, tag = "2")]
     pub done: u32,
-    /// Tasks that are running.
+    /// Number of tasks that are running.
     #[prost(uint32, tag = "3")]
     pub running: u32,
-    /// The running tasks are parts of replicas that span machines and serve.
+    /// Whether the running tasks are parts of serving replicas that span machines.
     #[prost(bool, tag = "4")]
     pub multi_host: bool,
 }
 
-/// A position in the numbered log of cancellations that one process has confirmed.
+/// A position in the numbered log of the cancellations that one controller process has
+/// confirmed.
 #[derive(Clone, Copy, PartialEq, Message)]
 pub struct ConfirmationCursor {
-    /// The process whose log it is.
+    /// Incarnation of the process that keeps the log.
     #[prost(uint64, tag = "1")]
     pub incarnation: u64,
-    /// All entries up to this number are known.
+    /// Number of the last entry up to which all entries are known.
     #[prost(uint64, tag = "2")]
     pub up_to: u64,
 }
 
-/// Cancellations that a process has confirmed to users, numbered from 1.
+/// Cancellations that one controller process has confirmed to users, numbered from 1.
 #[derive(Clone, PartialEq, Message)]
 pub struct ConfirmedCancellations {
-    /// The sender.
+    /// Name of the sender.
     #[prost(string, tag = "1")]
     pub node: String,
-    /// The sender's process.
+    /// Incarnation of the sender's process.
     #[prost(uint64, tag = "2")]
     pub incarnation: u64,
-    /// The number of the first entry in this message; the others follow it.
+    /// Number of the first entry in `jobs`. The other entries have consecutive numbers.
     #[prost(uint64, tag = "3")]
     pub first: u64,
-    /// The jobs, in the order of the log.
+    /// Ids of the cancelled jobs, in the order of the log.
     #[prost(string, repeated, tag = "4")]
     pub jobs: Vec<String>,
-    /// How many entries the log has had so far.
+    /// Number of entries that the log has had so far, including removed ones.
     #[prost(uint64, tag = "5")]
     pub total: u64,
 }
 
-/// The response to a heartbeat.
+/// The response to a heartbeat of a controller.
 #[derive(Clone, PartialEq, Message)]
 pub struct PeerHeartbeatResponse {
-    /// What the heartbeat's cursor asked for.
+    /// Confirmed cancellations of the responder after the heartbeat's cursor.
     #[prost(message, optional, tag = "2")]
     pub confirmations: Option<ConfirmedCancellations>,
 }
 
-/// Encodes a response.
-pub fn encode_response(response: &PeerHeartbeatResponse) -> Vec<u8> {
+/// Encodes a heartbeat response.
+pub fn encode_heartbeat_response(response: &PeerHeartbeatResponse) -> Vec<u8> {
     response.encode_to_vec()
 }
 
-/// Decodes a response; `None` if it is malformed.
-pub fn decode_response(bytes: &[u8]) -> Option<PeerHeartbeatResponse> {
+/// Decodes a heartbeat response. Returns `None` if it is malformed.
+pub fn decode_heartbeat_response(bytes: &[u8]) -> Option<PeerHeartbeatResponse> {
     PeerHeartbeatResponse::decode(bytes).ok()
 }
 
 /// Encodes a heartbeat.
-pub fn encode(heartbeat: &PeerHeartbeat) -> Vec<u8> {
+pub fn encode_heartbeat(heartbeat: &PeerHeartbeat) -> Vec<u8> {
     heartbeat.encode_to_vec()
 }
 
-/// Decodes a heartbeat; `None` if it is malformed.
-pub fn decode(bytes: &[u8]) -> Option<PeerHeartbeat> {
+/// Decodes a heartbeat. Returns `None` if it is malformed.
+pub fn decode_heartbeat(bytes: &[u8]) -> Option<PeerHeartbeat> {
     PeerHeartbeat::decode(bytes).ok()
 }
--- a/src/wire/users.rs
+++ b/src/wire/users.rs
@@ -1,4 +1,4 @@
-//! Users: submissions, queries and cancellations of jobs.
+//! Messages to and from users: submissions, queries and cancellations of jobs.
 
 use crate::ids::JobId;
 use lilacfork_common::resources::Resources;
@@ -7,12 +7,12 @@
 use std::rc::Rc;
 use thiserror::Error;
 
-/// Path of submissions; the path of a job starts with it.
+/// Path of submissions, and prefix of the path of a job.
 pub const USER_JOBS_PATH: &str = "/v2/runs";
 /// Path of the load balancer's readiness probe.
 pub const READY_PATH: &str = "/ready";
 
-/// The kind of a job.
+/// The kind of a job, which decides how its tasks start and end.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum JobKind {
@@ -20,86 +20,87 @@
     Array,
     /// Replicas that run until the job is cancelled.
     Service,
-    /// A gang: tasks that run together or not at all.
+    /// Gang: tasks that run all at the same time or not at all.
     #[serde(rename = "group")]
     Gang,
 }
 
-/// The priority of a job. The most important comes first, so that the derived order is
-/// the order of the queue.
+/// The priority of a job. The variants go from the highest to the lowest priority, so that
+/// the derived order is the order of the queue.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Priority {
-    /// Ahead of all others.
+    /// Queued ahead of all other jobs.
     Critical,
-    /// Ahead of ordinary work.
+    /// Queued ahead of standard jobs.
     High,
-    /// Ordinary work.
+    /// The priority of ordinary jobs.
     Standard,
-    /// Runs in capacity that is otherwise idle.
+    /// Uses only capacity that is otherwise idle.
     Idle,
 }
 
-/// A job as its user describes it.
+/// The specification of a job, as its user submits it.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// Its id, which its user chooses.
+    /// Job id, which the user chooses.
     pub id: JobId,
-    /// The class of jobs that it belongs to.
+    /// Class of the job. Objectives and run-time estimates are kept by class.
     #[serde(rename = "gabarit")]
     pub class: Rc<str>,
-    /// Its team.
+    /// Team whose quota the job uses.
     #[serde(rename = "equipe")]
     pub team: Rc<str>,
-    /// Its kind.
+    /// Job array, service or gang.
     #[serde(rename = "genre")]
     pub kind: JobKind,
-    /// Its priority.
+    /// Priority in the queue.
     #[serde(rename = "rang")]
     pub priority: Priority,
-    /// How many tasks it has.
+    /// Number of tasks, at least 1.
     #[serde(rename = "pieces")]
     pub tasks: u32,
-    /// Processor cores of a task.
+    /// Processor cores that each task takes.
     pub cpus: f64,
-    /// GPUs of a task.
+    /// GPUs that each task takes.
     pub gpus: f64,
-    /// Memory of a task in GB.
+    /// Memory that each task takes, in GB.
     #[serde(rename = "memoryGb")]
     pub memory_gb: f64,
-    /// The container image of its tasks.
+    /// Name of the container image that the tasks run.
     #[serde(rename = "moule")]
     pub image: Rc<str>,
-    /// The image's size in GB.
+    /// Size of the container image in GB.
     #[serde(rename = "pullGb")]
     pub image_gb: f64,
-    /// The allowed machine types; `None`: any.
+    /// Names of the allowed machine types; `None`: any type.
     #[serde(rename = "gammes", default, skip_serializing_if = "Option::is_none")]
     pub machine_types: Option<Vec<Rc<str>>>,
-    /// The only allowed zone.
+    /// The only allowed zone; `None`: any zone.
     #[serde(rename = "secteur", default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<Rc<str>>,
-    /// All tasks in one zone.
+    /// Whether all tasks have to run in the same zone.
     #[serde(rename = "samePlace")]
     pub same_zone: bool,
-    /// At most half of the tasks, rounded up, in one zone.
+    /// Whether at most half of the tasks, rounded up, may run in the same zone.
     pub spread: bool,
-    /// Whether it may use spot instances.
+    /// Whether the tasks may run on spot instances.
     #[serde(rename = "occasion")]
     pub spot: bool,
-    /// The user's estimate of a task's run time.
+    /// The user's estimate of a task's run time, in seconds.
     #[serde(rename = "prevuS")]
     pub estimated_run_s: f64,
-    /// The interval at which a task saves checkpoints by itself; 0: never.
+    /// Interval at which a running task saves checkpoints, in seconds; 0: it saves none.
     #[serde(rename = "jalonS")]
     pub checkpoint_interval_s: f64,
-    /// How long a task takes to save a checkpoint when it is stopped.
+    /// Time that a stopped task takes to save a checkpoint, in seconds.
     #[serde(rename = "sauvegardeS")]
     pub checkpoint_save_s: f64,
-    /// The time after its submission within which it should be done.
+    /// Time after submission within which the job should be done, in seconds; `None`: no
+    /// deadline.
     #[serde(rename = "echeanceS", default, skip_serializing_if = "Option::is_none")]
     pub deadline_s: Option<f64>,
-    /// Jobs that have to be done before any of its tasks starts.
+    /// Jobs that have to be done before any task of this job starts.
     #[serde(
         rename = "attend",
         default,
@@ -109,49 +110,49 @@
     pub dependencies: Vec<JobId>,
 }
 
-/// Bounds of what a submission may ask for.
+// Bounds on the values of a submission.
 const MAX_TASKS: u32 = 100_000;
 const MAX_AMOUNT: f64 = 1e9;
 const MAX_NAME_BYTES: usize = 200;
 const MAX_JOB_ID_BYTES: usize = 100;
 
-/// What is wrong with a submission. The text is sent to its user, so it names the
+/// The reason why a submission is rejected. The text is sent to the user, so it names the
 /// protocol's fields.
 #[derive(Debug, Error)]
 pub enum JobSpecError {
-    /// The body isn't a job in JSON.
+    /// The body isn't the JSON of a job.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// A name that can't be a job's id.
+    /// The value isn't a valid job id.
     #[error("{field}: not a job id")]
     InvalidJobId {
-        /// The field.
+        /// Protocol name of the field.
         field: &'static str,
     },
-    /// A number outside its bounds.
+    /// The number is outside its valid range.
     #[error("{field}: out of range")]
     OutOfRange {
-        /// The field.
+        /// Protocol name of the field.
         field: &'static str,
     },
-    /// A name that is empty or too long.
+    /// The name is empty or longer than 200 bytes.
     #[error("{field}: empty or too long")]
     InvalidName {
-        /// The field.
+        /// Protocol name of the field.
         field: &'static str,
     },
-    /// Dependencies that can't be.
+    /// The list of dependencies is invalid.
     #[error("attend: {0}")]
     Dependencies(#[from] DependencyError),
 }
 
-/// Reads a list that may be null.
+/// Deserializes a list of job ids, with null as the empty list.
 fn null_as_empty<'de, D: Deserializer<'de>>(source: D) -> Result<Vec<JobId>, D::Error> {
     Ok(Option::<Vec<JobId>>::deserialize(source)?.unwrap_or_default())
 }
 
 impl JobSpec {
-    /// What one task takes of its machine.
+    /// Returns the resources that one task takes on its machine.
     pub fn task_request(&self) -> Resources {
         Resources {
             cpus: self.cpus,
@@ -160,7 +161,7 @@
         }
     }
 
-    /// Reads and checks a submission.
+    /// Parses and checks the body of a submission.
     pub fn parse(body: &[u8]) -> Result<JobSpec, JobSpecError> {
         let spec: JobSpec = serde_json::from_slice(body)?;
         check_job_id("id", &spec.id)?;
@@ -188,7 +189,7 @@
             ("echeanceS", self.deadline_s.unwrap_or(0.0)),
         ];
         for (field, amount) in amounts {
-            // Comparisons with NaN are false, so it isn't contained either.
+            // The range check also rejects NaN, because comparisons with NaN are false.
             if !(0.0..=MAX_AMOUNT).contains(&amount) {
                 return Err(JobSpecError::OutOfRange { field });
             }
@@ -212,26 +213,28 @@
 }
 
 fn check_job_id(field: &'static str, id: &JobId) -> Result<(), JobSpecError> {
-    if valid_job_id(id.as_str()) {
+    if is_valid_job_id(id.as_str()) {
         Ok(())
     } else {
         Err(JobSpecError::InvalidJobId { field })
     }
 }
 
-/// The job id from a submission that may otherwise be invalid.
+/// Parses only the job id of a submission, whose other fields may be invalid. Returns
+/// `None` if there is no valid job id.
 pub(crate) fn peek_job_id(body: &[u8]) -> Option<JobId> {
     #[derive(Deserialize)]
     struct IdOnly {
         id: JobId,
     }
     let IdOnly { id } = serde_json::from_slice(body).ok()?;
-    valid_job_id(id.as_str()).then_some(id)
+    is_valid_job_id(id.as_str()).then_some(id)
 }
 
-/// Whether this is a job id: `run-` and letters, digits, `-` or `_`. Ids become keys of
-/// the key-value store, so they must not contain what has a meaning in a path.
-pub fn valid_job_id(id: &str) -> bool {
+/// Returns whether `id` is a valid job id: `run-` followed by ASCII letters, digits, `-` or
+/// `_`, at most 100 bytes. Ids become keys of the key-value store, so they must not contain
+/// characters that have a meaning in a path.
+pub fn is_valid_job_id(id: &str) -> bool {
     let allowed = |byte: u8| byte.is_ascii_alphanumeric() || byte == b'-' || byte == b'_';
     id.len() <= MAX_JOB_ID_BYTES
         && id
@@ -239,32 +242,32 @@
             .is_some_and(|rest| !rest.is_empty() && rest.bytes().all(allowed))
 }
 
-/// The state of a job as its user sees it.
+/// The state of a job that a query reports.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum JobPhase {
-    /// None of its tasks is running.
+    /// No task of the job is running.
     Pending,
-    /// At least one of its tasks is running.
+    /// At least one task of the job is running.
     Running,
-    /// All its tasks are done.
+    /// All tasks of the job are done.
     Done,
-    /// Its user cancelled it.
+    /// A user cancelled the job.
     Cancelled,
 }
 
-/// The response to a user about a job.
+/// The response to a user's submission, query or cancellation of a job.
 #[derive(Debug, Serialize)]
 pub struct JobStatus<'a> {
-    /// The job.
+    /// Id of the job.
     pub id: &'a JobId,
-    /// Its state.
+    /// State of the job, as far as the responding controller knows.
     #[serde(rename = "etat")]
     pub state: JobPhase,
-    /// Tasks that are done, for display.
+    /// Number of tasks that are done, for display; `None`: unknown.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub done: Option<u32>,
-    /// Tasks that are running, for display.
+    /// Number of tasks that are running, for display; `None`: unknown.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub running: Option<u32>,
 }
--- a/src/wire/workers.rs
+++ b/src/wire/workers.rs
@@ -1,28 +1,29 @@
-//! Workers: heartbeats with the status of their tasks, and commands.
+//! Messages to and from workers: heartbeats with the status of tasks, and commands.
 
 use crate::ids::{AgentEpoch, Attempt, FencingToken, TaskRef};
 use serde::{Deserialize, Serialize};
 
-/// Path of the workers' heartbeats.
+/// Path of worker heartbeats, on a controller.
 pub const WORKER_HEARTBEAT_PATH: &str = "/agent/beat";
-/// Path of direct commands, at a worker.
+/// Path of direct commands, on a worker.
 pub const WORKER_COMMANDS_PATH: &str = "/commands";
 
 /// The phase of a task on a machine.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum TaskPhase {
-    /// It waits for its container image.
+    /// The machine is pulling the task's container image.
     #[serde(rename = "pulling")]
     PullingImage,
-    /// It is running.
+    /// The task is running.
     Running,
-    /// It was stopped and saves a checkpoint.
+    /// The task was stopped and is saving a checkpoint.
     #[serde(rename = "flushing")]
     Checkpointing,
-    /// It ended; see [`ExitReason`].
+    /// The task has ended, for the reason that [`TaskStatus::reason`] gives.
     Ended,
-    /// A phase that this version doesn't know: the task counts as being on the machine.
+    /// A phase that this version of lilacfork doesn't know. The task counts as present on
+    /// the machine.
     #[serde(other)]
     Other,
 }
@@ -31,19 +32,19 @@
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ExitReason {
-    /// It completed.
+    /// The task completed.
     Done,
-    /// It was stopped by a command.
+    /// A command stopped the task.
     Stopped,
-    /// It failed.
+    /// The task failed.
     Error,
-    /// Its start was rejected: not enough free capacity.
+    /// The worker rejected the start: the machine has too little free capacity.
     Full,
-    /// Its start was rejected: another attempt is on the machine.
+    /// The worker rejected the start: another attempt of the task is on the machine.
     Busy,
-    /// Its start was rejected: no such job or task.
+    /// The worker rejected the start: the job or task doesn't exist.
     Unknown,
-    /// A reason that this version doesn't know.
+    /// A reason that this version of lilacfork doesn't know.
     #[serde(other)]
     Other,
 }
@@ -51,125 +52,128 @@
 /// The status of a task in a worker's heartbeat.
 #[derive(Clone, PartialEq, Eq, Hash, Debug, Deserialize)]
 pub struct TaskStatus {
-    /// The task; `None`: the name can't be a task's.
+    /// Task that the status is of; `None`: the reported name isn't a valid task name.
     #[serde(rename = "piece", deserialize_with = "TaskRef::deserialize_name")]
     pub task: Option<TaskRef>,
-    /// Its attempt.
+    /// Attempt at the task that the status is of.
     #[serde(rename = "essai")]
     pub attempt: Attempt,
-    /// Its phase.
+    /// Phase of the attempt when the worker sent the heartbeat.
     #[serde(rename = "etat")]
     pub phase: TaskPhase,
-    /// Why it ended.
+    /// Reason of the end; `None` before the end.
     #[serde(rename = "motif", default)]
     pub reason: Option<ExitReason>,
-    /// Whether a checkpoint of its progress was saved.
+    /// Whether the ended attempt saved a checkpoint; `None`: not reported.
     #[serde(rename = "stored", default)]
     pub checkpointed: Option<bool>,
 }
 
-/// A worker's heartbeat.
+/// The heartbeat of a worker, which describes its machine and all tasks on it.
 #[derive(Clone, Debug, Deserialize)]
 pub struct WorkerHeartbeat {
-    /// The machine.
+    /// Name of the machine.
     #[serde(rename = "banc")]
     pub machine: String,
-    /// The address that takes direct commands.
+    /// Address at which the worker accepts direct commands; may be empty.
     #[serde(default)]
     pub address: String,
-    /// Its type.
+    /// Name of the machine's type.
     #[serde(rename = "gamme")]
     pub machine_type: String,
-    /// Its zone.
+    /// Zone that the machine runs in.
     #[serde(rename = "secteur")]
     pub zone: String,
-    /// Whether it is a spot instance.
+    /// Whether the machine is a spot instance.
     #[serde(rename = "occasion")]
     pub spot: bool,
-    /// Rises each time the worker's lease expires.
+    /// Agent epoch, which increases each time the worker's lease expires.
     #[serde(rename = "quart")]
     pub agent_epoch: AgentEpoch,
-    /// Rises with every heartbeat of an agent epoch.
+    /// Sequence number, which increases with every heartbeat of an agent epoch.
     #[serde(rename = "numero")]
     pub sequence: u64,
-    /// The highest fencing token that the worker has seen.
+    /// Highest fencing token that the worker has received.
     #[serde(rename = "jeton")]
     pub fencing_token: FencingToken,
-    /// Seconds until the cloud takes the spot instance away.
+    /// Preemption notice: seconds until the cloud reclaims the spot instance; `None`: no
+    /// notice.
     #[serde(rename = "preavisS", default)]
     pub preemption_notice_s: Option<f64>,
-    /// All tasks on the machine, ended ones included.
+    /// All tasks on the machine, including ended ones that aren't acknowledged yet.
     #[serde(rename = "pieces", default)]
     pub tasks: Vec<TaskStatus>,
 }
 
-/// A command to a worker.
+/// A command that a controller sends to a worker.
 #[derive(Clone, PartialEq, Debug, Serialize)]
 #[serde(tag = "geste", rename_all = "lowercase")]
 pub enum Command {
-    /// Start a task.
+    /// Starts an attempt at a task.
     Start {
-        /// The task.
+        /// Name of the task.
         #[serde(rename = "piece")]
         task: String,
-        /// Its attempt.
+        /// Number of the attempt at the task.
         #[serde(rename = "essai")]
         attempt: Attempt,
     },
-    /// Stop a task.
+    /// Stops an attempt at a task.
     #[serde(rename = "halt")]
     Stop {
-        /// The task.
+        /// Name of the task.
         #[serde(rename = "piece")]
         task: String,
-        /// Its attempt.
+        /// Number of the attempt at the task.
         #[serde(rename = "essai")]
         attempt: Attempt,
-        /// How many seconds it has to save a checkpoint.
+        /// Grace period in seconds, in which the task may save a checkpoint.
         #[serde(rename = "delaiS")]
         grace_s: u64,
     },
-    /// Acknowledge the end of a task, which the heartbeats leave out from then on.
+    /// Acknowledges the end of an attempt. The worker's later heartbeats omit it.
     #[serde(rename = "reap")]
     Acknowledge {
-        /// The task.
+        /// Name of the task.
         #[serde(rename = "piece")]
         task: String,
-        /// Its attempt.
+        /// Number of the attempt at the task.
         #[serde(rename = "essai")]
         attempt: Attempt,
     },
 }
 
-/// The response to a heartbeat.
+/// The response to a heartbeat of a worker, which renews the worker's lease.
 #[derive(Debug, Serialize)]
 pub struct HeartbeatResponse<'a> {
-    /// The leader's fencing token.
+    /// Fencing token of the leader. The worker ignores commands with a lower token than the
+    /// highest one that it has received.
     #[serde(rename = "jeton")]
     pub fencing_token: FencingToken,
-    /// The commands, in order.
+    /// Commands in the order in which the worker executes them.
     #[serde(rename = "consignes")]
     pub commands: &'a [Command],
 }
 
-/// Commands that are sent to a worker between its heartbeats.
+/// Commands that a controller sends to a worker without waiting for its next heartbeat.
 #[derive(Debug, Serialize)]
 pub struct DirectCommands<'a> {
-    /// The leader's fencing token.
+    /// Fencing token of the leader. The worker ignores commands with a lower token than the
+    /// highest one that it has received.
     #[serde(rename = "jeton")]
     pub fencing_token: FencingToken,
-    /// The agent epoch that the commands are for.
+    /// Agent epoch for which the commands are valid.
     #[serde(rename = "quart")]
     pub agent_epoch: AgentEpoch,
-    /// The commands, in order.
+    /// Commands in the order in which the worker executes them.
     #[serde(rename = "consignes")]
     pub commands: &'a [Command],
 }
 
-/// Redirects a worker to another controller.
+/// The response that redirects a worker to another controller.
 #[derive(Debug, Serialize)]
 pub struct RedirectTo<'a> {
-    /// The controller to send heartbeats to; `None`: any other.
+    /// Name of the controller to send heartbeats to; `None`: any other controller.
     #[serde(rename = "rendreA", skip_serializing_if = "Option::is_none")]
     pub node: Option<&'a str>,
 }
--- a/tests/integration/policy.rs
+++ b/tests/integration/policy.rs
@@ -223,7 +223,7 @@
         bucket.take(at(5000), 15.0),
         "more than the burst, on a full bucket"
     );
-    bucket.mark_empty(at(5000));
+    bucket.discard_available(at(5000));
     assert!(!bucket.take(at(5050), 1.0));
 }
 
@@ -259,7 +259,7 @@
     let ini = |text: &str| Tuning::from_ini(&ini::Ini::load_from_str(text).unwrap(), "f.ini");
     assert_eq!(ini("[slackfit]\nheadroom = 2\n").unwrap().headroom, 2.0);
     // Every default may be written down: one once lay outside its own bounds.
-    for line in Tuning::describe().lines() {
+    for line in Tuning::describe_defaults().lines() {
         let text = line.replace("] ", "]\n");
         assert_eq!(ini(&text).unwrap(), Tuning::default(), "{line}");
     }
--- a/tests/integration/reactor.rs
+++ b/tests/integration/reactor.rs
@@ -110,7 +110,7 @@
         ram_mb: 40.0,
     };
     let reactor = Reactor::new(endpoints(), bounds, 1).expect("listens");
-    assert_eq!(reactor.max_workers(), 10);
+    assert_eq!(reactor.max_worker_connections(), 10);
     let (done, answered) = channel();
     std::thread::spawn(move || {
         let mut caller = Caller {
--- a/tests/integration/simulation/mod.rs
+++ b/tests/integration/simulation/mod.rs
@@ -29,7 +29,7 @@
 use lilacfork::messages::Reply;
 use lilacfork::node::Node;
 use lilacfork::reactor::Handler;
-use lilacfork::settings::{NextStateLimits, StateLimits};
+use lilacfork::settings::{AnnouncedKvStoreLimits, KvStoreLimits};
 use lilacfork::tuning::Tuning;
 use network::Network;
 use observation::OBSERVATION_INTERVAL_MS;
@@ -84,7 +84,7 @@
     tuning: Tuning,
     /// Limits of the key-value store in the nodes' settings, if not those of
     /// [`SETTINGS`].
-    state_limits: Option<StateLimits>,
+    state_limits: Option<KvStoreLimits>,
     /// Jobs, or single tasks, that fail on every machine.
     pub failing_jobs: BTreeSet<String>,
     /// Nodes whose processes are paused, and until when.
@@ -119,9 +119,9 @@
     }
 
     /// Controllers whose settings announce lower limits of the key-value store.
-    pub fn announcing(nodes: usize, next: NextStateLimits) -> Simulation {
-        let mut limits = settings("n-0", nodes).site.state;
-        limits.next = Some(next);
+    pub fn announcing(nodes: usize, next: AnnouncedKvStoreLimits) -> Simulation {
+        let mut limits = settings("n-0", nodes).site.kv_store;
+        limits.announced = Some(next);
         Simulation::with(nodes, CORES, Tuning::default(), Some(limits))
     }
 
@@ -134,7 +134,7 @@
         nodes: usize,
         cores: f64,
         options: Tuning,
-        state_limits: Option<StateLimits>,
+        state_limits: Option<KvStoreLimits>,
     ) -> Simulation {
         let mut simulation = Simulation {
             now: 0,
--- a/tests/integration/simulation/nodes.rs
+++ b/tests/integration/simulation/nodes.rs
@@ -6,7 +6,7 @@
 use lilacfork::messages::{Effect, Listener, Now};
 use lilacfork::node::Node;
 use lilacfork::reactor::Handler;
-use lilacfork::settings::StateLimits;
+use lilacfork::settings::KvStoreLimits;
 use lilacfork::tuning::Tuning;
 
 /// What the wall clock shows when virtual time begins.
@@ -26,7 +26,7 @@
         let mut settings = settings(&format!("n-{node}"), self.epochs.len());
         settings.site.limits.cores = self.cores;
         if let Some(limits) = &self.state_limits {
-            settings.site.state = limits.clone();
+            settings.site.kv_store = limits.clone();
         }
         self.nodes[node] = Some(Node::new(settings, self.tuning.clone(), incarnation));
         self.schedule_tick(node, self.now + 1);
@@ -45,7 +45,7 @@
     }
 
     /// From now on nodes start with these limits of the key-value store.
-    pub fn set_state_limits(&mut self, limits: StateLimits) {
+    pub fn set_state_limits(&mut self, limits: KvStoreLimits) {
         self.state_limits = Some(limits);
     }
 
--- a/tests/integration/version_compatibility.rs
+++ b/tests/integration/version_compatibility.rs
@@ -10,7 +10,7 @@
     RangeName,
 };
 use lilacfork::scheduler::{Job, PlacementRanges, StoredPlacement};
-use lilacfork::settings::{NextStateLimits, Settings};
+use lilacfork::settings::{AnnouncedKvStoreLimits, Settings};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 
@@ -19,8 +19,8 @@
     txn_ops: 6,
 };
 
-fn announced() -> NextStateLimits {
-    NextStateLimits {
+fn announced() -> AnnouncedKvStoreLimits {
+    AnnouncedKvStoreLimits {
         rps: None,
         write_rps: Some(30.0),
         value_kb: Some(2.0),
@@ -38,7 +38,7 @@
 }
 
 /// Three controllers and machines with capacity for 400 small tasks.
-fn wide(next: Option<NextStateLimits>) -> Simulation {
+fn wide(next: Option<AnnouncedKvStoreLimits>) -> Simulation {
     let mut sim = match next {
         Some(next) => Simulation::announcing(3, next),
         None => Simulation::new(3),
@@ -334,7 +334,7 @@
     assert_eq!(sim.submit(0, &many("run-1", 200)), 201);
     sim.run_for(3000);
     sim.kv_store.limits = Some(LOWERED);
-    let mut now = crate::simulation::settings("n-0", 3).site.state;
+    let mut now = crate::simulation::settings("n-0", 3).site.kv_store;
     now.value_kb = 2.0;
     now.txn_ops = 6;
     sim.set_state_limits(now);
