--- a/src/cancellations/peer_logs.rs
+++ b/src/cancellations/peer_logs.rs
@@ -3,7 +3,7 @@
 
 use crate::messages::Now;
 use crate::wire::peers::{ConfirmationCursor, ConfirmedCancellations};
-use crate::wire::users::valid_job_id;
+use crate::wire::users::is_valid_job_id;
 
 /// The position up to which one peer's log is known here, and the position up to which that
 /// peer knows this controller's log.
@@ -45,7 +45,7 @@
         let well_formed = last <= message.total
             && message.incarnation != 0
             && message.node == self.name
-            && message.jobs.iter().all(|job| valid_job_id(job));
+            && message.jobs.iter().all(|job| is_valid_job_id(job));
         well_formed.then_some(last)
     }
 
--- a/src/node/limits.rs
+++ b/src/node/limits.rs
@@ -7,7 +7,7 @@
 use crate::kv_client::{CallPriority, KvCall, KvResponse};
 use crate::limits::{EffectiveLimits, LimitEvidence, RequestSize, StoreLimits};
 use crate::messages::Now;
-use crate::settings::StateLimits;
+use crate::settings::KvStoreLimits;
 use serde::Serialize;
 
 /// Interval between attempts to store that the announced limits apply, and timeout of
@@ -23,7 +23,7 @@
 }
 
 impl LimitsTracker {
-    pub(super) fn new(settings: &StateLimits) -> LimitsTracker {
+    pub(super) fn new(settings: &KvStoreLimits) -> LimitsTracker {
         LimitsTracker {
             effective: EffectiveLimits::new(settings),
             next_write_ms: 0,
@@ -137,7 +137,7 @@
 
     /// Handles the response to the write which records that the announced limits apply.
     pub(super) fn on_limits_written(&mut self, response: &KvResponse) {
-        if response.committed().is_some() {
+        if response.committed_revision().is_some() {
             self.election.on_limits_lowered_stored();
         }
     }
--- a/src/node/peers.rs
+++ b/src/node/peers.rs
@@ -46,7 +46,7 @@
         Peer {
             name: settings.name.clone(),
             zone: settings.zone.clone(),
-            address: settings.addr.to_string(),
+            address: settings.address.to_string(),
             last_message_ms: None,
             last_response_ms: None,
             last_store_access_ms: None,
--- a/src/scheduler/state/commit.rs
+++ b/src/scheduler/state/commit.rs
@@ -205,9 +205,9 @@
             .deferred_since_ms
             .is_some_and(|since_ms| now.ms >= since_ms + self.lazy_write_delay_ms());
         if unwritten.urgent || waited_long_enough {
-            return Some(budget.now.clamp(FINISHED_JOB_WRITE_OPS, txn_ops));
+            return Some(budget.available.clamp(FINISHED_JOB_WRITE_OPS, txn_ops));
         }
-        let wanted = unwritten.write_ops.min(txn_ops).min(budget.max);
-        (budget.now >= wanted).then_some(txn_ops)
+        let wanted = unwritten.write_ops.min(txn_ops).min(budget.burst);
+        (budget.available >= wanted).then_some(txn_ops)
     }
 }
--- a/tests/integration/simulation/mod.rs
+++ b/tests/integration/simulation/mod.rs
@@ -29,7 +29,7 @@
 use lilacfork::messages::Reply;
 use lilacfork::node::Node;
 use lilacfork::reactor::Handler;
-use lilacfork::settings::{NextStateLimits, StateLimits};
+use lilacfork::settings::{AnnouncedKvStoreLimits, KvStoreLimits};
 use lilacfork::tuning::Tuning;
 use network::Network;
 use observation::OBSERVATION_INTERVAL_MS;
@@ -85,7 +85,7 @@
     tuning: Tuning,
     /// Limits of the key-value store in the controllers' settings, if they differ from those in
     /// [`SETTINGS`].
-    kv_store_limits: Option<StateLimits>,
+    kv_store_limits: Option<KvStoreLimits>,
     /// Names of jobs and of single tasks that fail on every machine.
     pub failing_jobs: BTreeSet<String>,
     /// When the paused process of each paused controller resumes.
@@ -123,9 +123,9 @@
     }
 
     /// Creates a cluster whose settings announce lower limits of the key-value store.
-    pub fn with_announced_limits(nodes: usize, next: NextStateLimits) -> Simulation {
-        let mut limits = settings("n-0", nodes).site.state;
-        limits.next = Some(next);
+    pub fn with_announced_limits(nodes: usize, next: AnnouncedKvStoreLimits) -> Simulation {
+        let mut limits = settings("n-0", nodes).site.kv_store;
+        limits.announced = Some(next);
         Simulation::with(nodes, CORES, Tuning::default(), Some(limits))
     }
 
@@ -138,7 +138,7 @@
         nodes: usize,
         cores: f64,
         tuning: Tuning,
-        kv_store_limits: Option<StateLimits>,
+        kv_store_limits: Option<KvStoreLimits>,
     ) -> Simulation {
         let mut simulation = Simulation {
             now_ms: 0,
--- a/tests/integration/simulation/nodes.rs
+++ b/tests/integration/simulation/nodes.rs
@@ -6,7 +6,7 @@
 use lilacfork::messages::{Effect, Listener, Now};
 use lilacfork::node::Node;
 use lilacfork::reactor::Handler;
-use lilacfork::settings::StateLimits;
+use lilacfork::settings::KvStoreLimits;
 use lilacfork::tuning::Tuning;
 
 /// The time of day at the start of virtual time.
@@ -27,7 +27,7 @@
         let mut settings = settings(&format!("n-{node}"), self.epochs.len());
         settings.site.limits.cores = self.cores;
         if let Some(limits) = &self.kv_store_limits {
-            settings.site.state = limits.clone();
+            settings.site.kv_store = limits.clone();
         }
         self.nodes[node] = Some(Node::new(settings, self.tuning.clone(), incarnation));
         self.schedule_tick(node, self.now_ms + 1);
@@ -47,7 +47,7 @@
 
     /// Sets the limits of the key-value store in the settings with which controllers start from
     /// now on.
-    pub fn set_kv_store_limits(&mut self, limits: StateLimits) {
+    pub fn set_kv_store_limits(&mut self, limits: KvStoreLimits) {
         self.kv_store_limits = Some(limits);
     }
 
