--- a/loadtest/src/checker.rs
+++ b/loadtest/src/checker.rs
@@ -1,5 +1,6 @@
-//! Checks a history against PROTOCOL's rules. It knows the requests and what happened
-//! on machines, and nothing about how the controllers work.
+//! Checks the history of a load test against the rules of the protocol. The checker knows
+//! the users' requests, the responses and what happened on machines, and nothing about
+//! how the controllers work.
 
 use crate::history::{Entry, Event, UserRequest};
 use crate::replica_groups::{ReplicaFigures, Replicas};
@@ -9,98 +10,114 @@
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// After so long without a successful response a job counts as forgotten.
-const MAX_UNANSWERED_US: u64 = 90_000_000;
+/// An accepted job counts as lost once all requests about it have failed for this long.
+const MAX_FAILURE_PERIOD_US: u64 = 90_000_000;
 
-/// The rules of PROTOCOL.
+/// The rules of the protocol that the checker checks.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Rule {
-    /// A task starts on one machine while it is on another.
+    /// A task starts on one machine while it is still on another.
     RanTwice,
-    /// A team's tasks use more than its limit.
+    /// The tasks of a team use more GPUs than its limit allows.
     Quota,
-    /// A task starts where its job doesn't allow it.
+    /// A task of a job with `spread` starts in a zone in which at least half of the job's
+    /// tasks already are.
     WrongPlace,
-    /// A task is on a machine too long after its job's cancellation.
+    /// A task is still on a machine when the time for stopping it, which starts at the
+    /// confirmed cancellation of its job, has expired.
     RanCancelled,
-    /// An accepted job isn't known.
-    Forgotten,
-    /// A job that nobody submitted is known.
-    Invented,
-    /// A job is reported as done before all its tasks are.
-    NotDone,
-    /// A reported final state of a job is revoked.
-    WentBack,
+    /// The controllers do not know an accepted job any more, or requests about it have
+    /// failed for too long.
+    #[serde(rename = "forgotten")]
+    JobLost,
+    /// A controller reports a state of a job that no user submitted.
+    #[serde(rename = "invented")]
+    UnsubmittedJob,
+    /// A job is reported as done before all of its tasks have completed.
+    #[serde(rename = "not_done")]
+    DoneTooEarly,
+    /// A job is reported in another state after a final one, or as cancelled although no
+    /// user requested the cancellation of the job or of one of its dependencies.
+    #[serde(rename = "went_back")]
+    InvalidStateChange,
     /// Tasks of an incomplete replica are reported as running.
-    IncompleteServes,
-    /// The remaining tasks of an incomplete replica stay on machines for too long.
-    LeftAlone,
+    #[serde(rename = "incomplete_serves")]
+    IncompleteReplicaRunning,
+    /// The remaining tasks of an incomplete replica are not stopped in time.
+    #[serde(rename = "left_alone")]
+    IncompleteReplicaKept,
     /// A task starts before all jobs that its job depends on are done.
-    TooEarly,
-    /// A job is reported as pending or running too long after one that it depends on was
-    /// cancelled.
+    #[serde(rename = "too_early")]
+    DependencyNotDone,
+    /// A job is still reported as pending or running when the time for its cancellation,
+    /// which starts at the cancellation of one of its dependencies, has expired.
     Orphaned,
 }
 
 /// A violation of a rule.
 #[derive(Clone, PartialEq, Debug, Serialize)]
 pub struct Violation {
-    /// The rule.
+    /// The violated rule.
     pub rule: Rule,
-    /// When, in microseconds since 1970.
+    /// The time of the event that violates the rule, in microseconds since 1970.
     pub at_us: u64,
-    /// The job or task.
-    pub what: String,
+    /// The name of the job or task that the event is about.
+    #[serde(rename = "what")]
+    pub subject: String,
 }
 
+/// The events of one job, as far as the rules depend on them.
 #[derive(Default)]
 struct JobHistory {
     submitted: bool,
-    cancel_asked: bool,
+    cancel_requested: bool,
     accepted: bool,
-    /// When its cancellation was confirmed.
+    /// When a response first reported the job as cancelled.
     cancelled_us: Option<u64>,
-    /// The final state that a user was told.
+    /// The first final state that a response reported.
     final_state: Option<String>,
+    /// The indexes of the tasks that have completed.
     finished: BTreeSet<u32>,
-    /// Since when every request has failed.
-    unanswered_since_us: Option<u64>,
+    /// The time of the first failed request since the last successful one.
+    failing_since_us: Option<u64>,
 }
 
-/// What the rules on responses about a job need besides its own history.
+/// The facts outside a job's own history that the rules on responses about it depend on.
 struct JobContext {
-    /// How many tasks it has.
+    /// The number of the job's tasks.
     tasks: u32,
-    /// A job that it depends on has been cancelled, or is about to be.
+    /// Whether a user has requested the cancellation of a job that this job depends on.
     has_cancelled_dependency: bool,
-    /// A job that it depends on was cancelled so long ago that it has to be, too.
+    /// Whether a job that this job depends on was cancelled so long ago that this job has
+    /// to be cancelled, too.
     is_orphan: bool,
 }
 
 impl JobHistory {
-    /// A user was told this state; returns the rules that this violates.
+    /// Records a state that was reported to a user, and returns the rules that the report
+    /// violates.
     fn observe_state(&mut self, at_us: u64, state: &str, context: &JobContext) -> Vec<Rule> {
         let mut violated = Vec::new();
-        self.unanswered_since_us = None;
+        self.failing_since_us = None;
         if !self.submitted {
-            violated.push(Rule::Invented);
+            violated.push(Rule::UnsubmittedJob);
         }
         let revokes = |final_state: &String| final_state != state;
         if self.final_state.as_ref().is_some_and(revokes) {
-            violated.push(Rule::WentBack);
+            violated.push(Rule::InvalidStateChange);
         }
         if context.is_orphan && matches!(state, "pending" | "running") {
             violated.push(Rule::Orphaned);
         }
         if state == "cancelled" {
-            if !self.cancel_asked && !context.has_cancelled_dependency {
-                violated.push(Rule::WentBack);
+            if !self.cancel_requested && !context.has_cancelled_dependency {
+                violated.push(Rule::InvalidStateChange);
             }
             self.cancelled_us.get_or_insert(at_us);
         }
         if state == "done" && (self.finished.len() as u32) < context.tasks {
-            violated.push(Rule::NotDone);
+            violated.push(Rule::DoneTooEarly);
         }
         if matches!(state, "done" | "cancelled") {
             self.final_state.get_or_insert_with(|| state.to_string());
@@ -108,31 +125,34 @@
         violated
     }
 
-    /// A request about an accepted job failed; returns the rules that this violates.
+    /// Records a failed request about an accepted job, and returns the rules that the
+    /// failure violates.
     fn observe_failure(&mut self, at_us: u64) -> Vec<Rule> {
-        let since_us = *self.unanswered_since_us.get_or_insert(at_us);
-        if at_us > since_us + MAX_UNANSWERED_US {
-            vec![Rule::Forgotten]
+        let since_us = *self.failing_since_us.get_or_insert(at_us);
+        if at_us > since_us + MAX_FAILURE_PERIOD_US {
+            vec![Rule::JobLost]
         } else {
             Vec::new()
         }
     }
 }
 
-/// Checks a history event by event.
+/// Checks a history event by event, and collects the violations.
 pub struct Checker<'a> {
     scenario: &'a Scenario,
     jobs: HashMap<String, JobHistory>,
+    /// The specifications that the scenario gave for jobs; `None`: it has no such job.
     specs: HashMap<String, Option<JobSpec>>,
-    /// Where tasks are, by job and task.
+    /// The machine of each task that is on one, by job and task index.
     placed: BTreeMap<String, BTreeMap<u32, u32>>,
+    /// The GPUs that the placed tasks of each team use.
     team_gpus: HashMap<String, f64>,
     replicas: Replicas<'a>,
     violations: Vec<Violation>,
 }
 
 impl<'a> Checker<'a> {
-    /// Nothing has happened yet.
+    /// Creates a checker for a history of this scenario that has no events yet.
     pub fn new(scenario: &'a Scenario) -> Checker<'a> {
         Checker {
             scenario,
@@ -145,8 +165,9 @@
         }
     }
 
-    /// Checks a whole history; the result has the figures on multi-host replicas, too.
-    pub fn judge(
+    /// Checks a whole history, and returns the violations and the figures on multi-host
+    /// replicas; the latter are `None` if the scenario has no such replicas.
+    pub fn check_history(
         scenario: &Scenario,
         history: &[Entry],
     ) -> (Vec<Violation>, Option<ReplicaFigures>) {
@@ -156,7 +177,7 @@
         }
         if let Some(last) = history.last() {
             checker.check_remaining_tasks(last.at_us);
-            checker.replicas.end(last.at_us);
+            checker.replicas.finish(last.at_us);
         }
         checker
             .violations
@@ -170,11 +191,11 @@
         spec.or_insert_with(|| scenario.job(job)).clone()
     }
 
-    fn add_violation(&mut self, rule: Rule, at_us: u64, what: &str) {
+    fn add_violation(&mut self, rule: Rule, at_us: u64, subject: &str) {
         self.violations.push(Violation {
             rule,
             at_us,
-            what: what.to_string(),
+            subject: subject.to_string(),
         });
     }
 
@@ -182,28 +203,28 @@
         let at_us = entry.at_us;
         match &entry.event {
             Event::Submitted { job } => self.job(job).submitted = true,
-            Event::CancelAsked { job } => {
-                self.job(job).cancel_asked = true;
-                self.replicas.cancelled(job);
+            Event::CancelRequested { job } => {
+                self.job(job).cancel_requested = true;
+                self.replicas.record_cancellation(job);
             }
-            Event::Answered {
+            Event::RequestCompleted {
                 job,
                 request,
                 status,
                 state,
                 running,
             } => {
-                self.answered(at_us, job, *request, *status, state);
-                self.replicas.reported_running(at_us, job, *running);
+                self.observe_response(at_us, job, *request, *status, state);
+                self.replicas.check_reported_running(at_us, job, *running);
             }
-            Event::Started { task, machine } => self.started(at_us, task, *machine),
+            Event::Started { task, machine } => self.observe_start(at_us, task, *machine),
             Event::Finished { task } => {
                 if let Some(task) = TaskRef::parse(task) {
                     self.job(task.job.as_str()).finished.insert(task.index);
                 }
             }
-            Event::Left { task, machine } => self.left(at_us, task, *machine),
-            Event::Lost { machines } => self.lost(at_us, *machines),
+            Event::Left { task, machine } => self.observe_departure(at_us, task, *machine),
+            Event::Lost { machines } => self.observe_lost_machines(at_us, *machines),
         }
     }
 
@@ -211,7 +232,14 @@
         self.jobs.entry(job.to_string()).or_default()
     }
 
-    fn answered(&mut self, at_us: u64, name: &str, request: UserRequest, status: u16, state: &str) {
+    fn observe_response(
+        &mut self,
+        at_us: u64,
+        name: &str,
+        request: UserRequest,
+        status: u16,
+        state: &str,
+    ) {
         let context = self.job_context(at_us, name);
         let job = self.job(name);
         let violated = match status {
@@ -219,8 +247,8 @@
                 job.accepted |= request == UserRequest::Submit;
                 job.observe_state(at_us, state, &context)
             }
-            404 if job.accepted => vec![Rule::Forgotten],
-            400 | 422 if job.accepted && request == UserRequest::Submit => vec![Rule::Forgotten],
+            404 if job.accepted => vec![Rule::JobLost],
+            400 | 422 if job.accepted && request == UserRequest::Submit => vec![Rule::JobLost],
             404 => Vec::new(),
             _ if job.accepted => job.observe_failure(at_us),
             _ => Vec::new(),
@@ -230,7 +258,8 @@
         }
     }
 
-    /// What the scenario and the history of other jobs tell about a job.
+    /// Returns the facts about a job that come from the scenario and from the histories of
+    /// its dependencies.
     fn job_context(&mut self, at_us: u64, name: &str) -> JobContext {
         let tasks = self.spec(name).map_or(0, |spec| spec.tasks);
         let dependencies = self.all_dependencies(name);
@@ -239,23 +268,24 @@
             let cancelled_us = self.jobs.get(dependency).and_then(|job| job.cancelled_us);
             cancelled_us.is_some_and(|since_us| at_us > since_us + limit_us)
         };
-        let cancel_asked = |dependency: &String| {
+        let cancel_requested = |dependency: &String| {
             self.jobs
                 .get(dependency)
-                .is_some_and(|job| job.cancel_asked)
+                .is_some_and(|job| job.cancel_requested)
         };
         JobContext {
             tasks,
-            has_cancelled_dependency: dependencies.iter().any(cancel_asked),
+            has_cancelled_dependency: dependencies.iter().any(cancel_requested),
             is_orphan: dependencies.iter().any(is_orphan),
         }
     }
 
+    /// Returns the time within which the tasks of a cancelled job have to be stopped.
     fn cancellation_limit_us(&self) -> u64 {
         (self.scenario.workers.cancel_s * 1e6) as u64
     }
 
-    fn started(&mut self, at_us: u64, name: &str, machine: u32) {
+    fn observe_start(&mut self, at_us: u64, name: &str, machine: u32) {
         let Some(task) = TaskRef::parse(name) else {
             return;
         };
@@ -275,7 +305,7 @@
             .count() as u32;
         let violates_spread = spec.spread && in_same_zone >= spec.tasks.div_ceil(2);
         let was_placed = placed.insert(task.index, machine).is_some();
-        self.replicas.started(at_us, &task);
+        self.replicas.record_start(at_us, &task);
         if runs_elsewhere {
             self.add_violation(Rule::RanTwice, at_us, name);
         }
@@ -295,11 +325,11 @@
             .iter()
             .all(|dependency| self.is_done(dependency.as_str()))
         {
-            self.add_violation(Rule::TooEarly, at_us, name);
+            self.add_violation(Rule::DependencyNotDone, at_us, name);
         }
     }
 
-    /// The jobs that this one depends on, directly or through others.
+    /// Returns the jobs that this job depends on, directly or through others.
     fn all_dependencies(&mut self, job: &str) -> BTreeSet<String> {
         let mut found = BTreeSet::new();
         let mut pending = vec![job.to_string()];
@@ -317,13 +347,14 @@
         found
     }
 
-    /// All tasks of the job have completed.
+    /// Returns whether all tasks of the job have completed.
     fn is_done(&mut self, job: &str) -> bool {
         let tasks = self.spec(job).map_or(0, |spec| spec.tasks);
         self.job(job).finished.len() as u32 >= tasks
     }
 
-    /// A task is on a machine at this time: its job mustn't have been cancelled long ago.
+    /// Adds a violation if the time for stopping the tasks of a cancelled job had expired
+    /// at this time, at which the task was still on a machine.
     fn check_not_cancelled(&mut self, at_us: u64, job: &str, task: &str) {
         let limit_us = self.cancellation_limit_us();
         let cancelled_us = self.job(job).cancelled_us;
@@ -332,7 +363,7 @@
         }
     }
 
-    fn left(&mut self, at_us: u64, name: &str, machine: u32) {
+    fn observe_departure(&mut self, at_us: u64, name: &str, machine: u32) {
         let Some(task) = TaskRef::parse(name) else {
             return;
         };
@@ -342,23 +373,23 @@
             return;
         }
         placed.remove(&task.index);
-        self.replicas.left(at_us, &task);
+        self.replicas.record_departure(at_us, &task);
         if let Some(spec) = self.spec(&job) {
             *self.team_gpus.entry(spec.team.to_string()).or_insert(0.0) -= spec.gpus;
         }
         self.check_not_cancelled(at_us, &job, name);
     }
 
-    fn lost(&mut self, at_us: u64, machines: MachineRange) {
-        let mut gone = Vec::new();
+    fn observe_lost_machines(&mut self, at_us: u64, machines: MachineRange) {
+        let mut lost_tasks = Vec::new();
         for (job, tasks) in &self.placed {
             let lost = tasks
                 .iter()
                 .filter(|(_, machine)| machines.contains(**machine));
-            gone.extend(lost.map(|(task, machine)| (format!("{job}/{task}"), *machine)));
+            lost_tasks.extend(lost.map(|(task, machine)| (format!("{job}/{task}"), *machine)));
         }
-        for (task, machine) in gone {
-            self.left(at_us, &task, machine);
+        for (task, machine) in lost_tasks {
+            self.observe_departure(at_us, &task, machine);
         }
     }
 
--- a/loadtest/src/failover.rs
+++ b/loadtest/src/failover.rs
@@ -1,6 +1,6 @@
-//! How long failovers take: from the moment at which a leader is killed or paused to
-//! the next one's election, to its being active, and to the first task start that
-//! only the new leader can have commanded.
+//! Measures how long failovers take. The time runs from the moment at which a fault kills
+//! or pauses the leader to the election of the next leader, to the moment at which that
+//! leader is active, and to the first task start that only that leader can have commanded.
 
 use crate::history::{Entry, Event};
 use jiff::Timestamp;
@@ -10,57 +10,59 @@
 use std::fmt;
 use std::path::Path;
 
-/// How a leader was lost.
+/// The fault by which a leader was lost.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LossCause {
-    /// Its process was killed.
+    /// The leader's process was killed.
     Killed,
-    /// Its process was paused.
+    /// The leader's process was paused.
     Paused,
 }
 
-/// A leader's loss by a fault.
+/// The loss of a leader by an injected fault.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct LeaderLoss {
-    /// When, in microseconds since 1970.
+    /// The time of the fault, in microseconds since 1970.
     pub at_us: u64,
-    /// Its cause.
+    /// The kind of fault.
     pub cause: LossCause,
 }
 
 /// A step of leadership that a controller logs.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub enum LeadershipStep {
-    /// It was elected.
+    /// The controller was elected leader.
     Elected,
-    /// It has loaded all stored records.
+    /// The new leader has loaded all stored records.
     Active,
 }
 
-/// A step of leadership with its time.
+/// A step of leadership with the time at which a controller logged it.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub struct LoggedStep {
-    /// Microseconds since 1970.
+    /// The time of the log line, in microseconds since 1970.
     pub at_us: u64,
-    /// The step.
+    /// The step that the line reports.
     pub step: LeadershipStep,
 }
 
-/// One failover; times in seconds from the loss of the old leader. `None`: it
-/// didn't happen before the next loss, or the end of the load test.
+/// The times of one failover, in seconds since the loss of the old leader. `None`: the
+/// step was not reached before the next loss, or before the end of the load test.
 #[derive(Clone, PartialEq, Debug, Serialize)]
 pub struct Failover {
-    /// How the old leader was lost.
+    /// The fault by which the old leader was lost.
     #[serde(rename = "how")]
     pub cause: LossCause,
-    /// Until the next was elected.
+    /// When the next leader was elected.
     pub elected_s: Option<f64>,
-    /// Until it was active.
+    /// When the next leader was active.
     pub active_s: Option<f64>,
-    /// Until a task started whose job was submitted after the loss, under the next
-    /// leader: the old one may last a moment longer than the fault says.
-    pub decision_s: Option<f64>,
+    /// When the first task started whose job was submitted after the loss. Only starts
+    /// after the next election count, because the old leader may run for a moment after
+    /// the time recorded for the fault.
+    #[serde(rename = "decision_s")]
+    pub first_start_s: Option<f64>,
 }
 
 impl fmt::Display for Failover {
@@ -78,23 +80,23 @@
             "leader {cause}: next elected after {}, active after {}, first new start after {}",
             after(self.elected_s),
             after(self.active_s),
-            after(self.decision_s)
+            after(self.first_start_s)
         )
     }
 }
 
-/// The message of a log line, without time, level and module.
+/// Returns the message of a log line, without time, level and module.
 fn message_of(line: &str) -> Option<&str> {
     line.strip_prefix('[')?
         .split_once("] ")
         .map(|(_, text)| text)
 }
 
-/// What a message reports of its controller's leadership, and for which term.
+/// Returns the step of leadership that a log message reports, and its term.
 ///
-/// Both forms are read, because the load test also runs the version that is in
-/// production: `leader elected term=N` and `leader active term=N jobs=...`, and
-/// formerly `leader term=N elected, loading` and `leader term=N active, jobs=...`.
+/// The current form is `leader elected term=N` and `leader active term=N jobs=...`. The
+/// former one, `leader term=N elected, loading` and `leader term=N active, jobs=...`, is
+/// parsed as well, because the load test also runs the version that is in production.
 fn parse_leadership(message: &str) -> Option<(LeadershipStep, u64)> {
     let rest = message.strip_prefix("leader ")?;
     let (step, term) = if let Some(rest) = rest.strip_prefix("elected term=") {
@@ -102,18 +104,19 @@
     } else if let Some(rest) = rest.strip_prefix("active term=") {
         (LeadershipStep::Active, rest.split_once(" jobs=")?.0)
     } else {
-        let (term, what) = rest.strip_prefix("term=")?.split_once(' ')?;
-        match what {
+        let (term, text) = rest.strip_prefix("term=")?.split_once(' ')?;
+        match text {
             "elected, loading" => (LeadershipStep::Elected, term),
-            _ if what.starts_with("active, jobs=") => (LeadershipStep::Active, term),
+            _ if text.starts_with("active, jobs=") => (LeadershipStep::Active, term),
             _ => return None,
         }
     };
     Some((step, term.parse().ok()?))
 }
 
-/// The step of leadership that a line of a controller's log reports.
-pub fn logged_step(line: &str) -> Option<LoggedStep> {
+/// Returns the step of leadership that a line of a controller's log reports; `None`: the
+/// line reports none.
+pub fn parse_logged_step(line: &str) -> Option<LoggedStep> {
     let (step, _) = parse_leadership(message_of(line)?)?;
     let (time, _) = line.strip_prefix('[')?.split_once(' ')?;
     let time: Timestamp = time.parse().ok()?;
@@ -123,7 +126,7 @@
     })
 }
 
-/// The terms for which a controller's log reports that it was elected.
+/// Returns the terms for which a controller was elected leader, from the text of its log.
 pub fn elected_terms(log: &str) -> impl Iterator<Item = u64> + '_ {
     log.lines().filter_map(|line| {
         let (step, term) = parse_leadership(message_of(line)?)?;
@@ -131,24 +134,26 @@
     })
 }
 
-/// The steps in all controllers' logs, in the order of time.
-pub fn read_logs<'a>(logs: impl Iterator<Item = &'a Path>) -> Vec<LoggedStep> {
+/// Reads the steps of leadership from the log files of all controllers, and sorts them by
+/// time. A file that can't be read counts as empty.
+pub fn read_logged_steps<'a>(logs: impl Iterator<Item = &'a Path>) -> Vec<LoggedStep> {
     let mut steps: Vec<LoggedStep> = Vec::new();
     for log in logs {
         let text = std::fs::read_to_string(log).unwrap_or_default();
-        steps.extend(text.lines().filter_map(logged_step));
+        steps.extend(text.lines().filter_map(parse_logged_step));
     }
     steps.sort_unstable();
     steps
 }
 
-/// The terms for which the log file of a controller reports that it was elected.
+/// Reads the terms for which a controller was elected leader from its log file. A file
+/// that can't be read counts as empty.
 pub fn read_elected_terms(log: &Path) -> Vec<u64> {
     let text = std::fs::read_to_string(log).unwrap_or_default();
     elected_terms(&text).collect()
 }
 
-/// When each job was first submitted.
+/// Returns the time of each job's first submission, in microseconds since 1970.
 fn submission_times(history: &[Entry]) -> HashMap<&str, u64> {
     let mut submitted = HashMap::new();
     for entry in history {
@@ -159,7 +164,8 @@
     submitted
 }
 
-/// The failovers that these losses caused.
+/// Returns the failovers that these losses caused, one for each loss. The losses, logged
+/// steps and events have to be in the order of time.
 pub fn failovers(losses: &[LeaderLoss], logged: &[LoggedStep], history: &[Entry]) -> Vec<Failover> {
     let submitted = submission_times(history);
     let next_losses = losses.iter().skip(1).map(|loss| loss.at_us);
@@ -189,7 +195,7 @@
             cause: loss.cause,
             elected_s: elected_us.map(seconds_since),
             active_s: first_us(LeadershipStep::Active).map(seconds_since),
-            decision_s: first_start.map(|entry| seconds_since(entry.at_us)),
+            first_start_s: first_start.map(|entry| seconds_since(entry.at_us)),
         }
     };
     losses.iter().zip(ends).map(failover).collect()
--- a/loadtest/src/harness/controller_settings.rs
+++ b/loadtest/src/harness/controller_settings.rs
@@ -1,4 +1,4 @@
-//! The settings files of controllers.
+//! Writes the settings files of the controllers.
 
 use crate::scenario::{ClassSettings, Scenario};
 use std::fmt::{self, Write};
@@ -6,31 +6,31 @@
 use std::net::SocketAddrV4;
 use std::path::{Path, PathBuf};
 
-/// The addresses in a load test.
+/// The addresses that a controller's settings file contains.
 pub struct Addresses<'a> {
-    /// The controllers, for users and workers.
-    pub clients: &'a [SocketAddrV4],
-    /// The controllers, for each other.
-    pub peers: &'a [SocketAddrV4],
-    /// The key-value store, for this controller.
-    pub state: SocketAddrV4,
-    /// The cloud.
+    /// Where each controller accepts connections of users and workers.
+    pub client_listeners: &'a [SocketAddrV4],
+    /// Where each controller accepts connections of its peers.
+    pub peer_listeners: &'a [SocketAddrV4],
+    /// The listener of the simulated key-value store for this controller.
+    pub kv_store: SocketAddrV4,
+    /// The listener of the simulated cloud.
     pub cloud: SocketAddrV4,
 }
 
-/// A controller's settings file.
+/// Returns the text of the settings file of the controller with this number.
 pub fn settings_text(scenario: &Scenario, number: usize, addresses: &Addresses) -> String {
     let mut text = String::new();
     // Writing to a String cannot fail.
-    let _ = write_controllers(&mut text, scenario, number, addresses);
+    let _ = write_controller_and_peers(&mut text, scenario, number, addresses);
     let _ = write_teams(&mut text, scenario);
     let _ = write_objectives(&mut text, scenario);
     let _ = write_limits(&mut text, scenario);
     text
 }
 
-/// The controller itself, its peers, and the services that it uses.
-fn write_controllers(
+/// Writes the controller's name and addresses, its peers, and the services that it uses.
+fn write_controller_and_peers(
     text: &mut String,
     scenario: &Scenario,
     number: usize,
@@ -41,10 +41,10 @@
         text,
         "node_name = \"controller-{number}\"\ndomain = \"{}\"\nclient_listen = \"{}\"\nback = \"{}\"\n",
         zone(number),
-        addresses.clients[number],
-        addresses.peers[number]
+        addresses.client_listeners[number],
+        addresses.peer_listeners[number]
     )?;
-    let others = addresses.peers.iter().enumerate();
+    let others = addresses.peer_listeners.iter().enumerate();
     for (peer, address) in others.filter(|(peer, _)| *peer != number) {
         write!(
             text,
@@ -61,7 +61,7 @@
         text,
         "[services]\ncloud = \"{}\"\nstate = \"{}\"\n[settings]\ncount = {}\nzones = [{}]\nskew_ms = 5.0\n",
         addresses.cloud,
-        addresses.state,
+        addresses.kv_store,
         scenario.controllers.count,
         zones.join(", ")
     )
@@ -92,7 +92,7 @@
     Ok(())
 }
 
-/// The limits of workers, services and the controller's machine.
+/// Writes the limits of the workers, the services and the controller's machine.
 fn write_limits(text: &mut String, scenario: &Scenario) -> fmt::Result {
     let (workers, kv_store) = (&scenario.workers, &scenario.state);
     let (cloud, controllers) = (&scenario.cloud, &scenario.controllers);
@@ -126,15 +126,16 @@
     Ok(())
 }
 
-/// Writes the operators' settings, if the scenario asks for any: which classes'
-/// replicas span machines. The result is the arguments that name them.
+/// Writes the operators' INI file if replicas of any class span several machines, and
+/// returns the arguments that pass the file to the controllers. The file lists these
+/// classes with their tasks per replica.
 pub(super) fn write_ini(dir: &Path, scenario: &Scenario) -> io::Result<Vec<PathBuf>> {
-    let spans =
+    let is_multi_host =
         |class: &&ClassSettings| class.tasks_per_replica > 0 && !scenario.ungrouped_replicas;
     let lines: Vec<String> = scenario
         .classes
         .iter()
-        .filter(spans)
+        .filter(is_multi_host)
         .map(|class| format!("{} = {}\n", class.name, class.tasks_per_replica))
         .collect();
     if lines.is_empty() {
--- a/loadtest/src/harness/fault_injection.rs
+++ b/loadtest/src/harness/fault_injection.rs
@@ -1,4 +1,4 @@
-//! Injects the scenario's faults at their times.
+//! Schedules the faults of the scenario and injects them when they are due.
 
 use super::processes::Controller;
 use super::{process_error, LoadTest, RunError};
@@ -7,30 +7,32 @@
 use crate::history::Event;
 use crate::scenario::{FaultKind, FaultSettings, MachineRange};
 
-/// Between two controllers that are restarted in turn.
+/// The interval between the restarts of two controllers when all are restarted in turn.
 const RESTART_INTERVAL_US: u64 = 2_000_000;
-/// From a controller's end to its start during a restart.
+/// The time for which a controller is down during a restart.
 const RESTART_DELAY_US: u64 = 300_000;
 
-/// When an action is due; of two at the same time the first scheduled comes first.
+/// The time at which an action is due, in microseconds since 1970. Actions due at the
+/// same time are performed in the order in which they were scheduled.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct Due {
+pub(super) struct DueTime {
     at_us: u64,
     sequence: usize,
 }
 
-/// What happens at a set time.
+/// An action of the harness at a scheduled time. Controllers, processes of simulated
+/// workers and machines are given by their numbers.
 pub(super) enum ScheduledAction {
     Fault(FaultSettings),
     KillController(usize),
     StartController(usize),
-    /// A paused controller goes on.
+    /// Resumes a paused controller.
     ResumeController(usize),
-    /// A paused process of simulated workers goes on.
+    /// Resumes a paused process of simulated workers.
     ResumeWorkers(usize),
-    /// This machine fails.
+    /// Makes a machine fail; the cloud lists it as failed.
     ReplaceMachine(u32),
-    /// This machine is unreachable for a while.
+    /// Makes a machine unreachable for `for_ms`.
     IsolateMachine {
         machine: u32,
         for_ms: u64,
@@ -38,26 +40,27 @@
 }
 
 impl LoadTest {
-    /// Schedules an action.
+    /// Schedules an action for this time, in microseconds since 1970.
     pub(super) fn schedule(&mut self, at_us: u64, action: ScheduledAction) {
-        let sequence = self.scheduled_count;
-        self.scheduled_count += 1;
-        self.scheduled.insert(Due { at_us, sequence }, action);
+        let sequence = self.scheduled_action_count;
+        self.scheduled_action_count += 1;
+        self.scheduled_actions
+            .insert(DueTime { at_us, sequence }, action);
     }
 
     /// Performs all actions that are due.
-    pub(super) fn perform_due(&mut self, now: u64) -> Result<(), RunError> {
-        while let Some(first) = self.scheduled.first_entry() {
-            if first.key().at_us > now {
+    pub(super) fn perform_due_actions(&mut self, now_us: u64) -> Result<(), RunError> {
+        while let Some(first) = self.scheduled_actions.first_entry() {
+            if first.key().at_us > now_us {
                 break;
             }
             let action = first.remove();
-            self.perform(action, now)?;
+            self.perform(action, now_us)?;
         }
         Ok(())
     }
 
-    /// The controller that was elected last, by the controllers' own logs.
+    /// Returns the number of the controller whose log reports the latest term as leader.
     pub(super) fn leader(&self) -> usize {
         let latest_term = |controller: &Controller| {
             let terms = failover::read_elected_terms(&controller.log);
@@ -70,12 +73,13 @@
             .map_or(0, |(number, _)| number)
     }
 
-    fn perform(&mut self, action: ScheduledAction, now: u64) -> Result<(), RunError> {
+    /// Performs one scheduled action.
+    fn perform(&mut self, action: ScheduledAction, now_us: u64) -> Result<(), RunError> {
         match action {
-            ScheduledAction::Fault(fault) => self.inject_fault(&fault, now),
+            ScheduledAction::Fault(fault) => self.inject_fault(&fault, now_us),
             ScheduledAction::KillController(number) => {
                 if number == self.leader() {
-                    self.record_leader_loss(now, LossCause::Killed);
+                    self.record_leader_loss(now_us, LossCause::Killed);
                 }
                 self.controllers[number].process = None;
                 Ok(())
@@ -95,7 +99,7 @@
             ScheduledAction::IsolateMachine { machine, for_ms } => {
                 let machines = vec![machine];
                 let command = SimulatorCommand::Isolate { machines, for_ms };
-                self.send_to_process_of(machine, &command);
+                self.send_to_worker_process(machine, &command);
                 Ok(())
             }
         }
@@ -105,18 +109,19 @@
         self.leader_losses.push(LeaderLoss { at_us, cause });
     }
 
-    fn inject_fault(&mut self, fault: &FaultSettings, now: u64) -> Result<(), RunError> {
+    /// Injects a fault, and schedules the end of its effect if it has one.
+    fn inject_fault(&mut self, fault: &FaultSettings, now_us: u64) -> Result<(), RunError> {
         let for_us = (fault.for_s * 1e6) as u64;
         let for_ms = for_us / 1000;
         eprintln!("fault: {:?}", fault.kind);
         match fault.kind {
             FaultKind::LeaderKill => {
                 let leader = self.leader();
-                self.schedule(now, ScheduledAction::KillController(leader));
-                self.schedule(now + for_us, ScheduledAction::StartController(leader));
+                self.schedule(now_us, ScheduledAction::KillController(leader));
+                self.schedule(now_us + for_us, ScheduledAction::StartController(leader));
             }
-            FaultKind::LeaderPause => self.pause_leader(now, for_us),
-            FaultKind::RestartAll => self.restart_all_controllers(now),
+            FaultKind::LeaderPause => self.pause_leader(now_us, for_us),
+            FaultKind::RestartAll => self.restart_all_controllers(now_us),
             FaultKind::RackLost => {
                 let number = self.rng.usize(..self.workers.len());
                 self.workers[number].process.kill();
@@ -125,7 +130,7 @@
             FaultKind::RackPaused => {
                 let number = self.rng.usize(..self.workers.len());
                 self.workers[number].process.pause();
-                self.schedule(now + for_us, ScheduledAction::ResumeWorkers(number));
+                self.schedule(now_us + for_us, ScheduledAction::ResumeWorkers(number));
             }
             FaultKind::ZoneCut => self.isolate_zone(fault, for_ms),
             FaultKind::StateDown => self.reject_at_kv_store(None, for_ms),
@@ -136,34 +141,35 @@
                 self.kv_store.send(&SimulatorCommand::ApplyNextLimits);
             }
             FaultKind::Replace => {
-                self.hit_machines(fault, now, ScheduledAction::ReplaceMachine);
+                self.schedule_machine_faults(fault, now_us, ScheduledAction::ReplaceMachine);
             }
             FaultKind::Silent => {
                 let isolate = |machine| ScheduledAction::IsolateMachine { machine, for_ms };
-                self.hit_machines(fault, now, isolate);
+                self.schedule_machine_faults(fault, now_us, isolate);
             }
         }
         Ok(())
     }
 
-    fn pause_leader(&mut self, now: u64, for_us: u64) {
+    fn pause_leader(&mut self, now_us: u64, for_us: u64) {
         let leader = self.leader();
         if let Some(process) = &mut self.controllers[leader].process {
             process.pause();
-            self.record_leader_loss(now, LossCause::Paused);
-            self.schedule(now + for_us, ScheduledAction::ResumeController(leader));
+            self.record_leader_loss(now_us, LossCause::Paused);
+            self.schedule(now_us + for_us, ScheduledAction::ResumeController(leader));
         }
     }
 
-    fn restart_all_controllers(&mut self, now: u64) {
+    fn restart_all_controllers(&mut self, now_us: u64) {
         for number in 0..self.controllers.len() {
-            let at_us = now + RESTART_INTERVAL_US * number as u64;
+            let at_us = now_us + RESTART_INTERVAL_US * number as u64;
             self.schedule(at_us, ScheduledAction::KillController(number));
             let start_us = at_us + RESTART_DELAY_US;
             self.schedule(start_us, ScheduledAction::StartController(number));
         }
     }
 
+    /// Makes the workers of the fault's zone unreachable; the first zone if it names none.
     fn isolate_zone(&self, fault: &FaultSettings, for_ms: u64) {
         let zones = &self.scenario.zones;
         let named = fault
@@ -176,37 +182,40 @@
         }
     }
 
-    /// The key-value store rejects one controller's requests, or everybody's.
+    /// Makes the key-value store reject the requests of one controller, or of all
+    /// controllers if `controller` is `None`.
     fn reject_at_kv_store(&self, controller: Option<usize>, for_ms: u64) {
         self.kv_store
             .send(&SimulatorCommand::RejectRequests { controller, for_ms });
     }
 
-    /// Machines are hit at random moments within the time that the fault names.
-    fn hit_machines(
+    /// Schedules the action for `fault.count` random machines, at random times within
+    /// `fault.over_s` from now.
+    fn schedule_machine_faults(
         &mut self,
         fault: &FaultSettings,
-        now: u64,
+        now_us: u64,
         action: impl Fn(u32) -> ScheduledAction,
     ) {
         let over_us = (fault.over_s * 1e6) as u64;
         for _ in 0..fault.count {
             let machine = self.rng.u32(..self.scenario.workers.count);
-            let at_us = now + self.rng.u64(..=over_us);
+            let at_us = now_us + self.rng.u64(..=over_us);
             self.schedule(at_us, action(machine));
         }
     }
 
     fn replace_machine(&mut self, machine: u32) -> Result<(), RunError> {
         let machines = vec![machine];
-        self.send_to_process_of(machine, &SimulatorCommand::Remove { machines });
+        self.send_to_worker_process(machine, &SimulatorCommand::Remove { machines });
         self.record_lost_machines(MachineRange {
             first: machine,
             last: machine,
         })
     }
 
-    fn send_to_process_of(&self, machine: u32, command: &SimulatorCommand) {
+    /// Sends a command to the process that simulates the worker on this machine.
+    fn send_to_worker_process(&self, machine: u32, command: &SimulatorCommand) {
         let owner = self
             .machine_ranges
             .iter()
@@ -216,7 +225,7 @@
         }
     }
 
-    /// Records lost machines in the history, and has the cloud list them as failed.
+    /// Records lost machines in the history, and makes the cloud list them as failed.
     fn record_lost_machines(&mut self, machines: MachineRange) -> Result<(), RunError> {
         self.recorder
             .record(Event::Lost { machines })
--- a/loadtest/src/harness/measurement.rs
+++ b/loadtest/src/harness/measurement.rs
@@ -1,4 +1,4 @@
-//! Samples what processes use, and puts the report together.
+//! Samples the resource usage of the processes and assembles the report.
 
 use super::size_limits::MAX_MEMORY_MB;
 use super::{LoadTest, RunError};
@@ -11,15 +11,15 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
 
-/// The role in the report of all processes of simulated workers.
+/// The role under which the report lists all processes of simulated workers.
 const WORKERS_ROLE: &str = "simulated workers";
-/// How many violations the report shows.
-const SHOWN_VIOLATIONS: usize = 5;
+/// The maximum number of violations that the report lists one by one.
+const MAX_LISTED_VIOLATIONS: usize = 5;
 
-/// What simulators have counted, by process name.
+/// The counters of simulators, by process name.
 type StatsByProcess = BTreeMap<String, Stats>;
 
-/// The time that the report is about, in microseconds since 1970.
+/// The part of the run that the report covers, in microseconds since 1970.
 #[derive(Clone, Copy)]
 pub(super) struct MeasuredTime {
     pub(super) from_us: u64,
@@ -27,18 +27,18 @@
 }
 
 impl MeasuredTime {
-    fn seconds(self) -> f64 {
+    fn duration_s(self) -> f64 {
         (self.to_us - self.from_us) as f64 / 1e6
     }
 }
 
-/// The first part of a process's name: what it simulates, or `controller`.
+/// Returns the first part of a process's name: what the process simulates, or `controller`.
 fn kind_of(process: &str) -> &str {
     process.split('-').next().unwrap_or(process)
 }
 
 impl LoadTest {
-    /// What all simulators have counted, by name.
+    /// Reads the counters of all simulators.
     pub(super) fn stats(&self) -> StatsByProcess {
         self.simulators()
             .map(|simulator| {
@@ -48,7 +48,8 @@
             .collect()
     }
 
-    /// Samples what all processes use.
+    /// Samples the resource usage of all processes; `at_s` is in seconds since 1970. Fails if
+    /// together they use too much memory.
     pub(super) fn sample(&mut self, at_s: f64) -> Result<(), RunError> {
         let simulators = self.simulators().map(|simulator| &simulator.process);
         let controllers = self
@@ -71,7 +72,8 @@
         Ok(())
     }
 
-    /// What is reported of the measured time.
+    /// Returns the report on the measured time. `before` and `after` are the simulators'
+    /// counters at its beginning and end.
     pub(super) fn report(
         &self,
         history: &[Entry],
@@ -87,8 +89,8 @@
             (both_ways(role.messages_per_s), both_ways(role.bytes_per_s))
         });
         let counters = summed_counters(after);
-        let logged = failover::read_logs(self.controllers.iter().map(|c| c.log.as_path()));
-        let (violations, replicas) = Checker::judge(&self.scenario, history);
+        let logged = failover::read_logged_steps(self.controllers.iter().map(|c| c.log.as_path()));
+        let (violations, replicas) = Checker::check_history(&self.scenario, history);
         let mut violations_by_rule = BTreeMap::new();
         for violation in &violations {
             *violations_by_rule.entry(violation.rule).or_insert(0) += 1;
@@ -96,7 +98,7 @@
         Report {
             workers: self.scenario.workers.count,
             controllers: self.scenario.controllers.count,
-            measured_s: measured.seconds(),
+            measured_s: measured.duration_s(),
             roles,
             starts_per_s: report::starts_per_s(history, from_us, to_us),
             tasks_running: counters
@@ -104,7 +106,7 @@
                 .copied()
                 .unwrap_or(0.0),
             replicas,
-            waits: report::waits(&self.scenario, history, from_us, to_us),
+            waits: report::wait_figures_by_class(&self.scenario, history, from_us, to_us),
             worker_messages_per_s: messages_per_s / workers,
             worker_bytes_per_s: bytes_per_s / workers,
             counters,
@@ -116,10 +118,11 @@
                 .map(|controller| failover::read_elected_terms(&controller.log).len())
                 .sum(),
             violations: violations_by_rule,
-            first_violations: violations.into_iter().take(SHOWN_VIOLATIONS).collect(),
+            first_violations: violations.into_iter().take(MAX_LISTED_VIOLATIONS).collect(),
         }
     }
 
+    /// Returns the figures of the processes by role. The last leader is a role of its own.
     fn role_figures(
         &self,
         measured: MeasuredTime,
@@ -152,7 +155,7 @@
                 &used,
                 &stats_of_role(before),
                 &stats_of_role(after),
-                measured.seconds(),
+                measured.duration_s(),
             );
             (role, figures)
         };
@@ -160,7 +163,7 @@
     }
 }
 
-/// The counters of all processes of one kind together.
+/// Returns the sum of each counter over all processes of one kind, as `kind counter`.
 fn summed_counters(stats: &StatsByProcess) -> BTreeMap<String, f64> {
     let mut counters = BTreeMap::new();
     for (process, stats) in stats {
@@ -172,7 +175,7 @@
     counters
 }
 
-/// The last `usage` line of a controller's log.
+/// Returns the figures of the last `usage` line in a controller's log; empty: it has none.
 fn last_usage(log: &Path) -> String {
     let text = std::fs::read_to_string(log).unwrap_or_default();
     let last = text
--- a/loadtest/src/harness/mod.rs
+++ b/loadtest/src/harness/mod.rs
@@ -1,5 +1,5 @@
-//! Starts all processes of a load test, injects faults, measures, and ends them
-//! all.
+//! Runs a load test: starts all processes, injects faults, measures, and stops all
+//! processes.
 
 mod controller_settings;
 mod fault_injection;
@@ -19,7 +19,7 @@
 use crate::process_stats::{open_files_limit, UsageByProcess};
 use crate::report::Report;
 use crate::scenario::{MachineRange, Scenario};
-use fault_injection::{Due, ScheduledAction};
+use fault_injection::{DueTime, ScheduledAction};
 use measurement::MeasuredTime;
 use processes::{Controller, SimulatorProcess};
 use std::collections::BTreeMap;
@@ -33,49 +33,51 @@
 
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(1000);
 const SAMPLES_PER_PROGRESS_LINE: u32 = 5;
-/// The file of the harness's own history.
+/// The file with the events that the harness itself records.
 const HARNESS_HISTORY: &str = "harness.history";
 
-/// Why a load test couldn't be made.
+/// The reason why a load test could not be run.
 #[derive(Debug, Error)]
 pub enum RunError {
-    /// It needs more processes than the operators allow.
-    #[error("{needed} processes, at most {limit}: raise workers.per_process")]
+    /// The scenario needs more processes than the operators of the machine allow.
+    #[error("the scenario needs {needed} processes, at most {limit} are allowed: raise workers.per_process")]
     TooManyProcesses {
-        /// How many it needs.
+        /// The number of processes that the scenario needs.
         needed: u32,
-        /// How many are allowed.
+        /// The number of processes that are allowed.
         limit: u32,
     },
-    /// A process needs more files than it may open.
+    /// A process needs more open files than its limit allows.
     #[error("a process may open {limit} files and needs {needed}: lower workers.per_process or controllers.max_connections, or raise `ulimit -n`")]
     TooManyFiles {
-        /// How many it needs.
+        /// The number of files that the largest process needs.
         needed: u64,
-        /// How many it may open.
+        /// The number of files that a process may open.
         limit: u64,
     },
-    /// All processes together use more memory than the operators allow.
-    #[error("{used_mb:.0} MB in use, at most {limit_mb:.0}")]
+    /// All processes together use more memory than the operators of the machine allow.
+    #[error("the processes use {used_mb:.0} MB of memory, at most {limit_mb:.0} MB are allowed")]
     TooMuchMemory {
-        /// What they use.
+        /// The resident memory of all processes, in MB.
         used_mb: f64,
-        /// What is allowed.
+        /// The allowed memory, in MB.
         limit_mb: f64,
     },
-    /// It was interrupted.
-    #[error("interrupted; everything that was started has been ended")]
+    /// A signal interrupted the load test.
+    #[error("interrupted; all started processes have been stopped")]
     Interrupted,
-    /// A process couldn't be started or reached.
+    /// A process could not be started or reached, or a file of the run could not be used.
     #[error("{process}: {source}")]
     Process {
-        /// Which, or what of it.
+        /// The name of the process, or the part of the run that failed.
         process: String,
-        /// Why.
+        /// The error of the operating system, or of reading the process's output.
         source: io::Error,
     },
 }
 
+/// Returns a function that adds the name of the process, or of the failed part of the run,
+/// to an I/O error.
 fn process_error(process: &str) -> impl Fn(io::Error) -> RunError + '_ {
     move |source| RunError::Process {
         process: process.to_string(),
@@ -83,13 +85,13 @@
     }
 }
 
-/// What a load test needs besides its scenario.
+/// The options of a load test that are not part of its scenario.
 pub struct RunOptions {
-    /// The controllers' program.
+    /// The path of the program that the controllers run.
     pub program: PathBuf,
-    /// Where files are written.
+    /// The directory for settings, logs and histories; created if it doesn't exist.
     pub dir: PathBuf,
-    /// The variable `LOG_LEVEL` of the controllers.
+    /// The value of the controllers' environment variable `LOG_LEVEL`.
     pub log_level: String,
 }
 
@@ -99,18 +101,18 @@
     dir: PathBuf,
     program: PathBuf,
     log_level: String,
-    /// Where the controllers accept users and workers.
-    addresses: Vec<SocketAddrV4>,
+    /// Where each controller accepts connections of users and workers.
+    controller_addresses: Vec<SocketAddrV4>,
     controllers: Vec<Controller>,
     kv_store: SimulatorProcess,
     cloud: Option<SimulatorProcess>,
     workers: Vec<SimulatorProcess>,
-    /// The machines of each process of simulated workers.
+    /// The machines of each process in `workers`.
     machine_ranges: Vec<MachineRange>,
     users: Option<SimulatorProcess>,
-    scheduled: BTreeMap<Due, ScheduledAction>,
-    scheduled_count: usize,
-    /// Arguments that name the operators' settings.
+    scheduled_actions: BTreeMap<DueTime, ScheduledAction>,
+    scheduled_action_count: usize,
+    /// The controllers' arguments that name the operators' INI file.
     ini_arguments: Vec<PathBuf>,
     recorder: Recorder,
     leader_losses: Vec<LeaderLoss>,
@@ -118,7 +120,7 @@
     rng: fastrand::Rng,
 }
 
-/// Whether the time that passes counts into the report.
+/// The stages of a load test; the report covers only the measured one.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Stage {
     WarmUp,
@@ -133,7 +135,8 @@
         services.chain(&self.workers)
     }
 
-    /// Lets the load test go on until then: faults, samples, progress.
+    /// Runs the load test until `end_us`: performs due actions, samples the processes in the
+    /// measured stage, and prints the progress.
     fn run_until(
         &mut self,
         end_us: u64,
@@ -145,10 +148,10 @@
             if interrupted.load(Ordering::Relaxed) {
                 return Err(RunError::Interrupted);
             }
-            let now = now_us();
-            self.perform_due(now)?;
+            let current_us = now_us();
+            self.perform_due_actions(current_us)?;
             if stage == Stage::Measured {
-                self.sample(now as f64 / 1e6)?;
+                self.sample(current_us as f64 / 1e6)?;
             }
             samples += 1;
             if samples % SAMPLES_PER_PROGRESS_LINE == 0 {
@@ -181,7 +184,7 @@
         );
     }
 
-    /// Ends the simulators, and reads all histories.
+    /// Stops the simulators and reads all histories.
     fn finish(&self) -> Result<Vec<history::Entry>, RunError> {
         for simulator in self.simulators() {
             simulator.send(&SimulatorCommand::Stop);
@@ -196,7 +199,8 @@
     }
 }
 
-/// Set when the user interrupts this process.
+/// Returns a flag that is set when this process receives an interrupt or a termination
+/// signal.
 fn interrupt_flag() -> Result<Arc<AtomicBool>, RunError> {
     let interrupted = Arc::new(AtomicBool::new(false));
     let flag = interrupted.clone();
@@ -205,7 +209,7 @@
     Ok(interrupted)
 }
 
-/// Makes a whole load test and reports on it.
+/// Runs a whole load test and returns its report.
 pub fn run(scenario: Scenario, options: &RunOptions) -> Result<Report, RunError> {
     check_size(&scenario, open_files_limit())?;
     let interrupted = interrupt_flag()?;
@@ -215,10 +219,10 @@
         "users",
         ProcessRole::Users,
         &load_test.scenario,
-        &load_test.addresses,
+        &load_test.controller_addresses,
     )?);
-    let began_us = now_us();
-    let from_us = began_us + (load_test.scenario.warm_s * 1e6) as u64;
+    let started_us = now_us();
+    let from_us = started_us + (load_test.scenario.warm_s * 1e6) as u64;
     let to_us = from_us + (load_test.scenario.run_s * 1e6) as u64;
     for fault in load_test.scenario.faults.clone() {
         let at_us = from_us + (fault.at_s * 1e6) as u64;
--- a/loadtest/src/harness/processes.rs
+++ b/loadtest/src/harness/processes.rs
@@ -1,4 +1,4 @@
-//! The processes of a load test: simulators and controllers.
+//! Child processes of the harness: simulators and controllers.
 
 use super::{process_error, RunError};
 use crate::control::{self, Ready, SimulatorCommand, Stats};
@@ -11,36 +11,37 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 
-/// A controller with its files.
+/// A controller's process with its files.
 pub(super) struct Controller {
     pub(super) settings: PathBuf,
     pub(super) log: PathBuf,
-    /// `None`: a fault has ended it.
+    /// `None`: not started yet, or killed by a fault.
     pub(super) process: Option<ChildProcess>,
 }
 
-/// A process that ends with this one, however that ends.
+/// A child process that is killed when this value is dropped. If the harness is killed
+/// itself, the kernel kills its child processes.
 pub(super) struct ChildProcess {
     pub(super) name: String,
     pub(super) child: Child,
-    /// It was paused, or ended by a fault.
+    /// Whether the process is paused, or was killed by a fault.
     pub(super) unavailable: bool,
 }
 
 impl ChildProcess {
-    /// Stops it until [`ChildProcess::resume`]; it is unavailable meanwhile.
+    /// Pauses the process until [`ChildProcess::resume`] and marks it as unavailable.
     pub(super) fn pause(&mut self) {
         self.unavailable = true;
         self.signal(libc::SIGSTOP);
     }
 
-    /// Lets it go on.
+    /// Resumes the process after [`ChildProcess::pause`].
     pub(super) fn resume(&mut self) {
         self.signal(libc::SIGCONT);
         self.unavailable = false;
     }
 
-    /// Ends it for good.
+    /// Kills the process and marks it as unavailable.
     pub(super) fn kill(&mut self) {
         self.unavailable = true;
         let _ = self.child.kill();
@@ -48,8 +49,8 @@
 
     fn signal(&self, signal: i32) {
         if let Ok(pid) = i32::try_from(self.child.id()) {
-            // Safety: a plain system call; the child hasn't been waited for, so its
-            // id can't have been reused.
+            // Safety: kill() takes no pointers. The child has not been waited for, so its
+            // process id can't have been reused.
             unsafe { libc::kill(pid, signal) };
         }
     }
@@ -62,8 +63,9 @@
     }
 }
 
+/// Starts a child process that the kernel kills when the harness ends.
 pub(super) fn spawn(mut command: Command, name: &str) -> Result<ChildProcess, RunError> {
-    // Safety: prctl is safe to call between fork and exec.
+    // Safety: the closure only calls prctl, which may be called between fork and exec.
     unsafe {
         command.pre_exec(|| {
             libc::prctl(libc::PR_SET_PDEATHSIG, libc::SIGKILL);
@@ -78,7 +80,7 @@
     })
 }
 
-/// A simulator's process.
+/// The process of a simulator, which accepts commands.
 pub(super) struct SimulatorProcess {
     pub(super) process: ChildProcess,
     pub(super) ready: Ready,
@@ -86,7 +88,7 @@
 }
 
 impl SimulatorProcess {
-    /// Starts it, and waits until it can be reached.
+    /// Starts a simulator and waits until it reports that it can be reached.
     pub(super) fn start(
         dir: &Path,
         name: &str,
@@ -129,7 +131,8 @@
         })
     }
 
-    /// Sends it a command; no stats if it doesn't respond.
+    /// Sends a command to the simulator and returns its counters; empty: the simulator is
+    /// unavailable or did not respond.
     pub(super) fn send(&self, command: &SimulatorCommand) -> Stats {
         if self.process.unavailable {
             return Stats::default();
--- a/loadtest/src/harness/startup.rs
+++ b/loadtest/src/harness/startup.rs
@@ -18,16 +18,17 @@
 use std::process::Command;
 use std::time::Duration;
 
-/// How long controllers may take to become ready.
+/// The time within which all controllers have to become ready.
 const READY_TIMEOUT_US: u64 = 30_000_000;
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// Ports for controllers lie below those that the kernel assigns.
+/// The ports of controllers are below the range from which the kernel assigns ports to
+/// outgoing connections.
 const CONTROLLER_PORTS: std::ops::Range<u16> = 15_000..30_000;
 const MAX_PORT_ATTEMPTS: u32 = 1000;
 
-/// An address that is free, outside the range from which the kernel gives ports to
-/// connections: it has to stay free until its controller is started, and started
-/// again.
+/// Returns a free loopback address that isn't in `taken`. Its port is outside the range
+/// from which the kernel assigns ports to connections, because it has to stay free until
+/// the controller is started, and while the controller is restarted.
 fn free_address(rng: &mut fastrand::Rng, taken: &[SocketAddrV4]) -> io::Result<SocketAddrV4> {
     for _ in 0..MAX_PORT_ATTEMPTS {
         let address = SocketAddrV4::new(Ipv4Addr::LOCALHOST, rng.u16(CONTROLLER_PORTS));
@@ -47,13 +48,13 @@
     Ok(addresses)
 }
 
-/// The processes of simulated workers.
+/// The processes of simulated workers, in the order of their machines' numbers.
 #[derive(Default)]
 struct WorkerProcesses {
     workers: Vec<SimulatorProcess>,
     machine_ranges: Vec<MachineRange>,
-    /// How the simulated cloud reaches them.
-    known_to_cloud: Vec<WorkerProcess>,
+    /// The addresses of the processes, for the simulated cloud.
+    process_addresses: Vec<WorkerProcess>,
 }
 
 impl WorkerProcesses {
@@ -69,7 +70,7 @@
             let name = format!("workers-{first}");
             let role = ProcessRole::Workers { first, last };
             let simulator = SimulatorProcess::start(dir, &name, role, scenario, controllers)?;
-            started.known_to_cloud.push(WorkerProcess {
+            started.process_addresses.push(WorkerProcess {
                 first,
                 last,
                 control: simulator.ready.control,
@@ -83,7 +84,8 @@
 }
 
 impl LoadTest {
-    /// Starts all processes but the users', and waits until the controllers are ready.
+    /// Starts all processes except the simulated users, and waits until the controllers are
+    /// ready.
     pub(super) fn start(scenario: Scenario, options: &RunOptions) -> Result<LoadTest, RunError> {
         let dir = options.dir.clone();
         std::fs::create_dir_all(&dir).map_err(process_error("run directory"))?;
@@ -95,13 +97,13 @@
         let WorkerProcesses {
             workers,
             machine_ranges,
-            known_to_cloud,
+            process_addresses,
         } = WorkerProcesses::start(&dir, &scenario, clients)?;
         let cloud = SimulatorProcess::start(
             &dir,
             "cloud",
             ProcessRole::Cloud {
-                workers: known_to_cloud,
+                workers: process_addresses,
             },
             &scenario,
             clients,
@@ -114,14 +116,14 @@
                 .map_err(process_error("history"))?,
             program: options.program.clone(),
             log_level: options.log_level.clone(),
-            addresses: clients.to_vec(),
+            controller_addresses: clients.to_vec(),
             controllers: Vec::new(),
             kv_store,
             workers,
             machine_ranges,
             users: None,
-            scheduled: BTreeMap::new(),
-            scheduled_count: 0,
+            scheduled_actions: BTreeMap::new(),
+            scheduled_action_count: 0,
             leader_losses: Vec::new(),
             usage: UsageByProcess::default(),
             cloud: None,
@@ -140,6 +142,7 @@
         Ok(load_test)
     }
 
+    /// Writes the settings file of a controller and adds the controller, not started yet.
     fn write_settings(
         &mut self,
         number: usize,
@@ -148,9 +151,9 @@
         cloud: SocketAddrV4,
     ) -> io::Result<()> {
         let addresses = Addresses {
-            clients,
-            peers,
-            state: self.kv_store.ready.listeners[number],
+            client_listeners: clients,
+            peer_listeners: peers,
+            kv_store: self.kv_store.ready.listeners[number],
             cloud,
         };
         let text = settings_text(&self.scenario, number, &addresses);
@@ -165,7 +168,7 @@
         Ok(())
     }
 
-    /// Starts a controller, for the first time or again.
+    /// Starts or restarts a controller. Its log file is appended to.
     pub(super) fn start_controller(&mut self, number: usize) -> Result<(), RunError> {
         let controller = &mut self.controllers[number];
         let name = format!("controller-{number}");
@@ -186,7 +189,7 @@
     }
 }
 
-/// Waits until all controllers are ready.
+/// Waits until all controllers report that they are ready.
 fn wait_until_ready(clients: &[SocketAddrV4]) -> Result<(), RunError> {
     let deadline_us = now_us() + READY_TIMEOUT_US;
     for address in clients {
@@ -194,7 +197,10 @@
             if now_us() > deadline_us {
                 let source = io::ErrorKind::TimedOut.into();
                 return Err(RunError::Process {
-                    process: "controllers don't get ready".into(),
+                    process: format!(
+                        "controller {address} not ready within {} s",
+                        READY_TIMEOUT_US / 1_000_000
+                    ),
                     source,
                 });
             }
--- a/loadtest/src/history.rs
+++ b/loadtest/src/history.rs
@@ -1,5 +1,5 @@
-//! The history of a load test: each simulator writes its events to a file of its own,
-//! one line of JSON each.
+//! The history of a load test. The harness and the simulators each write their events to
+//! a file of their own, as one line of JSON per event.
 
 use crate::net::now_us;
 use crate::scenario::MachineRange;
@@ -8,93 +8,96 @@
 use std::io::{self, BufRead, BufReader, BufWriter, Write};
 use std::path::Path;
 
-/// The kinds of users' requests.
+/// The kinds of requests that users make.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub enum UserRequest {
-    /// To accept a job.
+    /// Submit a job.
     Submit,
-    /// How a job is.
+    /// Read the state of a job.
     Query,
-    /// To cancel a job.
+    /// Cancel a job.
     Cancel,
 }
 
-/// An event that the rules are about.
+/// An event that the checker's rules or the report's figures depend on.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 pub enum Event {
     /// A user submits a job for the first time.
     Submitted {
-        /// The job.
+        /// The id of the job.
         job: String,
     },
-    /// A user asks for the job's cancellation for the first time.
-    CancelAsked {
-        /// The job.
+    /// A user requests the cancellation of a job for the first time.
+    #[serde(rename = "CancelAsked")]
+    CancelRequested {
+        /// The id of the job.
         job: String,
     },
-    /// A user received a response, or none.
-    Answered {
-        /// The job.
+    /// A user's request ended with a response, or failed without one.
+    #[serde(rename = "Answered")]
+    RequestCompleted {
+        /// The id of the job that the request is about.
         job: String,
-        /// The request.
+        /// The kind of request.
         request: UserRequest,
         /// The HTTP status; 0: there was no response.
         status: u16,
-        /// The job's state, as far as the response names one.
+        /// The state of the job in the response; empty: the response has none.
         state: String,
-        /// How many tasks run, by the response; only of jobs with multi-host replicas.
+        /// The number of running tasks in the response; `None` for jobs without
+        /// multi-host replicas.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         running: Option<u32>,
     },
-    /// A task has its image and runs.
+    /// A task has loaded its image and runs.
     Started {
-        /// The task.
+        /// The task, as `job/index`.
         task: String,
-        /// The machine's number.
+        /// The number of the machine on which the task runs.
         machine: u32,
     },
-    /// A task completed; its result is kept.
+    /// A task completed and its result is kept.
     Finished {
-        /// The task.
+        /// The task, as `job/index`.
         task: String,
     },
-    /// A task has left its machine.
+    /// A task is no longer on its machine.
     Left {
-        /// The task.
+        /// The task, as `job/index`.
         task: String,
-        /// The machine's number.
+        /// The number of the machine on which the task was.
         machine: u32,
     },
-    /// Machines are lost with all tasks that they ran.
+    /// Machines are lost with all tasks on them.
     Lost {
-        /// The machines.
+        /// The numbers of the lost machines.
         machines: MachineRange,
     },
 }
 
-/// An event with its time.
+/// An event with its time: one line of a history file.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 pub struct Entry {
-    /// Microseconds since 1970.
+    /// When the event was recorded, in microseconds since 1970.
     pub at_us: u64,
-    /// What happened.
+    /// The recorded event.
     pub event: Event,
 }
 
-/// Writes a simulator's history.
+/// Writes the history file of one process.
 pub struct Recorder {
     file: BufWriter<File>,
 }
 
 impl Recorder {
-    /// Creates the file.
+    /// Creates the file, or truncates an existing one.
     pub fn create(path: &Path) -> io::Result<Recorder> {
         Ok(Recorder {
             file: BufWriter::new(File::create(path)?),
         })
     }
 
-    /// Records an event that happens now.
+    /// Writes an event with the current time to the buffer.
     pub fn record(&mut self, event: Event) -> io::Result<()> {
         let entry = Entry {
             at_us: now_us(),
@@ -104,14 +107,14 @@
         self.file.write_all(b"\n")
     }
 
-    /// Writes what is buffered, so that it survives the end of this process.
+    /// Writes the buffered events to the file, so that they are kept when this process ends.
     pub fn flush(&mut self) -> io::Result<()> {
         self.file.flush()
     }
 }
 
-/// Reads files, and sorts their events by time. A last line that was truncated when its
-/// writer ended is skipped.
+/// Reads history files and sorts their events by time. Lines that aren't valid entries are
+/// skipped: the last line of a file is truncated if its writer was killed.
 pub fn read(paths: &[std::path::PathBuf]) -> io::Result<Vec<Entry>> {
     let mut entries: Vec<Entry> = Vec::new();
     for path in paths {
--- a/loadtest/src/lib.rs
+++ b/loadtest/src/lib.rs
@@ -1,10 +1,11 @@
-//! A load test of lilacfork on one machine: real controllers beside simulated
-//! workers, users, a key-value store and a cloud, all on loopback.
+//! A load test of lilacfork on one machine. Real controllers run together with simulated
+//! workers, users, a simulated key-value store and a simulated cloud, and all connections
+//! use loopback.
 //!
-//! A simulator implements the protocol in full without doing the work: a task
-//! "runs" until its time is over. Each simulator is a process of its own
-//! ([`process`]); [`harness`] starts and ends them and injects faults, and
-//! [`checker`] checks the history that they write.
+//! The simulators implement the whole protocol without doing the work: a simulated task
+//! runs until its configured duration has passed. Each simulator is a separate process
+//! ([`process`]). The [`harness`] starts and stops the processes and injects faults, and
+//! the [`checker`] checks the history that the simulators write.
 
 #![warn(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
--- a/loadtest/src/main.rs
+++ b/loadtest/src/main.rs
@@ -1,4 +1,5 @@
-//! The program: one load test, or one of its simulators.
+//! The command-line program: runs a load test, checks a scenario, or runs one simulator of
+//! a load test.
 
 use clap::{Parser, Subcommand};
 use lilacfork_loadtest::harness::{self, RunOptions};
@@ -8,7 +9,7 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// A load test of lilacfork on this machine, all on loopback
+/// Runs a load test of lilacfork on this machine, with all connections on loopback
 #[derive(Parser)]
 #[command(version, about)]
 struct Args {
@@ -18,14 +19,14 @@
 
 #[derive(Subcommand)]
 enum Action {
-    /// Start everything, measure, end everything
+    /// Run a load test: start all processes, measure, and stop all processes
     Run(RunArgs),
-    /// Read a scenario, tell whether it can be run here, and exit
+    /// Validate a scenario, check whether it can be run on this machine, and exit
     Check(RunArgs),
-    /// One simulator of a load test; started by `run`
+    /// Run one simulator of a load test; started by `run`
     #[command(hide = true)]
     Simulate {
-        /// Its configuration
+        /// The simulator's configuration file (JSON)
         config: PathBuf,
     },
 }
@@ -34,31 +35,32 @@
 struct RunArgs {
     /// The scenario file (TOML)
     scenario: PathBuf,
-    /// At another size: so many workers, jobs and rates in proportion
+    /// Number of workers; the scenario's jobs and rates are scaled in proportion
     #[arg(long)]
     workers: Option<u32>,
-    /// So many controllers
+    /// Number of controllers, in place of the scenario's
     #[arg(long)]
     controllers: Option<u32>,
-    /// So many times its arrays
+    /// Factor for the number and rate of the scenario's array jobs
     #[arg(long, default_value_t = 1.0)]
     load: f64,
-    /// Without the scenario's faults
+    /// Leave out the scenario's faults
     #[arg(long)]
     no_faults: bool,
-    /// Each task of a multi-host replica is repaired independently
+    /// Let the controllers repair each task of a multi-host replica independently
     #[arg(long)]
     parts_alone: bool,
-    /// Delay of each response of the key-value store, in milliseconds
+    /// Delay of each response of the simulated key-value store, in milliseconds
     #[arg(long)]
     answer_ms: Option<f64>,
-    /// The controllers' program
+    /// Program that the controllers run
     #[arg(long, default_value = "target/release/lilacfork")]
     program: PathBuf,
-    /// Where logs and histories go; by default a new directory under /tmp
+    /// Directory for settings, logs and histories; by default a new one in the system's
+    /// directory for temporary files
     #[arg(long)]
     dir: Option<PathBuf>,
-    /// LOG_LEVEL of the controllers
+    /// Value of the controllers' environment variable LOG_LEVEL
     #[arg(long, default_value = "info")]
     log: String,
     /// Write the report as JSON to this file
@@ -67,6 +69,7 @@
 }
 
 impl RunArgs {
+    /// Loads the scenario and applies the other arguments to it.
     fn scenario(&self) -> Result<Scenario, ScenarioError> {
         let mut scenario = Scenario::load(&self.scenario)?;
         if let Some(workers) = self.workers.filter(|n| *n > 0) {
@@ -86,6 +89,7 @@
     }
 }
 
+/// Prints the reason and returns the exit code for invalid arguments or files.
 fn usage_error(reason: impl std::fmt::Display) -> ExitCode {
     eprintln!("lilacfork-loadtest: {reason}");
     ExitCode::from(2)
@@ -96,13 +100,13 @@
         Ok(scenario) => scenario,
         Err(error) => return usage_error(error),
     };
-    let unique = format!("lilacfork-loadtest-{}", std::process::id());
+    let default_name = format!("lilacfork-loadtest-{}", std::process::id());
     let options = RunOptions {
         program: args.program.clone(),
         dir: args
             .dir
             .clone()
-            .unwrap_or_else(|| std::env::temp_dir().join(unique)),
+            .unwrap_or_else(|| std::env::temp_dir().join(default_name)),
         log_level: args.log.clone(),
     };
     let report = match harness::run(scenario, &options) {
@@ -134,7 +138,7 @@
     };
     match harness::check_size(&scenario, open_files_limit()) {
         Ok(()) => {
-            println!("the scenario is fine and fits here");
+            println!("the scenario is valid and can be run on this machine");
             ExitCode::SUCCESS
         }
         Err(error) => usage_error(error),
--- a/loadtest/src/process.rs
+++ b/loadtest/src/process.rs
@@ -1,4 +1,4 @@
-//! A simulator as a process: its role and configuration, and its loop.
+//! The process of a simulator: its role, its configuration and its event loop.
 
 use crate::cloud::CloudSimulator;
 use crate::control::{Ready, SimulatorCommand, Stats, CONTROL_PATH};
@@ -14,71 +14,74 @@
 use std::net::SocketAddrV4;
 use std::path::{Path, PathBuf};
 
-/// The number of the listener that accepts commands.
+/// The number of the listener that accepts commands of the harness. The simulator's own
+/// listeners are numbered from the next one on.
 pub const CONTROL_LISTENER: usize = 0;
 
-/// A process of simulated workers, as the simulated cloud knows it.
+/// The machines and addresses of a process of simulated workers, for the simulated cloud.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct WorkerProcess {
-    /// The first machine's number.
+    /// The number of the first machine that the process simulates.
     pub first: u32,
-    /// The last machine's number.
+    /// The number of the last machine that the process simulates.
     pub last: u32,
-    /// Where it accepts commands.
+    /// Where the process accepts commands of the harness and the cloud.
     pub control: SocketAddrV4,
-    /// Where each machine accepts direct commands.
+    /// Where each worker accepts direct commands of controllers, in the order of the
+    /// machines' numbers.
     pub addresses: Vec<SocketAddrV4>,
 }
 
-/// What a process simulates.
+/// The part of the load test that a process simulates.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum ProcessRole {
-    /// The key-value store, with a listener for each controller.
+    /// The key-value store, with a separate listener for each controller.
     KvStore,
-    /// The cloud.
+    /// The cloud, which provisions and releases machines.
     Cloud {
-        /// The processes that it notifies of boots and releases.
+        /// The processes that the cloud notifies of boots and releases.
         workers: Vec<WorkerProcess>,
     },
-    /// Workers with these numbers.
+    /// The workers on a range of machines.
     Workers {
-        /// The first machine's number.
+        /// The number of the first machine.
         first: u32,
-        /// The last machine's number.
+        /// The number of the last machine, included.
         last: u32,
     },
-    /// The users.
+    /// The users, who submit, query and cancel jobs.
     Users,
 }
 
 /// The configuration of a simulator's process.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ProcessConfig {
-    /// What it simulates.
+    /// The part of the load test that the process simulates.
     pub role: ProcessRole,
-    /// The load test.
+    /// The scenario of the whole load test.
     pub scenario: Scenario,
-    /// Where the controllers accept users and workers.
+    /// Where each controller accepts connections of users and workers.
     pub controllers: Vec<SocketAddrV4>,
-    /// The history file.
+    /// The path of the history file, which is written if the simulator records events.
     pub history: PathBuf,
 }
 
-/// A simulator: messages and time in, messages out.
+/// A simulator, driven by messages, timers and commands of the harness.
 pub trait Simulator {
-    /// A message has arrived that isn't a command of the harness.
+    /// Handles a message or a connection event that isn't a command of the harness.
     fn incoming(&mut self, net: &mut Network, incoming: Incoming) -> io::Result<()>;
-    /// Performs what is due; returns when to be called again, in microseconds.
+    /// Performs all actions that are due, and returns when to be called again at the latest,
+    /// in microseconds since 1970.
     fn tick(&mut self, net: &mut Network) -> io::Result<u64>;
-    /// A command of the harness.
+    /// Executes a command of the harness. Commands for other simulators are ignored.
     fn command(&mut self, net: &mut Network, command: &SimulatorCommand) -> io::Result<()>;
-    /// Adds counters of its own.
+    /// Adds the simulator's own counters to `stats`.
     fn stats(&self, stats: &mut Stats);
-    /// Its history, if it writes one.
+    /// Returns the recorder of the simulator's history; `None`: it records no events.
     fn recorder(&mut self) -> Option<&mut Recorder>;
 }
 
-/// Runs a simulator until it is commanded to stop.
+/// Runs the simulator with this configuration file until it receives a command to stop.
 pub fn run(config: &Path) -> io::Result<()> {
     let config: ProcessConfig = serde_json::from_slice(&std::fs::read(config)?)?;
     let mut net = Network::new()?;
--- a/loadtest/src/process_stats.rs
+++ b/loadtest/src/process_stats.rs
@@ -1,23 +1,23 @@
-//! Processor time, memory and sockets of processes, as the kernel counts them.
+//! Processor time, memory and open files of processes, as reported by the kernel.
 
 use procfs::process::Process;
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// What one process uses at one moment.
+/// The resource usage of a process at one moment.
 #[derive(Clone, Copy, Default, Debug)]
 pub struct ProcessSnapshot {
-    /// Processor time since its start, in seconds.
+    /// Processor time since the start of the process, in seconds.
     pub cpu_s: f64,
     /// Resident memory in MB.
     pub resident_mb: f64,
-    /// Open files, nearly all of them sockets.
+    /// The number of open files, nearly all of which are sockets.
     pub sockets: usize,
 }
 
 impl ProcessSnapshot {
-    /// Reads the counters of a process; `None`: there is no such process.
-    pub fn of(pid: u32) -> Option<ProcessSnapshot> {
+    /// Reads the usage of the process with this id; `None`: there is no such process.
+    pub fn read(pid: u32) -> Option<ProcessSnapshot> {
         let process = Process::new(i32::try_from(pid).ok()?).ok()?;
         let stat = process.stat().ok()?;
         Some(ProcessSnapshot {
@@ -28,7 +28,8 @@
     }
 }
 
-/// How many files this process, and those that it starts, may open.
+/// Returns how many files this process, and each process that it starts, may open; `None`:
+/// the number is unlimited or unknown.
 pub fn open_files_limit() -> Option<u64> {
     let limits = Process::myself().ok()?.limits().ok()?;
     match limits.max_open_files.soft_limit {
@@ -37,45 +38,48 @@
     }
 }
 
-/// The processor time of a process up to a moment, in seconds.
+/// The processor time of a process up to a moment, in seconds; the moment is in seconds
+/// since 1970.
 #[derive(Clone, Copy, Debug)]
 struct CpuSample {
     at_s: f64,
     cpu_s: f64,
 }
 
-/// What a process used over the measured time.
+/// The resource usage of a process over the measured time. A restarted process counts as
+/// the same one.
 #[derive(Clone, Copy, Default, Debug, Serialize)]
 pub struct ProcessUsage {
-    /// Cores, mean.
+    /// The mean number of cores used.
     pub cores_mean: f64,
-    /// Cores in its busiest second.
+    /// The number of cores used in the busiest interval between two samples, about a second.
     #[serde(rename = "cores_most")]
     pub cores_max: f64,
-    /// The most resident memory in MB.
+    /// The largest resident memory of all samples, in MB.
     pub resident_mb: f64,
-    /// The most open files.
+    /// The largest number of open files of all samples.
     pub sockets: usize,
     #[serde(skip)]
     first: Option<CpuSample>,
     #[serde(skip)]
     last: Option<CpuSample>,
-    /// Processor time of ended processes of the same name, in seconds.
+    /// The processor time of earlier processes of the same name, which have ended, in
+    /// seconds.
     #[serde(skip)]
     earlier_cpu_s: f64,
 }
 
 impl ProcessUsage {
-    /// Adds a snapshot taken at this time, in seconds.
-    pub fn add(&mut self, at_s: f64, now: ProcessSnapshot) {
+    /// Adds a snapshot taken at this time, in seconds since 1970.
+    pub fn add(&mut self, at_s: f64, snapshot: ProcessSnapshot) {
         if self
             .last
-            .is_some_and(|last| now.cpu_s + self.earlier_cpu_s < last.cpu_s)
+            .is_some_and(|last| snapshot.cpu_s + self.earlier_cpu_s < last.cpu_s)
         {
-            // The process was restarted.
+            // The processor time is less than before: the process was restarted.
             self.earlier_cpu_s = self.last.map_or(0.0, |last| last.cpu_s);
         }
-        let cpu_s = now.cpu_s + self.earlier_cpu_s;
+        let cpu_s = snapshot.cpu_s + self.earlier_cpu_s;
         if let Some(last) = self.last {
             let cores = (cpu_s - last.cpu_s) / (at_s - last.at_s).max(1e-3);
             self.cores_max = self.cores_max.max(cores);
@@ -86,27 +90,28 @@
         if at_s > first.at_s {
             self.cores_mean = (cpu_s - first.cpu_s) / (at_s - first.at_s);
         }
-        self.resident_mb = self.resident_mb.max(now.resident_mb);
-        self.sockets = self.sockets.max(now.sockets);
+        self.resident_mb = self.resident_mb.max(snapshot.resident_mb);
+        self.sockets = self.sockets.max(snapshot.sockets);
     }
 }
 
-/// What all processes used, by name.
+/// The resource usage of all processes over the measured time.
 #[derive(Default)]
 pub struct UsageByProcess {
-    /// By the process's name.
+    /// The usage of each process, by the name that the harness gave it.
     pub processes: BTreeMap<String, ProcessUsage>,
 }
 
 impl UsageByProcess {
-    /// Samples these processes; the result is the memory of all together, in MB.
+    /// Samples the processes with these names and ids at this time, in seconds since 1970,
+    /// and returns their resident memory together, in MB.
     pub fn sample<'a>(&mut self, at_s: f64, pids: impl Iterator<Item = (&'a str, u32)>) -> f64 {
         let mut resident_mb = 0.0;
         for (name, pid) in pids {
-            if let Some(now) = ProcessSnapshot::of(pid) {
-                resident_mb += now.resident_mb;
+            if let Some(snapshot) = ProcessSnapshot::read(pid) {
+                resident_mb += snapshot.resident_mb;
                 let used = self.processes.entry(name.to_string()).or_default();
-                used.add(at_s, now);
+                used.add(at_s, snapshot);
             }
         }
         resident_mb
--- a/loadtest/src/replica_groups.rs
+++ b/loadtest/src/replica_groups.rs
@@ -1,5 +1,5 @@
-//! Multi-host replicas in the history: when they were complete, and whether the rules
-//! on incomplete ones were kept.
+//! Follows the multi-host replicas in the history of a load test: measures how long
+//! incomplete replicas take to be repaired, and checks the rules on incomplete replicas.
 
 use crate::checker::{Rule, Violation};
 use crate::scenario::Scenario;
@@ -9,37 +9,40 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// What users are told may be so many heartbeat intervals old: a machine counts as
-/// unresponsive after three, and its last heartbeat was up to one older; the rest is
-/// for messages between controllers.
+/// The maximum age of the number of running tasks that is reported to users, in heartbeat
+/// intervals. A machine counts as unresponsive after three intervals, its last heartbeat
+/// may be up to one interval older, and the rest is for messages between controllers.
 const MAX_REPORTED_AGE_INTERVALS: f64 = 5.0;
-/// The remaining tasks of an incomplete replica have to be stopped within so many leases
-/// and heartbeat intervals: a machine is declared failed after most of a lease, once
-/// more by the next leader if the first one is lost, and the others are stopped with
-/// the next heartbeat.
+/// The remaining tasks of an incomplete replica have to be stopped within this many leases
+/// plus [`MAX_INCOMPLETE_INTERVALS`] heartbeat intervals. A leader declares a machine
+/// failed after most of a lease; if that leader is lost, the next one waits for as long
+/// again. The remaining tasks are stopped with the next heartbeat.
 const MAX_INCOMPLETE_LEASES: f64 = 2.0;
 const MAX_INCOMPLETE_INTERVALS: f64 = 4.0;
 
 /// Figures on multi-host replicas.
 #[derive(Clone, PartialEq, Default, Debug, Serialize)]
 pub struct ReplicaFigures {
-    /// Replicas that were complete at some time.
+    /// The number of replicas that were complete at some time.
     pub seen: u64,
-    /// Replicas that lost a task and were complete again.
+    /// How many times a replica lost a task and was complete again later.
     pub repaired: u64,
-    /// From the loss to being complete again, in seconds: half of them.
+    /// The median time of a repair, from the loss of the task until the replica is complete
+    /// again, in seconds.
     pub repair_p50_s: f64,
-    /// All but one in a hundred.
+    /// The 99th percentile of the repair times, in seconds.
     pub repair_p99_s: f64,
-    /// The longest.
+    /// The longest repair time, in seconds.
     #[serde(rename = "repair_most_s")]
     pub repair_max_s: f64,
-    /// Replicas that had lost a task and weren't complete again at the end.
+    /// The number of replicas that had lost a task and were not complete again when the
+    /// history ended.
     pub incomplete_at_end: u64,
-    /// GPU seconds that size of replicas that had lost others were on machines.
+    /// The GPU seconds that the remaining tasks of incomplete replicas spent on machines.
     #[serde(rename = "alone_gpu_s")]
     pub incomplete_gpu_s: f64,
-    /// The longest time for which such size were.
+    /// The longest time for which remaining tasks of an incomplete replica were on
+    /// machines, in seconds.
     #[serde(rename = "alone_most_s")]
     pub incomplete_max_s: f64,
 }
@@ -61,36 +64,42 @@
     }
 }
 
-/// A time during which only some of a replica's tasks are on machines.
+/// A period in which only some of the tasks of a replica are on machines.
 #[derive(Clone, Copy)]
 struct IncompletePeriod {
     since_us: u64,
-    /// Up to when the time was counted.
+    /// The end of the time that is already included in
+    /// [`ReplicaFigures::incomplete_gpu_s`].
     counted_us: u64,
 }
 
-/// One replica.
+/// The state of one replica, as far as the history has been read.
 #[derive(Default)]
 struct Replica {
+    /// The indexes of its tasks that are on machines.
     on_machines: BTreeSet<u32>,
     complete: bool,
-    /// Until when it has been complete, if it ever was.
+    /// The last time at which the replica became or ceased to be complete; `None`: it was
+    /// never complete.
     complete_until_us: Option<u64>,
-    /// When it lost a task, unless it is complete again.
+    /// When the replica lost a task; `None`: it is complete again, lost none, or its job
+    /// was cancelled.
     lost_us: Option<u64>,
-    /// From a loss until none of its tasks is on a machine, or all are.
+    /// The period from a loss until none or all of the replica's tasks are on machines.
     incomplete: Option<IncompletePeriod>,
 }
 
 impl Replica {
-    /// All of its tasks are on machines; returns when it had lost one.
+    /// Records that all tasks of the replica are on machines, and returns when it had lost
+    /// one.
     fn completed(&mut self, at_us: u64) -> Option<u64> {
         self.complete = true;
         self.complete_until_us = Some(at_us);
         self.lost_us.take()
     }
 
-    /// Not all of its tasks are on machines.
+    /// Records that not all tasks of the replica are on machines. If the replica was
+    /// complete until now and its job is not cancelled, an incomplete period starts.
     fn lost_task(&mut self, at_us: u64, is_cancelled: bool) {
         if !std::mem::take(&mut self.complete) {
             return;
@@ -106,7 +115,7 @@
     }
 }
 
-/// The replicas of all jobs with multi-host replicas.
+/// The replicas of all jobs with multi-host replicas, by job and replica number.
 pub(crate) struct Replicas<'a> {
     scenario: &'a Scenario,
     jobs: BTreeMap<String, BTreeMap<u32, Replica>>,
@@ -128,8 +137,9 @@
         }
     }
 
-    /// A user cancels the job: what happens to its replicas from then on isn't a loss.
-    pub(crate) fn cancelled(&mut self, job: &str) {
+    /// Records that a user requested the job's cancellation. From then on tasks that leave
+    /// their machines do not count as lost.
+    pub(crate) fn record_cancellation(&mut self, job: &str) {
         self.cancelled.insert(job.to_string());
         for replica in self
             .jobs
@@ -142,20 +152,21 @@
         }
     }
 
-    /// A task runs.
-    pub(crate) fn started(&mut self, at_us: u64, task: &TaskRef) {
+    /// Records that a task started.
+    pub(crate) fn record_start(&mut self, at_us: u64, task: &TaskRef) {
         self.change(at_us, task, |on_machines, index| {
             on_machines.insert(index);
         });
     }
 
-    /// A task has left its machine.
-    pub(crate) fn left(&mut self, at_us: u64, task: &TaskRef) {
+    /// Records that a task has left its machine.
+    pub(crate) fn record_departure(&mut self, at_us: u64, task: &TaskRef) {
         self.change(at_us, task, |on_machines, index| {
             on_machines.remove(&index);
         });
     }
 
+    /// Changes which tasks of a replica are on machines, and updates its figures.
     fn change(&mut self, at_us: u64, task: &TaskRef, change: impl FnOnce(&mut BTreeSet<u32>, u32)) {
         let job = task.job.as_str();
         let Some(size) = self.scenario.tasks_per_replica(job) else {
@@ -194,7 +205,7 @@
         }
     }
 
-    /// Only some of a replica's tasks were on machines up to now.
+    /// Ends a period in which a replica was incomplete, and checks its length.
     fn end_incomplete(&mut self, at_us: u64, period: IncompletePeriod, job: &str) {
         let workers = &self.scenario.workers;
         let max_s =
@@ -202,42 +213,43 @@
         let incomplete_s = at_us.saturating_sub(period.since_us) as f64 / 1e6;
         self.figures.incomplete_max_s = self.figures.incomplete_max_s.max(incomplete_s);
         if incomplete_s > max_s {
-            self.add_violation(Rule::LeftAlone, at_us, job);
+            self.add_violation(Rule::IncompleteReplicaKept, at_us, job);
         }
     }
 
-    /// A user is told that so many of the job's tasks run.
-    pub(crate) fn reported_running(&mut self, at_us: u64, job: &str, running: Option<u32>) {
+    /// Checks the number of running tasks in a response to a user: it has to consist of
+    /// whole replicas that are complete or were so within the maximum age of a report.
+    pub(crate) fn check_reported_running(&mut self, at_us: u64, job: &str, running: Option<u32>) {
         let (Some(running), Some(size)) = (running, self.scenario.tasks_per_replica(job)) else {
             return;
         };
-        let lag_us = (self.scenario.workers.report_s * MAX_REPORTED_AGE_INTERVALS * 1e6) as u64;
-        let lately = |replica: &&Replica| {
+        let max_age_us = (self.scenario.workers.report_s * MAX_REPORTED_AGE_INTERVALS * 1e6) as u64;
+        let was_complete_recently = |replica: &&Replica| {
             let until_us = replica.complete_until_us;
-            replica.complete || until_us.is_some_and(|until| at_us <= until + lag_us)
+            replica.complete || until_us.is_some_and(|until| at_us <= until + max_age_us)
         };
         let replicas = self.jobs.get(job).into_iter().flat_map(BTreeMap::values);
-        let complete = replicas.filter(lately).count() as u32;
+        let complete = replicas.filter(was_complete_recently).count() as u32;
         if !running.is_multiple_of(size) || running > complete * size {
-            self.add_violation(Rule::IncompleteServes, at_us, job);
+            self.add_violation(Rule::IncompleteReplicaRunning, at_us, job);
         }
     }
 
-    fn add_violation(&mut self, rule: Rule, at_us: u64, what: &str) {
+    fn add_violation(&mut self, rule: Rule, at_us: u64, subject: &str) {
         self.violations.push(Violation {
             rule,
             at_us,
-            what: what.to_string(),
+            subject: subject.to_string(),
         });
     }
 
-    /// The history ends here.
-    pub(crate) fn end(&mut self, at_us: u64) {
-        let mut left = Vec::new();
+    /// Ends all incomplete periods at the time at which the history ends.
+    pub(crate) fn finish(&mut self, at_us: u64) {
+        let mut unfinished = Vec::new();
         for (job, replicas) in &mut self.jobs {
             for replica in replicas.values_mut() {
                 self.figures.incomplete_at_end += u64::from(replica.lost_us.is_some());
-                left.extend(
+                unfinished.extend(
                     replica
                         .incomplete
                         .take()
@@ -245,12 +257,13 @@
                 );
             }
         }
-        for (job, incomplete) in left {
+        for (job, incomplete) in unfinished {
             self.end_incomplete(at_us, incomplete, &job);
         }
     }
 
-    /// What broke rules. Where size are repaired incomplete there is nothing to judge.
+    /// Returns the violations found so far, or none if the scenario repairs each task of a
+    /// replica independently: the rules on replicas do not apply then.
     pub(crate) fn take_violations(&mut self) -> Vec<Violation> {
         let violations = std::mem::take(&mut self.violations);
         if self.scenario.ungrouped_replicas {
@@ -259,7 +272,7 @@
         violations
     }
 
-    /// `None`: the scenario has no such replicas.
+    /// Returns the figures; `None`: the scenario has no multi-host replicas.
     pub(crate) fn figures(&self) -> Option<ReplicaFigures> {
         if self
             .scenario
--- a/loadtest/src/report.rs
+++ b/loadtest/src/report.rs
@@ -1,4 +1,4 @@
-//! The figures of a load test, as a table and as JSON.
+//! Computes the figures of a load test and writes them as a table or as JSON.
 
 use crate::checker::{Rule, Violation};
 use crate::control::Stats;
@@ -13,87 +13,95 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::fmt::{self, Write};
 
-/// How long tasks waited, from their job's first submission.
+/// How long the tasks of a class waited, from the first submission of their job to their
+/// first start.
 #[derive(Clone, Default, Debug, Serialize)]
 pub struct WaitFigures {
-    /// Tasks that started.
+    /// The number of tasks that started.
     pub tasks: u64,
-    /// Half of them waited no longer, in seconds.
+    /// The median waiting time, in seconds.
     pub p50_s: f64,
-    /// All but one in a hundred.
+    /// The 99th percentile of the waiting times, in seconds.
     pub p99_s: f64,
-    /// The longest.
+    /// The longest waiting time, in seconds.
     #[serde(rename = "most_s")]
     pub max_s: f64,
-    /// Share within the class's service-level objective.
-    pub in_time: f64,
-    /// Tasks submitted in time that had not started at the end.
+    /// The share of all tasks that started within the class's service-level objective; all
+    /// that started, if the class has none.
+    #[serde(rename = "in_time")]
+    pub share_within_objective: f64,
+    /// The number of tasks submitted within the measured time that had not started when the
+    /// history ended.
     pub not_started: u64,
 }
 
-/// A role's processes together.
+/// The figures of all processes with the same role.
 #[derive(Clone, Default, Debug, Serialize)]
 pub struct RoleFigures {
-    /// How many.
+    /// The number of processes.
     pub processes: usize,
-    /// Cores, on the mean, of all together.
+    /// The mean number of cores that all processes together used.
     pub cores_mean: f64,
-    /// Of the busiest one: cores on the mean, and in its busiest second.
+    /// The largest mean number of cores that one process used.
     pub busiest_mean: f64,
-    /// See `busiest_mean`.
+    /// The largest number of cores that one process used in about a second, the interval
+    /// between two samples.
     #[serde(rename = "busiest_most")]
     pub busiest_max: f64,
-    /// Memory of the largest one, in MB.
+    /// The resident memory of the largest process, in MB.
     pub resident_mb: f64,
-    /// Sockets of the one with most.
+    /// The largest number of sockets of one process.
     pub sockets: usize,
-    /// Messages a second, in and out, of all together; 0: not counted.
+    /// Messages per second that all processes together received and sent; 0 for roles that
+    /// don't count messages, such as controllers.
     pub messages_per_s: [f64; 2],
-    /// Bytes a second, in and out.
+    /// Bytes per second that all processes together received and sent; 0 for roles that
+    /// don't count them.
     pub bytes_per_s: [f64; 2],
 }
 
-/// Everything that is reported.
+/// The report on a load test.
 #[derive(Debug, Serialize)]
 pub struct Report {
-    /// Workers up at the start.
+    /// The number of workers that were up at the start.
     pub workers: u32,
-    /// Controllers.
+    /// The number of controllers.
     pub controllers: u32,
-    /// The measured time in seconds.
+    /// The length of the measured time, in seconds.
     pub measured_s: f64,
-    /// By process role.
+    /// The figures of the processes, by role.
     pub roles: BTreeMap<String, RoleFigures>,
-    /// Tasks started a second: on the mean, and in the best second.
+    /// Task starts per second: the mean, and the number in the best second.
     pub starts_per_s: [f64; 2],
-    /// Tasks running at the end.
+    /// The number of tasks running at the end of the measured time.
     pub tasks_running: f64,
-    /// Multi-host replicas; `None`: the scenario has none.
+    /// The figures of multi-host replicas; `None`: the scenario has none.
     pub replicas: Option<ReplicaFigures>,
-    /// By class.
+    /// The waiting times of tasks, by the class of their job.
     pub waits: BTreeMap<String, WaitFigures>,
-    /// The load of the protocol per worker: messages a second.
+    /// Messages per second that one worker receives and sends, on average.
     pub worker_messages_per_s: f64,
-    /// Likewise: bytes a second.
+    /// Bytes per second that one worker receives and sends, on average.
     pub worker_bytes_per_s: f64,
-    /// Counters of the simulators, by kind and name.
+    /// The simulators' counters at the end of the measured time, as `kind name`.
     pub counters: BTreeMap<String, f64>,
-    /// Failovers that faults caused.
+    /// The failovers that injected faults caused.
     #[serde(rename = "takeovers")]
     pub failovers: Vec<Failover>,
-    /// Where the leader's processor time went: its last `usage` line.
+    /// How the last leader used its processor time: the last `usage` line in its log.
     pub leader_usage: String,
-    /// Leaders that were elected.
+    /// The number of elections that the controllers' logs report.
     pub elections: usize,
-    /// Violation rules, by rule.
+    /// The number of violations of each rule; empty: no rule was violated.
     #[serde(rename = "broken")]
     pub violations: BTreeMap<Rule, usize>,
-    /// The first of them.
+    /// The first violations that were found, up to the number that the report lists.
     #[serde(rename = "first_broken")]
     pub first_violations: Vec<Violation>,
 }
 
-/// What one role's processes used, put together.
+/// Combines the resource usage of the processes of one role with their message counters at
+/// the beginning and at the end of the measured time.
 pub fn role_figures(
     used: &[ProcessUsage],
     before: &[Stats],
@@ -121,10 +129,11 @@
     role
 }
 
-/// Task starts a second within a time: the mean, and the best second.
+/// Returns the task starts per second between two times, in microseconds since 1970: the
+/// mean, and the number in the best second.
 pub fn starts_per_s(history: &[Entry], from_us: u64, to_us: u64) -> [f64; 2] {
     let mut by_second: HashMap<u64, u64> = HashMap::new();
-    let mut all: u64 = 0;
+    let mut total: u64 = 0;
     let started = history
         .iter()
         .filter(|entry| (from_us..to_us).contains(&entry.at_us))
@@ -132,59 +141,60 @@
     for entry in started {
         let second = (entry.at_us - from_us) / 1_000_000;
         *by_second.entry(second).or_insert(0) += 1;
-        all += 1;
+        total += 1;
     }
     let seconds = (to_us.saturating_sub(from_us) as f64 / 1e6).max(1e-3);
     let best = by_second.values().copied().max().unwrap_or(0);
-    [all as f64 / seconds, best as f64]
+    [total as f64 / seconds, best as f64]
 }
 
-/// How long the tasks of jobs waited that were submitted within a time, by class.
-pub fn waits(
+/// Returns how long the tasks of jobs submitted between two times waited, by class. The
+/// times are in microseconds since 1970.
+pub fn wait_figures_by_class(
     scenario: &Scenario,
     history: &[Entry],
     from_us: u64,
     to_us: u64,
 ) -> BTreeMap<String, WaitFigures> {
-    let mut submitted: HashMap<&str, u64> = HashMap::new();
+    let mut submitted_us: HashMap<&str, u64> = HashMap::new();
     let mut started: HashSet<&str> = HashSet::new();
-    let mut by_class: BTreeMap<usize, Vec<u64>> = BTreeMap::new();
-    let mut expected: BTreeMap<usize, u64> = BTreeMap::new();
+    let mut waited_us_by_class: BTreeMap<usize, Vec<u64>> = BTreeMap::new();
+    let mut submitted_tasks: BTreeMap<usize, u64> = BTreeMap::new();
     for entry in history {
         match &entry.event {
             Event::Submitted { job } if (from_us..to_us).contains(&entry.at_us) => {
-                submitted.insert(job, entry.at_us);
+                submitted_us.insert(job, entry.at_us);
                 if let (Some((class, _)), Some(spec)) =
                     (scenario.job_number(job), scenario.job(job))
                 {
-                    *expected.entry(class).or_insert(0) += u64::from(spec.tasks);
+                    *submitted_tasks.entry(class).or_insert(0) += u64::from(spec.tasks);
                 }
             }
             Event::Started { task, .. } if started.insert(task) => {
                 let Some(task) = TaskRef::parse(task) else {
                     continue;
                 };
-                let (Some(at_us), Some((class, _))) = (
-                    submitted.get(task.job.as_str()),
+                let (Some(job_submitted_us), Some((class, _))) = (
+                    submitted_us.get(task.job.as_str()),
                     scenario.job_number(task.job.as_str()),
                 ) else {
                     continue;
                 };
-                by_class
+                waited_us_by_class
                     .entry(class)
                     .or_default()
-                    .push(entry.at_us.saturating_sub(*at_us));
+                    .push(entry.at_us.saturating_sub(*job_submitted_us));
             }
             _ => {}
         }
     }
-    let class_waits = |(class, tasks): (usize, u64)| {
+    let figures_of_class = |(class, tasks): (usize, u64)| {
         let settings = &scenario.classes[class];
-        let waited = by_class.remove(&class).unwrap_or_default();
-        let figures = wait_figures(&waited, tasks, settings.start_within_s);
+        let waited_us = waited_us_by_class.remove(&class).unwrap_or_default();
+        let figures = wait_figures(&waited_us, tasks, settings.start_within_s);
         (settings.name.clone(), figures)
     };
-    expected.into_iter().map(class_waits).collect()
+    submitted_tasks.into_iter().map(figures_of_class).collect()
 }
 
 fn wait_figures(waited_us: &[u64], tasks: u64, within_s: Option<f64>) -> WaitFigures {
@@ -196,19 +206,19 @@
     }
     let quantile_s = |q: f64| histogram.value_at_quantile(q) as f64 / 1000.0;
     let within_us = within_s.map_or(u64::MAX, |s| (s * 1e6) as u64);
-    let in_time = waited_us.iter().filter(|us| **us <= within_us).count();
+    let started_in_time = waited_us.iter().filter(|us| **us <= within_us).count();
     WaitFigures {
         tasks: waited_us.len() as u64,
         p50_s: quantile_s(0.5),
         p99_s: quantile_s(0.99),
         max_s: histogram.max() as f64 / 1000.0,
-        in_time: in_time as f64 / tasks.max(1) as f64,
+        share_within_objective: started_in_time as f64 / tasks.max(1) as f64,
         not_started: tasks.saturating_sub(waited_us.len() as u64),
     }
 }
 
 impl Report {
-    /// The report as text.
+    /// Returns the report as text with tables.
     pub fn table(&self) -> String {
         let mut text = String::new();
         // Writing to a String cannot fail.
@@ -258,7 +268,7 @@
             writeln!(
                 text,
                 "{class}: {} tasks started, waited p50 {:.2} s, p99 {:.2} s, most {:.2} s; in time {:.3}; {} not started",
-                wait.tasks, wait.p50_s, wait.p99_s, wait.max_s, wait.in_time, wait.not_started
+                wait.tasks, wait.p50_s, wait.p99_s, wait.max_s, wait.share_within_objective, wait.not_started
             )?;
         }
         Ok(())
--- a/loadtest/src/users.rs
+++ b/loadtest/src/users.rs
@@ -90,7 +90,7 @@
     }
 
     fn answered_event(&self, outcome: &Outcome) -> Event {
-        Event::Answered {
+        Event::RequestCompleted {
             job: self.queried_name(),
             request: outcome.request,
             status: outcome.status,
@@ -280,7 +280,7 @@
         };
         if job.stage == Stage::Polling && now >= job.cancel_us {
             job.stage = Stage::Cancelling;
-            self.recorder.record(Event::CancelAsked {
+            self.recorder.record(Event::CancelRequested {
                 job: job.name.clone(),
             })?;
         }
--- a/loadtest/tests/checker.rs
+++ b/loadtest/tests/checker.rs
@@ -1,4 +1,4 @@
-//! The checker can fail: one broken history for each rule, and a sound one.
+//! Tests that the checker reports a violation of each rule, and none in a valid history.
 
 use lilacfork_loadtest::checker::{Checker, Rule};
 use lilacfork_loadtest::history::{Entry, Event, UserRequest};
@@ -7,7 +7,7 @@
 fn scenario() -> Scenario {
     let mut scenario =
         Scenario::parse(include_str!("../scenarios/planned.toml")).expect("the shipped scenario");
-    // Two tasks of two GPUs fit, a third doesn't; all jobs are one team's.
+    // All jobs belong to one team, whose limit allows two tasks of two GPUs.
     scenario.teams = 1;
     scenario.team_gpus_max = 4.0;
     scenario.classes[0].tasks = vec![3];
@@ -15,8 +15,9 @@
     scenario
 }
 
-/// A service of class 0, and an array of class 2.
+/// A service of class 0.
 const SERVICE: &str = "run-0x1";
+/// An array of class 2.
 const ARRAY: &str = "run-2x1";
 
 fn history(events: Vec<(u64, Event)>) -> Vec<Entry> {
@@ -31,8 +32,8 @@
     Event::Submitted { job: job.into() }
 }
 
-fn answered(job: &str, request: UserRequest, status: u16, state: &str) -> Event {
-    Event::Answered {
+fn responded(job: &str, request: UserRequest, status: u16, state: &str) -> Event {
+    Event::RequestCompleted {
         job: job.into(),
         request,
         status,
@@ -42,7 +43,7 @@
 }
 
 fn accepted(job: &str) -> Event {
-    answered(job, UserRequest::Submit, 201, "pending")
+    responded(job, UserRequest::Submit, 201, "pending")
 }
 
 fn started(job: &str, task: u32, machine: u32) -> Event {
@@ -66,18 +67,21 @@
 }
 
 fn rules(events: Vec<(u64, Event)>) -> Vec<Rule> {
-    let (broken, _) = Checker::judge(&scenario(), &history(events));
-    broken.into_iter().map(|b| b.rule).collect()
+    let (violations, _) = Checker::check_history(&scenario(), &history(events));
+    violations
+        .into_iter()
+        .map(|violation| violation.rule)
+        .collect()
 }
 
 #[test]
-fn a_sound_history_breaks_nothing() {
+fn valid_history_has_no_violations() {
     let events = vec![
         (0, submitted(ARRAY)),
         (0, accepted(ARRAY)),
         (1, started(ARRAY, 0, 7)),
         (1, started(ARRAY, 1, 8)),
-        (2, answered(ARRAY, UserRequest::Query, 200, "running")),
+        (2, responded(ARRAY, UserRequest::Query, 200, "running")),
         (
             3,
             Event::Lost {
@@ -89,14 +93,14 @@
         (5, left(ARRAY, 0, 7)),
         (6, finished(ARRAY, 1)),
         (6, left(ARRAY, 1, 9)),
-        (7, answered(ARRAY, UserRequest::Query, 200, "done")),
-        (8, answered("run-2x77-never", UserRequest::Query, 404, "")),
+        (7, responded(ARRAY, UserRequest::Query, 200, "done")),
+        (8, responded("run-2x77-never", UserRequest::Query, 404, "")),
     ];
     assert_eq!(rules(events), []);
 }
 
 #[test]
-fn a_task_on_two_machines_is_seen() {
+fn task_started_on_second_machine_is_reported() {
     let events = vec![
         (0, submitted(ARRAY)),
         (1, started(ARRAY, 0, 7)),
@@ -106,20 +110,21 @@
 }
 
 #[test]
-fn a_team_over_its_limit_is_seen() {
-    let on_zones_0_1_2 = |task| (1, started(SERVICE, task, task));
+fn team_above_gpu_limit_is_reported() {
+    // Machines 0, 1 and 2 are in different zones.
+    let start_in_own_zone = |task| (1, started(SERVICE, task, task));
     let events = vec![
         (0, submitted(SERVICE)),
-        on_zones_0_1_2(0),
-        on_zones_0_1_2(1),
-        on_zones_0_1_2(2),
+        start_in_own_zone(0),
+        start_in_own_zone(1),
+        start_in_own_zone(2),
     ];
     assert_eq!(rules(events), [Rule::Quota]);
 }
 
 #[test]
-fn replicas_that_should_be_spread_are_seen_in_one_zone() {
-    // Six zones: machines 0, 6 and 12 are in the first one.
+fn spread_service_with_too_many_tasks_in_one_zone_is_reported() {
+    // There are six zones; machines 0, 6, 12 and so on are in the first one.
     let mut events = vec![(0, submitted(SERVICE))];
     events.extend([0, 1].map(|task| (1, started(SERVICE, task, task * 6))));
     events.push((2, left(SERVICE, 0, 0)));
@@ -131,17 +136,20 @@
     events.push((6, started(SERVICE, 1, 24)));
     events.push((7, left(SERVICE, 2, 12)));
     assert_eq!(rules(events.clone()), []);
-    let mut roomy = scenario();
-    roomy.team_gpus_max = 8.0;
+    let mut higher_limit = scenario();
+    higher_limit.team_gpus_max = 8.0;
     events.push((8, started(SERVICE, 0, 30)));
     events.push((9, started(SERVICE, 2, 36)));
-    let (broken, _) = Checker::judge(&roomy, &history(events));
-    let found: Vec<Rule> = broken.into_iter().map(|b| b.rule).collect();
+    let (violations, _) = Checker::check_history(&higher_limit, &history(events));
+    let found: Vec<Rule> = violations
+        .into_iter()
+        .map(|violation| violation.rule)
+        .collect();
     assert_eq!(found, [Rule::WrongPlace]);
 }
 
 #[test]
-fn a_task_too_long_after_its_cancellation_is_seen() {
+fn task_running_past_cancellation_deadline_is_reported() {
     let cancelled = |last: u64| {
         vec![
             (0, submitted(SERVICE)),
@@ -149,17 +157,17 @@
             (1, started(SERVICE, 0, 7)),
             (
                 2,
-                Event::CancelAsked {
+                Event::CancelRequested {
                     job: SERVICE.into(),
                 },
             ),
-            (2, answered(SERVICE, UserRequest::Cancel, 200, "cancelled")),
+            (2, responded(SERVICE, UserRequest::Cancel, 200, "cancelled")),
             (last, left(SERVICE, 0, 7)),
         ]
     };
     assert_eq!(rules(cancelled(42)), []);
     assert_eq!(rules(cancelled(43)), [Rule::RanCancelled]);
-    // One that never leaves counts, too.
+    // A task that is still on its machine when the history ends is reported as well.
     let mut stays = cancelled(42);
     stays.pop();
     stays.push((60, submitted(ARRAY)));
@@ -167,63 +175,69 @@
 }
 
 #[test]
-fn an_accepted_job_that_isnt_known_is_seen() {
-    let asked = |request, status| {
-        let answer = answered(ARRAY, request, status, "");
-        vec![(0, submitted(ARRAY)), (0, accepted(ARRAY)), (1, answer)]
+fn accepted_job_that_becomes_unknown_is_reported() {
+    let events_with = |request, status| {
+        let response = responded(ARRAY, request, status, "");
+        vec![(0, submitted(ARRAY)), (0, accepted(ARRAY)), (1, response)]
     };
-    assert_eq!(rules(asked(UserRequest::Query, 404)), [Rule::Forgotten]);
-    assert_eq!(rules(asked(UserRequest::Submit, 400)), [Rule::Forgotten]);
-    assert_eq!(rules(asked(UserRequest::Submit, 422)), [Rule::Forgotten]);
-    assert_eq!(rules(asked(UserRequest::Query, 503)), []);
-    let mut unanswered = asked(UserRequest::Query, 503);
-    unanswered.push((92, answered(ARRAY, UserRequest::Query, 0, "")));
-    assert_eq!(rules(unanswered), [Rule::Forgotten]);
+    assert_eq!(rules(events_with(UserRequest::Query, 404)), [Rule::JobLost]);
+    assert_eq!(
+        rules(events_with(UserRequest::Submit, 400)),
+        [Rule::JobLost]
+    );
+    assert_eq!(
+        rules(events_with(UserRequest::Submit, 422)),
+        [Rule::JobLost]
+    );
+    assert_eq!(rules(events_with(UserRequest::Query, 503)), []);
+    let mut failing = events_with(UserRequest::Query, 503);
+    failing.push((92, responded(ARRAY, UserRequest::Query, 0, "")));
+    assert_eq!(rules(failing), [Rule::JobLost]);
 }
 
 #[test]
-fn a_job_that_nobody_submitted_is_seen() {
+fn state_of_unsubmitted_job_is_reported() {
     let events = vec![(
         0,
-        answered("run-2x5-never", UserRequest::Query, 200, "pending"),
+        responded("run-2x5-never", UserRequest::Query, 200, "pending"),
     )];
-    assert_eq!(rules(events), [Rule::Invented]);
+    assert_eq!(rules(events), [Rule::UnsubmittedJob]);
 }
 
 #[test]
-fn a_job_called_done_too_early_is_seen() {
+fn job_reported_done_before_last_task_is_reported() {
     let events = vec![
         (0, submitted(ARRAY)),
         (0, accepted(ARRAY)),
         (1, finished(ARRAY, 0)),
-        (2, answered(ARRAY, UserRequest::Query, 200, "done")),
+        (2, responded(ARRAY, UserRequest::Query, 200, "done")),
     ];
-    assert_eq!(rules(events), [Rule::NotDone]);
+    assert_eq!(rules(events), [Rule::DoneTooEarly]);
 }
 
 #[test]
-fn an_end_that_is_taken_back_is_seen() {
+fn changed_final_state_and_unrequested_cancellation_are_reported() {
     let base = vec![
         (0, submitted(ARRAY)),
         (0, accepted(ARRAY)),
         (1, finished(ARRAY, 0)),
         (1, finished(ARRAY, 1)),
-        (2, answered(ARRAY, UserRequest::Query, 200, "done")),
+        (2, responded(ARRAY, UserRequest::Query, 200, "done")),
     ];
     let mut running = base.clone();
-    running.push((3, answered(ARRAY, UserRequest::Query, 200, "running")));
-    assert_eq!(rules(running), [Rule::WentBack]);
-    // A job that its user didn't cancel is called cancelled.
+    running.push((3, responded(ARRAY, UserRequest::Query, 200, "running")));
+    assert_eq!(rules(running), [Rule::InvalidStateChange]);
+    // A job is reported as cancelled although no user requested its cancellation.
     let events = vec![
         (0, submitted(SERVICE)),
         (0, accepted(SERVICE)),
-        (1, answered(SERVICE, UserRequest::Query, 200, "cancelled")),
+        (1, responded(SERVICE, UserRequest::Query, 200, "cancelled")),
     ];
-    assert_eq!(rules(events), [Rule::WentBack]);
+    assert_eq!(rules(events), [Rule::InvalidStateChange]);
 }
 
-/// A service whose two tasks are one replica.
-fn pairs() -> Scenario {
+/// A scenario in which the two tasks of a service form one multi-host replica.
+fn two_task_replicas() -> Scenario {
     let mut scenario = scenario();
     scenario.team_gpus_max = 8.0;
     scenario.classes[0].tasks = vec![2];
@@ -231,8 +245,9 @@
     scenario
 }
 
-fn said(second: u64, running: u32) -> (u64, Event) {
-    let event = Event::Answered {
+/// A response that reports this number of running tasks of the service.
+fn reported_running(second: u64, running: u32) -> (u64, Event) {
+    let event = Event::RequestCompleted {
         job: SERVICE.into(),
         request: UserRequest::Query,
         status: 200,
@@ -243,19 +258,22 @@
 }
 
 fn replica_rules(scenario: &Scenario, events: Vec<(u64, Event)>) -> Vec<Rule> {
-    let (broken, _) = Checker::judge(scenario, &history(events));
-    broken.into_iter().map(|b| b.rule).collect()
+    let (violations, _) = Checker::check_history(scenario, &history(events));
+    violations
+        .into_iter()
+        .map(|violation| violation.rule)
+        .collect()
 }
 
-/// A replica that is complete at 2 s and loses its second machine at 20 s.
-fn loses_a_part() -> Vec<(u64, Event)> {
+/// A replica that is complete at 2 s and loses the machine of its second task at 20 s.
+fn replica_loses_one_task() -> Vec<(u64, Event)> {
     vec![
         (0, submitted(SERVICE)),
         (0, accepted(SERVICE)),
         (1, started(SERVICE, 0, 0)),
-        said(1, 0),
+        reported_running(1, 0),
         (2, started(SERVICE, 1, 7)),
-        said(3, 2),
+        reported_running(3, 2),
         (
             20,
             Event::Lost {
@@ -266,84 +284,98 @@
 }
 
 #[test]
-fn an_incomplete_replica_that_is_said_to_run_is_seen() {
-    let pairs = pairs();
-    let mut events = loses_a_part();
-    // Reports are so old at most.
-    events.push(said(32, 2));
+fn incomplete_replica_reported_as_running_is_a_violation() {
+    let scenario = two_task_replicas();
+    let mut events = replica_loses_one_task();
+    // At 32 s, the report has the maximum age that is allowed.
+    events.push(reported_running(32, 2));
     events.push((32, left(SERVICE, 0, 0)));
-    assert_eq!(replica_rules(&pairs, events.clone()), []);
+    assert_eq!(replica_rules(&scenario, events.clone()), []);
     let mut late = events.clone();
-    late.push(said(33, 2));
-    assert_eq!(replica_rules(&pairs, late), [Rule::IncompleteServes]);
+    late.push(reported_running(33, 2));
+    assert_eq!(
+        replica_rules(&scenario, late),
+        [Rule::IncompleteReplicaRunning]
+    );
     let mut half = events.clone();
-    half.push(said(33, 1));
+    half.push(reported_running(33, 1));
     assert_eq!(
-        replica_rules(&pairs, half.clone()),
-        [Rule::IncompleteServes]
+        replica_rules(&scenario, half.clone()),
+        [Rule::IncompleteReplicaRunning]
     );
-    let mut early = loses_a_part();
-    early[3] = said(1, 2);
+    let mut early = replica_loses_one_task();
+    early[3] = reported_running(1, 2);
     assert_eq!(
-        replica_rules(&pairs, early)[..1],
-        [Rule::IncompleteServes],
+        replica_rules(&scenario, early)[..1],
+        [Rule::IncompleteReplicaRunning],
         "before it was ever complete"
     );
-    let mut alone = pairs.clone();
-    alone.ungrouped_replicas = true;
-    assert_eq!(replica_rules(&alone, half), [], "not judged");
+    let mut ungrouped = scenario.clone();
+    ungrouped.ungrouped_replicas = true;
+    assert_eq!(
+        replica_rules(&ungrouped, half),
+        [],
+        "rules on replicas do not apply"
+    );
 }
 
 #[test]
-fn what_is_left_alone_for_too_long_is_seen() {
-    let pairs = pairs();
+fn incomplete_replica_kept_past_deadline_is_reported() {
+    let scenario = two_task_replicas();
     let ends = |second: u64| {
-        let mut events = loses_a_part();
+        let mut events = replica_loses_one_task();
         events.push((second, left(SERVICE, 0, 0)));
         events.push((second + 3, started(SERVICE, 0, 1)));
         events.push((second + 5, started(SERVICE, 1, 8)));
         events
     };
-    assert_eq!(replica_rules(&pairs, ends(60)), []);
-    assert_eq!(replica_rules(&pairs, ends(61)), [Rule::LeftAlone]);
-    // One that stays to the end counts, too.
-    let mut stays = loses_a_part();
+    assert_eq!(replica_rules(&scenario, ends(60)), []);
+    assert_eq!(
+        replica_rules(&scenario, ends(61)),
+        [Rule::IncompleteReplicaKept]
+    );
+    // A task that is still on its machine when the history ends is reported as well.
+    let mut stays = replica_loses_one_task();
     stays.push((70, submitted(ARRAY)));
-    assert_eq!(replica_rules(&pairs, stays), [Rule::LeftAlone]);
-    // What its user cancels is no loss.
-    let mut cancelled = loses_a_part();
+    assert_eq!(
+        replica_rules(&scenario, stays),
+        [Rule::IncompleteReplicaKept]
+    );
+    // After a user's cancellation request, a lost task is not a violation.
+    let mut cancelled = replica_loses_one_task();
     cancelled.insert(
         6,
         (
             19,
-            Event::CancelAsked {
+            Event::CancelRequested {
                 job: SERVICE.into(),
             },
         ),
     );
     cancelled.push((70, left(SERVICE, 0, 0)));
-    assert_eq!(replica_rules(&pairs, cancelled), []);
+    assert_eq!(replica_rules(&scenario, cancelled), []);
 }
 
 #[test]
-fn repairs_and_time_left_alone_are_counted() {
-    let mut events = loses_a_part();
+fn repair_time_and_incomplete_time_are_measured() {
+    let mut events = replica_loses_one_task();
     events.push((34, left(SERVICE, 0, 0)));
     events.push((37, started(SERVICE, 0, 1)));
     events.push((40, started(SERVICE, 1, 8)));
-    let (_, figures) = Checker::judge(&pairs(), &history(events));
+    let (_, figures) = Checker::check_history(&two_task_replicas(), &history(events));
     let figures = figures.expect("there are replicas");
     assert_eq!(
         (figures.seen, figures.repaired, figures.incomplete_at_end),
         (1, 1, 0)
     );
     assert!((figures.repair_max_s - 20.0).abs() < 0.1, "{figures:?}");
-    // One part of two GPUs for 14 s.
+    // The remaining task uses two GPUs for 14 s.
     assert!((figures.incomplete_gpu_s - 28.0).abs() < 0.1, "{figures:?}");
     assert!((figures.incomplete_max_s - 14.0).abs() < 0.1, "{figures:?}");
 }
 
-/// Jobs of one pipeline: the second needs the first, the third the second.
+/// A scenario with a pipeline of three jobs: the second depends on the first, and the
+/// third on the second.
 fn pipeline() -> Scenario {
     let mut scenario = scenario();
     for (name, after) in [("one", None), ("two", Some("one")), ("three", Some("two"))] {
@@ -356,30 +388,33 @@
 }
 
 #[test]
-fn pipelines_are_judged() {
+fn dependency_violations_in_pipelines_are_reported() {
     let first = pipeline().classes.len() - 3;
     let [one, two, three] = [0, 1, 2].map(|n| Scenario::job_name(first + n, 7));
-    let judge = |later: Vec<(u64, Event)>| {
+    let rules_of = |later: Vec<(u64, Event)>| {
         let all = [&one, &two, &three].map(|job| (1, submitted(job)));
-        let taken = [&one, &two, &three].map(|job| (2, accepted(job)));
-        let events = all.into_iter().chain(taken).chain(later).collect();
-        let (broken, _) = Checker::judge(&pipeline(), &history(events));
-        broken.into_iter().map(|b| b.rule).collect::<Vec<_>>()
+        let responses = [&one, &two, &three].map(|job| (2, accepted(job)));
+        let events = all.into_iter().chain(responses).chain(later).collect();
+        let (violations, _) = Checker::check_history(&pipeline(), &history(events));
+        violations
+            .into_iter()
+            .map(|violation| violation.rule)
+            .collect::<Vec<_>>()
     };
-    let run = |job: &str, at| {
+    let run = |job: &str, second| {
         (0..2)
             .flat_map(move |task| {
                 let job = job.to_string();
                 [
-                    (at, started(&job, task, 0)),
-                    (at + 1, finished(&job, task)),
-                    (at + 1, left(&job, task, 0)),
+                    (second, started(&job, task, 0)),
+                    (second + 1, finished(&job, task)),
+                    (second + 1, left(&job, task, 0)),
                 ]
             })
             .collect::<Vec<_>>()
     };
     assert_eq!(
-        judge([run(&one, 3), run(&two, 6), run(&three, 9)].concat()),
+        rules_of([run(&one, 3), run(&two, 6), run(&three, 9)].concat()),
         []
     );
     let half = vec![
@@ -387,19 +422,19 @@
         (4, finished(&one, 0)),
         (5, started(&two, 0, 0)),
     ];
-    assert_eq!(judge(half), [Rule::TooEarly]);
+    assert_eq!(rules_of(half), [Rule::DependencyNotDone]);
     let cancel = vec![
-        (3, Event::CancelAsked { job: one.clone() }),
-        (4, answered(&one, UserRequest::Cancel, 200, "cancelled")),
+        (3, Event::CancelRequested { job: one.clone() }),
+        (4, responded(&one, UserRequest::Cancel, 200, "cancelled")),
     ];
-    let said = |at, state| vec![(at, answered(&three, UserRequest::Query, 200, state))];
+    let query = |second, state| vec![(second, responded(&three, UserRequest::Query, 200, state))];
     assert_eq!(
-        judge([cancel.clone(), said(40, "pending"), said(41, "cancelled")].concat()),
+        rules_of([cancel.clone(), query(40, "pending"), query(41, "cancelled")].concat()),
         []
     );
     assert_eq!(
-        judge([cancel, said(50, "pending")].concat()),
+        rules_of([cancel, query(50, "pending")].concat()),
         [Rule::Orphaned]
     );
-    assert_eq!(judge(said(5, "cancelled")), [Rule::WentBack]);
+    assert_eq!(rules_of(query(5, "cancelled")), [Rule::InvalidStateChange]);
 }
--- a/loadtest/tests/loopback.rs
+++ b/loadtest/tests/loopback.rs
@@ -185,9 +185,9 @@
     };
     let cloud = start_simulator(dir, "cloud", role, clients);
     let listens = Addresses {
-        clients,
-        peers,
-        state: kv_store.ready.listeners[0],
+        client_listeners: clients,
+        peer_listeners: peers,
+        kv_store: kv_store.ready.listeners[0],
         cloud: cloud.ready.listeners[0],
     };
     run_controller(settings_text(&scenario(), 0, &listens));
@@ -245,7 +245,7 @@
     });
     control::send(workers.ready.control, &SimulatorCommand::Stop).expect("the workers end");
     let events = history::read(std::slice::from_ref(&workers.history)).expect("their history");
-    let (broken, _) = Checker::judge(&scenario(), &events);
+    let (broken, _) = Checker::check_history(&scenario(), &events);
     let ever = [Rule::RanTwice, Rule::Quota, Rule::WrongPlace];
     assert!(!broken.iter().any(|b| ever.contains(&b.rule)), "{broken:?}");
     let _ = std::fs::remove_dir_all(&dir);
