--- a/loadtest/src/cloud.rs
+++ b/loadtest/src/cloud.rs
@@ -1,5 +1,6 @@
-//! A simulated cloud, by its published protocol. It provisions machines that aren't up
-//! yet, and notifies their processes.
+//! A simulated cloud that implements the cloud's published protocol. It provisions machines
+//! from the scenario's unused ones, and commands the worker processes to boot or remove
+//! them.
 
 use crate::control::{self, SimulatorCommand, Stats};
 use crate::history::Recorder;
@@ -13,9 +14,10 @@
 use std::io;
 use std::net::SocketAddrV4;
 
-const MAX_LISTED: usize = 500;
-/// The largest number of machines provisioned by one order.
-const MAX_PROVISIONED_AT_ONCE: usize = 50;
+/// The largest number of machines on one page of the machine list.
+const MAX_LISTED_MACHINES: usize = 500;
+/// The largest number of machines that one provisioning order receives.
+const MAX_MACHINES_PER_ORDER: usize = 50;
 const IDLE_INTERVAL_US: u64 = 1_000_000;
 
 #[derive(Clone, Copy, PartialEq, Eq)]
@@ -27,15 +29,14 @@
 
 struct ProvisionedMachine {
     state: MachineState,
-    since_us: u64,
-    /// When it is up.
-    up_us: u64,
+    provisioned_at_us: u64,
+    boot_complete_us: u64,
 }
 
 #[derive(Deserialize)]
 struct ProvisionBody {
     #[serde(rename = "bon")]
-    order: String,
+    id: String,
     #[serde(rename = "gamme")]
     machine_type: String,
     #[serde(rename = "secteur")]
@@ -52,19 +53,20 @@
     machines: Vec<String>,
 }
 
-/// The cloud.
+/// A simulated cloud with the scenario's machines.
 pub struct CloudSimulator {
     scenario: Scenario,
     processes: Vec<WorkerProcess>,
     provisioned: BTreeMap<u32, ProvisionedMachine>,
-    /// Numbers that were never provisioned.
+    /// The numbers of the machines that have never been provisioned.
     unused: Vec<u32>,
+    /// The names of the machines that each provisioning order received, by order id.
     orders: HashMap<String, Vec<String>>,
     requests: f64,
 }
 
 impl CloudSimulator {
-    /// The initial machines are up already.
+    /// Creates a cloud in which the scenario's initial machines are running already.
     pub fn new(
         config: &ProcessConfig,
         net: &mut Network,
@@ -75,18 +77,18 @@
             return Err(io::ErrorKind::InvalidInput.into());
         };
         let now = now_us();
-        let up = |number| {
+        let running_machine = |number| {
             let running = ProvisionedMachine {
                 state: MachineState::Running,
-                since_us: now,
-                up_us: now,
+                provisioned_at_us: now,
+                boot_complete_us: now,
             };
             (number, running)
         };
         let scenario = config.scenario.clone();
         Ok(CloudSimulator {
             processes: workers.clone(),
-            provisioned: (0..scenario.workers.count).map(up).collect(),
+            provisioned: (0..scenario.workers.count).map(running_machine).collect(),
             unused: (scenario.workers.count..scenario.machine_count()).collect(),
             orders: HashMap::new(),
             requests: 0.0,
@@ -94,13 +96,15 @@
         })
     }
 
-    fn process(&self, number: u32) -> Option<&WorkerProcess> {
+    /// Returns the worker process that simulates this machine.
+    fn process_of(&self, number: u32) -> Option<&WorkerProcess> {
         self.processes
             .iter()
             .find(|p| (p.first..=p.last).contains(&number))
     }
 
-    /// Sends a command to the machines' processes, and waits for their responses.
+    /// Sends a command to the worker processes that simulate these machines, and waits for
+    /// their responses. Each process receives only its own machines' numbers.
     fn notify(&self, machines: &[u32], command: impl Fn(Vec<u32>) -> SimulatorCommand) {
         for process in &self.processes {
             let own: Vec<u32> = machines
@@ -109,21 +113,23 @@
                 .filter(|number| (process.first..=process.last).contains(number))
                 .collect();
             if !own.is_empty() {
-                // A process that is lost or paused doesn't respond.
+                // Errors are ignored: fault injection kills and pauses processes, which
+                // then don't respond.
                 let _ = control::send(process.control, &command(own));
             }
         }
     }
 
+    /// Provisions machines. A repeated order receives the machines of the first one.
     fn provision(&mut self, body: &[u8]) -> Reply {
         let Ok(order) = serde_json::from_slice::<ProvisionBody>(body) else {
             return Reply::error(400, "malformed");
         };
-        if let Some(names) = self.orders.get(&order.order) {
+        if let Some(names) = self.orders.get(&order.id) {
             return Reply::json(200, &json!({ "bancs": names }));
         }
         let scenario = &self.scenario;
-        let wanted = |number: &u32| {
+        let matches_order = |number: &u32| {
             let machine = scenario.machine(*number);
             !order.spot
                 && scenario.machine_types[machine.machine_type].name == order.machine_type
@@ -133,8 +139,8 @@
             .unused
             .iter()
             .copied()
-            .filter(wanted)
-            .take(order.count.min(MAX_PROVISIONED_AT_ONCE))
+            .filter(matches_order)
+            .take(order.count.min(MAX_MACHINES_PER_ORDER))
             .collect();
         if numbers.is_empty() {
             return Reply::error(503, "no capacity");
@@ -145,8 +151,8 @@
         for number in &numbers {
             let starting = ProvisionedMachine {
                 state: MachineState::Starting,
-                since_us: now,
-                up_us: now + (boot_s * 1e6) as u64,
+                provisioned_at_us: now,
+                boot_complete_us: now + (boot_s * 1e6) as u64,
             };
             self.provisioned.insert(*number, starting);
         }
@@ -158,7 +164,7 @@
             .iter()
             .map(|number| scenario.machine(*number).name)
             .collect();
-        self.orders.insert(order.order, names.clone());
+        self.orders.insert(order.id, names.clone());
         Reply::json(200, &json!({ "bancs": names }))
     }
 
@@ -177,6 +183,7 @@
         Reply::json(200, &json!({}))
     }
 
+    /// Returns a page of the machine list, which lags behind provisioning.
     fn list(&self, path: &str) -> Reply {
         let query = path.split_once('?').map_or("", |(_, query)| query);
         let from = query.split('&').find_map(|p| p.strip_prefix("from="));
@@ -188,23 +195,23 @@
         let listed = self
             .provisioned
             .range(from..)
-            .filter(|(_, machine)| now >= machine.since_us + lag_us);
+            .filter(|(_, machine)| now >= machine.provisioned_at_us + lag_us);
         let rows: Vec<serde_json::Value> = listed
-            .take(MAX_LISTED + 1)
+            .take(MAX_LISTED_MACHINES + 1)
             .map(|(number, machine)| self.row(*number, machine, now))
             .collect();
-        let more = rows.len() > MAX_LISTED;
-        let rows = &rows[..rows.len().min(MAX_LISTED)];
-        Reply::json(200, &json!({"bancs": rows, "truncated": more}))
+        let truncated = rows.len() > MAX_LISTED_MACHINES;
+        let rows = &rows[..rows.len().min(MAX_LISTED_MACHINES)];
+        Reply::json(200, &json!({"bancs": rows, "truncated": truncated}))
     }
 
     fn row(&self, number: u32, provisioned: &ProvisionedMachine, now: u64) -> serde_json::Value {
         let machine = self.scenario.machine(number);
         let address = self
-            .process(number)
+            .process_of(number)
             .map(|p| p.addresses[(number - p.first) as usize]);
         let state = match provisioned.state {
-            MachineState::Starting if now < provisioned.up_us => "starting",
+            MachineState::Starting if now < provisioned.boot_complete_us => "starting",
             MachineState::Failed => "failed",
             _ => "running",
         };
@@ -215,11 +222,16 @@
             "secteur": self.scenario.zones[machine.zone],
             "occasion": false,
             "etat": state,
-            "heldS": now.saturating_sub(provisioned.since_us) as f64 / 1e6,
+            "heldS": now.saturating_sub(provisioned.provisioned_at_us) as f64 / 1e6,
         })
     }
 
-    fn request(&mut self, net: &mut Network, request_handle: RequestHandle, request: &Request) {
+    fn handle_request(
+        &mut self,
+        net: &mut Network,
+        request_handle: RequestHandle,
+        request: &Request,
+    ) {
         self.requests += 1.0;
         let path = request.path.split('?').next().unwrap_or("");
         let reply = match (request.method.as_str(), path) {
@@ -241,7 +253,7 @@
             ..
         } = incoming
         {
-            self.request(net, request_handle, &request);
+            self.handle_request(net, request_handle, &request);
         }
         Ok(())
     }
--- a/loadtest/src/control.rs
+++ b/loadtest/src/control.rs
@@ -1,4 +1,4 @@
-//! The harness's commands to simulators: one small POST request each.
+//! The control interface of simulators: the harness sends each command as a POST request.
 
 use crate::net::Traffic;
 use lilacfork::http;
@@ -7,97 +7,103 @@
 use std::net::{SocketAddrV4, TcpStream};
 use std::time::Duration;
 
-/// The path of commands.
+/// The HTTP path to which commands are sent.
 pub const CONTROL_PATH: &str = "/control";
-/// How long a response is waited for.
+/// How long the sender of a command waits for the response.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A command to a simulator, which ignores those for other simulators.
+/// A command to a simulator. A simulator ignores commands that are meant for another kind
+/// of simulator.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 pub enum SimulatorCommand {
-    /// Return the counters.
+    /// All simulators: respond with the current counters.
     Stats,
-    /// End.
+    /// All simulators: respond with the final counters and exit.
     Stop,
-    /// Key-value store: reject the requests of this controller, or of all, for a while.
+    /// Key-value store: reject requests for a limited time.
     RejectRequests {
-        /// The controller's number.
+        /// The number of the controller whose requests are rejected; `None` rejects the
+        /// requests of all controllers.
         controller: Option<usize>,
-        /// For how long.
+        /// Duration in milliseconds, from the receipt of the command.
         for_ms: u64,
     },
-    /// Key-value store: the announced limits come into force.
+    /// Key-value store: apply the lower limits that the scenario announces in `state.next`.
     ApplyNextLimits,
-    /// Workers: these machines boot, which takes a while.
+    /// Workers: boot these machines.
     Boot {
-        /// The machines' numbers.
+        /// The machines' numbers, as in [`crate::scenario::Scenario::machine`].
         machines: Vec<u32>,
-        /// How long.
+        /// The boot time in milliseconds, after which the workers send heartbeats.
         after_ms: u64,
     },
-    /// Workers: these machines are gone at once.
+    /// Workers: end these machines and their tasks immediately.
     Remove {
-        /// The machines' numbers.
+        /// The machines' numbers, as in [`crate::scenario::Scenario::machine`].
         machines: Vec<u32>,
     },
-    /// Workers: these machines are unreachable for a while.
+    /// Workers: cut these machines off from all controllers for a limited time.
     Isolate {
-        /// The machines' numbers.
+        /// The machines' numbers, as in [`crate::scenario::Scenario::machine`].
         machines: Vec<u32>,
-        /// For how long.
+        /// Duration in milliseconds, from the receipt of the command.
         for_ms: u64,
     },
-    /// Cloud: these machines have failed.
+    /// Cloud: list these machines as failed.
     MarkFailed {
-        /// The machines' numbers.
+        /// The machines' numbers, as in [`crate::scenario::Scenario::machine`].
         machines: Vec<u32>,
     },
-    /// Workers: those of this zone are unreachable for a while.
+    /// Workers: cut a zone's machines off from all controllers for a limited time.
     IsolateZone {
-        /// The zone's number.
+        /// The zone's index in the scenario's `zones`.
         zone: usize,
-        /// For how long.
+        /// Duration in milliseconds, from the receipt of the command.
         for_ms: u64,
     },
 }
 
-/// The counters of a simulator.
+/// The response to a command: traffic since the start, and current counters.
 #[derive(Clone, Default, Debug, Serialize, Deserialize)]
 pub struct Stats {
-    /// Messages and bytes.
+    /// Messages and bytes on all sockets, commands included.
     pub traffic: Traffic,
-    /// Open connections.
+    /// The number of open connections.
     pub sockets: usize,
-    /// The simulator's own counters, by name.
+    /// The counters that this kind of simulator keeps, by name.
     pub counters: std::collections::BTreeMap<String, f64>,
 }
 
-/// What a simulator prints once it can be reached.
+/// The line that a simulator prints on its standard output once it accepts connections.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Ready {
-    /// Where it accepts commands.
+    /// The address at which the simulator accepts commands.
     pub control: SocketAddrV4,
-    /// Its other listeners.
+    /// The simulator's other listeners: one for each controller (key-value store), a single
+    /// one (cloud), one for each machine (workers), or none (users).
     pub listeners: Vec<SocketAddrV4>,
 }
 
-/// Sends a command and waits for the response.
+/// Sends a command to a simulator and returns the counters in the response.
 pub fn send(to: SocketAddrV4, command: &SimulatorCommand) -> io::Result<Stats> {
     let body = serde_json::to_vec(command)?;
     let response = request(to, "POST", CONTROL_PATH, &body)?;
     Ok(serde_json::from_slice(&response)?)
 }
 
-/// Makes one request and waits for the body of a successful response.
+/// Sends one request and returns the body of the response. A status other than 200 is an
+/// error.
 pub fn request(to: SocketAddrV4, method: &str, path: &str, body: &[u8]) -> io::Result<Vec<u8>> {
     let response = call(to, method, path, body)?;
     match response.status {
         200 => Ok(response.body),
-        status => Err(io::Error::other(format!("status {status}"))),
+        status => Err(io::Error::other(format!(
+            "{method} {path}: got status {status}, expected 200"
+        ))),
     }
 }
 
-/// Makes one request and waits for the response.
+/// Sends one request on a new connection and returns the response, whatever its status.
 pub fn call(to: SocketAddrV4, method: &str, path: &str, body: &[u8]) -> io::Result<http::Response> {
     let mut stream = TcpStream::connect(to)?;
     stream.set_read_timeout(Some(RESPONSE_TIMEOUT))?;
--- a/loadtest/src/kv_store/mod.rs
+++ b/loadtest/src/kv_store/mod.rs
@@ -1,6 +1,7 @@
-//! A simulated key-value store, by its published protocol: transactions with
-//! compares, leases, lists, watches, its two rate limits, and rejections on demand.
-//! It has a listener for each controller, so that it can reject one of them alone.
+//! A simulated key-value store that implements the store's published protocol:
+//! transactions with compares, leases, lists, watches and the two rate limits. Fault
+//! injection can have it reject requests. The store has a listener for each controller, so
+//! that it can reject the requests of a single controller.
 
 mod protocol;
 mod rate_limit;
@@ -20,13 +21,14 @@
 use std::net::SocketAddrV4;
 use storage::Storage;
 
-/// Limits of a page.
+/// The largest number of rows on a page of a list.
 const MAX_PAGE_ITEMS: usize = 1000;
+/// A page ends after the row with which its size exceeds this limit.
 const MAX_PAGE_BYTES: usize = 512 * 1024;
-/// What a row takes on a page beside key and value.
+/// The bytes that a row occupies on a page in addition to its key and value.
 const ROW_OVERHEAD_BYTES: usize = 60;
 const MAX_TRANSACTION_BYTES: usize = 64 * 1024;
-/// How often leases and watches are checked.
+/// How often the store checks leases and watches for expiry.
 const CHECK_INTERVAL_US: u64 = 20_000;
 const MAX_WATCH_MS: u64 = 60_000;
 
@@ -34,32 +36,34 @@
     request_handle: RequestHandle,
     controller: usize,
     prefix: String,
+    /// The watch reports changes with a higher revision.
     after_revision: u64,
-    until_us: u64,
+    deadline_us: u64,
 }
 
-/// A response whose delay isn't over.
+/// A response that is held back until its delay has passed.
 struct DelayedReply {
     due_us: u64,
     request_handle: RequestHandle,
     reply: Reply,
 }
 
-/// The key-value store.
+/// A simulated key-value store with its content, limits and open watches.
 pub struct KvStoreSimulator {
     settings: StateSettings,
     storage: Storage,
     watches: Vec<Watch>,
     request_limit: RateLimit,
     write_limit: RateLimit,
-    /// Until when each controller's requests are rejected.
+    /// The time until which each controller's requests are rejected; 0 if none has been set.
     rejected_until_us: Vec<u64>,
     counters: BTreeMap<&'static str, f64>,
     response_delay_us: u64,
+    /// In the order in which they are due.
     delayed: VecDeque<DelayedReply>,
 }
 
-/// A parameter of a query; empty if it isn't there.
+/// Returns the value of a query parameter, or an empty string if the query lacks it.
 fn query_parameter(query: &str, name: &str) -> String {
     query
         .split('&')
@@ -69,7 +73,7 @@
 }
 
 impl KvStoreSimulator {
-    /// An empty store.
+    /// Creates an empty store and opens a listener for each controller.
     pub fn new(
         config: &ProcessConfig,
         net: &mut Network,
@@ -97,7 +101,7 @@
         *self.counters.entry(counter).or_insert(0.0) += by;
     }
 
-    fn rejects(&self, controller: usize) -> bool {
+    fn rejects_requests_of(&self, controller: usize) -> bool {
         now_us() < self.rejected_until_us[controller]
     }
 
@@ -110,7 +114,7 @@
     ) {
         let now = now_us();
         self.count("requests", 1.0);
-        if self.rejects(controller) {
+        if self.rejects_requests_of(controller) {
             net.reply(request_handle, &Reply::error(503, "refused"));
             return;
         }
@@ -129,7 +133,7 @@
                     controller,
                     prefix: parameter("under"),
                     after_revision: parameter("from").parse().unwrap_or(0),
-                    until_us: now + MAX_WATCH_MS.min(wait_ms) * 1000,
+                    deadline_us: now + MAX_WATCH_MS.min(wait_ms) * 1000,
                 };
                 let Some(reply) = self.watch_reply(&watch, now) else {
                     self.watches.push(watch);
@@ -148,10 +152,10 @@
             (method, path) => self.renew_or_end_lease(now, method, path),
         };
         self.reply(net, now, request_handle, reply);
-        self.serve_watches(net, now);
+        self.complete_watches(net, now);
     }
 
-    /// Replies, with the delay that the scenario asks for.
+    /// Sends a response after the delay that the scenario configures.
     fn reply(&mut self, net: &mut Network, now: u64, request_handle: RequestHandle, reply: Reply) {
         if self.response_delay_us == 0 {
             net.reply(request_handle, &reply);
@@ -191,7 +195,8 @@
         Reply::json(200, &page)
     }
 
-    /// The limits that the settings announce come into force.
+    /// Replaces the write rate, value size and transaction size limits by those that the
+    /// scenario announces in `state.next`.
     fn apply_next_limits(&mut self) {
         let Some(next) = self.settings.next.clone() else {
             return;
@@ -201,6 +206,8 @@
         self.settings.txn_ops = next.txn_ops;
     }
 
+    /// Checks a transaction against the limits, its compares and its leases, in this order,
+    /// and applies all writes or none.
     fn transaction(&mut self, now: u64, body: &[u8]) -> Reply {
         let Ok(transaction) = serde_json::from_slice::<TransactionBody>(body) else {
             return Reply::error(400, "malformed");
@@ -213,7 +220,7 @@
             self.count("refused", 1.0);
             return Reply::error(429, "too many changes");
         }
-        if self.has_large_value(&writes) {
+        if self.has_oversized_value(&writes) {
             self.count("too_large", 1.0);
             return Reply::error(400, "value too large");
         }
@@ -228,18 +235,19 @@
             let revision = self.storage.revision();
             return Reply::json(409, &json!({"failed": failed, "tirage": revision}));
         }
-        let lease_is_known = |write: &WriteBody| {
-            let is_known = |lease| self.storage.has_lease(lease);
-            write.lease.is_none_or(is_known)
+        let has_valid_lease = |write: &WriteBody| {
+            let exists = |lease| self.storage.has_lease(lease);
+            write.lease.is_none_or(exists)
         };
-        if !writes.iter().all(lease_is_known) {
+        if !writes.iter().all(has_valid_lease) {
             return Reply::error(400, "no such lease");
         }
         self.apply_writes(writes);
         Reply::json(200, &json!({"tirage": self.storage.revision()}))
     }
 
-    fn has_large_value(&self, writes: &[WriteBody]) -> bool {
+    /// Reports whether a written value exceeds the size limit.
+    fn has_oversized_value(&self, writes: &[WriteBody]) -> bool {
         let max_bytes = (self.settings.value_kb * 1024.0) as usize;
         writes
             .iter()
@@ -286,7 +294,8 @@
         Reply::json(200, &json!({}))
     }
 
-    /// The response to a watch; `None`: it still waits.
+    /// Returns the response to a watch, or `None` while the watch has neither changes to
+    /// report nor reached its deadline.
     fn watch_reply(&self, watch: &Watch, now: u64) -> Option<Reply> {
         let Some(changes) = self
             .storage
@@ -300,7 +309,7 @@
                 None => json!({"drop": change.key, "retouche": change.revision}),
             })
             .collect();
-        if events.is_empty() && now < watch.until_us {
+        if events.is_empty() && now < watch.deadline_us {
             return None;
         }
         let revision = self.storage.revision();
@@ -310,11 +319,12 @@
         ))
     }
 
-    fn serve_watches(&mut self, net: &mut Network, now: u64) {
+    /// Responds to the watches that have changes to report or have reached their deadline.
+    fn complete_watches(&mut self, net: &mut Network, now: u64) {
         let mut waiting = Vec::new();
         for watch in std::mem::take(&mut self.watches) {
-            // During an outage open watches stay open.
-            let reply = if self.rejects(watch.controller) {
+            // A watch stays open while the store rejects its controller's requests.
+            let reply = if self.rejects_requests_of(watch.controller) {
                 None
             } else {
                 self.watch_reply(&watch, now)
@@ -327,14 +337,15 @@
         self.watches = waiting;
     }
 
-    /// Rejects the requests of one controller, or of all, for a while.
+    /// Rejects the requests of one controller, or of all controllers if `controller` is
+    /// `None`, for this duration.
     fn reject_requests(&mut self, controller: Option<usize>, for_ms: u64) {
         let until_us = now_us() + for_ms * 1000;
         match controller {
             Some(controller) => self.rejected_until_us[controller] = until_us,
             None => {
                 self.rejected_until_us.fill(until_us);
-                // After an outage every lease has its full time again.
+                // Every lease has its full time to live when the outage ends.
                 self.storage.renew_all_leases(until_us);
             }
         }
@@ -358,7 +369,7 @@
     fn tick(&mut self, net: &mut Network) -> io::Result<u64> {
         let now = now_us();
         self.storage.expire_leases(now);
-        self.serve_watches(net, now);
+        self.complete_watches(net, now);
         while let Some(delayed) = self.delayed.pop_front_if(|delayed| delayed.due_us <= now) {
             net.reply(delayed.request_handle, &delayed.reply);
         }
@@ -378,11 +389,11 @@
     }
 
     fn stats(&self, stats: &mut Stats) {
-        let own = self
+        let counted = self
             .counters
             .iter()
             .map(|(name, value)| (name.to_string(), *value));
-        stats.counters.extend(own);
+        stats.counters.extend(counted);
         let storage = [
             ("records", self.storage.len()),
             ("record_bytes", self.storage.bytes()),
--- a/loadtest/src/kv_store/protocol.rs
+++ b/loadtest/src/kv_store/protocol.rs
@@ -1,11 +1,11 @@
-//! The bodies of messages to and from the key-value store, by its published
-//! protocol.
+//! The message bodies of the key-value store's published protocol.
 
 use super::storage::Item;
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
 
-/// A compare of a transaction: a key has this revision.
+/// A compare of a transaction: holds if the key's last change has this revision, or if the
+/// revision is 0 and the key doesn't exist.
 #[derive(Deserialize)]
 pub(super) struct CompareBody {
     #[serde(rename = "k")]
@@ -14,7 +14,8 @@
     pub(super) revision: u64,
 }
 
-/// A change of a transaction: a key is set, or deleted.
+/// A write of a transaction. It either sets the key `set` to `value`, bound to `lease` if
+/// there is one, or deletes the key `delete`.
 #[derive(Deserialize)]
 pub(super) struct WriteBody {
     pub(super) set: Option<String>,
@@ -26,7 +27,7 @@
     pub(super) delete: Option<String>,
 }
 
-/// A transaction: all writes, if all compares hold.
+/// A transaction: the store applies all writes if all compares hold, and none otherwise.
 #[derive(Deserialize)]
 pub(super) struct TransactionBody {
     #[serde(rename = "guards", default)]
@@ -35,14 +36,14 @@
     pub(super) writes: Vec<WriteBody>,
 }
 
-/// The request for a lease.
+/// The request to grant a lease.
 #[derive(Deserialize)]
 pub(super) struct GrantBody {
     #[serde(rename = "ttlMs")]
     pub(super) ttl_ms: u64,
 }
 
-/// A key with its value.
+/// A key with its value, as a response to a get or on a page of a list.
 #[derive(Serialize)]
 pub(super) struct Row<'a> {
     #[serde(rename = "k")]
@@ -66,7 +67,7 @@
     }
 }
 
-/// Keys in their order, as many as fit on a page.
+/// A page of a list: keys in lexicographic order. `truncated` is set if more keys follow.
 #[derive(Serialize)]
 pub(super) struct Page<'a> {
     pub(super) rows: Vec<Row<'a>>,
--- a/loadtest/src/kv_store/rate_limit.rs
+++ b/loadtest/src/kv_store/rate_limit.rs
@@ -1,33 +1,34 @@
-//! A token bucket that holds the tokens of one second.
+//! A token bucket whose capacity is the number of tokens added in one second.
 
 use crate::net::now_us;
 
-/// Limits how often something is done.
+/// Limits a rate of requests or writes.
 pub(super) struct RateLimit {
     per_s: f64,
     tokens: f64,
-    refilled_us: u64,
+    last_refill_us: u64,
 }
 
 impl RateLimit {
-    /// A full bucket.
+    /// Creates a full bucket.
     pub(super) fn new(per_s: f64) -> RateLimit {
         RateLimit {
             per_s,
             tokens: per_s,
-            refilled_us: now_us(),
+            last_refill_us: now_us(),
         }
     }
 
-    /// Takes so many tokens, if there are as many.
+    /// Takes `count` tokens and returns true, or takes none and returns false if the bucket
+    /// holds fewer.
     pub(super) fn try_take(&mut self, now_us: u64, count: f64) -> bool {
-        let passed_s = now_us.saturating_sub(self.refilled_us) as f64 / 1e6;
-        self.tokens = (self.tokens + passed_s * self.per_s).min(self.per_s);
-        self.refilled_us = now_us;
-        let is_allowed = self.tokens >= count;
-        if is_allowed {
+        let elapsed_s = now_us.saturating_sub(self.last_refill_us) as f64 / 1e6;
+        self.tokens = (self.tokens + elapsed_s * self.per_s).min(self.per_s);
+        self.last_refill_us = now_us;
+        let is_available = self.tokens >= count;
+        if is_available {
             self.tokens -= count;
         }
-        is_allowed
+        is_available
     }
 }
--- a/loadtest/src/kv_store/storage.rs
+++ b/loadtest/src/kv_store/storage.rs
@@ -1,13 +1,13 @@
-//! Keys, leases and the log of changes. Nothing here knows messages or time limits.
+//! The store's keys, leases and change log, independent of message formats and rate limits.
 
 use serde_json::value::RawValue;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::ops::Bound;
 
-/// How many changes are kept for watches.
-const MAX_KEPT_CHANGES: usize = 10_000;
+/// How many of the latest changes the log keeps for watches.
+const MAX_LOGGED_CHANGES: usize = 10_000;
 
-/// A stored value.
+/// A stored value with the revision of its last change.
 pub(super) struct Item {
     pub(super) value: Box<RawValue>,
     pub(super) revision: u64,
@@ -19,20 +19,20 @@
     expires_us: u64,
 }
 
-/// A change that watches can see.
+/// A change that is reported to watches.
 pub(super) struct Change {
     pub(super) revision: u64,
     pub(super) key: String,
-    /// What it was set to; `None`: it was deleted.
+    /// The new value; `None` if the key was deleted.
     pub(super) value: Option<Box<RawValue>>,
 }
 
-/// The store's content.
+/// The content of the key-value store.
 #[derive(Default)]
 pub(super) struct Storage {
     items: BTreeMap<String, Item>,
     leases: HashMap<u64, Lease>,
-    last_lease: u64,
+    last_lease_id: u64,
     revision: u64,
     changes: VecDeque<Change>,
 }
@@ -42,7 +42,7 @@
         self.revision
     }
 
-    /// Begins the next revision; changes up to the next one belong to it.
+    /// Begins a new revision. The changes made until the next call belong to it.
     pub(super) fn begin_revision(&mut self) {
         self.revision += 1;
     }
@@ -51,20 +51,20 @@
         self.items.get(key)
     }
 
-    /// The keys with a prefix, in order, from after a key on (from the first one if it
-    /// is empty).
+    /// Returns the keys with a prefix in order, starting after the key `after`, or with the
+    /// first key if `after` is empty.
     pub(super) fn range<'a>(
         &'a self,
         prefix: &'a str,
         after: &'a str,
     ) -> impl Iterator<Item = (&'a String, &'a Item)> {
-        let from = if after.is_empty() {
+        let start = if after.is_empty() {
             Bound::Included(prefix)
         } else {
             Bound::Excluded(after)
         };
         self.items
-            .range::<str, _>((from, Bound::Unbounded))
+            .range::<str, _>((start, Bound::Unbounded))
             .take_while(move |(key, _)| key.starts_with(prefix))
     }
 
@@ -90,20 +90,20 @@
             key,
             value,
         });
-        if self.changes.len() > MAX_KEPT_CHANGES {
+        if self.changes.len() > MAX_LOGGED_CHANGES {
             self.changes.pop_front();
         }
     }
 
-    /// The changes after a revision to keys with a prefix; `None`: some of them aren't
-    /// kept any more.
+    /// Returns the changes after a revision to keys with a prefix, or `None` if the log no
+    /// longer holds all of them.
     pub(super) fn changes_since<'a>(
         &'a self,
         revision: u64,
         prefix: &'a str,
     ) -> Option<impl Iterator<Item = &'a Change>> {
         let oldest = self.changes.front().map_or(0, |change| change.revision);
-        if self.changes.len() >= MAX_KEPT_CHANGES && revision < oldest {
+        if self.changes.len() >= MAX_LOGGED_CHANGES && revision < oldest {
             return None;
         }
         let first = self
@@ -117,28 +117,28 @@
         self.leases.contains_key(&lease)
     }
 
-    pub(super) fn grant_lease(&mut self, now: u64, ttl_us: u64) -> u64 {
-        self.last_lease += 1;
-        let expires_us = now + ttl_us;
+    pub(super) fn grant_lease(&mut self, now_us: u64, ttl_us: u64) -> u64 {
+        self.last_lease_id += 1;
+        let expires_us = now_us + ttl_us;
         self.leases
-            .insert(self.last_lease, Lease { ttl_us, expires_us });
-        self.last_lease
+            .insert(self.last_lease_id, Lease { ttl_us, expires_us });
+        self.last_lease_id
     }
 
-    pub(super) fn renew_lease(&mut self, now: u64, lease: u64) {
+    pub(super) fn renew_lease(&mut self, now_us: u64, lease: u64) {
         if let Some(lease) = self.leases.get_mut(&lease) {
-            lease.expires_us = now + lease.ttl_us;
+            lease.expires_us = now_us + lease.ttl_us;
         }
     }
 
-    /// All leases have their full time from then on.
+    /// Extends all leases to their full time to live from this time on.
     pub(super) fn renew_all_leases(&mut self, from_us: u64) {
         for lease in self.leases.values_mut() {
             lease.expires_us = from_us + lease.ttl_us;
         }
     }
 
-    /// Ends a lease, and deletes the keys that are bound to it.
+    /// Ends a lease and deletes the keys bound to it. The deletions share one new revision.
     pub(super) fn end_lease(&mut self, lease: u64) {
         self.leases.remove(&lease);
         let keys: Vec<String> = self
@@ -154,11 +154,11 @@
     }
 
     /// Ends the leases that have expired.
-    pub(super) fn expire_leases(&mut self, now: u64) {
+    pub(super) fn expire_leases(&mut self, now_us: u64) {
         let expired: Vec<u64> = self
             .leases
             .iter()
-            .filter(|(_, lease)| lease.expires_us <= now)
+            .filter(|(_, lease)| lease.expires_us <= now_us)
             .map(|(id, _)| *id)
             .collect();
         for lease in expired {
@@ -166,12 +166,12 @@
         }
     }
 
-    /// How many keys there are.
+    /// Returns the number of keys.
     pub(super) fn len(&self) -> usize {
         self.items.len()
     }
 
-    /// The bytes of all keys and values.
+    /// Returns the total size of all keys and values in bytes.
     pub(super) fn bytes(&self) -> usize {
         self.items
             .iter()
--- a/loadtest/src/main.rs
+++ b/loadtest/src/main.rs
@@ -82,7 +82,7 @@
         if let Some(answer_ms) = self.answer_ms.filter(|ms| *ms >= 0.0) {
             scenario.state.response_delay_ms = answer_ms;
         }
-        Ok(scenario.loaded(self.load))
+        Ok(scenario.with_scaled_arrays(self.load))
     }
 }
 
--- a/loadtest/src/net.rs
+++ b/loadtest/src/net.rs
@@ -1,9 +1,9 @@
-//! Sockets of a simulator process: many listeners and many links on one thread.
+//! The sockets of a simulator process: many listeners and many links on one thread.
 //!
-//! The program's own reactor has two listeners and shares connections between
-//! calls to one address. Here a thousand workers each have a listener and a
-//! connection of their own, so that controllers see as many sockets as they
-//! would of real ones. Parsing and writing of HTTP are the library's.
+//! The reactor of `lilacfork` has two listeners and shares connections between calls to
+//! the same address. This module instead gives each of a thousand workers its own listener
+//! and its own connection, so that the controllers handle as many sockets as with real
+//! workers. The `lilacfork` library parses and writes the HTTP messages.
 
 use lilacfork::http;
 use lilacfork::messages::{Reply, Request};
@@ -15,54 +15,57 @@
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4, TcpListener, TcpStream};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// How much is read at once.
+/// The size of the buffer for a single read.
 const READ_BYTES: usize = 64 * 1024;
 
-/// Microseconds since 1970: one clock for all processes of a load test.
+/// Returns the wall-clock time in microseconds since the Unix epoch. All processes of a
+/// load test run on one host, so their times are comparable.
 pub fn now_us() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .map_or(0, |d| d.as_micros() as u64)
 }
 
-/// A request whose response its sender waits for.
+/// Identifies a received request that has not been responded to.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 pub struct RequestHandle(usize);
 
-/// A source of calls: each has one connection at a time.
+/// Identifies a source of calls, such as a worker. A link has at most one connection and
+/// one call in flight.
 pub type Link = u64;
 
-/// A message that has arrived, or a call that has failed.
+/// A received message, or the failure of a call.
 #[derive(Debug)]
 pub enum Incoming {
-    /// A request.
+    /// A request was received.
     Request {
-        /// The number of the listener.
+        /// The listener's number, in the order in which the listeners were opened.
         listener: usize,
-        /// What to respond to.
+        /// Passed to [`Network::reply`] to send the response.
         request_handle: RequestHandle,
-        /// The request.
+        /// The parsed request.
         request: Request,
     },
-    /// The outcome of a link's call.
+    /// A call was completed or has failed.
     Response {
-        /// The link.
+        /// The link that made the call.
         link: Link,
-        /// The response; `None`: the call has failed.
+        /// `None` if the connection failed, the response was malformed, or the call timed
+        /// out.
         response: Option<http::Response>,
     },
 }
 
-/// Messages and bytes in both directions.
+/// The number of messages and bytes in each direction since the start of the process.
 #[derive(Clone, Copy, Default, Debug, Serialize, Deserialize)]
 pub struct Traffic {
-    /// Messages received.
+    /// HTTP messages received: requests and responses.
     pub messages_in: u64,
-    /// Messages sent.
+    /// HTTP messages sent: requests and responses.
     pub messages_out: u64,
-    /// Bytes received.
+    /// Bytes read from connections.
     pub bytes_in: u64,
-    /// Bytes sent.
+    /// Bytes written to connections.
     pub bytes_out: u64,
 }
 
@@ -74,10 +77,11 @@
 struct Connection {
     stream: TcpStream,
     role: ConnectionRole,
-    peer: SocketAddrV4,
+    remote_address: SocketAddrV4,
     connected: bool,
-    /// Server: a request is being worked on. Client: a call is in flight.
+    /// Server: a request awaits its response. Client: a call is in flight.
     busy: bool,
+    /// Client: when the call in flight times out.
     deadline_us: u64,
     input: Vec<u8>,
     output: Vec<u8>,
@@ -90,20 +94,22 @@
     listeners: Vec<TcpListener>,
     connections: HashMap<usize, Connection>,
     links: HashMap<Link, usize>,
+    /// The deadlines of calls, in microseconds, each with its connection's key. A call's
+    /// entry remains after the call has completed.
     deadlines: BTreeSet<(u64, usize)>,
     next_key: usize,
     events: Events,
-    /// What has arrived and hasn't been returned yet.
+    /// Messages and failures that the next [`Network::wait`] returns.
     incoming: Vec<Incoming>,
-    /// Counted since the start.
+    /// The traffic of all connections, including closed ones.
     pub traffic: Traffic,
 }
 
-/// Listener keys lie above those of connections.
-const FIRST_LISTENER: usize = 1 << 40;
+/// The poller key of the first listener; the keys of connections are smaller.
+const FIRST_LISTENER_KEY: usize = 1 << 40;
 
 impl Network {
-    /// A network without sockets.
+    /// Creates a network without sockets.
     pub fn new() -> io::Result<Network> {
         Ok(Network {
             poller: Poller::new()?,
@@ -118,7 +124,7 @@
         })
     }
 
-    /// Opens one more listener on loopback, at a port that is free.
+    /// Opens another listener on a free loopback port and returns its address.
     pub fn listen(&mut self) -> io::Result<SocketAddrV4> {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, Some(Protocol::TCP))?;
         let any_port = SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0);
@@ -126,7 +132,7 @@
         socket.listen(1024)?;
         socket.set_nonblocking(true)?;
         let listener: TcpListener = socket.into();
-        let key = FIRST_LISTENER + self.listeners.len();
+        let key = FIRST_LISTENER_KEY + self.listeners.len();
         let interest = Event::readable(key);
         // Safety: listeners live as long as the poller, in one struct.
         unsafe {
@@ -141,27 +147,28 @@
         }
     }
 
-    /// Makes a call on a link. A call that is still in flight there is dropped without
-    /// an outcome, and its connection closed, as is one to another address.
+    /// Sends a request on a link; [`Network::wait`] later returns the outcome. If the link
+    /// has a call in flight, that call is abandoned without an outcome and its connection
+    /// is closed. A connection to another address is closed too.
     pub fn call(
         &mut self,
         link: Link,
-        to: SocketAddrV4,
+        address: SocketAddrV4,
         method: &str,
         path: &str,
         body: &[u8],
         timeout_ms: u64,
     ) {
-        let usable = self.links.get(&link).copied().filter(|key| {
+        let idle_key = self.links.get(&link).copied().filter(|key| {
             self.connections
                 .get(key)
-                .is_some_and(|connection| !connection.busy && connection.peer == to)
+                .is_some_and(|connection| !connection.busy && connection.remote_address == address)
         });
-        let key = match usable {
+        let key = match idle_key {
             Some(key) => key,
             None => {
                 self.close_link(link);
-                match self.connect(link, to) {
+                match self.connect(link, address) {
                     Ok(key) => key,
                     Err(_) => {
                         self.incoming.push(Incoming::Response {
@@ -184,20 +191,21 @@
         self.flush(key);
     }
 
-    /// Closes a link's connection, if it has one.
+    /// Closes the link's connection, if there is one. A call in flight is abandoned without
+    /// an outcome.
     pub fn close_link(&mut self, link: Link) {
         if let Some(key) = self.links.get(&link).copied() {
             self.close_connection(key);
         }
     }
 
-    /// Closes all connections that came in by a listener.
+    /// Closes all connections that a listener accepted.
     pub fn close_listener_connections(&mut self, listener: usize) {
-        let of_listener = |connection: &Connection| matches!(connection.role, ConnectionRole::Server { listener: l } if l == listener);
+        let accepted_by_listener = |connection: &Connection| matches!(connection.role, ConnectionRole::Server { listener: l } if l == listener);
         let keys: Vec<usize> = self
             .connections
             .iter()
-            .filter(|(_, connection)| of_listener(connection))
+            .filter(|(_, connection)| accepted_by_listener(connection))
             .map(|(key, _)| *key)
             .collect();
         for key in keys {
@@ -205,7 +213,8 @@
         }
     }
 
-    /// Responds to a request.
+    /// Sends the response to a request. If the request's connection has been closed, the
+    /// response is discarded.
     pub fn reply(&mut self, request_handle: RequestHandle, reply: &Reply) {
         let Some(connection) = self.connections.get_mut(&request_handle.0) else {
             return;
@@ -216,12 +225,15 @@
         self.flush(request_handle.0);
     }
 
-    /// Waits for messages until then at the latest, and returns those that arrived.
+    /// Waits for messages until `until_us` at the latest, and returns the messages received
+    /// and the calls that failed.
     pub fn wait(&mut self, until_us: u64) -> io::Result<Vec<Incoming>> {
         let deadline_us = self
             .deadlines
             .first()
-            .map_or(until_us, |(at, _)| until_us.min(*at));
+            .map_or(until_us, |(call_deadline_us, _)| {
+                until_us.min(*call_deadline_us)
+            });
         let mut timeout_us = deadline_us.saturating_sub(now_us());
         if !self.incoming.is_empty() {
             timeout_us = 0;
@@ -237,41 +249,47 @@
             Err(e) => return Err(e),
         }
         for event in events.iter() {
-            if event.key >= FIRST_LISTENER {
-                self.accept(event.key - FIRST_LISTENER);
+            if event.key >= FIRST_LISTENER_KEY {
+                self.accept(event.key - FIRST_LISTENER_KEY);
             } else {
-                self.ready(event);
+                self.handle_event(event);
             }
         }
         self.events = events;
-        self.expire();
+        self.expire_calls();
         Ok(std::mem::take(&mut self.incoming))
     }
 
-    /// How many connections are open.
-    pub fn open(&self) -> usize {
+    /// Returns the number of open connections.
+    pub fn connection_count(&self) -> usize {
         self.connections.len()
     }
 
-    fn expire(&mut self) {
+    /// Fails the calls whose deadline has passed.
+    fn expire_calls(&mut self) {
         let now = now_us();
-        while let Some((at, key)) = self.deadlines.first().copied().filter(|(at, _)| *at <= now) {
-            self.deadlines.remove(&(at, key));
+        while let Some((deadline_us, key)) = self
+            .deadlines
+            .first()
+            .copied()
+            .filter(|(deadline_us, _)| *deadline_us <= now)
+        {
+            self.deadlines.remove(&(deadline_us, key));
             if self
                 .connections
                 .get(&key)
-                .is_some_and(|connection| connection.busy && connection.deadline_us == at)
+                .is_some_and(|connection| connection.busy && connection.deadline_us == deadline_us)
             {
-                self.fail(key);
+                self.fail_connection(key);
             }
         }
     }
 
-    fn insert(
+    fn insert_connection(
         &mut self,
         stream: TcpStream,
         role: ConnectionRole,
-        peer: SocketAddrV4,
+        remote_address: SocketAddrV4,
     ) -> io::Result<usize> {
         let key = self.next_key;
         self.next_key += 1;
@@ -285,7 +303,7 @@
         let connection = Connection {
             stream,
             role,
-            peer,
+            remote_address,
             connected,
             busy: false,
             deadline_us: 0,
@@ -297,38 +315,40 @@
         Ok(key)
     }
 
-    fn connect(&mut self, link: Link, to: SocketAddrV4) -> io::Result<usize> {
+    fn connect(&mut self, link: Link, address: SocketAddrV4) -> io::Result<usize> {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, Some(Protocol::TCP))?;
         socket.set_nonblocking(true)?;
         socket.set_tcp_nodelay(true)?;
-        match socket.connect(&SocketAddr::V4(to).into()) {
+        match socket.connect(&SocketAddr::V4(address).into()) {
             Ok(()) => {}
             Err(e) if e.raw_os_error() == Some(libc::EINPROGRESS) => {}
             Err(e) => return Err(e),
         }
-        let key = self.insert(socket.into(), ConnectionRole::Client { link }, to)?;
+        let key =
+            self.insert_connection(socket.into(), ConnectionRole::Client { link }, address)?;
         self.links.insert(link, key);
         Ok(key)
     }
 
     fn accept(&mut self, listener: usize) {
-        while let Ok((stream, SocketAddr::V4(peer))) = self.listeners[listener].accept() {
+        while let Ok((stream, SocketAddr::V4(address))) = self.listeners[listener].accept() {
             let configured = stream
                 .set_nonblocking(true)
                 .and_then(|()| stream.set_nodelay(true));
             if configured.is_ok() {
-                let _ = self.insert(stream, ConnectionRole::Server { listener }, peer);
+                let _ =
+                    self.insert_connection(stream, ConnectionRole::Server { listener }, address);
             }
         }
     }
 
-    fn ready(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         let Some(connection) = self.connections.get_mut(&event.key) else {
             return;
         };
         if !connection.connected {
             if !matches!(connection.stream.take_error(), Ok(None)) {
-                self.fail(event.key);
+                self.fail_connection(event.key);
                 return;
             }
             connection.connected = event.writable;
@@ -346,7 +366,7 @@
         let Some(connection) = self.connections.get_mut(&key) else {
             return;
         };
-        let ended = match connection.stream.read(&mut buffer) {
+        let is_closed = match connection.stream.read(&mut buffer) {
             Ok(0) => true,
             Ok(n) => {
                 self.traffic.bytes_in += n as u64;
@@ -363,7 +383,7 @@
                 Self::parse_request(connection, listener, key)
             }
             ConnectionRole::Client { link } if connection.busy => {
-                Self::parse_response(connection, link, ended)
+                Self::parse_response(connection, link, is_closed)
             }
             _ => Ok(None),
         };
@@ -371,12 +391,12 @@
             Ok(Some(incoming)) => {
                 self.traffic.messages_in += 1;
                 self.incoming.push(incoming);
-                if ended {
+                if is_closed {
                     self.close_connection(key);
                 }
             }
-            Ok(None) if !ended => {}
-            _ => self.fail(key),
+            Ok(None) if !is_closed => {}
+            _ => self.fail_connection(key),
         }
     }
 
@@ -401,9 +421,9 @@
     fn parse_response(
         connection: &mut Connection,
         link: Link,
-        ended: bool,
+        is_closed: bool,
     ) -> Result<Option<Incoming>, http::HttpError> {
-        let Some(parsed) = http::parse_response(&connection.input, ended)? else {
+        let Some(parsed) = http::parse_response(&connection.input, is_closed)? else {
             return Ok(None);
         };
         connection.input.drain(..parsed.size);
@@ -414,8 +434,8 @@
         }))
     }
 
-    /// A connection has failed: so has a call in flight on it.
-    fn fail(&mut self, key: usize) {
+    /// Closes a connection that failed, and reports the failure of a call in flight on it.
+    fn fail_connection(&mut self, key: usize) {
         let link = match self.connections.get(&key) {
             Some(connection) if connection.busy => match connection.role {
                 ConnectionRole::Client { link } => Some(link),
@@ -471,7 +491,7 @@
                 .is_err();
         }
         if broken {
-            self.fail(key);
+            self.fail_connection(key);
         }
     }
 }
--- a/loadtest/src/process.rs
+++ b/loadtest/src/process.rs
@@ -115,7 +115,7 @@
                     simulator.command(&mut net, &command)?;
                     let mut stats = Stats {
                         traffic: net.traffic,
-                        sockets: net.open(),
+                        sockets: net.connection_count(),
                         ..Stats::default()
                     };
                     simulator.stats(&mut stats);
--- a/loadtest/src/report.rs
+++ b/loadtest/src/report.rs
@@ -155,7 +155,7 @@
             Event::Submitted { job } if (from_us..to_us).contains(&entry.at_us) => {
                 submitted.insert(job, entry.at_us);
                 if let (Some((class, _)), Some(spec)) =
-                    (scenario.job_number(job), scenario.job(job))
+                    (scenario.parse_job_name(job), scenario.job(job))
                 {
                     *expected.entry(class).or_insert(0) += u64::from(spec.tasks);
                 }
@@ -166,7 +166,7 @@
                 };
                 let (Some(at_us), Some((class, _))) = (
                     submitted.get(task.job.as_str()),
-                    scenario.job_number(task.job.as_str()),
+                    scenario.parse_job_name(task.job.as_str()),
                 ) else {
                     continue;
                 };
--- a/loadtest/src/scenario/jobs.rs
+++ b/loadtest/src/scenario/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs by name: every process derives a job's description from its name and the
+//! Jobs by name. Every process derives a job's specification from the job's name and the
 //! scenario's seed.
 
 use super::Scenario;
@@ -7,31 +7,33 @@
 use std::rc::Rc;
 
 impl Scenario {
-    /// The name of a class's job.
+    /// Returns the name of a job, given the index of its class and its number in the class.
     pub fn job_name(class: usize, number: u32) -> String {
         format!("run-{class}x{number}")
     }
 
-    /// Class and number in a job's name.
-    pub fn job_number(&self, job: &str) -> Option<(usize, u32)> {
+    /// Returns the class index and the number that a job's name holds, or `None` if this
+    /// scenario has no such job.
+    pub fn parse_job_name(&self, job: &str) -> Option<(usize, u32)> {
         let (class, number) = job.strip_prefix("run-")?.split_once('x')?;
         let class = class.parse().ok().filter(|c| *c < self.classes.len())?;
         Some((class, number.parse().ok()?))
     }
 
-    /// Random numbers for a job, or one of its tasks: the same in every process.
-    fn random_numbers(&self, class: usize, number: u32, task: u32) -> fastrand::Rng {
+    /// Returns the random number generator of a job or of one of its tasks. Its sequence is
+    /// the same in every process.
+    fn random_generator(&self, class: usize, number: u32, task: u32) -> fastrand::Rng {
         let job = (class as u64) << 48 | u64::from(number) << 16;
         fastrand::Rng::with_seed(
             self.seed ^ (job + u64::from(task)).wrapping_mul(0x9E37_79B9_7F4A_7C15),
         )
     }
 
-    /// A job as its user describes it.
+    /// Returns the specification that a user submits for the job with this name.
     pub fn job(&self, name: &str) -> Option<JobSpec> {
-        let (class_index, number) = self.job_number(name)?;
+        let (class_index, number) = self.parse_job_name(name)?;
         let class = &self.classes[class_index];
-        let mut rng = self.random_numbers(class_index, number, u32::MAX >> 1);
+        let mut rng = self.random_generator(class_index, number, u32::MAX >> 1);
         let estimate_s = (class.run_s[0] + class.run_s[1]) / 2.0;
         let is_array = class.kind == JobKind::Array;
         Some(JobSpec {
@@ -60,45 +62,49 @@
     }
 
     fn dependencies(&self, class: usize, number: u32) -> Vec<JobId> {
-        let after = self.classes[class].after.iter();
-        let earlier =
-            after.filter_map(|name| self.classes.iter().position(|class| class.name == *name));
-        earlier
+        let names = self.classes[class].after.iter();
+        let dependencies =
+            names.filter_map(|name| self.classes.iter().position(|class| class.name == *name));
+        dependencies
             .map(|class| JobId::new(&Scenario::job_name(class, number)))
             .collect()
     }
 
-    /// The jobs that depend on this one directly.
+    /// Returns the names of the jobs that directly depend on this job.
     pub fn dependents(&self, job: &str) -> Vec<String> {
-        let Some((class, number)) = self.job_number(job) else {
+        let Some((class, number)) = self.parse_job_name(job) else {
             return Vec::new();
         };
         let name = &self.classes[class].name;
-        let later = self.classes.iter().enumerate();
-        let later = later.filter(|(_, class)| class.after.contains(name));
-        later
+        let dependents = self.classes.iter().enumerate();
+        let dependents = dependents.filter(|(_, class)| class.after.contains(name));
+        dependents
             .map(|(class, _)| Scenario::job_name(class, number))
             .collect()
     }
 
-    /// How many tasks a multi-host replica of the job has; `None`: its replicas have one
-    /// host each.
+    /// Returns the number of tasks in each multi-host replica of the job, or `None` if each
+    /// of its tasks is a replica by itself.
     pub fn tasks_per_replica(&self, job: &str) -> Option<u32> {
-        let (class, _) = self.job_number(job)?;
+        let (class, _) = self.parse_job_name(job)?;
         Some(self.classes[class].tasks_per_replica).filter(|size| *size > 0)
     }
 
-    /// How long a task runs, or a service's user keeps it, in seconds.
+    /// Returns how long a task of an array job runs, or after which time the user cancels a
+    /// service (given task 0), in seconds.
     pub fn run_s(&self, job: &str, task: u32) -> Option<f64> {
-        let (class, number) = self.job_number(job)?;
+        let (class, number) = self.parse_job_name(job)?;
         let [shortest_s, longest_s] = self.classes[class].run_s;
-        Some(shortest_s + (longest_s - shortest_s) * self.random_numbers(class, number, task).f64())
+        Some(
+            shortest_s
+                + (longest_s - shortest_s) * self.random_generator(class, number, task).f64(),
+        )
     }
 
-    /// Whether the job's user cancels it early.
+    /// Reports whether the job's user cancels the job early.
     pub fn cancelled_early(&self, job: &str) -> bool {
-        self.job_number(job).is_some_and(|(class, number)| {
-            let mut rng = self.random_numbers(class, number, u32::MAX >> 2);
+        self.parse_job_name(job).is_some_and(|(class, number)| {
+            let mut rng = self.random_generator(class, number, u32::MAX >> 2);
             rng.f64() < self.classes[class].cancelled
         })
     }
--- a/loadtest/src/scenario/machines.rs
+++ b/loadtest/src/scenario/machines.rs
@@ -1,52 +1,53 @@
-//! Machines by number: every process derives a machine's name, type and zone from
-//! its number.
+//! Machines by number. Every process derives a machine's name, type and zone from the
+//! machine's number.
 
 use super::Scenario;
 use lilacfork::wire::cloud::{Catalog, MachineType};
 use serde::{Deserialize, Serialize};
 use std::rc::Rc;
 
-/// A machine of the fleet.
+/// A machine of the simulated fleet.
 #[derive(Clone, PartialEq, Debug)]
 pub struct Machine {
-    /// Its name.
+    /// The id under which the cloud and the workers' heartbeats report the machine.
     pub name: String,
-    /// Index of its type.
+    /// Index into [`Scenario::machine_types`].
     pub machine_type: usize,
-    /// Index of its zone.
+    /// Index into [`Scenario::zones`].
     pub zone: usize,
 }
 
-/// Machines with consecutive numbers.
+/// An inclusive range of machine numbers.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub struct MachineRange {
-    /// The first machine's number.
+    /// The lowest number in the range.
     pub first: u32,
-    /// The last machine's number.
+    /// The highest number in the range.
     pub last: u32,
 }
 
 impl MachineRange {
-    /// Whether the machine with this number is among them.
+    /// Reports whether the range includes this machine number.
     pub fn contains(&self, number: u32) -> bool {
         (self.first..=self.last).contains(&number)
     }
 }
 
 impl Scenario {
-    /// All machines that may ever be up.
+    /// Returns the number of machines: those running from the start and the spare ones.
     pub fn machine_count(&self) -> u32 {
         self.workers.count + self.workers.spare
     }
 
-    /// The machine with this number.
+    /// Returns the machine with this number. Consecutive numbers cycle through the zones;
+    /// in each zone the types occur in proportion to their weights.
     pub fn machine(&self, number: u32) -> Machine {
         let zones = self.zones.len() as u32;
-        let total: u32 = self.machine_types.iter().map(|ty| ty.weight).sum();
-        let mut rest = (number / zones) % total;
+        let total_weight: u32 = self.machine_types.iter().map(|ty| ty.weight).sum();
+        let mut position = (number / zones) % total_weight;
         let mut machine_type = 0;
-        while rest >= self.machine_types[machine_type].weight {
-            rest -= self.machine_types[machine_type].weight;
+        while position >= self.machine_types[machine_type].weight {
+            position -= self.machine_types[machine_type].weight;
             machine_type += 1;
         }
         Machine {
@@ -56,12 +57,12 @@
         }
     }
 
-    /// The number in a machine's name.
+    /// Returns the number that a machine's name holds.
     pub fn machine_number(name: &str) -> Option<u32> {
         name.strip_prefix("vm-")?.parse().ok()
     }
 
-    /// The cloud's machine types.
+    /// Returns the catalog of machine types that the simulated cloud publishes.
     pub fn catalog(&self) -> Catalog {
         let zones: Vec<Rc<str>> = self
             .zones
--- a/loadtest/src/scenario/mod.rs
+++ b/loadtest/src/scenario/mod.rs
@@ -1,5 +1,6 @@
-//! The scenario file, and what follows from it alone: machines by number and jobs by
-//! name. Every process derives both by itself, so they needn't be exchanged.
+//! The scenario file, and the machines (by number) and jobs (by name) that it defines.
+//! Every process of a load test derives machines and jobs from the scenario alone, so the
+//! processes don't exchange them.
 
 mod jobs;
 mod machines;
@@ -8,39 +9,40 @@
 
 pub use machines::{Machine, MachineRange};
 pub use settings::{
-    ClassSettings, CloudSettings, ControllerSettings, FaultKind, FaultSettings, NextStateSettings,
-    Scenario, StateSettings, TypeSettings, WorkerSettings,
+    ClassSettings, CloudSettings, ControllerSettings, FaultKind, FaultSettings,
+    MachineTypeSettings, NextStateSettings, Scenario, StateSettings, WorkerSettings,
 };
 
 use lilacfork::wire::users::JobKind;
 use std::path::Path;
 use thiserror::Error;
 
-/// In smaller load tests the key-value store's rates don't fall below this share.
+/// Scaling to fewer workers lowers the key-value store's rates at most to this share of the
+/// scenario's rates.
 const MIN_KV_RATE_FACTOR: f64 = 0.2;
 
-/// What is wrong with a scenario file, in one line.
+/// A scenario file that can't be read or is invalid. The message fits on one line.
 #[derive(Debug, Error)]
 #[error("{file}: {source}")]
 pub struct ScenarioError {
-    /// The file.
+    /// The path of the scenario file.
     pub file: String,
-    /// The key and what is wrong with it.
+    /// The first problem found in the file.
     pub source: InvalidKey,
 }
 
-/// A key with a value that can't be used.
+/// A key of a scenario file with an invalid value.
 #[derive(Debug, Error)]
 #[error("{key}: {reason}")]
 pub struct InvalidKey {
-    /// The key, or where it is in the file.
+    /// The key, the line number of a syntax error, or `file` if the file can't be read.
     pub key: String,
-    /// What is wrong with it.
+    /// The requirement that the value violates, or the parser's message.
     pub reason: String,
 }
 
 impl Scenario {
-    /// Reads and checks a file.
+    /// Reads and validates a scenario file.
     pub fn load(path: &Path) -> Result<Scenario, ScenarioError> {
         let text = std::fs::read_to_string(path).map_err(|error| InvalidKey {
             key: "file".into(),
@@ -51,13 +53,13 @@
             file: path.display().to_string(),
             source: InvalidKey {
                 key: error.key,
-                // The error fits on one line.
+                // Keeps the message on one line.
                 reason: error.reason.replace('\n', " "),
             },
         })
     }
 
-    /// Reads and checks the text of a file.
+    /// Parses and validates the text of a scenario file.
     pub fn parse(text: &str) -> Result<Scenario, InvalidKey> {
         let scenario: Scenario = toml::from_str(text).map_err(|error| {
             let line = error
@@ -72,7 +74,8 @@
         Ok(scenario)
     }
 
-    /// The same at another size: machines, jobs and rates in proportion.
+    /// Returns the scenario scaled to this number of workers: spare machines, teams, jobs
+    /// and key-value store rates change in proportion.
     pub fn resized(mut self, workers: u32) -> Scenario {
         let factor = f64::from(workers) / f64::from(self.workers.count);
         let scaled = |count: u32| (f64::from(count) * factor).round().max(1.0) as u32;
@@ -91,15 +94,16 @@
         self
     }
 
-    /// The same with so many times its arrays.
-    pub fn loaded(mut self, load: f64) -> Scenario {
+    /// Returns the scenario with the number and arrival rate of array jobs multiplied by
+    /// `factor`.
+    pub fn with_scaled_arrays(mut self, factor: f64) -> Scenario {
         for class in self
             .classes
             .iter_mut()
             .filter(|class| class.kind == JobKind::Array)
         {
-            class.rate *= load;
-            class.initial = (f64::from(class.initial) * load).round() as u32;
+            class.rate *= factor;
+            class.initial = (f64::from(class.initial) * factor).round() as u32;
         }
         self
     }
--- a/loadtest/src/users.rs
+++ b/loadtest/src/users.rs
@@ -1,5 +1,5 @@
-//! Users, by the published protocol: they submit, poll and cancel through a load
-//! balancer that skips controllers that don't respond to `/ready`.
+//! Simulated users that follow the published user protocol. Users submit, poll and cancel
+//! jobs through a simulated load balancer that skips controllers that don't respond to `/ready`.
 
 use crate::control::{SimulatorCommand, Stats};
 use crate::history::{Event, Recorder, UserRequest};
@@ -20,14 +20,14 @@
 const POLL_TIMEOUT_MS: u64 = 2000;
 const POLL_INTERVAL_US: u64 = 5_000_000;
 const RETRY_DELAY_US: u64 = 1_000_000;
-/// How often each controller is probed, and how long the response may take.
+/// The interval between the health probes of a controller, and the timeout of a probe.
 const PROBE_INTERVAL_US: u64 = 250_000;
 const PROBE_TIMEOUT_MS: u64 = 1000;
-/// After so many failed probes in a row a controller gets no new requests.
+/// After this many consecutive failed probes, users choose other controllers.
 const MAX_FAILED_PROBES: u32 = 2;
-/// Links below this belong to probes.
+/// Links below this one belong to the probes of the controllers with the same number.
 const FIRST_JOB_LINK: Link = 1000;
-/// One query in so many is about a job that nobody submitted.
+/// On average, one query in this many names a job that nobody submitted.
 const QUERIES_PER_UNKNOWN_JOB: u32 = 50;
 
 #[derive(Clone, Copy, PartialEq, Eq)]
@@ -35,7 +35,7 @@
     Submitting,
     Polling,
     Cancelling,
-    Over,
+    Finished,
 }
 
 struct Job {
@@ -43,22 +43,21 @@
     controller: usize,
     stage: Stage,
     submitted_us: u64,
-    /// When its user cancels it.
-    cancel_us: u64,
-    /// The state that its user was last told.
+    /// When the user cancels the job; `u64::MAX` if the user never does.
+    cancel_due_us: u64,
+    /// The state in the latest successful response to the user.
     last_state: String,
-    /// The number of running tasks that its user was last told.
+    /// The number of running tasks in the latest successful response to the user.
     running: Option<u32>,
-    /// The last request failed.
-    failed: bool,
-    /// The query in flight is about a job that nobody submitted.
+    last_request_failed: bool,
+    /// The query in flight names a job that nobody submitted.
     queries_unknown: bool,
 }
 
-/// The response to a user's request.
+/// The outcome of a user's request.
 struct Outcome {
     request: UserRequest,
-    /// The HTTP status; 0: there was no response.
+    /// The HTTP status; 0 if no response was received.
     status: u16,
     state: String,
     running: Option<u32>,
@@ -71,19 +70,19 @@
 }
 
 impl Job {
-    /// The name in queries: with a suffix, if they are about a job that nobody
-    /// submitted.
+    /// Returns the job name for a query. A suffix turns it into the name of a job that
+    /// nobody submitted, if the query is to name one.
     fn queried_name(&self) -> String {
         let suffix = if self.queries_unknown { "-never" } else { "" };
         format!("{}{suffix}", self.name)
     }
 
-    /// Whether a response has to be recorded. One that repeats the last one doesn't,
-    /// unless a request has failed in between.
-    fn is_news(&self, outcome: &Outcome) -> bool {
+    /// Reports whether a response belongs in the history. A response to a query that repeats
+    /// the previous one is left out, unless a request has failed in between.
+    fn must_record(&self, outcome: &Outcome) -> bool {
         self.queries_unknown
             || !outcome.is_success()
-            || self.failed
+            || self.last_request_failed
             || outcome.state != self.last_state
             || outcome.running != self.running
             || outcome.request != UserRequest::Query
@@ -99,31 +98,31 @@
         }
     }
 
-    /// Goes on to the next stage; tells when the next request is due.
+    /// Moves the job to its next stage, and returns the time of the next request.
     fn advance(&mut self, outcome: &Outcome, now: u64) -> u64 {
         let mut next_us = now + POLL_INTERVAL_US;
-        let is_over = matches!(outcome.state.as_str(), "done" | "cancelled");
+        let is_final = matches!(outcome.state.as_str(), "done" | "cancelled");
         match (outcome.request, outcome.is_success()) {
             (UserRequest::Submit, true) => self.stage = Stage::Polling,
-            (UserRequest::Query, true) if is_over => self.stage = Stage::Over,
-            (UserRequest::Cancel, true) => self.stage = Stage::Over,
+            (UserRequest::Query, true) if is_final => self.stage = Stage::Finished,
+            (UserRequest::Cancel, true) => self.stage = Stage::Finished,
             (UserRequest::Query, _) => {}
-            (_, false) if matches!(outcome.status, 400 | 404 | 422) => self.stage = Stage::Over,
+            (_, false) if matches!(outcome.status, 400 | 404 | 422) => self.stage = Stage::Finished,
             (_, false) => next_us = now + RETRY_DELAY_US,
         }
         if self.stage == Stage::Polling {
-            next_us = next_us.min(self.cancel_us.max(now + 1));
+            next_us = next_us.min(self.cancel_due_us.max(now + 1));
         }
         next_us
     }
 }
 
-/// The health probes of one controller.
+/// The results of one controller's health probes.
 #[derive(Clone, Copy)]
 struct Probe {
     last_ready_us: u64,
-    failed: u32,
-    /// The longest time without a response since the first one.
+    consecutive_failures: u32,
+    /// The longest time between two successful probes.
     longest_unready_us: u64,
     was_ready: bool,
 }
@@ -135,61 +134,63 @@
     running: Option<u32>,
 }
 
-/// When a link's next request or probe is due.
+/// The time of a link's next request or probe.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct LinkTimer {
-    at_us: u64,
+    due_us: u64,
     link: Link,
 }
 
-/// All users.
+/// The users of all jobs, and the health probes of their load balancer.
 pub struct UserSimulator {
     scenario: Scenario,
     controllers: Vec<SocketAddrV4>,
-    began_us: u64,
-    /// When the next job of each class arrives.
+    started_us: u64,
+    /// The time at which the next job of each class is submitted.
     next_arrival_us: Vec<u64>,
-    /// How many jobs of each class have arrived.
-    arrived: Vec<u32>,
+    /// The number of jobs of each class that have been submitted.
+    submitted_by_class: Vec<u32>,
     jobs: HashMap<Link, Job>,
     next_link: Link,
     timers: BTreeSet<LinkTimer>,
     probes: Vec<Probe>,
     recorder: Recorder,
     rng: fastrand::Rng,
-    accepted_ms: Histogram<u64>,
+    /// The time from the first submission of a job to its acceptance, in milliseconds.
+    acceptance_latency_ms: Histogram<u64>,
     submitted: u64,
     accepted: u64,
-    /// Accepted jobs that others depend on.
+    /// The names of accepted jobs that other jobs depend on.
     accepted_dependencies: HashSet<String>,
     failed_requests: u64,
 }
 
 impl UserSimulator {
-    /// The initial jobs come first, spread over the warm-up.
+    /// Creates the users. They submit the initial jobs of each class first, during the
+    /// warm-up.
     pub fn new(config: &ProcessConfig) -> io::Result<UserSimulator> {
         let scenario = config.scenario.clone();
         let now = now_us();
         let probe = Probe {
             last_ready_us: now,
-            failed: 0,
+            consecutive_failures: 0,
             longest_unready_us: 0,
             was_ready: false,
         };
         let timers =
-            (0..config.controllers.len() as Link).map(|link| LinkTimer { at_us: now, link });
+            (0..config.controllers.len() as Link).map(|link| LinkTimer { due_us: now, link });
         Ok(UserSimulator {
             next_arrival_us: vec![now; scenario.classes.len()],
-            arrived: vec![0; scenario.classes.len()],
+            submitted_by_class: vec![0; scenario.classes.len()],
             probes: vec![probe; config.controllers.len()],
             timers: timers.collect(),
             controllers: config.controllers.clone(),
-            began_us: now,
+            started_us: now,
             jobs: HashMap::new(),
             next_link: FIRST_JOB_LINK,
             recorder: Recorder::create(&config.history)?,
             rng: fastrand::Rng::with_seed(scenario.seed),
-            accepted_ms: Histogram::new(3).map_err(io::Error::other)?,
+            acceptance_latency_ms: Histogram::new(3).map_err(io::Error::other)?,
             submitted: 0,
             accepted: 0,
             accepted_dependencies: HashSet::new(),
@@ -198,20 +199,20 @@
         })
     }
 
-    /// Submits the jobs of a class that are due.
+    /// Submits all jobs of a class whose time has come, and sets the time of the next one.
     fn submit_arrivals(&mut self, net: &mut Network, class: usize, now: u64) -> io::Result<()> {
         let settings = self.scenario.classes[class].clone();
         if !settings.after.is_empty() {
-            // Its jobs are submitted after those that they depend on.
+            // `submit_dependents` submits jobs that depend on other jobs.
             self.next_arrival_us[class] = u64::MAX;
             return Ok(());
         }
         let warm_us = (self.scenario.warm_s * 1e6) as u64;
-        let last_us = self.began_us + warm_us + (self.scenario.run_s * 1e6) as u64;
-        while self.next_arrival_us[class] <= now && now < last_us {
-            let number = self.arrived[class];
-            self.arrived[class] += 1;
-            self.submit_first(net, Scenario::job_name(class, number), now)?;
+        let last_arrival_us = self.started_us + warm_us + (self.scenario.run_s * 1e6) as u64;
+        while self.next_arrival_us[class] <= now && now < last_arrival_us {
+            let number = self.submitted_by_class[class];
+            self.submitted_by_class[class] += 1;
+            self.submit_new_job(net, Scenario::job_name(class, number), now)?;
             let gap_us = if number < settings.initial {
                 warm_us as f64 * 0.7 / f64::from(settings.initial)
             } else if settings.rate > 0.0 {
@@ -224,7 +225,8 @@
         Ok(())
     }
 
-    fn submit_first(&mut self, net: &mut Network, name: String, now: u64) -> io::Result<()> {
+    /// Creates a user for a new job, and sends the first submission.
+    fn submit_new_job(&mut self, net: &mut Network, name: String, now: u64) -> io::Result<()> {
         let link = self.next_link;
         self.next_link += 1;
         self.submitted += 1;
@@ -232,13 +234,13 @@
             .record(Event::Submitted { job: name.clone() })?;
         let class = self
             .scenario
-            .job_number(&name)
+            .parse_job_name(&name)
             .map_or(0, |(class, _)| class);
-        let service = self.scenario.classes[class].kind == JobKind::Service;
-        let life_s = self.scenario.run_s(&name, 0).unwrap_or(0.0);
-        let cancel_us = match (service, self.scenario.cancelled_early(&name)) {
-            (true, _) => now + (life_s * 1e6) as u64,
-            (false, true) => now + (life_s * 0.5e6) as u64,
+        let is_service = self.scenario.classes[class].kind == JobKind::Service;
+        let lifetime_s = self.scenario.run_s(&name, 0).unwrap_or(0.0);
+        let cancel_due_us = match (is_service, self.scenario.cancelled_early(&name)) {
+            (true, _) => now + (lifetime_s * 1e6) as u64,
+            (false, true) => now + (lifetime_s * 0.5e6) as u64,
             (false, false) => u64::MAX,
         };
         let job = Job {
@@ -246,23 +248,24 @@
             name,
             stage: Stage::Submitting,
             submitted_us: now,
-            cancel_us,
+            cancel_due_us,
             last_state: String::new(),
             running: None,
-            failed: false,
+            last_request_failed: false,
             queries_unknown: false,
         };
         self.jobs.insert(link, job);
         self.send_next_request(net, link)
     }
 
-    /// A controller that responds to its probes, or any if none does.
+    /// Returns a random controller that responds to its probes, or any controller if none
+    /// responds.
     fn healthy_controller(&mut self) -> usize {
         let healthy: Vec<usize> = self
             .probes
             .iter()
             .enumerate()
-            .filter(|(_, probe)| probe.failed < MAX_FAILED_PROBES)
+            .filter(|(_, probe)| probe.consecutive_failures < MAX_FAILED_PROBES)
             .map(|(controller, _)| controller)
             .collect();
         match healthy.len() {
@@ -271,14 +274,14 @@
         }
     }
 
-    /// Makes the next request about a job.
+    /// Sends the request that the job's stage calls for.
     fn send_next_request(&mut self, net: &mut Network, link: Link) -> io::Result<()> {
         let queries_unknown = self.rng.u32(..QUERIES_PER_UNKNOWN_JOB) == 0;
         let now = now_us();
         let Some(job) = self.jobs.get_mut(&link) else {
             return Ok(());
         };
-        if job.stage == Stage::Polling && now >= job.cancel_us {
+        if job.stage == Stage::Polling && now >= job.cancel_due_us {
             job.stage = Stage::Cancelling;
             self.recorder.record(Event::CancelAsked {
                 job: job.name.clone(),
@@ -300,7 +303,7 @@
                 let path = format!("{USER_JOBS_PATH}/{}/abort", job.name);
                 net.call(link, to, "POST", &path, b"", SUBMIT_TIMEOUT_MS);
             }
-            Stage::Over => {}
+            Stage::Finished => {}
         }
         Ok(())
     }
@@ -321,7 +324,7 @@
         let request = match job.stage {
             Stage::Submitting => UserRequest::Submit,
             Stage::Cancelling => UserRequest::Cancel,
-            Stage::Polling | Stage::Over => UserRequest::Query,
+            Stage::Polling | Stage::Finished => UserRequest::Query,
         };
         let outcome = Outcome {
             request,
@@ -333,10 +336,10 @@
         };
         let spec = self.scenario.job(&job.name);
         let has_dependencies = spec.is_some_and(|spec| !spec.dependencies.is_empty());
-        if has_dependencies || job.is_news(&outcome) {
+        if has_dependencies || job.must_record(&outcome) {
             self.recorder.record(job.answered_event(&outcome))?;
         }
-        job.failed = !outcome.is_success();
+        job.last_request_failed = !outcome.is_success();
         if status == 0 || status >= 500 {
             self.failed_requests += 1;
             job.controller = other_controller;
@@ -345,19 +348,21 @@
             (request == UserRequest::Submit && outcome.is_success()).then(|| job.name.clone());
         if accepted.is_some() {
             self.accepted += 1;
-            let _ = self.accepted_ms.record((now - job.submitted_us) / 1000);
+            let _ = self
+                .acceptance_latency_ms
+                .record((now - job.submitted_us) / 1000);
         }
         let next_us = job.advance(&outcome, now);
         if !job.queries_unknown && outcome.is_success() {
             job.last_state = outcome.state;
             job.running = outcome.running;
         }
-        if job.stage == Stage::Over {
+        if job.stage == Stage::Finished {
             net.close_link(link);
             self.jobs.remove(&link);
         } else {
-            let at_us = next_us;
-            self.timers.insert(LinkTimer { at_us, link });
+            let due_us = next_us;
+            self.timers.insert(LinkTimer { due_us, link });
         }
         match accepted {
             Some(name) => self.submit_dependents(net, name, now),
@@ -365,7 +370,8 @@
         }
     }
 
-    /// Submits the jobs of a pipeline whose last dependency to be accepted was this one.
+    /// Submits the dependents of a job that was just accepted, if all their dependencies are
+    /// accepted by now.
     fn submit_dependents(&mut self, net: &mut Network, name: String, now: u64) -> io::Result<()> {
         let dependents = self.scenario.dependents(&name);
         if dependents.is_empty() {
@@ -376,7 +382,7 @@
             let is_accepted = |name: &JobId| self.accepted_dependencies.contains(name.as_str());
             let spec = self.scenario.job(&dependent);
             if spec.is_some_and(|spec| spec.dependencies.iter().all(is_accepted)) {
-                self.submit_first(net, dependent, now)?;
+                self.submit_new_job(net, dependent, now)?;
             }
         }
         Ok(())
@@ -390,13 +396,13 @@
                 probe.longest_unready_us = probe.longest_unready_us.max(now - probe.last_ready_us);
             }
             probe.was_ready = true;
-            probe.failed = 0;
+            probe.consecutive_failures = 0;
             probe.last_ready_us = now;
         } else {
-            probe.failed += 1;
+            probe.consecutive_failures += 1;
         }
-        let at_us = now + PROBE_INTERVAL_US;
-        self.timers.insert(LinkTimer { at_us, link });
+        let due_us = now + PROBE_INTERVAL_US;
+        self.timers.insert(LinkTimer { due_us, link });
     }
 }
 
@@ -417,7 +423,7 @@
         for class in 0..self.next_arrival_us.len() {
             self.submit_arrivals(net, class, now)?;
         }
-        while self.timers.first().is_some_and(|first| first.at_us <= now) {
+        while self.timers.first().is_some_and(|first| first.due_us <= now) {
             let Some(LinkTimer { link, .. }) = self.timers.pop_first() else {
                 break;
             };
@@ -432,9 +438,9 @@
             .next_arrival_us
             .iter()
             .copied()
-            .filter(|at| *at > now)
+            .filter(|arrival_us| *arrival_us > now)
             .min();
-        let timer = self.timers.first().map(|first| first.at_us);
+        let timer = self.timers.first().map(|first| first.due_us);
         Ok([arrival, timer]
             .into_iter()
             .flatten()
@@ -459,13 +465,13 @@
             ("open_jobs", self.jobs.len() as f64),
             (
                 "accepted_p50_ms",
-                self.accepted_ms.value_at_quantile(0.5) as f64,
+                self.acceptance_latency_ms.value_at_quantile(0.5) as f64,
             ),
             (
                 "accepted_p99_ms",
-                self.accepted_ms.value_at_quantile(0.99) as f64,
+                self.acceptance_latency_ms.value_at_quantile(0.99) as f64,
             ),
-            ("accepted_most_ms", self.accepted_ms.max() as f64),
+            ("accepted_most_ms", self.acceptance_latency_ms.max() as f64),
             ("longest_unready_ms", longest as f64 / 1000.0),
         ];
         stats
--- a/loadtest/src/workers/heartbeats.rs
+++ b/loadtest/src/workers/heartbeats.rs
@@ -1,4 +1,5 @@
-//! Heartbeats to the controllers, and the lease that their responses renew.
+//! The workers' heartbeats to controllers, and the worker leases that heartbeat responses
+//! renew.
 
 use super::protocol::{CommandsBody, HeartbeatBody, TaskStatus};
 use super::{HeartbeatInFlight, Timer, WorkerSimulator};
@@ -7,27 +8,28 @@
 use lilacfork::wire::workers::WORKER_HEARTBEAT_PATH;
 use std::io;
 
-/// How long the response to a heartbeat is waited for.
+/// How long a worker waits for a heartbeat response.
 const HEARTBEAT_TIMEOUT_MS: u64 = 4000;
-/// Between two heartbeats at least (PROTOCOL, "Workers -> controller nodes").
+/// The minimum time between two heartbeats (PROTOCOL, "Workers -> controller nodes").
 const MIN_HEARTBEAT_INTERVAL_US: u64 = 500_000;
-/// Before the next controller is tried (likewise).
+/// The delay before a worker tries the next controller (PROTOCOL, as above).
 const CONTROLLER_RETRY_DELAY_US: u64 = 1_000_000;
-/// Heartbeats go out at their interval, give or take this share.
+/// Each heartbeat interval varies randomly by up to this share in either direction.
 const HEARTBEAT_JITTER: f64 = 0.25;
 
-/// The number in a controller's name.
+/// Returns the number that a controller's name holds.
 fn controller_number(name: &str) -> Option<usize> {
     name.strip_prefix("controller-")?.parse().ok()
 }
 
 impl WorkerSimulator {
-    /// Something has changed that the controllers should learn soon.
-    pub(super) fn state_changed(&mut self, index: usize) {
+    /// Brings the next heartbeat forward, as far as the minimum interval allows, so that it
+    /// reports a state change without delay.
+    pub(super) fn expedite_heartbeat(&mut self, index: usize) {
         let worker = &self.workers[index];
-        let soonest_us = (worker.last_heartbeat_us + MIN_HEARTBEAT_INTERVAL_US).max(now_us());
-        if worker.in_flight.is_none() && soonest_us < worker.heartbeat_due_us {
-            self.schedule_heartbeat(index, soonest_us);
+        let earliest_us = (worker.last_heartbeat_us + MIN_HEARTBEAT_INTERVAL_US).max(now_us());
+        if worker.in_flight.is_none() && earliest_us < worker.heartbeat_due_us {
+            self.schedule_heartbeat(index, earliest_us);
         }
     }
 
@@ -54,6 +56,8 @@
         serde_json::to_vec(&body).unwrap_or_default()
     }
 
+    /// Sends a heartbeat, unless the worker is down or has a heartbeat in flight. An isolated
+    /// worker schedules an attempt with the next controller instead.
     pub(super) fn send_heartbeat(&mut self, net: &mut Network, index: usize, now: u64) {
         if !self.workers[index].up || self.workers[index].in_flight.is_some() {
             return;
@@ -69,11 +73,11 @@
             epoch: worker.epoch,
         });
         worker.last_heartbeat_us = now;
-        let to = self.controllers[worker.controller];
+        let controller_address = self.controllers[worker.controller];
         self.heartbeats += 1;
         net.call(
             index as Link,
-            to,
+            controller_address,
             "POST",
             WORKER_HEARTBEAT_PATH,
             &body,
@@ -88,6 +92,7 @@
         self.schedule_heartbeat(index, now + CONTROLLER_RETRY_DELAY_US);
     }
 
+    /// Handles a heartbeat response, or the failure of a heartbeat if `response` is `None`.
     pub(super) fn handle_response(
         &mut self,
         index: usize,
@@ -111,8 +116,10 @@
         Ok(())
     }
 
-    /// A controller has accepted a heartbeat: its lease is renewed, and the commands
-    /// in the response are executed.
+    /// Renews the worker's lease and executes the commands in the response to an accepted
+    /// heartbeat. A response to a heartbeat of another agent epoch, or with a fencing
+    /// token that is missing or lower than the worker's highest, only schedules the next
+    /// heartbeat.
     fn accept_response(
         &mut self,
         index: usize,
@@ -130,16 +137,17 @@
         }
         worker.lease_renewed_us = heartbeat.sent_us;
         worker.observe_token(token);
-        self.execute(index, &body.commands)
+        self.execute_commands(index, &body.commands)
     }
 
-    /// Another controller takes this worker's heartbeats.
+    /// Switches to the controller that a heartbeat response names, or to the next controller
+    /// if the named one is unknown or the current one.
     fn follow_redirect(&mut self, index: usize, redirect_to: Option<String>, now: u64) {
         let current = self.workers[index].controller;
-        let other = redirect_to
+        let target = redirect_to
             .and_then(|name| controller_number(&name))
             .filter(|number| *number < self.controllers.len() && *number != current);
-        match other {
+        match target {
             Some(number) => {
                 self.workers[index].controller = number;
                 let delay_us = self.rng.u64(..MIN_HEARTBEAT_INTERVAL_US);
@@ -149,7 +157,8 @@
         }
     }
 
-    /// When the lease has expired, all tasks end and a new epoch begins.
+    /// Ends all tasks and begins a new agent epoch if the lease has expired, and schedules
+    /// the next check.
     pub(super) fn check_lease(&mut self, index: usize, now: u64) -> io::Result<()> {
         let expires_us = self.workers[index].lease_renewed_us + self.lease_us();
         if !self.workers[index].up {
--- a/loadtest/src/workers/mod.rs
+++ b/loadtest/src/workers/mod.rs
@@ -1,6 +1,7 @@
-//! Simulated workers, by the published protocol: heartbeats on their schedule and on
-//! change, tokens, epochs, leases, commands, image fetches, and task runs by the
-//! clock. Each has a listener and a connection of its own.
+//! Simulated workers that implement the published worker protocol: periodic heartbeats,
+//! expedited heartbeats on state changes, fencing tokens, agent epochs, leases, commands,
+//! image fetches, and tasks that run for a set time. Each worker has its own listener and
+//! its own connection.
 
 mod heartbeats;
 mod protocol;
@@ -20,13 +21,14 @@
 use std::io;
 use std::net::SocketAddrV4;
 
-/// When to look again if no timer is set.
+/// The interval between ticks while no timer is set.
 const IDLE_INTERVAL_US: u64 = 1_000_000;
 
 struct Task {
     attempt: u64,
     phase: Phase,
     reason: Option<EndReason>,
+    /// `None` once the task has ended.
     spec: Option<JobSpec>,
 }
 
@@ -36,7 +38,7 @@
     size_gb: f64,
 }
 
-/// A heartbeat whose response isn't there yet.
+/// A heartbeat that awaits its response.
 #[derive(Clone, Copy)]
 struct HeartbeatInFlight {
     sent_us: u64,
@@ -44,30 +46,34 @@
 }
 
 struct Worker {
+    /// The machine's number in the scenario.
     number: u32,
     machine: Machine,
     address: SocketAddrV4,
     up: bool,
     epoch: u64,
     sequence: u64,
+    /// The highest fencing token received.
     token: u64,
+    /// The number of the controller to which heartbeats are sent.
     controller: usize,
     tasks: BTreeMap<String, Task>,
     used: Resources,
-    /// Most recently used last.
+    /// In order of use; the most recently used image is last.
     cached_images: VecDeque<CachedImage>,
     fetching_images: BTreeSet<String>,
-    /// When the last accepted heartbeat was sent, or the epoch began.
+    /// The time from which the lease runs: when the last accepted heartbeat was sent, the
+    /// agent epoch began or the worker was activated, whichever is latest.
     lease_renewed_us: u64,
     in_flight: Option<HeartbeatInFlight>,
     last_heartbeat_us: u64,
     heartbeat_due_us: u64,
-    /// Until when it is unreachable.
+    /// The time until which a fault isolates the machine.
     isolated_until_us: u64,
 }
 
 impl Worker {
-    /// Keeps the highest fencing token.
+    /// Records a received fencing token if it is the highest one.
     fn observe_token(&mut self, token: u64) {
         self.token = self.token.max(token);
     }
@@ -88,24 +94,26 @@
     },
 }
 
-/// A timer with its time and its worker's index.
+/// A timer of a worker, ordered by due time.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct ScheduledTimer {
-    at_us: u64,
+    due_us: u64,
+    /// The worker's index in [`WorkerSimulator::workers`].
     worker: usize,
     timer: Timer,
 }
 
-/// The workers of one process.
+/// The workers of one simulator process, with consecutive machine numbers.
 pub struct WorkerSimulator {
     scenario: Scenario,
     controllers: Vec<SocketAddrV4>,
     workers: Vec<Worker>,
-    first: u32,
+    /// The machine number of the worker with index 0.
+    first_number: u32,
     timers: BTreeSet<ScheduledTimer>,
     recorder: Recorder,
     rng: fastrand::Rng,
-    /// Until when each zone's workers are unreachable.
+    /// The time until which a fault isolates each zone's workers; 0 if none has been set.
     zone_isolated_until_us: Vec<u64>,
     heartbeats: u64,
     starts: u64,
@@ -113,7 +121,8 @@
 }
 
 impl WorkerSimulator {
-    /// Opens a listener for each.
+    /// Creates the workers and opens a listener for each, including the spare machines,
+    /// which are down until they boot.
     pub fn new(
         config: &ProcessConfig,
         net: &mut Network,
@@ -127,7 +136,7 @@
         let mut simulator = WorkerSimulator {
             controllers: config.controllers.clone(),
             workers: Vec::new(),
-            first,
+            first_number: first,
             timers: BTreeSet::new(),
             recorder: Recorder::create(&config.history)?,
             rng: fastrand::Rng::with_seed(scenario.seed + u64::from(first)),
@@ -168,7 +177,7 @@
             isolated_until_us: 0,
         });
         if up {
-            // Workers don't send their heartbeats in step.
+            // Random delays keep the workers from sending their heartbeats simultaneously.
             let delay_us = self
                 .rng
                 .u64(..(self.scenario.workers.report_s * 1e6) as u64);
@@ -176,33 +185,35 @@
         }
     }
 
-    fn activate(&mut self, index: usize, at_us: u64) {
-        self.workers[index].lease_renewed_us = at_us;
-        self.schedule_heartbeat(index, at_us);
-        self.set_timer(at_us + self.lease_us(), index, Timer::Lease);
+    /// Starts a worker's lease and schedules its first heartbeat, both for this time.
+    fn activate(&mut self, index: usize, start_us: u64) {
+        self.workers[index].lease_renewed_us = start_us;
+        self.schedule_heartbeat(index, start_us);
+        self.set_timer(start_us + self.lease_us(), index, Timer::Lease);
     }
 
     fn lease_us(&self) -> u64 {
         (self.scenario.workers.lease_s * 1e6) as u64
     }
 
-    fn set_timer(&mut self, at_us: u64, worker: usize, timer: Timer) {
+    fn set_timer(&mut self, due_us: u64, worker: usize, timer: Timer) {
         self.timers.insert(ScheduledTimer {
-            at_us,
+            due_us,
             worker,
             timer,
         });
     }
 
-    fn schedule_heartbeat(&mut self, index: usize, at_us: u64) {
+    /// Schedules the next heartbeat in place of the one that is scheduled.
+    fn schedule_heartbeat(&mut self, index: usize, due_us: u64) {
         let worker = &mut self.workers[index];
         self.timers.remove(&ScheduledTimer {
-            at_us: worker.heartbeat_due_us,
+            due_us: worker.heartbeat_due_us,
             worker: index,
             timer: Timer::Heartbeat,
         });
-        worker.heartbeat_due_us = at_us;
-        self.set_timer(at_us, index, Timer::Heartbeat);
+        worker.heartbeat_due_us = due_us;
+        self.set_timer(due_us, index, Timer::Heartbeat);
     }
 
     fn is_isolated(&self, index: usize, now: u64) -> bool {
@@ -210,11 +221,13 @@
         now < self.zone_isolated_until_us[worker.machine.zone].max(worker.isolated_until_us)
     }
 
-    /// The index of the machine with this number.
+    /// Returns the worker index of the machine with this number.
     fn index_of(&self, number: u32) -> usize {
-        (number - self.first) as usize
+        (number - self.first_number) as usize
     }
 
+    /// Handles a controller's request. Commands with a fencing token below the highest
+    /// received one, or for another agent epoch, are rejected with status 409.
     fn handle_request(
         &mut self,
         net: &mut Network,
@@ -223,7 +236,7 @@
         request: &Request,
     ) -> io::Result<()> {
         if !self.workers[index].up || self.is_isolated(index, now_us()) {
-            // No response: the worker is unreachable.
+            // A worker that is down or isolated doesn't respond.
             return Ok(());
         }
         let mut status = 200;
@@ -245,7 +258,7 @@
             }
             self.workers[index].observe_token(token);
             if status == 200 {
-                self.execute(index, &body.commands)?;
+                self.execute_commands(index, &body.commands)?;
             }
         }
         let reply = Reply {
@@ -282,7 +295,7 @@
                 self.workers[index].up = true;
                 self.activate(index, now);
             }
-            Timer::ImageFetched { image } => self.image_fetched(index, &image)?,
+            Timer::ImageFetched { image } => self.complete_image_fetch(index, &image)?,
             Timer::TaskDone {
                 task,
                 attempt,
@@ -321,18 +334,19 @@
 
     fn tick(&mut self, net: &mut Network) -> io::Result<u64> {
         let now = now_us();
-        while self.timers.first().is_some_and(|first| first.at_us <= now) {
+        while self.timers.first().is_some_and(|first| first.due_us <= now) {
             let Some(due) = self.timers.pop_first() else {
                 break;
             };
-            // A lease that expired while this process was paused is handled first.
+            // A lease that expired while this process was paused is handled before other
+            // timers, so that its tasks end first.
             let expires_us = self.workers[due.worker].lease_renewed_us + self.lease_us();
             if due.timer != Timer::Lease && now > expires_us {
                 self.check_lease(due.worker, now)?;
             }
             self.handle_timer(net, due.worker, due.timer, now)?;
         }
-        let first_us = self.timers.first().map(|first| first.at_us);
+        let first_us = self.timers.first().map(|first| first.due_us);
         Ok(first_us.unwrap_or(now + IDLE_INTERVAL_US))
     }
 
@@ -360,11 +374,12 @@
     }
 
     fn stats(&self, stats: &mut Stats) {
-        let up = self.workers.iter().filter(|w| w.up).count();
-        let running = |w: &Worker| {
-            w.tasks
+        let up = self.workers.iter().filter(|worker| worker.up).count();
+        let running = |worker: &Worker| {
+            worker
+                .tasks
                 .values()
-                .filter(|t| t.phase == Phase::Running)
+                .filter(|task| task.phase == Phase::Running)
                 .count()
         };
         let tasks: usize = self.workers.iter().map(running).sum();
--- a/loadtest/src/workers/protocol.rs
+++ b/loadtest/src/workers/protocol.rs
@@ -1,8 +1,8 @@
-//! The bodies of messages between workers and controllers, by PROTOCOL.
+//! The message bodies that workers and controllers exchange, as defined by PROTOCOL.
 
 use serde::{Deserialize, Serialize};
 
-/// How far a task is.
+/// The phase of a task on a worker.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub(super) enum Phase {
@@ -12,7 +12,8 @@
     Ended,
 }
 
-/// Why a task has ended, or wasn't started.
+/// Why a task ended or wasn't started. `Full`, `Busy` and `Unknown` reject a start: the
+/// machine lacks capacity, an earlier attempt hasn't ended, or the job is unknown.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub(super) enum EndReason {
@@ -23,7 +24,7 @@
     Unknown,
 }
 
-/// A task in a heartbeat.
+/// The status of a task, as reported in a heartbeat.
 #[derive(Serialize)]
 pub(super) struct TaskStatus<'a> {
     #[serde(rename = "piece")]
@@ -36,7 +37,7 @@
     pub(super) reason: Option<EndReason>,
 }
 
-/// A worker's heartbeat, and its response to direct commands.
+/// A worker's heartbeat, also sent in response to commands that a controller sends directly.
 #[derive(Serialize)]
 pub(super) struct HeartbeatBody<'a> {
     #[serde(rename = "banc")]
@@ -58,7 +59,7 @@
     pub(super) tasks: Vec<TaskStatus<'a>>,
 }
 
-/// One command of a controller.
+/// A command of a controller to start, halt or reap a task.
 #[derive(Deserialize)]
 pub(super) struct CommandBody {
     #[serde(rename = "geste")]
@@ -69,14 +70,14 @@
     pub(super) attempt: u64,
 }
 
-/// A controller's response to a heartbeat, or its direct commands.
+/// A controller's response to a heartbeat, or a request with commands.
 #[derive(Deserialize)]
 pub(super) struct CommandsBody {
     #[serde(rename = "jeton")]
     pub(super) token: Option<u64>,
     #[serde(rename = "quart")]
     pub(super) epoch: Option<u64>,
-    /// The controller that takes this worker's heartbeats.
+    /// The name of the controller to which the worker must send its heartbeats.
     #[serde(rename = "rendreA")]
     pub(super) redirect_to: Option<String>,
     #[serde(rename = "consignes", default)]
--- a/loadtest/src/workers/tasks.rs
+++ b/loadtest/src/workers/tasks.rs
@@ -1,4 +1,4 @@
-//! The controllers' commands, and the tasks that they start and stop.
+//! Execution of the controllers' commands, which start, stop and remove tasks.
 
 use super::protocol::{CommandBody, EndReason, Phase};
 use super::{CachedImage, Task, Timer, WorkerSimulator};
@@ -10,17 +10,21 @@
 use std::io;
 
 impl WorkerSimulator {
-    pub(super) fn execute(&mut self, index: usize, commands: &[CommandBody]) -> io::Result<()> {
+    pub(super) fn execute_commands(
+        &mut self,
+        index: usize,
+        commands: &[CommandBody],
+    ) -> io::Result<()> {
         for command in commands {
             match command.action.as_str() {
                 "start" => self.start_task(index, &command.task, command.attempt)?,
                 "halt" => self.stop_task(index, &command.task, command.attempt)?,
-                "reap" => self.forget_task(index, &command.task, command.attempt),
+                "reap" => self.remove_ended_task(index, &command.task, command.attempt),
                 _ => {}
             }
         }
         if !commands.is_empty() {
-            self.state_changed(index);
+            self.expedite_heartbeat(index);
         }
         Ok(())
     }
@@ -34,7 +38,7 @@
             self.reject_start(index, name, attempt, EndReason::Busy);
             return Ok(());
         }
-        let job = TaskRef::parse(name).and_then(|t| self.scenario.job(t.job.as_str()));
+        let job = TaskRef::parse(name).and_then(|task| self.scenario.job(task.job.as_str()));
         let Some(spec) = job else {
             self.reject_start(index, name, attempt, EndReason::Unknown);
             return Ok(());
@@ -68,14 +72,16 @@
         Ok(())
     }
 
-    /// Starts to fetch an image, unless that is under way. Fetches share the rate.
+    /// Starts to fetch an image, unless the worker is fetching it already. The fetch time
+    /// grows with the number of concurrent fetches, which share the machine's fetch rate.
     fn fetch_image(&mut self, index: usize, image: String, image_gb: f64) {
         let worker = &mut self.workers[index];
         if worker.fetching_images.insert(image.clone()) {
-            let rate = self.scenario.machine_types[worker.machine.machine_type].fetch_gb_per_s;
-            let fetch_s = image_gb / rate * worker.fetching_images.len() as f64;
-            let at_us = now_us() + (fetch_s * 1e6) as u64;
-            self.set_timer(at_us, index, Timer::ImageFetched { image });
+            let fetch_gb_per_s =
+                self.scenario.machine_types[worker.machine.machine_type].fetch_gb_per_s;
+            let fetch_s = image_gb / fetch_gb_per_s * worker.fetching_images.len() as f64;
+            let fetched_us = now_us() + (fetch_s * 1e6) as u64;
+            self.set_timer(fetched_us, index, Timer::ImageFetched { image });
         }
     }
 
@@ -88,6 +94,7 @@
         }
     }
 
+    /// Reports a rejected start as a task that ended with this reason.
     fn reject_start(&mut self, index: usize, name: &str, attempt: u64, reason: EndReason) {
         let task = Task {
             attempt,
@@ -95,7 +102,7 @@
             reason: Some(reason),
             spec: None,
         };
-        // A rejected start changes nothing about another attempt that is here.
+        // A rejected start leaves another attempt that hasn't ended unchanged.
         let tasks = &mut self.workers[index].tasks;
         if tasks
             .get(name)
@@ -105,7 +112,8 @@
         }
     }
 
-    /// The image has been fetched: the task runs.
+    /// Runs a task whose image is in the cache or has just been fetched. A task of an array
+    /// job is done after its run time; a service runs until it is stopped.
     fn run_task(&mut self, index: usize, name: &str) -> io::Result<()> {
         let worker = &mut self.workers[index];
         let (epoch, machine) = (worker.epoch, worker.number);
@@ -127,17 +135,19 @@
         if spec.kind != JobKind::Service {
             let run_s =
                 TaskRef::parse(name).and_then(|t| self.scenario.run_s(t.job.as_str(), t.index));
-            let at_us = now_us() + (run_s.unwrap_or(1.0) * 1e6) as u64;
+            let done_us = now_us() + (run_s.unwrap_or(1.0) * 1e6) as u64;
             let done = Timer::TaskDone {
                 task: name.to_string(),
                 attempt,
                 epoch,
             };
-            self.set_timer(at_us, index, done);
+            self.set_timer(done_us, index, done);
         }
         Ok(())
     }
 
+    /// Marks the job's image as most recently used, and evicts the least recently used
+    /// images beyond the cache capacity.
     fn cache_image(&mut self, index: usize, spec: &JobSpec) {
         let worker = &mut self.workers[index];
         let capacity_gb = self.scenario.machine_types[worker.machine.machine_type].cache_gb;
@@ -161,22 +171,23 @@
         }
     }
 
-    pub(super) fn image_fetched(&mut self, index: usize, image: &str) -> io::Result<()> {
+    /// Completes the fetch of an image and runs the tasks that wait for it.
+    pub(super) fn complete_image_fetch(&mut self, index: usize, image: &str) -> io::Result<()> {
         if !self.workers[index].fetching_images.remove(image) {
             return Ok(());
         }
-        let waits = |task: &Task| {
+        let waits_for_image = |task: &Task| {
             let needs_image = |spec: &JobSpec| *spec.image == *image;
             task.phase == Phase::Fetching && task.spec.as_ref().is_some_and(needs_image)
         };
         let waiting = self.workers[index]
             .tasks
             .iter()
-            .filter(|(_, task)| waits(task));
+            .filter(|(_, task)| waits_for_image(task));
         for name in waiting.map(|(name, _)| name.clone()).collect::<Vec<_>>() {
             self.run_task(index, &name)?;
         }
-        self.state_changed(index);
+        self.expedite_heartbeat(index);
         Ok(())
     }
 
@@ -188,6 +199,7 @@
         Ok(())
     }
 
+    /// Ends a task, releases its resources and records the end in the history.
     pub(super) fn end_task(
         &mut self,
         index: usize,
@@ -218,11 +230,11 @@
             let task = name.to_string();
             self.recorder.record(Event::Left { task, machine })?;
         }
-        self.state_changed(index);
+        self.expedite_heartbeat(index);
         Ok(())
     }
 
-    fn forget_task(&mut self, index: usize, name: &str, attempt: u64) {
+    fn remove_ended_task(&mut self, index: usize, name: &str, attempt: u64) {
         let tasks = &mut self.workers[index].tasks;
         if tasks
             .get(name)
@@ -232,7 +244,7 @@
         }
     }
 
-    /// All tasks of a worker end without a report.
+    /// Ends and removes all tasks of a worker, so that later heartbeats don't report them.
     pub(super) fn end_all_tasks(&mut self, index: usize) -> io::Result<()> {
         let worker = &mut self.workers[index];
         worker.used = Resources::default();
