--- a/loadtest/src/report.rs
+++ b/loadtest/src/report.rs
@@ -165,7 +165,7 @@
             Event::Submitted { job } if (from_us..to_us).contains(&entry.at_us) => {
                 submitted_us.insert(job, entry.at_us);
                 if let (Some((class, _)), Some(spec)) =
-                    (scenario.job_number(job), scenario.job(job))
+                    (scenario.parse_job_name(job), scenario.job(job))
                 {
                     *submitted_tasks.entry(class).or_insert(0) += u64::from(spec.tasks);
                 }
@@ -176,7 +176,7 @@
                 };
                 let (Some(job_submitted_us), Some((class, _))) = (
                     submitted_us.get(task.job.as_str()),
-                    scenario.job_number(task.job.as_str()),
+                    scenario.parse_job_name(task.job.as_str()),
                 ) else {
                     continue;
                 };
