--- a/tests/integration/capacity_index.rs
+++ b/tests/integration/capacity_index.rs
@@ -1,5 +1,5 @@
-//! The capacity index against a plain reference that looks at every machine, on random
-//! small fleets; and the cost of a search, counted.
+//! Tests of the capacity index. Random small fleets compare the index with a reference that
+//! scans every machine. A further test counts the entries that a search examines.
 
 use lilacfork::capacity_index::{CapacityIndex, CapacityState, SearchConstraint, TaskDemand};
 use lilacfork::cloud::Offer;
@@ -12,12 +12,12 @@
 use std::rc::Rc;
 
 const NOW_MS: u64 = 100_000;
-const FRESH_MS: u64 = 3000;
+const MAX_HEARTBEAT_AGE_MS: u64 = 3000;
 const ZONES: [&str; 3] = ["a", "b", "c"];
 const IMAGES: [&str; 3] = ["x", "y", "z"];
 
-/// What a machine of each type holds.
-fn whole(machine_type: &str) -> Resources {
+/// Returns the total capacity of a machine of this type.
+fn total_capacity(machine_type: &str) -> Resources {
     Resources {
         cpus: 48.0,
         gpus: if machine_type == "g8" { 8.0 } else { 4.0 },
@@ -25,64 +25,69 @@
     }
 }
 
-/// A machine with so many tasks of 4 CPUs, a GPU and 25 GB on it.
+/// A randomly generated machine.
 #[derive(Clone, Debug)]
-struct Drawn {
-    eight: bool,
+struct RandomMachine {
+    /// Whether the machine has eight GPUs instead of four.
+    eight_gpus: bool,
     zone: usize,
     spot: bool,
+    /// The number of tasks on the machine, each of which uses `base_request`.
     tasks: u32,
-    /// Cores beyond what the tasks take.
-    more_cpus: f64,
-    images: Vec<bool>,
-    coming: Vec<bool>,
-    open: bool,
-    silent: bool,
+    /// CPUs in use beyond those of the tasks.
+    extra_cpus: f64,
+    /// Which of `IMAGES` the machine has.
+    cached_images: Vec<bool>,
+    /// Which of `IMAGES` the machine is pulling, unless it has them already.
+    pulling_images: Vec<bool>,
+    schedulable: bool,
+    unresponsive: bool,
 }
 
-impl Drawn {
+impl RandomMachine {
     fn state(&self) -> CapacityState {
-        let machine_type = if self.eight { "g8" } else { "g4" };
-        let mut unassigned = whole(machine_type);
-        unassigned.subtract(&task_need().scaled(f64::from(self.tasks)));
-        unassigned.cpus -= self.more_cpus;
-        let images = |flags: &[bool]| -> Vec<Rc<str>> {
-            let named = IMAGES.iter().zip(flags);
-            named
-                .filter(|(_, is)| **is)
+        let machine_type = if self.eight_gpus { "g8" } else { "g4" };
+        let mut unassigned = total_capacity(machine_type);
+        unassigned.subtract(&base_request().scaled(f64::from(self.tasks)));
+        unassigned.cpus -= self.extra_cpus;
+        let selected_images = |flags: &[bool]| -> Vec<Rc<str>> {
+            let images = IMAGES.iter().zip(flags);
+            images
+                .filter(|(_, selected)| **selected)
                 .map(|(image, _)| Rc::from(*image))
                 .collect()
         };
-        let at_hand = images(&self.images);
-        let mut coming = images(&self.coming);
-        coming.retain(|image| !at_hand.contains(image));
+        let cached_images = selected_images(&self.cached_images);
+        let mut pulling_images = selected_images(&self.pulling_images);
+        pulling_images.retain(|image| !cached_images.contains(image));
         CapacityState {
             offer: Offer {
                 machine_type: Rc::from(machine_type),
                 zone: Rc::from(ZONES[self.zone]),
                 spot: self.spot,
             },
-            total: whole(machine_type),
+            total: total_capacity(machine_type),
             unassigned,
             freeing: Resources::default(),
-            schedulable: self.open,
+            schedulable: self.schedulable,
             occupied: self.tasks > 0,
             least_important: (self.tasks > 0).then_some(Priority::Standard),
-            images: at_hand,
-            pulling_images: coming,
+            images: cached_images,
+            pulling_images,
         }
     }
 
-    fn heard_ms(&self) -> u64 {
-        if self.silent {
-            NOW_MS - FRESH_MS
+    fn last_heartbeat_ms(&self) -> u64 {
+        if self.unresponsive {
+            NOW_MS - MAX_HEARTBEAT_AGE_MS
         } else {
             NOW_MS - 100
         }
     }
 }
 
-fn task_need() -> Resources {
+/// Returns the resources of the smallest task. Larger tasks request a multiple of them.
+fn base_request() -> Resources {
     Resources {
         cpus: 4.0,
         gpus: 1.0,
@@ -90,59 +95,66 @@
     }
 }
 
-/// The plain reference: looks at every machine's free capacity, as rounds once did.
-struct Plain {
-    rooms: BTreeMap<MachineId, (Drawn, Resources)>,
+/// The reference implementation, which scans the free capacity of every machine.
+struct ReferenceScan {
+    /// Each machine with the resources that are held on it.
+    machines: BTreeMap<MachineId, (RandomMachine, Resources)>,
 }
 
-impl Plain {
+impl ReferenceScan {
+    /// Returns the machine's rank for a task; `None` means that the machine can't take the
+    /// task. The lowest rank is the best.
     fn rank(&self, id: &MachineId, demand: &TaskDemand) -> Option<f64> {
-        let (drawn, held) = &self.rooms[id];
-        let state = drawn.state();
+        let (machine, held) = &self.machines[id];
+        let state = machine.state();
         let offer = &state.offer;
-        let mut left = state.unassigned;
-        left.subtract(held);
-        let takes = drawn.open && !drawn.silent && left.covers(demand.resources);
-        if !takes || !placement_allowed(demand.spec, demand.zones, offer) {
+        let mut free = state.unassigned;
+        free.subtract(held);
+        let accepts = machine.schedulable && !machine.unresponsive && free.covers(demand.resources);
+        if !accepts || !placement_allowed(demand.spec, demand.zones, offer) {
             return None;
         }
-        left.subtract(demand.resources);
+        free.subtract(demand.resources);
         let fit = FitScore {
             image_cached: state.images.contains(&demand.spec.image),
             image_pulling: state.pulling_images.contains(&demand.spec.image),
             concurrent_pulls: state.pulling_images.len() as u32,
             spot: offer.spot,
-            free_share: left.dominant_share(&state.total),
+            free_share: free.dominant_share(&state.total),
             siblings: demand.siblings.get(id).copied().unwrap_or(0),
         };
         let service = f64::from(u32::from(demand.spec.kind == JobKind::Service));
         let failed = f64::from(u32::from((demand.failed_on)(id)));
-        let crowded = service * FitScore::zone_crowding(demand.zones.count(&offer.zone));
-        Some(fit.rank() + 10.0 * failed + crowded)
+        let zone_penalty = service * FitScore::zone_crowding(demand.zones.count(&offer.zone));
+        Some(fit.rank() + 10.0 * failed + zone_penalty)
     }
 
+    /// Returns the lowest rank of all machines.
     fn best(&self, demand: &TaskDemand) -> Option<f64> {
-        let ranks = self.rooms.keys().filter_map(|id| self.rank(id, demand));
+        let ranks = self.machines.keys().filter_map(|id| self.rank(id, demand));
         ranks.min_by(f64::total_cmp)
     }
 }
 
 #[derive(Clone, Debug)]
-struct DrawnJob {
+struct RandomJob {
     service: bool,
     tasks: u32,
     spread: bool,
-    one_zone: bool,
+    same_zone: bool,
+    /// The only zone that the job allows.
     only_zone: Option<usize>,
-    only_eight: bool,
+    /// Whether the job allows only machines with eight GPUs.
+    only_eight_gpus: bool,
     spot: bool,
     image: usize,
+    /// The resources of a task as a multiple of `base_request`.
     size: u32,
-    /// Machines on which it has failed.
+    /// The numbers of the machines on which the job has failed.
     failed: BTreeSet<usize>,
 }
 
-impl DrawnJob {
+impl RandomJob {
     fn spec(&self) -> JobSpec {
         let mut spec = JobSpec::parse(
             br#"{"id":"run-1","gabarit":"c","equipe":"t","genre":"array","rang":"high","pieces":9,
@@ -157,38 +169,44 @@
         };
         spec.tasks = self.tasks;
         spec.spread = self.spread;
-        spec.same_zone = self.one_zone && !self.spread;
-        spec.zone = self.only_zone.map(|z| Rc::from(ZONES[z]));
-        spec.machine_types = self.only_eight.then(|| vec![Rc::from("g8")]);
+        spec.same_zone = self.same_zone && !self.spread;
+        spec.zone = self.only_zone.map(|zone| Rc::from(ZONES[zone]));
+        spec.machine_types = self.only_eight_gpus.then(|| vec![Rc::from("g8")]);
         spec.spot = self.spot;
         spec.image = Rc::from(IMAGES[self.image]);
-        let need = task_need().scaled(f64::from(self.size));
-        (spec.cpus, spec.gpus, spec.memory_gb) = (need.cpus, need.gpus, need.memory_gb);
+        let request = base_request().scaled(f64::from(self.size));
+        (spec.cpus, spec.gpus, spec.memory_gb) = (request.cpus, request.gpus, request.memory_gb);
         spec
     }
 }
 
-fn drawn_machine() -> impl Strategy<Value = Drawn> {
+fn random_machine() -> impl Strategy<Value = RandomMachine> {
     let flags = || proptest::collection::vec(proptest::bool::weighted(0.3), IMAGES.len());
-    let kind = (any::<bool>(), 0..ZONES.len(), proptest::bool::weighted(0.3));
-    let filled = (0u32..5, prop_oneof![Just(0.0), 0.0..20.0]);
+    let offer = (any::<bool>(), 0..ZONES.len(), proptest::bool::weighted(0.3));
+    let usage = (0u32..5, prop_oneof![Just(0.0), 0.0..20.0]);
     let state = (proptest::bool::weighted(0.9), proptest::bool::weighted(0.1));
-    (kind, filled, flags(), flags(), state).prop_map(
-        |((eight, zone, spot), (tasks, more_cpus), images, coming, (open, silent))| Drawn {
-            eight,
+    (offer, usage, flags(), flags(), state).prop_map(
+        |(
+            (eight_gpus, zone, spot),
+            (tasks, extra_cpus),
+            cached_images,
+            pulling_images,
+            (schedulable, unresponsive),
+        )| RandomMachine {
+            eight_gpus,
             zone,
             spot,
             tasks,
-            more_cpus,
-            images,
-            coming,
-            open,
-            silent,
+            extra_cpus,
+            cached_images,
+            pulling_images,
+            schedulable,
+            unresponsive,
         },
     )
 }
 
-fn drawn_job() -> impl Strategy<Value = DrawnJob> {
+fn random_job() -> impl Strategy<Value = RandomJob> {
     let place = (
         any::<bool>(),
         any::<bool>(),
@@ -204,17 +222,17 @@
     let failed = proptest::collection::btree_set(0usize..16, 0..3);
     (place, kind, size, failed).prop_map(
         |(
-            (spread, one_zone, only_zone),
-            (service, tasks, only_eight, spot),
+            (spread, same_zone, only_zone),
+            (service, tasks, only_eight_gpus, spot),
             (image, size),
             failed,
-        )| DrawnJob {
+        )| RandomJob {
             service,
             tasks,
             spread,
-            one_zone,
+            same_zone,
             only_zone,
-            only_eight,
+            only_eight_gpus,
             spot,
             image,
             size,
@@ -223,76 +241,77 @@
     )
 }
 
-fn machine(n: usize) -> MachineId {
+fn machine_id(n: usize) -> MachineId {
     MachineId::new(&format!("vm-{n:03}"))
 }
 
-fn runner(cases: u32) -> TestRunner {
+fn deterministic_runner(cases: u32) -> TestRunner {
     let config = Config {
         cases,
         failure_persistence: None,
         ..Config::default()
     };
-    // The same cases every time.
+    // A fixed seed generates the same cases in every run.
     let rng = proptest::test_runner::TestRng::deterministic_rng(config.rng_algorithm);
     TestRunner::new_with_rng(config, rng)
 }
 
-fn index(machines: &[Drawn]) -> (CapacityIndex, Plain) {
-    let mut rooms = CapacityIndex::default();
-    rooms.set_time(NOW_MS, FRESH_MS);
-    let mut plain = Plain {
-        rooms: BTreeMap::new(),
+/// Creates the index and the reference of the same machines.
+fn index_and_reference(machines: &[RandomMachine]) -> (CapacityIndex, ReferenceScan) {
+    let mut index = CapacityIndex::default();
+    index.set_time(NOW_MS, MAX_HEARTBEAT_AGE_MS);
+    let mut reference = ReferenceScan {
+        machines: BTreeMap::new(),
     };
-    for (n, drawn) in machines.iter().enumerate() {
-        rooms.refresh(&machine(n), drawn.state(), drawn.heard_ms());
-        plain
-            .rooms
-            .insert(machine(n), (drawn.clone(), Resources::default()));
+    for (n, machine) in machines.iter().enumerate() {
+        index.refresh(&machine_id(n), machine.state(), machine.last_heartbeat_ms());
+        reference
+            .machines
+            .insert(machine_id(n), (machine.clone(), Resources::default()));
     }
-    (rooms, plain)
+    (index, reference)
 }
 
-/// Places the tasks of a job one by one, by index and by reference: both choose the same
-/// machine, or one of equal rank.
-fn place_alike(
-    rooms: &mut CapacityIndex,
-    plain: &mut Plain,
-    job: &DrawnJob,
+/// Places the tasks of a job one by one on the machine that the index chooses, and checks that
+/// its rank equals the best rank of the reference.
+fn check_placements(
+    index: &mut CapacityIndex,
+    reference: &mut ReferenceScan,
+    job: &RandomJob,
 ) -> Result<(), TestCaseError> {
     let spec = job.spec();
-    let need = spec.task_request();
+    let request = spec.task_request();
     let mut zones = ZoneCounts::default();
     let mut siblings = BTreeMap::new();
-    let failed: BTreeSet<MachineId> = job.failed.iter().map(|n| machine(*n)).collect();
+    let failed: BTreeSet<MachineId> = job.failed.iter().map(|n| machine_id(*n)).collect();
     let failed_on = |id: &MachineId| failed.contains(id);
     for task in 0..spec.tasks {
         let demand = TaskDemand {
             spec: &spec,
-            resources: &need,
+            resources: &request,
             zones: &zones,
             siblings: &siblings,
             failed_on: &failed_on,
             constraint: SearchConstraint::default(),
         };
-        let found = rooms.best(&demand);
-        let expected = plain.best(&demand);
+        let found = index.best(&demand);
+        let expected = reference.best(&demand);
         prop_assert_eq!(found.is_some(), expected.is_some(), "task {}", task);
-        let (Some(best), Some(least)) = (found, expected) else {
+        let (Some(best), Some(expected_rank)) = (found, expected) else {
             return Ok(());
         };
-        let id = rooms.get(best.slot).unwrap().id.clone();
-        let rank = plain.rank(&id, &demand).unwrap();
+        let id = index.get(best.slot).unwrap().id.clone();
+        let rank = reference.rank(&id, &demand).unwrap();
         prop_assert!(
-            (rank - least).abs() < 1e-6,
-            "{id}: {rank}, the best is {least}"
+            (rank - expected_rank).abs() < 1e-6,
+            "{id} has rank {rank}, the best rank is {expected_rank}"
         );
         prop_assert!((best.rank - rank).abs() < 1e-9);
-        prop_assert_eq!(rooms.rank(best.slot, &demand), Some(best.rank));
-        rooms.hold(best.slot, &need);
-        let (drawn, held) = plain.rooms.get_mut(&id).unwrap();
-        held.add(&need);
-        zones.add(&Rc::from(ZONES[drawn.zone]));
+        prop_assert_eq!(index.rank(best.slot, &demand), Some(best.rank));
+        index.hold(best.slot, &request);
+        let (machine, held) = reference.machines.get_mut(&id).unwrap();
+        held.add(&request);
+        zones.add(&Rc::from(ZONES[machine.zone]));
         if job.service {
             *siblings.entry(id).or_insert(0) += 1;
         }
@@ -301,178 +320,186 @@
 }
 
 #[test]
-fn the_index_chooses_as_a_scan_of_all_machines_does() {
-    let fleet = proptest::collection::vec(drawn_machine(), 1..16);
-    let jobs = proptest::collection::vec(drawn_job(), 1..4);
-    let verdict = runner(600).run(&(fleet, jobs), |(machines, jobs)| {
-        let (mut rooms, mut plain) = index(&machines);
+fn index_chooses_machine_of_same_rank_as_full_scan() {
+    let fleet = proptest::collection::vec(random_machine(), 1..16);
+    let jobs = proptest::collection::vec(random_job(), 1..4);
+    let result = deterministic_runner(600).run(&(fleet, jobs), |(machines, jobs)| {
+        let (mut index, mut reference) = index_and_reference(&machines);
         for job in &jobs {
-            place_alike(&mut rooms, &mut plain, job)?;
-            rooms
+            check_placements(&mut index, &mut reference, job)?;
+            index
                 .check_invariants()
                 .map_err(|violation| TestCaseError::fail(violation.to_string()))?;
         }
         Ok(())
     });
-    verdict.unwrap();
+    result.unwrap();
 }
 
 #[test]
-fn all_machines_with_capacity_for_a_gangs_task_are_found() {
-    let fleet = proptest::collection::vec(drawn_machine(), 1..16);
-    let verdict = runner(300).run(&(fleet, drawn_job()), |(machines, job)| {
-        let (rooms, plain) = index(&machines);
+fn fitting_returns_every_machine_with_capacity_for_gang_task() {
+    let fleet = proptest::collection::vec(random_machine(), 1..16);
+    let result = deterministic_runner(300).run(&(fleet, random_job()), |(machines, job)| {
+        let (index, reference) = index_and_reference(&machines);
         let spec = job.spec();
-        let need = spec.task_request();
-        let found: BTreeSet<MachineId> = rooms
-            .fitting(&spec, &need)
-            .map(|(_, r)| r.id.clone())
+        let request = spec.task_request();
+        let found: BTreeSet<MachineId> = index
+            .fitting(&spec, &request)
+            .map(|(_, machine)| machine.id.clone())
             .collect();
-        let holds = |drawn: &Drawn| {
-            let state = drawn.state();
-            let takes = drawn.open && !drawn.silent && state.unassigned.covers(&need);
-            takes && offer_allowed(&spec, &state.offer)
+        let fits = |machine: &RandomMachine| {
+            let state = machine.state();
+            let accepts =
+                machine.schedulable && !machine.unresponsive && state.unassigned.covers(&request);
+            accepts && offer_allowed(&spec, &state.offer)
         };
-        let holding = plain.rooms.iter().filter(|(_, (drawn, _))| holds(drawn));
-        let expected: BTreeSet<MachineId> = holding.map(|(id, _)| id.clone()).collect();
+        let fitting = reference
+            .machines
+            .iter()
+            .filter(|(_, (machine, _))| fits(machine));
+        let expected: BTreeSet<MachineId> = fitting.map(|(id, _)| id.clone()).collect();
         prop_assert_eq!(found, expected);
         Ok(())
     });
-    verdict.unwrap();
+    result.unwrap();
 }
 
 #[test]
-fn forecast_demand_goes_where_its_image_is_and_then_to_the_fullest() {
-    let fleet = proptest::collection::vec(drawn_machine(), 1..16);
-    let verdict = runner(300).run(&(fleet, drawn_job()), |(machines, job)| {
-        let (rooms, plain) = index(&machines);
+fn forecast_demand_prefers_cached_image_then_fullest_machine() {
+    let fleet = proptest::collection::vec(random_machine(), 1..16);
+    let result = deterministic_runner(300).run(&(fleet, random_job()), |(machines, job)| {
+        let (index, reference) = index_and_reference(&machines);
         let spec = job.spec();
-        let need = spec.task_request();
-        let share = |drawn: &Drawn| {
-            let state = drawn.state();
-            let takes = drawn.open && !drawn.silent && state.unassigned.covers(&need);
-            let allowed = takes && offer_allowed(&spec, &state.offer) && !state.offer.spot;
-            let cold = if state.images.contains(&spec.image) {
+        let request = spec.task_request();
+        let share = |machine: &RandomMachine| {
+            let state = machine.state();
+            let accepts =
+                machine.schedulable && !machine.unresponsive && state.unassigned.covers(&request);
+            let allowed = accepts && offer_allowed(&spec, &state.offer) && !state.offer.spot;
+            // Machines without the image rank behind all machines that have it.
+            let cold_penalty = if state.images.contains(&spec.image) {
                 0.0
             } else {
                 2.0
             };
-            allowed.then(|| state.unassigned.dominant_share(&state.total) + cold)
+            allowed.then(|| state.unassigned.dominant_share(&state.total) + cold_penalty)
         };
-        let shares = plain.rooms.values().filter_map(|(drawn, _)| share(drawn));
-        let least = shares.min_by(f64::total_cmp);
-        let found = rooms.fullest(&spec, &need);
+        let shares = reference
+            .machines
+            .values()
+            .filter_map(|(machine, _)| share(machine));
+        let expected = shares.min_by(f64::total_cmp);
+        let found = index.fullest(&spec, &request);
         let found = found.map(|fullest| {
-            let id = &rooms.get(fullest.slot).unwrap().id;
-            (share(&plain.rooms[id].0).unwrap(), fullest.has_image)
+            let id = &index.get(fullest.slot).unwrap().id;
+            (share(&reference.machines[id].0).unwrap(), fullest.has_image)
         });
-        let off = |(a, b): (f64, f64)| (a - b).abs();
-        let same = found.map(|f| f.0).zip(least).map(off);
-        prop_assert_eq!(found.is_some(), least.is_some());
-        prop_assert!(same.is_none_or(|off| off < 1e-5));
-        prop_assert!(found.is_none_or(|(share, warm)| warm == (share < 2.0)));
+        let difference = |(a, b): (f64, f64)| (a - b).abs();
+        let error = found.map(|(share, _)| share).zip(expected).map(difference);
+        prop_assert_eq!(found.is_some(), expected.is_some());
+        prop_assert!(error.is_none_or(|error| error < 1e-5));
+        prop_assert!(found.is_none_or(|(share, has_image)| has_image == (share < 2.0)));
         Ok(())
     });
-    verdict.unwrap();
+    result.unwrap();
 }
 
-/// After any changes every machine is indexed where it belongs.
 #[test]
-fn changes_in_any_order_leave_every_machine_indexed_correctly() {
+fn index_invariants_hold_after_random_changes() {
     #[derive(Clone, Debug)]
     enum Change {
-        Seen(usize, Drawn),
-        Gone(usize),
+        Refresh(usize, RandomMachine),
+        Remove(usize),
         Hold(usize, u32),
-        Keep(usize, u32),
-        Release(usize),
-        NewRound,
-        Later(u64),
+        ReserveForForecast(usize, u32),
+        ReleaseForecast(usize),
+        BeginRound,
+        AdvanceTime { by_ms: u64 },
     }
-    let n = || 0usize..10;
+    let machine_number = || 0usize..10;
     let change = prop_oneof![
-        4 => (n(), drawn_machine()).prop_map(|(n, d)| Change::Seen(n, d)),
-        1 => n().prop_map(Change::Gone),
-        2 => (n(), 1u32..4).prop_map(|(n, k)| Change::Hold(n, k)),
-        2 => (n(), 1u32..4).prop_map(|(n, k)| Change::Keep(n, k)),
-        1 => n().prop_map(Change::Release),
-        1 => Just(Change::NewRound),
-        1 => (1u64..2000).prop_map(Change::Later),
+        4 => (machine_number(), random_machine()).prop_map(|(n, new)| Change::Refresh(n, new)),
+        1 => machine_number().prop_map(Change::Remove),
+        2 => (machine_number(), 1u32..4).prop_map(|(n, size)| Change::Hold(n, size)),
+        2 => (machine_number(), 1u32..4).prop_map(|(n, size)| Change::ReserveForForecast(n, size)),
+        1 => machine_number().prop_map(Change::ReleaseForecast),
+        1 => Just(Change::BeginRound),
+        1 => (1u64..2000).prop_map(|by_ms| Change::AdvanceTime { by_ms }),
     ];
     let changes = proptest::collection::vec(change, 1..60);
-    let verdict = runner(400).run(&changes, |changes| {
-        let (mut rooms, mut now_ms) = (CapacityIndex::default(), NOW_MS);
-        rooms.set_time(now_ms, FRESH_MS);
+    let result = deterministic_runner(400).run(&changes, |changes| {
+        let (mut index, mut now_ms) = (CapacityIndex::default(), NOW_MS);
+        index.set_time(now_ms, MAX_HEARTBEAT_AGE_MS);
         for change in changes {
-            let some = |k: u32| task_need().scaled(f64::from(k));
+            let amount = |size: u32| base_request().scaled(f64::from(size));
             match change {
-                Change::Seen(n, drawn) => rooms.refresh(&machine(n), drawn.state(), now_ms),
-                Change::Gone(n) => rooms.remove(&machine(n)),
-                Change::Hold(n, k) => rooms
-                    .slot(&machine(n))
+                Change::Refresh(n, new) => index.refresh(&machine_id(n), new.state(), now_ms),
+                Change::Remove(n) => index.remove(&machine_id(n)),
+                Change::Hold(n, size) => index
+                    .slot(&machine_id(n))
                     .into_iter()
-                    .for_each(|s| rooms.hold(s, &some(k))),
-                Change::Keep(n, k) => rooms
-                    .slot(&machine(n))
+                    .for_each(|slot| index.hold(slot, &amount(size))),
+                Change::ReserveForForecast(n, size) => index
+                    .slot(&machine_id(n))
                     .into_iter()
-                    .for_each(|s| rooms.reserve_for_forecast(s, &some(k))),
-                Change::Release(n) => rooms
-                    .slot(&machine(n))
+                    .for_each(|slot| index.reserve_for_forecast(slot, &amount(size))),
+                Change::ReleaseForecast(n) => index
+                    .slot(&machine_id(n))
                     .into_iter()
-                    .for_each(|s| rooms.release_forecast(s)),
-                Change::NewRound => rooms.begin_round(),
-                Change::Later(ms) => {
-                    now_ms += ms;
-                    rooms.set_time(now_ms, FRESH_MS);
+                    .for_each(|slot| index.release_forecast(slot)),
+                Change::BeginRound => index.begin_round(),
+                Change::AdvanceTime { by_ms } => {
+                    now_ms += by_ms;
+                    index.set_time(now_ms, MAX_HEARTBEAT_AGE_MS);
                 }
             }
-            rooms
+            index
                 .check_invariants()
                 .map_err(|violation| TestCaseError::fail(violation.to_string()))?;
         }
-        rooms.begin_round();
-        let zones: u32 = rooms.machines_by_zone().values().sum();
-        let contents = rooms.contents();
-        let known = contents.schedulable.len() + contents.unschedulable.len();
-        prop_assert_eq!(zones as usize, known);
-        prop_assert_eq!(rooms.reserved_machines().count(), 0);
+        index.begin_round();
+        let counted_by_zone: u32 = index.machines_by_zone().values().sum();
+        let contents = index.contents();
+        let indexed = contents.schedulable.len() + contents.unschedulable.len();
+        prop_assert_eq!(counted_by_zone as usize, indexed);
+        prop_assert_eq!(index.reserved_machines().count(), 0);
         Ok(())
     });
-    verdict.unwrap();
+    result.unwrap();
 }
 
-/// A fleet of two types, three zones, a few different amounts of free capacity, and
-/// images on half of the machines.
+/// Creates the index of a fleet with two machine types, three zones and a few different amounts
+/// of free capacity. Half of the machines have the first image, a third the second one.
 fn large_fleet(machines: usize) -> CapacityIndex {
-    let mut rooms = CapacityIndex::default();
-    rooms.set_time(NOW_MS, FRESH_MS);
+    let mut index = CapacityIndex::default();
+    index.set_time(NOW_MS, MAX_HEARTBEAT_AGE_MS);
     for n in 0..machines {
-        let drawn = Drawn {
-            eight: n % 5 < 2,
+        let machine = RandomMachine {
+            eight_gpus: n % 5 < 2,
             zone: n % ZONES.len(),
             spot: n % 7 == 0,
             tasks: (n / 3) as u32 % 5,
-            more_cpus: 0.0,
-            images: vec![n % 2 == 0, n % 3 == 0, false],
-            coming: vec![false; 3],
-            open: true,
-            silent: false,
+            extra_cpus: 0.0,
+            cached_images: vec![n % 2 == 0, n % 3 == 0, false],
+            pulling_images: vec![false; 3],
+            schedulable: true,
+            unresponsive: false,
         };
-        rooms.refresh(&machine(n), drawn.state(), drawn.heard_ms());
+        index.refresh(&machine_id(n), machine.state(), machine.last_heartbeat_ms());
     }
-    rooms
+    index
 }
 
-/// The entries that one search for capacity examines.
-fn entries_of_a_question(machines: usize, image: usize) -> u64 {
-    let rooms = large_fleet(machines);
-    let job = DrawnJob {
+/// Returns the number of entries that one search for capacity examines.
+fn entries_examined_by_search(machines: usize, image: usize) -> u64 {
+    let index = large_fleet(machines);
+    let job = RandomJob {
         service: true,
         tasks: 4,
         spread: true,
-        one_zone: false,
+        same_zone: false,
         only_zone: None,
-        only_eight: false,
+        only_eight_gpus: false,
         spot: false,
         image,
         size: 2,
@@ -487,20 +514,23 @@
         failed_on: &|_| false,
         constraint: SearchConstraint::default(),
     };
-    let before = rooms.examined();
-    assert!(rooms.best(&demand).is_some());
-    rooms.examined() - before
+    let before = index.examined();
+    assert!(index.best(&demand).is_some());
+    index.examined() - before
 }
 
 #[test]
-fn a_search_costs_the_same_in_a_fleet_sixteen_times_as_large() {
-    // An image that half of the machines have, and one that nobody has.
+fn search_cost_stays_bounded_in_fleet_sixteen_times_as_large() {
+    // Half of the machines have the first image; no machine has the last one.
     for image in [0, 2] {
         let (small, large) = (
-            entries_of_a_question(500, image),
-            entries_of_a_question(8100, image),
+            entries_examined_by_search(500, image),
+            entries_examined_by_search(8100, image),
+        );
+        assert!(
+            large * 2 < small * 3,
+            "{small} entries in the small fleet, {large} in the large one"
         );
-        assert!(large * 2 < small * 3, "{small} entries, then {large}");
-        assert!(large < 300, "{large} entries");
+        assert!(large < 300, "{large} entries in the large fleet");
     }
 }
--- a/tests/integration/dependencies.rs
+++ b/tests/integration/dependencies.rs
@@ -1,47 +1,53 @@
-//! Jobs with dependencies, and the faults that they meet. The observer checks `too_early`
-//! and `orphaned` beside the other rules.
+//! Tests of jobs with dependencies, with and without faults. The observer checks the rules
+//! `too_early` and `orphaned` in addition to its other rules.
 
 use crate::simulation::fixtures::{heal, isolate_node, running_cluster};
 use crate::simulation::{array, Delivery, Simulation, CANCEL_MS};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 
-/// A short job that depends on these.
-fn needing(id: &str, needs: &[&str]) -> Value {
+/// Returns the specification of a short job with two tasks that depends on the given jobs.
+fn job_with_dependencies(id: &str, dependencies: &[&str]) -> Value {
     let mut spec = array(id, 2);
     spec["cpus"] = json!(1.0);
     spec["gpus"] = json!(0.0);
     spec["memoryGb"] = json!(1.0);
-    spec["attend"] = json!(needs);
+    spec["attend"] = json!(dependencies);
     spec
 }
 
 fn submit_all(sim: &mut Simulation, jobs: &[(&str, &[&str])]) {
-    for (n, (id, needs)) in jobs.iter().enumerate() {
-        assert_eq!(sim.submit(n % 3, &needing(id, needs)), 201, "{id}");
+    for (n, (id, dependencies)) in jobs.iter().enumerate() {
+        assert_eq!(
+            sim.submit(n % 3, &job_with_dependencies(id, dependencies)),
+            201,
+            "{id}"
+        );
     }
 }
 
-/// The states that all nodes report of all jobs, queried at one moment.
+/// Queries all jobs on all nodes at the same time. Returns the status and the job state of each
+/// response.
 fn reported_states(sim: &mut Simulation, ids: &[&str]) -> Vec<(u16, String)> {
-    let mut asked = Vec::new();
+    let mut queries = Vec::new();
     for id in ids {
         for node in 0..sim.nodes.len() {
-            asked.push(sim.request(node, "GET", &format!("/v2/runs/{id}"), Value::Null));
+            queries.push(sim.request(node, "GET", &format!("/v2/runs/{id}"), Value::Null));
         }
     }
     sim.run_for(1800);
-    asked
+    queries
         .iter()
-        .map(|user| sim.status_and_state(*user))
+        .map(|query| sim.status_and_state(*query))
         .collect()
 }
 
-/// Queried until every node answers, all nodes report this state of each job.
-fn settle(sim: &mut Simulation, ids: &[&str], state: &str) {
+/// Repeats the queries until all nodes report this state for all jobs. Fails the test after
+/// forty unsuccessful rounds of queries.
+fn await_state(sim: &mut Simulation, ids: &[&str], state: &str) {
     for _ in 0..40 {
-        let all = reported_states(sim, ids);
-        if all
+        let reports = reported_states(sim, ids);
+        if reports
             .iter()
             .all(|(status, reported)| *status == 200 && reported == state)
         {
@@ -50,7 +56,7 @@
         sim.run_for(1000);
     }
     panic!(
-        "{ids:?} aren't all {state}: {:?}",
+        "not all of {ids:?} are reported as {state}: {:?}",
         reported_states(sim, ids)
     );
 }
@@ -64,34 +70,34 @@
 ];
 const DIAMOND_IDS: [&str; 5] = ["run-1", "run-2", "run-3", "run-4", "run-5"];
 
-/// A pipeline takes as many changes of the key-value store as the same jobs without
-/// dependencies.
+/// Dependencies cost no further writes to the key-value store: a pipeline takes about as many as
+/// the same jobs without dependencies.
 #[test]
-fn a_pipeline_runs_in_order_and_costs_no_more_changes_than_single_jobs() {
-    let mut changes = Vec::new();
-    for needs_kept in [true, false] {
+fn pipeline_runs_in_order_with_less_than_one_extra_write_per_job() {
+    let mut writes = Vec::new();
+    for with_dependencies in [true, false] {
         let mut sim = running_cluster(3);
-        let before = sim.kv_store.write_count;
-        for (id, needs) in DIAMOND {
-            let needs = if needs_kept { needs } else { &[] };
-            assert_eq!(sim.submit(1, &needing(id, needs)), 201);
+        let writes_before = sim.kv_store.write_count;
+        for (id, dependencies) in DIAMOND {
+            let dependencies = if with_dependencies { dependencies } else { &[] };
+            assert_eq!(sim.submit(1, &job_with_dependencies(id, dependencies)), 201);
         }
         sim.run_for(1000);
-        let waiting = sim.on_machines("run-2") + sim.on_machines("run-5");
-        assert_eq!(waiting, if needs_kept { 0 } else { 4 });
+        let running = sim.on_machines("run-2") + sim.on_machines("run-5");
+        assert_eq!(running, if with_dependencies { 0 } else { 4 });
         sim.run_for(40_000);
-        settle(&mut sim, &DIAMOND_IDS, "done");
+        await_state(&mut sim, &DIAMOND_IDS, "done");
         sim.run_for(5000);
-        changes.push(sim.kv_store.write_count - before);
+        writes.push(sim.kv_store.write_count - writes_before);
     }
-    let (pipeline, single) = (changes[0], changes[1]);
-    assert!(pipeline < single + DIAMOND.len(), "{changes:?}");
+    let (pipeline, independent) = (writes[0], writes[1]);
+    assert!(pipeline < independent + DIAMOND.len(), "{writes:?}");
 }
 
 #[test]
-fn what_a_submission_may_name() {
+fn submission_with_invalid_or_unknown_dependency_is_rejected() {
     let mut sim = running_cluster(3);
-    assert_eq!(sim.submit(0, &needing("run-1", &[])), 201);
+    assert_eq!(sim.submit(0, &job_with_dependencies("run-1", &[])), 201);
     let cases = [
         (json!(["run-1"]), 201),
         (json!(null), 201),
@@ -104,104 +110,118 @@
         (json!(["run-nobody"]), 422),
         (json!(["run-1", "run-nobody"]), 422),
     ];
-    for (n, (needs, status)) in cases.into_iter().enumerate() {
-        let mut spec = needing(&format!("run-own-{n}"), &[]);
-        spec["attend"] = needs.clone();
-        assert_eq!(sim.submit(n % 3, &spec), status, "{needs}");
+    for (n, (dependencies, status)) in cases.into_iter().enumerate() {
+        let mut spec = job_with_dependencies(&format!("run-own-{n}"), &[]);
+        spec["attend"] = dependencies.clone();
+        assert_eq!(sim.submit(n % 3, &spec), status, "{dependencies}");
         assert_eq!(sim.poll(0, &format!("run-own-{n}")).0 == 200, status == 201);
     }
-    // A cancelled job beside a name that nobody knows once let the name pass.
-    assert_eq!(sim.submit(0, &needing("run-2", &[])), 201);
+    // A submission with an unknown dependency was once accepted if another of its
+    // dependencies was a cancelled job.
+    assert_eq!(sim.submit(0, &job_with_dependencies("run-2", &[])), 201);
     assert_eq!(sim.cancel(1, "run-2").1, "cancelled");
-    for (n, needs) in [["run-2", "run-nobody"], ["run-nobody", "run-2"]]
+    for (n, dependencies) in [["run-2", "run-nobody"], ["run-nobody", "run-2"]]
         .iter()
         .enumerate()
     {
         for node in 0..3 {
-            let spec = needing(&format!("run-both-{n}"), needs);
+            let spec = job_with_dependencies(&format!("run-both-{n}"), dependencies);
             assert_eq!(sim.submit(node, &spec), 422);
         }
     }
-    // What was accepted stays so, whatever a repeat names; the first one counts.
-    for needs in [json!(["run-nobody"]), json!(["run-own-0"]), json!(7)] {
-        let mut again = needing("run-own-0", &[]);
-        again["attend"] = needs;
+    // The first submission of an id counts. A repeated one is accepted whatever its
+    // dependencies are.
+    for dependencies in [json!(["run-nobody"]), json!(["run-own-0"]), json!(7)] {
+        let mut repeated = job_with_dependencies("run-own-0", &[]);
+        repeated["attend"] = dependencies;
         for node in 0..3 {
-            assert_eq!(sim.submit(node, &again), 200);
+            assert_eq!(sim.submit(node, &repeated), 200);
         }
     }
     sim.run_for(30_000);
-    settle(&mut sim, &["run-1", "run-own-0"], "done");
-    // Over, and forgotten by a process that has just begun.
+    await_state(&mut sim, &["run-1", "run-own-0"], "done");
+    // The jobs are complete, and a restarted controller does not have them in memory.
     sim.kill(1);
     sim.start(1);
     sim.run_for(4000);
-    let mut again = needing("run-own-0", &["run-nobody"]);
-    assert_eq!(sim.submit(1, &again), 200);
-    again["id"] = json!("run-late");
-    again["attend"] = json!(["run-own-0", "run-1"]);
-    assert_eq!(sim.submit(1, &again), 201);
+    let mut repeated = job_with_dependencies("run-own-0", &["run-nobody"]);
+    assert_eq!(sim.submit(1, &repeated), 200);
+    repeated["id"] = json!("run-late");
+    repeated["attend"] = json!(["run-own-0", "run-1"]);
+    assert_eq!(sim.submit(1, &repeated), 201);
     sim.run_for(8000);
-    settle(&mut sim, &["run-late"], "done");
+    await_state(&mut sim, &["run-late"], "done");
 }
 
-/// A job may depend on a service, which ends only by its cancellation; that cancels the
-/// job, too.
+/// A job may depend on a service. A service ends only by cancellation, which cancels its
+/// dependents too.
 #[test]
-fn a_job_that_needs_a_service_is_cancelled_with_it() {
+fn job_depending_on_service_is_cancelled_with_service() {
     let mut sim = running_cluster(3);
     assert_eq!(sim.submit(0, &crate::simulation::service("run-s", 2)), 201);
-    assert_eq!(sim.submit(1, &needing("run-1", &["run-s"])), 201);
+    assert_eq!(
+        sim.submit(1, &job_with_dependencies("run-1", &["run-s"])),
+        201
+    );
     sim.run_for(10_000);
     assert_eq!(sim.on_machines("run-1"), 0);
     assert_eq!(sim.cancel(2, "run-s").1, "cancelled");
-    settle(&mut sim, &["run-1"], "cancelled");
+    await_state(&mut sim, &["run-1"], "cancelled");
 }
 
-/// A cascade deeper and wider than any transaction.
+/// The dependents form a graph that is deeper and wider than one transaction can hold.
 #[test]
-fn a_cancellation_reaches_all_that_need_the_job() {
+fn cancellation_propagates_to_all_transitive_dependents() {
     let mut sim = running_cluster(3);
-    let mut long = needing("run-0", &[]);
+    let mut long = job_with_dependencies("run-0", &[]);
     long["pieces"] = json!(1);
     sim.task_duration_ms = 600_000;
     assert_eq!(sim.submit(0, &long), 201);
     let mut ids = Vec::new();
     for n in 1..40 {
         let id = format!("run-{n}");
-        // A chain of 20, and 19 jobs that need its fifth.
-        let need = if n <= 20 { n - 1 } else { 5 };
-        let need = format!("run-{need}");
-        assert_eq!(sim.submit(n % 3, &needing(&id, &[&need])), 201);
+        // A chain of 20 jobs, and 19 jobs that depend on the fifth job of the chain.
+        let dependency = if n <= 20 { n - 1 } else { 5 };
+        let dependency = format!("run-{dependency}");
+        assert_eq!(
+            sim.submit(n % 3, &job_with_dependencies(&id, &[&dependency])),
+            201
+        );
         ids.push(id);
     }
     let ids: Vec<&str> = ids.iter().map(String::as_str).collect();
     assert_eq!(sim.cancel(1, "run-0").1, "cancelled");
-    // At once, on all nodes, from the records of those that are needed.
+    // All nodes report the cancellation immediately, from the records of the dependencies.
     let all = reported_states(&mut sim, &ids);
     assert!(all.iter().all(|(_, state)| state == "cancelled"), "{all:?}");
-    // What needs a cancelled job is cancelled from the start, however late it comes.
+    // A job submitted later that depends on a cancelled job is cancelled from the start.
     sim.run_for(CANCEL_MS * 3);
     for node in 0..3 {
         let id = format!("run-late-{node}");
-        let user = sim.request(node, "POST", "/v2/runs", needing(&id, &["run-7", "run-33"]));
+        let user = sim.request(
+            node,
+            "POST",
+            "/v2/runs",
+            job_with_dependencies(&id, &["run-7", "run-33"]),
+        );
         sim.run_for(2000);
         assert_eq!(sim.status_and_state(user), (201, "cancelled".into()));
-        settle(&mut sim, &[&id], "cancelled");
+        await_state(&mut sim, &[&id], "cancelled");
     }
-    let left = sim
+    let remaining = sim
         .kv_store
         .items
         .keys()
         .filter(|key| key.starts_with("j/"));
-    assert_eq!(left.count(), 0, "all of them are over");
+    assert_eq!(remaining.count(), 0, "no job records remain");
 }
 
-/// The leader is killed at any moment of a cascade, or of a stage's end.
+/// The leader is killed at various times while a cancellation propagates or while a stage of the
+/// pipeline completes.
 #[test]
-fn a_leader_that_ends_at_any_step_loses_nothing() {
+fn dependents_reach_final_state_after_leader_crash_at_any_step() {
     for cancels in [true, false] {
-        for delay in (0..600).step_by(20) {
+        for kill_delay_ms in (0..600).step_by(20) {
             let mut sim = running_cluster(3);
             sim.task_duration_ms = if cancels { 600_000 } else { 2500 };
             submit_all(&mut sim, &DIAMOND);
@@ -213,22 +233,22 @@
             } else {
                 sim.run_for(2600);
             }
-            sim.run_for(delay);
+            sim.run_for(kill_delay_ms);
             sim.kill(leader);
             sim.run_for(3000);
             sim.start(leader);
             sim.run_for(30_000);
             let state = if cancels { "cancelled" } else { "done" };
-            settle(&mut sim, &DIAMOND_IDS, state);
+            await_state(&mut sim, &DIAMOND_IDS, state);
         }
     }
 }
 
-/// The key-value store rejects the leader's calls alone as the job is cancelled, and is
-/// then unavailable to all for longer than `cancel_s`.
+/// While the job is cancelled, the key-value store rejects the calls of the leader only. It is
+/// then unavailable to all controllers for longer than `cancel_s`.
 #[test]
-fn after_an_outage_nobody_calls_a_dependent_pending() {
-    for gap in [0, 20, 100, 300, 1000, 2500] {
+fn dependents_of_cancelled_job_are_not_reported_pending_during_kv_store_outage() {
+    for outage_delay_ms in [0, 20, 100, 300, 1000, 2500] {
         let mut sim = running_cluster(3);
         sim.task_duration_ms = 600_000;
         submit_all(&mut sim, &DIAMOND);
@@ -241,7 +261,7 @@
             "/v2/runs/run-1/abort",
             Value::Null,
         );
-        sim.run_for(gap);
+        sim.run_for(outage_delay_ms);
         sim.kv_store.unavailable = true;
         for _ in 0..12 {
             for (status, state) in reported_states(&mut sim, &DIAMOND_IDS[1..]) {
@@ -254,55 +274,62 @@
         if sim.status_and_state(user).0 != 200 {
             assert_eq!(sim.cancel(0, "run-1").1, "cancelled");
         }
-        settle(&mut sim, &DIAMOND_IDS, "cancelled");
-        // Processes that know nothing read it from the records alone.
+        await_state(&mut sim, &DIAMOND_IDS, "cancelled");
+        // Restarted controllers have nothing but the records to read the states from.
         for n in 0..3 {
             sim.kill(n);
             sim.start(n);
         }
-        settle(&mut sim, &DIAMOND_IDS, "cancelled");
+        await_state(&mut sim, &DIAMOND_IDS, "cancelled");
     }
 }
 
-/// A dependent is submitted at the moment at which its dependency ends or is cancelled:
-/// either comes first, and every job ends.
+/// A dependent is submitted at about the time at which its dependency completes or is cancelled.
+/// Either event may come first; both jobs reach the same final state.
 #[test]
-fn a_dependent_submitted_as_its_dependency_ends_follows_it() {
+fn dependent_submitted_while_dependency_ends_reaches_same_final_state() {
     for cancels in [true, false] {
-        for offset in (0..400).step_by(10) {
+        for submission_delay_ms in (0..400).step_by(10) {
             let mut sim = running_cluster(3);
             sim.task_duration_ms = 1000;
-            assert_eq!(sim.submit(0, &needing("run-1", &[])), 201);
+            assert_eq!(sim.submit(0, &job_with_dependencies("run-1", &[])), 201);
             sim.run_for(if cancels { 300 } else { 1000 });
             if cancels {
                 sim.request(2, "POST", "/v2/runs/run-1/abort", Value::Null);
             }
-            sim.run_for(offset);
-            let submitted = sim.request(1, "POST", "/v2/runs", needing("run-2", &["run-1"]));
+            sim.run_for(submission_delay_ms);
+            let submitted = sim.request(
+                1,
+                "POST",
+                "/v2/runs",
+                job_with_dependencies("run-2", &["run-1"]),
+            );
             sim.run_for(15_000);
             assert_eq!(sim.status_and_state(submitted).0, 201);
             let state = if cancels { "cancelled" } else { "done" };
-            settle(&mut sim, &["run-1", "run-2"], state);
+            await_state(&mut sim, &["run-1", "run-2"], state);
         }
     }
 }
 
-/// A leader was killed between the records of a job's end and of its dependent's: the
-/// next leader ends the dependent, or starts it, without being asked.
+/// A leader was killed after it stored a job's final state and before it updated the record of
+/// the job's dependent. The next leader cancels or starts the dependent, although no user sends
+/// a request.
 #[test]
-fn a_dependent_that_an_earlier_leader_left_is_continued() {
-    for (over, state) in [("c", "cancelled"), ("d", "done")] {
+fn new_leader_resumes_dependent_left_by_previous_leader() {
+    for (stored_state, reported_state) in [("c", "cancelled"), ("d", "done")] {
         let mut sim = Simulation::new(3);
         sim.add_machine("vm-a", "a", false, true);
-        sim.observer.record_submission(&needing("run-1", &[]));
+        sim.observer
+            .record_submission(&job_with_dependencies("run-1", &[]));
         (0..2).for_each(|n| sim.observer.record_completion(&format!("run-1/{n}")));
-        if over == "c" {
+        if stored_state == "c" {
             sim.observer.record_cancellation_request("run-1");
         }
-        let spec = needing("run-2", &["run-1"]);
+        let spec = job_with_dependencies("run-2", &["run-1"]);
         sim.observer.record_submission(&spec);
         let records = [
-            ("f/run-1", json!({"s": over, "n": 2, "w": 5})),
+            ("f/run-1", json!({"s": stored_state, "n": 2, "w": 5})),
             ("j/run-2", json!({"spec": spec, "t": 1_000_000})),
         ];
         for (key, record) in records {
@@ -313,28 +340,35 @@
                 .insert(key.into(), (record, revision, None));
         }
         sim.run_for(20_000);
-        assert!(!sim.kv_store.items.contains_key("j/run-2"), "{over}");
-        settle(&mut sim, &["run-2"], state);
+        assert!(
+            !sim.kv_store.items.contains_key("j/run-2"),
+            "{stored_state}"
+        );
+        await_state(&mut sim, &["run-2"], reported_state);
     }
 }
 
+/// Random submissions and faults.
 #[derive(Default)]
-struct RandomDay {
+struct RandomWorkload {
     rng: fastrand::Rng,
+    /// The jobs whose submission was confirmed.
     jobs: Vec<String>,
+    /// The number of jobs submitted so far.
     submitted: u32,
-    users: BTreeMap<u64, String>,
+    /// The jobs whose submission has not been confirmed yet, by the request of the submission.
+    pending_submissions: BTreeMap<u64, String>,
 }
 
-impl RandomDay {
+impl RandomWorkload {
     fn submit(&mut self, sim: &mut Simulation) {
         self.submitted += 1;
         let id = format!("run-{}", self.submitted);
-        let mut needs: Vec<&str> = Vec::new();
+        let mut dependencies: Vec<&str> = Vec::new();
         for _ in 0..self.rng.usize(0..4) {
-            if let Some(need) = self.rng.choice(&self.jobs) {
-                if !needs.contains(&need.as_str()) {
-                    needs.push(need);
+            if let Some(dependency) = self.rng.choice(&self.jobs) {
+                if !dependencies.contains(&dependency.as_str()) {
+                    dependencies.push(dependency);
                 }
             }
         }
@@ -342,27 +376,29 @@
             self.rng.usize(0..3),
             "POST",
             "/v2/runs",
-            needing(&id, &needs),
+            job_with_dependencies(&id, &dependencies),
         );
-        self.users.insert(user, id);
+        self.pending_submissions.insert(user, id);
     }
 
-    /// Users name only jobs whose submission was confirmed to them.
-    fn hear(&mut self, sim: &Simulation) {
+    /// Processes the responses to submissions. Users submit dependents only of jobs whose
+    /// submission was confirmed.
+    fn process_responses(&mut self, sim: &Simulation) {
         let answered = self
-            .users
+            .pending_submissions
             .iter()
             .filter(|(user, _)| sim.status_and_state(**user).0 > 0);
         let answered: Vec<u64> = answered.map(|(user, _)| *user).collect();
         for user in answered {
-            let id = self.users.remove(&user).unwrap();
+            let id = self.pending_submissions.remove(&user).unwrap();
             if sim.status_and_state(user).0 == 201 {
                 self.jobs.push(id);
             }
         }
     }
 
-    fn trouble(&mut self, sim: &mut Simulation) {
+    /// Injects a random fault or ends all current faults.
+    fn inject_fault(&mut self, sim: &mut Simulation) {
         let node = self.rng.usize(0..3);
         match self.rng.u32(0..8) {
             0 => sim.kill(node),
@@ -396,23 +432,24 @@
     }
 }
 
-/// Random graphs, submissions, cancellations, ends, failovers, outages, lost responses
-/// and late writes: no rule is broken, and every job ends.
+/// Combines random dependency graphs, submissions, cancellations, completions, failovers, outages,
+/// lost responses and delayed writes. The observer's rules must hold and every job must reach a
+/// final state.
 #[test]
-fn random_days_of_pipelines_break_no_rule_and_every_job_ends() {
+fn random_pipelines_with_faults_keep_all_rules_and_complete() {
     for seed in 0..16 {
         let mut sim = running_cluster(3);
-        let mut day = RandomDay {
+        let mut workload = RandomWorkload {
             rng: fastrand::Rng::with_seed(seed),
-            ..RandomDay::default()
+            ..RandomWorkload::default()
         };
         sim.task_duration_ms = 1500;
         for step in 0..120 {
-            day.hear(&sim);
-            match day.rng.u32(0..10) {
-                0..5 => day.submit(&mut sim),
+            workload.process_responses(&sim);
+            match workload.rng.u32(0..10) {
+                0..5 => workload.submit(&mut sim),
                 5 | 6 => {
-                    if let Some(id) = day.rng.choice(&day.jobs).cloned() {
+                    if let Some(id) = workload.rng.choice(&workload.jobs).cloned() {
                         let path = format!("/v2/runs/{id}");
                         for node in 0..3 {
                             sim.request(node, "GET", &path, Value::Null);
@@ -420,14 +457,14 @@
                     }
                 }
                 7 => {
-                    if let Some(id) = day.rng.choice(&day.jobs).cloned() {
+                    if let Some(id) = workload.rng.choice(&workload.jobs).cloned() {
                         let path = format!("/v2/runs/{id}/abort");
                         sim.request(step % 3, "POST", &path, Value::Null);
                     }
                 }
-                _ => day.trouble(&mut sim),
+                _ => workload.inject_fault(&mut sim),
             }
-            sim.run_for(day.rng.u64(5..900));
+            sim.run_for(workload.rng.u64(5..900));
         }
         heal(&mut sim);
         if sim.kv_store.unavailable {
@@ -439,11 +476,11 @@
             }
         });
         sim.run_for(90_000);
-        day.hear(&sim);
-        for id in &day.jobs {
+        workload.process_responses(&sim);
+        for id in &workload.jobs {
             let (status, state) = sim.poll(0, id);
-            let over = state == "done" || state == "cancelled";
-            assert!(over, "seed {seed}: {id} is {status} {state}");
+            let is_final = state == "done" || state == "cancelled";
+            assert!(is_final, "seed {seed}: {id} is {status} {state}");
         }
     }
 }
