--- a/tests/integration/migration.rs
+++ b/tests/integration/migration.rs
@@ -1,13 +1,13 @@
-//! Tasks that move: compaction, preemption, displacement for images.
+//! Tests of task migration: compaction, preemption, and displacement for images.
 
 use crate::simulation::fixtures::running_cluster;
 use crate::simulation::{array, service, Simulation};
 use serde_json::json;
 
-/// Replicas once stayed scattered over half-empty machines until they were cancelled, and
-/// the machines were paid for.
+/// Replicas were once left scattered over half-empty machines until they were cancelled, and the
+/// half-empty machines had to be paid for.
 #[test]
-fn scattered_replicas_are_compacted_and_the_empty_machine_is_released() {
+fn scattered_replicas_are_compacted_and_empty_machine_is_released() {
     let mut sim = running_cluster(1);
     for n in 0..4 {
         assert_eq!(sim.submit(0, &service(&format!("run-{n}"), 4)), 201);
@@ -26,10 +26,10 @@
     assert_eq!(kept, 1, "{:?}", sim.start_log);
 }
 
-/// A service once waited for provisioning while arrays ran on all machines that it could
-/// have used at once.
+/// A service once waited for a new machine to be provisioned while array tasks occupied all
+/// machines on which it could have started immediately.
 #[test]
-fn a_service_preempts_an_array_which_is_done_all_the_same() {
+fn service_preempts_array_and_array_still_completes() {
     let mut sim = running_cluster(1);
     sim.cloud_unavailable = true;
     sim.task_duration_ms = 20_000;
@@ -42,11 +42,11 @@
     assert_eq!(
         sim.on_machines("run-1"),
         13,
-        "no more than needed gives way"
+        "no more tasks are preempted than necessary"
     );
     sim.run_for(50_000);
     assert_eq!(sim.poll(0, "run-1").1, "done");
-    // A second array has no such right.
+    // An array does not preempt another array.
     assert_eq!(sim.submit(0, &array("run-3", 13)), 201);
     sim.run_for(3000);
     assert_eq!(sim.submit(0, &array("run-4", 1)), 201);
@@ -54,11 +54,11 @@
     assert_eq!(sim.on_machines("run-4"), 0);
 }
 
-/// A preempted task of an array was once started again 400 times: in the capacity that
-/// its own preemption had freed, too small yet for the service that waited for a second
-/// one.
+/// A preempted array task was once restarted 400 times. The service needed the capacity of two
+/// tasks. The first preempted task restarted in the capacity that its own preemption had freed,
+/// because that capacity alone was too small for the service.
 #[test]
-fn a_preempted_task_does_not_start_in_the_capacity_that_it_freed() {
+fn preempted_task_does_not_restart_in_capacity_it_freed() {
     let mut sim = running_cluster(1);
     sim.cloud_unavailable = true;
     sim.task_duration_ms = 40_000;
@@ -75,21 +75,21 @@
     assert_eq!(
         sim.start_log.len(),
         17,
-        "nothing started over: {:?}",
+        "no preempted task restarted yet: {:?}",
         sim.start_log
     );
     sim.run_for(60_000);
-    let attempts = &sim.start_log.last().unwrap();
+    let last_start = &sim.start_log.last().unwrap();
     assert!(
-        attempts.ends_with("#18"),
-        "two attempts more, for the two that gave way: {attempts}"
+        last_start.ends_with("#18"),
+        "two more attempts, one for each of the two preempted tasks: {last_start}"
     );
 }
 
-/// Saving checkpoints once took the time that the waiting service had: it was late, and
-/// the array's tasks were preempted all the same.
+/// Preempted tasks once saved their checkpoints although the waiting service did not have the time
+/// for it. The service missed its start objective, and the array's tasks were preempted anyway.
 #[test]
-fn tasks_go_back_to_their_checkpoint_where_saving_would_take_too_long() {
+fn preempted_task_skips_checkpoint_save_that_would_delay_service() {
     for (save_s, late) in [(6.0, false), (2.0, false), (2.0, true)] {
         let mut sim = running_cluster(1);
         sim.cloud_unavailable = true;
@@ -102,13 +102,18 @@
         let mut spec = service("run-2", 1);
         spec["pullGb"] = json!(1.0);
         if late {
-            // It would be late even so: then nothing is lost by saving.
+            // The service would be late even without the save, so the tasks save their state.
             spec["pullGb"] = json!(9.0);
         }
         assert_eq!(sim.submit(0, &spec), 201);
         sim.run_for(1000);
-        let saved = sim.on_machines("run-2") == 0;
-        assert_eq!(saved, save_s < 5.0, "{save_s} {late}: {:?}", sim.start_log);
+        let task_saves = sim.on_machines("run-2") == 0;
+        assert_eq!(
+            task_saves,
+            save_s < 5.0,
+            "{save_s} {late}: {:?}",
+            sim.start_log
+        );
         sim.run_for(3000);
         assert_eq!(
             sim.on_machines("run-2"),
@@ -119,28 +124,28 @@
     }
 }
 
-/// Capacity for forecast demand was once reserved on machines without the image, where a
-/// class with a short objective was late each time.
+/// Capacity for forecast demand was once reserved on machines without the image. Every replica of
+/// a class with a short start objective was late there.
 #[test]
-fn a_settled_replica_migrates_to_leave_warm_capacity() {
+fn settled_replica_migrates_to_free_capacity_with_cached_image() {
     let mut sim = running_cluster(1);
     for n in 0..8 {
         let mut spec = service(&format!("run-{n}"), 1);
-        // Half of the five seconds that the class may wait.
+        // The pull takes 2.5 s, half of the class's start objective of 5 s.
         spec["pullGb"] = json!(2.5);
         assert_eq!(sim.submit(0, &spec), 201);
     }
     sim.run_for(3000);
-    let on = |sim: &Simulation, m: &str| sim.workers[m].tasks.len();
+    let tasks_on = |sim: &Simulation, machine: &str| sim.workers[machine].tasks.len();
     assert_eq!(
-        (on(&sim, "vm-a"), on(&sim, "vm-b")),
+        (tasks_on(&sim, "vm-a"), tasks_on(&sim, "vm-b")),
         (8, 0),
         "{:?}",
         sim.start_log
     );
     sim.run_for(60_000);
     assert_eq!(
-        (on(&sim, "vm-a"), on(&sim, "vm-b")),
+        (tasks_on(&sim, "vm-a"), tasks_on(&sim, "vm-b")),
         (7, 1),
         "{:?}",
         sim.start_log
@@ -148,22 +153,22 @@
     assert_eq!(
         sim.start_log.len(),
         9,
-        "one move in ten fetch times: {:?}",
+        "one migration within ten image pull times: {:?}",
         sim.start_log
     );
 }
 
-/// Replicas of a large image were once placed on free capacity where the fetch took
-/// longer than their class may wait, while replicas of a small image ran where the large
-/// image was.
+/// Replicas with a large image were once placed on machines where the image pull took longer than
+/// their start objective. Meanwhile replicas with a small image occupied the machine that had the
+/// large image.
 #[test]
-fn less_important_replicas_make_place_where_a_large_image_is() {
-    for leader_ends in [false, true] {
-        make_place(leader_ends);
+fn lower_priority_replicas_are_displaced_from_machine_with_large_image() {
+    for kill_leader in [false, true] {
+        check_image_displacement(kill_leader);
     }
 }
 
-fn make_place(leader_ends: bool) {
+fn check_image_displacement(kill_leader: bool) {
     let mut sim = running_cluster(3);
     let mut node = sim.leader().unwrap();
     sim.cloud_unavailable = true;
@@ -183,29 +188,33 @@
     small["moule"] = json!("img-2");
     small["pullGb"] = json!(1.0);
     assert_eq!(sim.submit(node, &small), 201);
-    // Until nothing more is expected, and all have settled.
+    // By then no demand is forecast any more, and all replicas have run long enough to migrate.
     sim.run_for(150_000);
     sim.cancel(node, "run-0");
     sim.run_for(1000);
-    let on = |sim: &Simulation, m: &str, job: &str| {
-        let tasks = sim.workers[m].tasks.keys();
-        tasks.filter(|t| t.starts_with(job)).count()
+    let tasks_on = |sim: &Simulation, machine: &str, job: &str| {
+        let tasks = sim.workers[machine].tasks.keys();
+        tasks.filter(|task| task.starts_with(job)).count()
     };
-    assert_eq!(on(&sim, "vm-a", "run-2"), 4, "{:?}", sim.start_log);
-    if leader_ends {
-        // Its successor sees them for the first time.
+    assert_eq!(tasks_on(&sim, "vm-a", "run-2"), 4, "{:?}", sim.start_log);
+    if kill_leader {
+        // The new leader does not know the start times of the replicas.
         sim.kill(node);
         sim.run_for(6000);
         node = sim.leader().unwrap();
     }
-    // 6.2 GB take 6.2 s at the nominal rate; its class may wait 5 s.
+    // Pulling 6.2 GB takes 6.2 s at the nominal rate; the start objective of the class is 5 s.
     assert_eq!(sim.submit(node, &service("run-4", 2)), 201);
     sim.run_for(1000);
-    assert_eq!(on(&sim, "vm-a", "run-4"), 2, "{:?}", sim.start_log);
+    assert_eq!(tasks_on(&sim, "vm-a", "run-4"), 2, "{:?}", sim.start_log);
     sim.run_for(2000);
-    assert_eq!(on(&sim, "vm-a", "run-2"), 2, "no more than needed move");
-    assert_eq!(on(&sim, "vm-b", "run-2"), 2, "{:?}", sim.start_log);
-    // The same priority makes no place.
+    assert_eq!(
+        tasks_on(&sim, "vm-a", "run-2"),
+        2,
+        "no more replicas migrate than necessary"
+    );
+    assert_eq!(tasks_on(&sim, "vm-b", "run-2"), 2, "{:?}", sim.start_log);
+    // Replicas of the same priority are not displaced.
     small["id"] = json!("run-5");
     small["rang"] = json!("critical");
     small["moule"] = json!("img-1");
@@ -215,41 +224,39 @@
     assert_eq!(sim.start_log.len(), 16 + 2 + 2 + 2, "{:?}", sim.start_log);
 }
 
-/// Two replicas of a spread job once migrated together to the zone in which only one more
-/// of them may run; the other waited for a machine to boot.
+/// Two replicas of a spread job once migrated at the same time to a zone that could take only one
+/// more replica of the job. The other replica then had to wait for a machine to boot.
 #[test]
-fn spread_replicas_that_migrate_together_stay_spread() {
+fn replicas_of_spread_job_migrating_together_stay_spread() {
     let mut sim = running_cluster(1);
     let mut spread = service("run-1", 3);
     spread["spread"] = json!(true);
     assert_eq!(sim.submit(0, &spread), 201);
     sim.run_for(2000);
     let in_zone = |sim: &Simulation, zone: &str| {
-        let here = sim
+        let machines = sim
             .workers
             .values()
             .filter(|m| !m.released && m.zone == zone);
-        here.map(|m| m.tasks.keys().filter(|t| t.starts_with("run-1/")).count())
+        machines
+            .map(|m| m.tasks.keys().filter(|t| t.starts_with("run-1/")).count())
             .sum::<usize>()
     };
     let (a, b) = (in_zone(&sim, "a"), in_zone(&sim, "b"));
     assert_eq!(a + b, 3);
-    // The zone with two is the emptier one, so its machine is to be emptied.
-    let (few, many) = if a > b { ("a", "b") } else { ("b", "a") };
-    let mut rest = service("run-2", 4);
-    rest["secteur"] = json!(many);
-    assert_eq!(sim.submit(0, &rest), 201);
+    // The other job fills the zone that has one replica. The machine in the zone with two
+    // replicas is then emptier, so compaction would empty it.
+    let (larger_zone, smaller_zone) = if a > b { ("a", "b") } else { ("b", "a") };
+    let mut filler = service("run-2", 4);
+    filler["secteur"] = json!(smaller_zone);
+    assert_eq!(sim.submit(0, &filler), 201);
     sim.run_for(150_000);
     assert_eq!(sim.on_machines("run-"), 7);
-    assert_eq!(in_zone(&sim, few), 2, "{:?}", sim.start_log);
+    assert_eq!(in_zone(&sim, larger_zone), 2, "{:?}", sim.start_log);
     let starts = sim
         .start_log
         .iter()
         .filter(|t| t.contains("run-1/"))
         .count();
-    assert_eq!(
-        starts, 3,
-        "none had to look for a place: {:?}",
-        sim.start_log
-    );
+    assert_eq!(starts, 3, "no replica was restarted: {:?}", sim.start_log);
 }
--- a/tests/integration/policy.rs
+++ b/tests/integration/policy.rs
@@ -1,4 +1,5 @@
-//! Tables for pure functions: machine choice, placement, records, rates and settings.
+//! Table-driven tests of pure functions: provisioning choice, placement, records, rates, settings
+//! and bounded maps.
 
 use crate::simulation::SETTINGS;
 use lilacfork::cloud::Offer;
@@ -29,22 +30,22 @@
     }
 }
 
-fn name(option: Option<&ProvisioningOption>) -> &str {
-    option.map_or("none", |r| &r.offer.machine_type)
+fn machine_type_of(option: Option<&ProvisioningOption>) -> &str {
+    option.map_or("none", |option| &option.offer.machine_type)
 }
 
 #[test]
 fn each_bucket_keeps_its_cheapest_option() {
     let options = [
-        option("quick-dear", 10, 9.0),
+        option("quick-expensive", 10, 9.0),
         option("quick", 14, 5.0),
         option("middle", 55, 3.0),
         option("slow", 100, 1.0),
-        option("slow-dear", 98, 2.0),
+        option("slow-expensive", 98, 2.0),
     ];
     let kept: Vec<_> = buckets(&options, 3)
         .iter()
-        .map(|b| b.option.offer.machine_type.to_string())
+        .map(|bucket| bucket.option.offer.machine_type.to_string())
         .collect();
     assert_eq!(kept, ["quick", "middle", "slow"]);
     assert_eq!(buckets(&[], 3), []);
@@ -52,36 +53,44 @@
 }
 
 #[test]
-fn the_bucket_closest_under_the_slack_is_taken() {
+fn slowest_bucket_within_slack_is_chosen() {
     let options = [
         option("quick", 10, 5.0),
         option("middle", 55, 3.0),
         option("slow", 100, 1.0),
     ];
     let all = buckets(&options, 3);
-    for (slack_ms, taken) in [
+    for (slack_ms, expected) in [
         (1000, "slow"),
         (100, "slow"),
         (99, "middle"),
         (55, "middle"),
         (54, "quick"),
         (10, "quick"),
-        // Below every bucket: the slowest rental.
+        // No bucket is within the slack: the slowest option is chosen.
         (9, "slow"),
         (-500, "slow"),
     ] {
-        assert_eq!(name(choose(&all, slack_ms)), taken, "slack {slack_ms}");
+        assert_eq!(
+            machine_type_of(choose(&all, slack_ms)),
+            expected,
+            "slack {slack_ms}"
+        );
     }
-    assert_eq!(name(choose(&[], 50)), "none");
+    assert_eq!(machine_type_of(choose(&[], 50)), "none");
 }
 
 #[test]
-fn services_take_the_cheapest_option_and_equals_the_emptier_zone() {
+fn services_choose_cheapest_option_then_zone_with_fewest_machines() {
     let mut crowded = option("crowded", 50, 1.0);
     crowded.machines_in_zone = 4;
-    let options = [option("dear", 10, 2.0), crowded, option("empty", 50, 1.0)];
-    assert_eq!(name(cheapest(&options)), "empty");
-    assert_eq!(name(cheapest(&[])), "none");
+    let options = [
+        option("expensive", 10, 2.0),
+        crowded,
+        option("empty", 50, 1.0),
+    ];
+    assert_eq!(machine_type_of(cheapest(&options)), "empty");
+    assert_eq!(machine_type_of(cheapest(&[])), "none");
 }
 
 fn spec() -> JobSpec {
@@ -94,7 +103,7 @@
 }
 
 #[test]
-fn zones_are_allowed_by_what_may_already_be_there() {
+fn zones_are_allowed_according_to_job_constraints_and_earlier_placements() {
     let (a, b): (Rc<str>, Rc<str>) = (Rc::from("a"), Rc::from("b"));
     let mut spec = spec();
     let mut zones = ZoneCounts::default();
@@ -104,7 +113,7 @@
     }
     assert!(
         !zones.allows(&spec, "a"),
-        "five of nine is half, rounded up"
+        "at most half of nine tasks, rounded up, may share a zone"
     );
     assert!(zones.allows(&spec, "b"));
     spec.spread = false;
@@ -116,25 +125,25 @@
 }
 
 #[test]
-fn room_is_counted_by_the_scarcest_amount() {
-    let whole = Resources {
+fn task_count_is_limited_by_scarcest_resource() {
+    let total = Resources {
         cpus: 48.0,
         gpus: 8.0,
         memory_gb: 288.0,
     };
-    let need = Resources {
+    let request = Resources {
         cpus: 8.0,
         gpus: 2.0,
         memory_gb: 40.0,
     };
-    assert_eq!(whole.count_of(&need), 4);
-    let mut free = whole;
+    assert_eq!(total.count_of(&request), 4);
+    let mut free = total;
     for _ in 0..4 {
-        assert!(free.covers(&need));
-        free.subtract(&need);
+        assert!(free.covers(&request));
+        free.subtract(&request);
     }
-    assert!(!free.covers(&need));
-    // Tenths don't add up exactly; a machine isn't lost for it.
+    assert!(!free.covers(&request));
+    // Sums of tenths are not exact in binary floating point; the last tenth must still fit.
     let tenth = Resources {
         cpus: 0.1,
         ..Resources::default()
@@ -148,7 +157,7 @@
 }
 
 #[test]
-fn an_image_at_hand_beats_packing_and_packing_beats_emptiness() {
+fn cached_image_outranks_packing_and_packing_outranks_emptier_machine() {
     let base = FitScore {
         image_cached: false,
         image_pulling: false,
@@ -187,51 +196,51 @@
 }
 
 #[test]
-fn ranges_come_back_as_they_were_written() {
+fn task_ranges_parse_to_tasks_that_were_formatted() {
     for tasks in [vec![], vec![0], vec![0, 1, 2], vec![3, 5, 6, 7, 99]] {
         let text = format_task_ranges(tasks.iter().copied());
         assert_eq!(parse_task_ranges(&text, 100), Some(tasks), "{text}");
     }
     assert_eq!(format_task_ranges([3, 5, 6, 7, 99].into_iter()), "3,5-7,99");
-    for broken in ["x", "5-3", "1,,2", "100", "0-99999999"] {
-        assert_eq!(parse_task_ranges(broken, 100), None, "{broken}");
+    for malformed in ["x", "5-3", "1,,2", "100", "0-99999999"] {
+        assert_eq!(parse_task_ranges(malformed, 100), None, "{malformed}");
     }
 }
 
 #[test]
-fn tokens_grow_with_terms_and_end_with_them() {
-    let t = FencingToken::new(Term(7), 5);
-    assert_eq!(t.term(), Term(7));
-    assert!(t.next().unwrap() > t);
-    assert!(FencingToken::new(Term(8), 0) > t);
+fn fencing_tokens_grow_with_terms_and_never_overflow_into_next_term() {
+    let token = FencingToken::new(Term(7), 5);
+    assert_eq!(token.term(), Term(7));
+    assert!(token.next().unwrap() > token);
+    assert!(FencingToken::new(Term(8), 0) > token);
     assert_eq!(
         FencingToken::new(Term(7), u64::MAX).next(),
         None,
-        "never into the next term"
+        "a token never overflows into the next term"
     );
 }
 
 #[test]
-fn a_bucket_paces_and_lets_a_large_cost_through_when_full() {
-    let at = |ms| Now { ms, wall: 0 };
+fn token_bucket_limits_rate_and_accepts_cost_above_burst_when_full() {
+    let at_ms = |ms| Now { ms, wall: 0 };
     let mut bucket = TokenBucket::new(10.0, 1.0);
-    assert!((0..10).all(|_| bucket.take(at(1), 1.0)));
-    assert!(!bucket.take(at(1), 1.0));
-    assert!(!bucket.take(at(90), 1.0));
-    assert!(bucket.take(at(101), 1.0));
+    assert!((0..10).all(|_| bucket.take(at_ms(1), 1.0)));
+    assert!(!bucket.take(at_ms(1), 1.0));
+    assert!(!bucket.take(at_ms(90), 1.0));
+    assert!(bucket.take(at_ms(101), 1.0));
     assert!(
-        bucket.take(at(5000), 15.0),
-        "more than the burst, on a full bucket"
+        bucket.take(at_ms(5000), 15.0),
+        "a full bucket accepts a cost above its burst"
     );
-    bucket.mark_empty(at(5000));
-    assert!(!bucket.take(at(5050), 1.0));
+    bucket.mark_empty(at_ms(5000));
+    assert!(!bucket.take(at_ms(5050), 1.0));
 }
 
 #[test]
-fn settings_and_options_say_what_is_wrong() {
+fn invalid_settings_and_options_yield_specific_errors() {
     assert!(
         Settings::parse(&format!("unheard = 1\n{SETTINGS}"), "f").is_ok(),
-        "unknown fields pass"
+        "unknown fields are accepted"
     );
     let bad = SETTINGS.replace("lease_s = 10.0", "lease_s = 0.0");
     let error = Settings::parse(&bad, "f.toml").unwrap_err().to_string();
@@ -239,8 +248,9 @@
         error,
         "f.toml: settings.workers.lease_s: must be a number above 0"
     );
-    // Two peers: a quarter of 96 is what is reserved for all but workers.
-    for (from, to, says) in [
+    // With two peers, a quarter of 96 connections is exactly what calls to the key-value store,
+    // the cloud and the peers need, and nothing remains for calls to workers.
+    for (from, to, expected) in [
         (
             "max_connections = 500",
             "max_connections = 96",
@@ -254,16 +264,17 @@
         ),
     ] {
         let error = Settings::parse(&SETTINGS.replace(from, to), "f.toml").unwrap_err();
-        assert_eq!(error.to_string(), says);
+        assert_eq!(error.to_string(), expected);
     }
     let ini = |text: &str| Tuning::from_ini(&ini::Ini::load_from_str(text).unwrap(), "f.ini");
     assert_eq!(ini("[slackfit]\nheadroom = 2\n").unwrap().headroom, 2.0);
-    // Every default may be written down: one once lay outside its own bounds.
+    // Every default must be accepted as an explicit value. One default was once outside its
+    // own bounds.
     for line in Tuning::describe().lines() {
         let text = line.replace("] ", "]\n");
         assert_eq!(ini(&text).unwrap(), Tuning::default(), "{line}");
     }
-    for (text, says) in [
+    for (text, expected) in [
         (
             "[slackfit]\nheadrom = 2\n",
             "f.ini: [slackfit] headrom: unknown key",
@@ -278,12 +289,13 @@
             "f.ini: [slackfit] headroom: must lie between 0 and 5",
         ),
     ] {
-        assert_eq!(ini(text).unwrap_err().to_string(), says);
+        assert_eq!(ini(text).unwrap_err().to_string(), expected);
     }
 }
 
-/// Changes that are sent in ten seconds, of more than the rates allow.
-fn changes_sent(store: &mut KvClient<u32>, from_ms: u64) -> usize {
+/// Submits writes for ten seconds, at a higher rate than the client may send them. Returns the
+/// number of writes sent.
+fn writes_sent(store: &mut KvClient<u32>, from_ms: u64) -> usize {
     let mut sent = 0;
     for n in 0..1000 {
         let now = Now {
@@ -300,36 +312,42 @@
                 tag: 0,
             });
         }
-        let mut given_up = Vec::new();
-        store.dispatch(now, |_, _| sent += 1, &mut given_up);
+        let mut expired = Vec::new();
+        store.dispatch(now, |_, _| sent += 1, &mut expired);
     }
     sent
 }
 
-/// The leader once kept to its own share while followers left theirs unused, and it took
-/// minutes to store a burst of one-task jobs after its end.
+/// The leader was once limited to its own share of the write rate while the followers left theirs
+/// unused. After a burst of one-task jobs had ended, the leader took minutes to store it.
 #[test]
-fn the_leader_takes_the_changes_that_others_leave() {
-    let at = |ms| Now { ms, wall: 0 };
+fn leader_uses_write_rate_left_by_other_controllers() {
+    let at_ms = |ms| Now { ms, wall: 0 };
     let mut store: KvClient<u32> = KvClient::new(200.0, 50.0);
-    store.set_share(at(0), 0.6, 1.0);
-    let share = changes_sent(&mut store, 0);
-    assert!((300..=340).contains(&share), "{share}");
-    store.set_write_share(at(20_000), 0.6, 2.0);
-    let rest = changes_sent(&mut store, 20_000);
-    assert!((430..=480).contains(&rest), "{rest}");
-    let used = store.writes_per_s(at(30_000));
-    assert!((38.0..48.0).contains(&used), "{used}");
-    // Never less than its share, however much the others say they write.
-    store.set_write_share(at(40_000), 0.6, 1e9);
-    let least = changes_sent(&mut store, 40_000);
-    assert!((300..=340).contains(&least), "{least}");
-    assert!(store.writes_per_s(at(70_000)) < 0.1, "and it is forgotten");
+    store.set_share(at_ms(0), 0.6, 1.0);
+    let sent_with_share = writes_sent(&mut store, 0);
+    assert!((300..=340).contains(&sent_with_share), "{sent_with_share}");
+    store.set_write_share(at_ms(20_000), 0.6, 2.0);
+    let sent_with_remainder = writes_sent(&mut store, 20_000);
+    assert!(
+        (430..=480).contains(&sent_with_remainder),
+        "{sent_with_remainder}"
+    );
+    let writes_per_s = store.writes_per_s(at_ms(30_000));
+    assert!((38.0..48.0).contains(&writes_per_s), "{writes_per_s}");
+    // The leader keeps its own share, whatever write rate the others report.
+    store.set_write_share(at_ms(40_000), 0.6, 1e9);
+    let sent_at_minimum = writes_sent(&mut store, 40_000);
+    assert!((300..=340).contains(&sent_at_minimum), "{sent_at_minimum}");
+    assert!(
+        store.writes_per_s(at_ms(70_000)) < 0.1,
+        "old writes no longer count"
+    );
 }
 
-/// Counts for display were once kept for every job that ever ran.
+/// Progress counts for display were once kept for every job that ever ran.
 #[test]
-fn a_bounded_map_forgets_the_oldest_and_no_more() {
+fn bounded_map_evicts_oldest_entries_first() {
     let mut map = lilacfork::bounded_map::BoundedMap::new(100);
     for key in 0..1000 {
         map.insert(key, key * 2);
@@ -341,5 +359,5 @@
     }
     assert_eq!(map.get(&998), Some(&0));
     assert_eq!(map.get(&999), None, "removed");
-    assert_eq!(map.get(&10), None, "too old");
+    assert_eq!(map.get(&10), None, "evicted as the oldest");
 }
--- a/tests/integration/reactor.rs
+++ b/tests/integration/reactor.rs
@@ -1,5 +1,5 @@
-//! The reactor's bounds, with real sockets on loopback: the system chooses the ports, and
-//! no assertion depends on time.
+//! Tests of the reactor's resource bounds with real loopback sockets. The operating system
+//! chooses the ports, and no assertion depends on time.
 
 use lilacfork::messages::{
     Call, CallId, CallResult, ConnectionId, Destination, Effect, Listener, Now, Reply, Request,
@@ -14,18 +14,21 @@
 const WORKERS: u64 = 64;
 const ROUNDS: u64 = 3;
 
-/// Calls every worker, and again when all have responded.
+/// A handler that calls every worker, and calls all of them again once all have responded, for
+/// `ROUNDS` rounds.
 struct Caller {
     port: u16,
-    answered: u64,
-    asked: bool,
+    completed_calls: u64,
+    started: bool,
+    /// Receives the number of completed calls after the last round.
     done: Sender<u64>,
 }
 
 impl Caller {
-    fn ask_all(&self, out: &mut Vec<Effect>) {
+    fn call_all_workers(&self, out: &mut Vec<Effect>) {
         for n in 0..WORKERS {
-            // All of 127/8 is this machine; to the reactor they are many.
+            // All addresses in 127.0.0.0/8 are loopback addresses. The reactor treats them
+            // as different workers.
             let address = format!("127.0.{}.{}:{}", n / 200, n % 200 + 1, self.port);
             let call = Call {
                 destination: Destination::Worker(address),
@@ -34,7 +37,7 @@
                 body: b"{}".to_vec(),
                 timeout_ms: 60_000,
             };
-            out.push(Effect::Call(CallId(self.answered + n), call));
+            out.push(Effect::Call(CallId(self.completed_calls + n), call));
         }
     }
 }
@@ -42,27 +45,22 @@
 impl Handler for Caller {
     fn request(&mut self, _: Now, _: ConnectionId, _: Listener, _: Request, _: &mut Vec<Effect>) {}
 
-    fn call_completed(
-        &mut self,
-        _: Now,
-        _: CallId,
-        call_completed: CallResult,
-        out: &mut Vec<Effect>,
-    ) {
-        assert!(matches!(call_completed, Ok((200, _))), "{call_completed:?}");
-        self.answered += 1;
-        if self.answered == WORKERS * ROUNDS {
-            let _ = self.done.send(self.answered);
-        } else if self.answered.is_multiple_of(WORKERS) {
-            self.ask_all(out);
+    fn call_completed(&mut self, _: Now, _: CallId, result: CallResult, out: &mut Vec<Effect>) {
+        assert!(matches!(result, Ok((200, _))), "{result:?}");
+        self.completed_calls += 1;
+        if self.completed_calls == WORKERS * ROUNDS {
+            let _ = self.done.send(self.completed_calls);
+        } else if self.completed_calls.is_multiple_of(WORKERS) {
+            self.call_all_workers(out);
         }
     }
 
     fn tick(&mut self, now: Now, out: &mut Vec<Effect>) -> u64 {
-        // What is older than the process has a time of its own, too.
+        // The monotonic clock starts above zero, so that events older than the process have a
+        // positive time.
         assert!(now.ms > 24 * 3600 * 1000, "{now:?}");
-        if !std::mem::replace(&mut self.asked, true) {
-            self.ask_all(out);
+        if !std::mem::replace(&mut self.started, true) {
+            self.call_all_workers(out);
         }
         now.ms + 1000
     }
@@ -78,19 +76,19 @@
     }
 }
 
-/// Answers every request of a connection until the other side closes it.
+/// Responds to every request of a connection until the client closes the connection.
 fn serve(mut stream: TcpStream) {
     let mut buffer = [0; 4096];
     while stream.read(&mut buffer).is_ok_and(|n| n > 0) {
-        let answer = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}";
-        if stream.write_all(answer).is_err() {
+        let response = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}";
+        if stream.write_all(response).is_err() {
             break;
         }
     }
 }
 
-/// One connection for each of many workers would once have taken all that a controller
-/// may open, and left none for the key-value store.
+/// Without a shared bound, one connection for each of many workers could use up all the connections
+/// that a controller may open, and none would remain for the key-value store.
 #[test]
 fn calls_to_many_workers_share_a_bounded_number_of_connections() {
     let listener = TcpListener::bind("0.0.0.0:0").expect("loopback");
@@ -103,37 +101,40 @@
             std::thread::spawn(move || serve(stream));
         }
     });
-    // A quarter of 128 for calls, less 20 for state service and cloud and two
-    // for the one peer: ten for workers.
+    // A quarter of 128 connections is for calls. Of these 32, 20 are for the key-value store and
+    // the cloud, and two for the one peer. Ten remain for workers.
     let bounds = ResourceBounds {
         max_connections: 128,
         ram_mb: 40.0,
     };
-    let reactor = Reactor::new(endpoints(), bounds, 1).expect("listens");
+    let reactor = Reactor::new(endpoints(), bounds, 1).expect("the reactor listens");
     assert_eq!(reactor.max_workers(), 10);
-    let (done, answered) = channel();
+    let (done, all_completed) = channel();
     std::thread::spawn(move || {
         let mut caller = Caller {
             port,
-            answered: 0,
-            asked: false,
+            completed_calls: 0,
+            started: false,
             done,
         };
         reactor.run(&mut caller)
     });
-    let answered = answered.recv().expect("all calls are answered");
-    assert_eq!(answered, WORKERS * ROUNDS);
-    // Ten at most are kept from round to round, all others opened anew; kept
-    // without a bound it would be one for each worker, ever.
+    let completed_calls = all_completed.recv().expect("all calls complete");
+    assert_eq!(completed_calls, WORKERS * ROUNDS);
+    // At most ten connections are kept open between rounds, and all others are opened again.
+    // Without a bound, each worker's connection would be opened once and kept.
     let opened = opened.load(Ordering::SeqCst) as u64;
-    let least = WORKERS + (ROUNDS - 1) * (WORKERS - 10);
-    assert!((least..=answered).contains(&opened), "opened: {opened}");
+    let min_opened = WORKERS + (ROUNDS - 1) * (WORKERS - 10);
+    assert!(
+        (min_opened..=completed_calls).contains(&opened),
+        "opened: {opened}"
+    );
 }
 
-/// Replies to every request.
-struct Obliging;
+/// A handler that replies to every request with the length of its body.
+struct BodyLengthHandler;
 
-impl Handler for Obliging {
+impl Handler for BodyLengthHandler {
     fn request(
         &mut self,
         _: Now,
@@ -153,8 +154,9 @@
     }
 }
 
-/// Reads the head of a response.
-fn status_of(stream: &mut TcpStream) -> String {
+/// Reads the protocol version and the status code of a response. Returns an empty string if the
+/// connection was closed before that.
+fn read_status_line_start(stream: &mut TcpStream) -> String {
     let mut head = [0; 12];
     match stream.read_exact(&mut head) {
         Ok(()) => String::from_utf8_lossy(&head).into_owned(),
@@ -162,42 +164,44 @@
     }
 }
 
-/// All sockets busy with the largest allowed requests would once have taken more memory
-/// than a controller of 27 MB has. Those that don't fit are rejected at once, and small
-/// ones are served meanwhile.
+/// The largest allowed requests on all sockets at once could take more memory than a controller
+/// with 27 MB has. Large requests that don't fit are rejected immediately, while small ones are
+/// still served.
 #[test]
-fn large_unfinished_requests_are_refused_when_memory_is_short() {
-    // Two megabytes: 250 kB of requests, at an even part of 5.2 kB each.
+fn large_incomplete_requests_are_rejected_when_memory_is_short() {
+    // With 2 MB of memory, unfinished requests may hold 250 kB in total, an equal share of 5.2 kB
+    // for each connection.
     let bounds = ResourceBounds {
         max_connections: 64,
         ram_mb: 2.0,
     };
-    let reactor = Reactor::new(endpoints(), bounds, 1).expect("listens");
+    let reactor = Reactor::new(endpoints(), bounds, 1).expect("the reactor listens");
     let address = reactor.client_address().expect("bound");
-    std::thread::spawn(move || reactor.run(&mut Obliging));
+    std::thread::spawn(move || reactor.run(&mut BodyLengthHandler));
     let head = b"POST /x HTTP/1.1\r\nContent-Length: 60000\r\n\r\n";
-    let mut held = Vec::new();
-    let mut refused = 0;
+    let mut streams = Vec::new();
+    let mut rejected = 0;
     for _ in 0..12 {
-        let mut stream = TcpStream::connect(address).expect("taken");
+        let mut stream = TcpStream::connect(address).expect("connected");
         stream.write_all(head).expect("sent");
         stream.write_all(&[b' '; 50_000]).expect("sent");
-        // A small request on another connection is answered after these bytes
-        // have been read, and whatever they take.
-        let mut small = TcpStream::connect(address).expect("taken");
+        // A small request on another connection receives its response after the reactor has read
+        // these bytes, however much memory they hold.
+        let mut small = TcpStream::connect(address).expect("connected");
         small
             .write_all(b"GET /ready HTTP/1.1\r\n\r\n")
             .expect("sent");
-        assert_eq!(status_of(&mut small), "HTTP/1.1 200");
-        held.push(stream);
+        assert_eq!(read_status_line_start(&mut small), "HTTP/1.1 200");
+        streams.push(stream);
     }
-    for mut stream in held {
-        // Whoever is held still can finish; the others have their answer.
+    for mut stream in streams {
+        // Requests that the reactor still holds can be completed. The others have received a
+        // rejection.
         let finished = stream.write_all(&[b' '; 10_000]).is_ok();
-        match status_of(&mut stream).as_str() {
+        match read_status_line_start(&mut stream).as_str() {
             "HTTP/1.1 200" => assert!(finished),
-            _ => refused += 1,
+            _ => rejected += 1,
         }
     }
-    assert!((7..=9).contains(&refused), "refused: {refused}");
+    assert!((7..=9).contains(&rejected), "rejected: {rejected}");
 }
