--- a/tests/integration/round_slices.rs
+++ b/tests/integration/round_slices.rs
@@ -1,24 +1,25 @@
-//! Rounds that take many slices, and what happens between two of them.
+//! Tests of scheduling rounds that take many slices, and of events between two slices.
 
 use crate::simulation::fixtures::task_starts;
 use crate::simulation::{array, service, Simulation};
 use lilacfork::node::Node;
 use serde_json::{json, Value};
 
-/// With so small a share of a core a slice examines thirty entries, a few jobs.
-const FEW_CORES: f64 = 0.0003;
-/// Entries of a slice with the usual share of a core: a three hundredth of the leader's
-/// lease of 3 s, at 0.1 us each.
-const SLICE_ENTRIES: u64 = 10_000;
+/// The share of a core with which one slice examines only thirty entries, a few jobs.
+const SMALL_CORE_SHARE: f64 = 0.0003;
+/// The number of entries of a slice with the default share of a core. A slice takes a
+/// three-hundredth of the leader's lease of 3 s, and an entry takes 0.1 us.
+const DEFAULT_SLICE_ENTRIES: u64 = 10_000;
 
 fn leader(sim: &Simulation) -> &Node {
-    let leader = sim.leader().expect("somebody leads");
+    let leader = sim.leader().expect("a leader is elected");
     sim.nodes[leader].as_ref().expect("the leader is up")
 }
 
-/// Jobs of two tasks that all wait when machines come up.
-fn many_jobs_wait(jobs: u32, machines: usize) -> Simulation {
-    let mut sim = Simulation::with_cores(3, FEW_CORES);
+/// Creates a cluster without machines, submits jobs of two tasks each, and then adds machines, so
+/// that all jobs wait in the same round.
+fn cluster_with_queued_jobs(jobs: u32, machines: usize) -> Simulation {
+    let mut sim = Simulation::with_cores(3, SMALL_CORE_SHARE);
     sim.capacity = 0;
     sim.task_duration_ms = 4000;
     sim.run_until(5000);
@@ -37,95 +38,98 @@
     sim
 }
 
-/// Runs until a round is under way in which so many jobs are queued.
-fn run_into_a_round(sim: &mut Simulation, queued: usize) {
+/// Runs the simulation until at least this number of jobs is queued in the current round.
+fn run_until_queued_in_round(sim: &mut Simulation, queued: usize) {
     for _ in 0..20_000 {
         if leader(sim).queued_in_round() >= queued {
             return;
         }
         sim.run_for(1);
     }
-    panic!("no round with {queued} in its queue");
+    panic!("no round had {queued} jobs in its queue");
 }
 
-fn all_done(sim: &mut Simulation, jobs: u32) {
+fn assert_all_done(sim: &mut Simulation, jobs: u32) {
     for n in 0..jobs {
         let id = format!("run-{n:03}");
-        let node = sim.leader().expect("somebody leads");
+        let node = sim.leader().expect("a leader is elected");
         assert_eq!(sim.poll(node, &id).1, "done", "{id}");
     }
 }
 
 #[test]
-fn a_round_is_served_in_slices_and_ends_all_the_same() {
-    let mut sim = many_jobs_wait(120, 20);
-    run_into_a_round(&mut sim, 100);
+fn round_with_many_jobs_runs_in_slices_and_completes() {
+    let mut sim = cluster_with_queued_jobs(120, 20);
+    run_until_queued_in_round(&mut sim, 100);
     let before = leader(&sim).queued_in_round();
     sim.run_for(1);
     let after = leader(&sim).queued_in_round();
     assert!(
         after < before && after + 30 > before,
-        "{before}, then {after}"
+        "{before} queued before the slice, {after} after it"
     );
     sim.run_for(60_000);
-    all_done(&mut sim, 120);
+    assert_all_done(&mut sim, 120);
 }
 
-/// A job that is cancelled between two slices doesn't start any more.
+/// A queued job that is cancelled between two slices of the round must not start.
 #[test]
-fn what_is_cancelled_between_slices_is_not_placed() {
-    let mut sim = many_jobs_wait(250, 40);
-    run_into_a_round(&mut sim, 240);
+fn job_cancelled_between_slices_is_not_placed() {
+    let mut sim = cluster_with_queued_jobs(250, 40);
+    run_until_queued_in_round(&mut sim, 240);
     let node = sim.leader().unwrap();
     let user = sim.request(node, "POST", "/v2/runs/run-249/abort", Value::Null);
     while !sim.replies.contains_key(&user) {
         sim.run_for(1);
     }
     assert_eq!(sim.status_and_state(user), (200, "cancelled".into()));
-    assert!(leader(&sim).queued_in_round() > 0, "the round goes on");
+    assert!(
+        leader(&sim).queued_in_round() > 0,
+        "the round is still in progress"
+    );
     assert_eq!(task_starts(&sim, "run-249"), 0);
     sim.run_for(60_000);
     assert_eq!(task_starts(&sim, "run-249"), 0);
-    all_done(&mut sim, 249);
+    assert_all_done(&mut sim, 249);
 }
 
-/// Urgent jobs that arrive during a long round don't wait for its end.
+/// An urgent job that is submitted during a long round must not wait until the round ends.
 #[test]
-fn urgent_work_that_arrives_between_slices_goes_before_the_rest() {
-    let mut sim = many_jobs_wait(250, 40);
-    run_into_a_round(&mut sim, 240);
+fn urgent_job_submitted_between_slices_starts_before_round_ends() {
+    let mut sim = cluster_with_queued_jobs(250, 40);
+    run_until_queued_in_round(&mut sim, 240);
     let node = sim.leader().unwrap();
     sim.request(node, "POST", "/v2/runs", service("run-urgent", 1));
     while task_starts(&sim, "run-urgent") == 0 {
         sim.run_for(1);
         assert!(
             leader(&sim).queued_in_round() > 0,
-            "it starts before the round ends"
+            "the urgent job starts before the round ends"
         );
     }
     let others = sim.start_log.len() - 1;
     assert!(
         others < 320,
-        "there was room for 320 tasks, {others} had started"
+        "{others} of the 320 tasks that fit started before the urgent job"
     );
 }
 
-/// Placements that weren't stored are forgotten with their leader; nothing runs twice and
-/// nothing is lost.
+/// Placements that were not stored are lost with their leader. No task may run twice and no job may
+/// be lost.
 #[test]
-fn a_leader_that_ends_in_the_middle_of_a_round_loses_nothing() {
-    let mut sim = many_jobs_wait(120, 20);
-    run_into_a_round(&mut sim, 60);
-    let first = sim.leader().unwrap();
-    sim.kill(first);
+fn leader_crash_during_round_loses_no_jobs() {
+    let mut sim = cluster_with_queued_jobs(120, 20);
+    run_until_queued_in_round(&mut sim, 60);
+    let killed_leader = sim.leader().unwrap();
+    sim.kill(killed_leader);
     sim.run_for(8000);
-    assert_ne!(sim.leader(), Some(first));
-    sim.start(first);
+    assert_ne!(sim.leader(), Some(killed_leader));
+    sim.start(killed_leader);
     sim.run_for(60_000);
-    all_done(&mut sim, 120);
+    assert_all_done(&mut sim, 120);
 }
 
-/// A fleet of so many idle machines that send heartbeats.
+/// Creates a cluster with this number of idle machines whose workers send heartbeats.
 fn idle_fleet(machines: usize) -> Simulation {
     let mut sim = Simulation::new(3);
     sim.capacity = 0;
@@ -133,7 +137,7 @@
     for n in 0..machines {
         sim.add_machine(&format!("vm-{n:04}"), "a", false, true);
         if n % 100 == 0 {
-            // Workers don't report in step.
+            // Staggers the heartbeats of the workers.
             sim.run_for(10);
         }
     }
@@ -142,7 +146,7 @@
 }
 
 #[test]
-fn a_fifth_of_two_thousand_machines_is_silent_while_ten_thousand_tasks_wait() {
+fn ten_thousand_tasks_avoid_unresponsive_fifth_of_two_thousand_machines() {
     let mut sim = idle_fleet(2000);
     for n in (0..2000).step_by(5) {
         sim.workers
@@ -150,7 +154,7 @@
             .unwrap()
             .unresponsive = true;
     }
-    // Machines that don't report for three intervals get nothing new.
+    // Machines without a heartbeat for three intervals receive no new tasks.
     sim.run_for(4000);
     let mut spec = array("run-1", 10_000);
     spec["echeanceS"] = json!(600.0);
@@ -158,22 +162,28 @@
     assert_eq!(sim.submit(node, &spec), 201);
     sim.run_for(15_000);
     assert_eq!(task_starts(&sim, "run-1"), 10_000);
-    let silent = |line: &&String| {
-        let machine = line.split(' ').nth(1).and_then(|m| m.strip_prefix("vm-"));
+    let on_unresponsive_machine = |line: &&String| {
+        let machine = line
+            .split(' ')
+            .nth(1)
+            .and_then(|name| name.strip_prefix("vm-"));
         machine
             .and_then(|n| n.parse::<u32>().ok())
             .is_some_and(|n| n % 5 == 0)
     };
-    assert_eq!(sim.start_log.iter().find(silent), None);
+    assert_eq!(sim.start_log.iter().find(on_unresponsive_machine), None);
     let longest = leader(&sim).longest_slice();
-    assert!(longest < 2 * SLICE_ENTRIES, "{longest} entries in a slice");
+    assert!(
+        longest < 2 * DEFAULT_SLICE_ENTRIES,
+        "the longest slice examined {longest} entries"
+    );
 }
 
-/// A new leader reads the placements of 64,800 tasks on 8,100 machines page by page, and
-/// no slice of a round of its own is long.
+/// A new leader reads the placements of 64,800 tasks on 8,100 machines page by page. No slice of
+/// its rounds may examine too many entries.
 #[test]
-fn the_placements_of_8100_machines_are_read_without_a_long_slice() {
-    // What one job of 24 replicas on three machines looks like when stored.
+fn new_leader_loads_placements_of_8100_machines_without_long_slice() {
+    // The stored records of one job with 24 replicas on three machines serve as templates.
     let mut small = idle_fleet(3);
     let mut spec = service("run-0000", 24);
     spec["gabarit"] = json!("help");
@@ -189,8 +199,8 @@
     };
     let templates = [stored("j/run-0000"), stored("p/run-0000")];
 
-    // Controllers of a fleet of this size have a whole core: a slice of theirs
-    // examines 100,000 entries.
+    // Controllers of a fleet of this size have a whole core, with which a slice examines 100,000
+    // entries.
     let mut sim = Simulation::with_cores(3, 1.0);
     sim.capacity = 0;
     for n in 0..2700u32 {
@@ -209,13 +219,16 @@
     }
     sim.kv_store.revision = 1;
     sim.run_for(3000);
-    let read = leader(&sim);
-    assert_eq!(read.machines(), 8100);
-    // Each machine is filed once, and looked at once for what is coming: a quarter
+    let new_leader = leader(&sim);
+    assert_eq!(new_leader.machines(), 8100);
+    // Each machine is indexed once and examined once for pending capacity, which takes a quarter
     // of a slice.
-    let longest = read.longest_slice();
-    assert!(longest < 25_000, "{longest} entries in a slice");
-    // Nothing is taken for lost before its machine has had time to report.
+    let longest = new_leader.longest_slice();
+    assert!(
+        longest < 25_000,
+        "the longest slice examined {longest} entries"
+    );
+    // No task is considered lost before its machine has had time to send a heartbeat.
     sim.run_for(2000);
     assert_eq!(leader(&sim).machines(), 8100);
 }
--- a/tests/integration/traces.rs
+++ b/tests/integration/traces.rs
@@ -1,4 +1,5 @@
-//! Whole controllers against the stand-ins, with messages lost, late and repeated.
+//! Tests of whole controllers against simulated workers, cloud and key-value store, with lost,
+//! delayed and duplicated messages.
 
 use crate::simulation::fixtures::running_cluster;
 use crate::simulation::{array, service, Delivery};
@@ -6,10 +7,14 @@
 use serde_json::json;
 
 #[test]
-fn a_job_runs_and_is_done_within_three_seconds_of_its_end() {
+fn job_is_reported_done_within_three_seconds_of_task_completion() {
     let mut sim = running_cluster(3);
     assert_eq!(sim.submit(1, &array("run-1", 4)), 201);
-    assert_eq!(sim.submit(2, &array("run-1", 4)), 200, "a retry is known");
+    assert_eq!(
+        sim.submit(2, &array("run-1", 4)),
+        200,
+        "a retry is recognized"
+    );
     sim.run_for(sim.task_duration_ms + 3000);
     for node in 0..3 {
         assert_eq!(sim.poll(node, "run-1"), (200, "done".into()));
@@ -19,7 +24,7 @@
 }
 
 #[test]
-fn what_cannot_run_is_refused_and_what_is_known_is_not() {
+fn invalid_submission_is_rejected_unless_its_id_is_known() {
     let mut sim = running_cluster(1);
     let mut spec = array("run-1", 1);
     spec["gpus"] = json!(9.0);
@@ -29,7 +34,11 @@
     spec["gpus"] = json!(-1.0);
     assert_eq!(sim.submit(0, &spec), 400);
     assert_eq!(sim.submit(0, &array("run-1", 1)), 201);
-    assert_eq!(sim.submit(0, &spec), 200, "a known id wins over any fault");
+    assert_eq!(
+        sim.submit(0, &spec),
+        200,
+        "a known id is accepted even if the specification is invalid"
+    );
     for body in [
         "",
         "[]",
@@ -49,11 +58,11 @@
 }
 
 #[test]
-fn the_leader_dies_between_record_and_start() {
+fn new_leader_starts_tasks_recorded_by_crashed_leader() {
     let mut sim = running_cluster(3);
     let leader = sim.leader().unwrap();
-    // Nothing reaches workers by the direct path, and the leader dies as soon
-    // as the assignment is stored.
+    // No call reaches the workers, and they send no heartbeats. The leader is killed as soon as the
+    // assignment is stored.
     sim.fault_injector = Box::new(|_, _, call| match call.destination {
         Destination::Worker(_) => Delivery::RequestLost,
         _ => Delivery::Normal,
@@ -79,31 +88,37 @@
 }
 
 #[test]
-fn a_deposed_leader_may_answer_workers_but_starts_nothing() {
+fn isolated_former_leader_keeps_tasks_running_but_starts_none() {
     let mut sim = running_cluster(3);
-    let old = sim.leader().unwrap();
+    let old_leader = sim.leader().unwrap();
     assert_eq!(sim.submit(0, &service("run-1", 2)), 201);
     sim.run_for(2000);
     // The leader alone is partitioned from the key-value store and its peers.
     sim.fault_injector = Box::new(move |_, node, call| match call.destination {
-        Destination::KvStore | Destination::KvWatch | Destination::Peer(_) if node == old => {
+        Destination::KvStore | Destination::KvWatch | Destination::Peer(_)
+            if node == old_leader =>
+        {
             Delivery::RequestLost
         }
         _ => Delivery::Normal,
     });
-    let other = (old + 1) % 3;
+    let other = (old_leader + 1) % 3;
     sim.run_for(8000);
     assert_eq!(sim.submit(other, &service("run-2", 2)), 201);
     sim.run_for(15_000);
-    assert_eq!(sim.on_machines("run-1"), 2, "its tasks live on");
-    assert_eq!(sim.on_machines("run-2"), 2, "the new leader serves");
+    assert_eq!(
+        sim.on_machines("run-1"),
+        2,
+        "tasks of the former leader keep running"
+    );
+    assert_eq!(sim.on_machines("run-2"), 2, "the new leader starts tasks");
     assert_eq!(sim.start_log.len(), 4, "{:?}", sim.start_log);
 }
 
 #[test]
-fn a_late_copy_of_a_start_is_refused_after_its_task_was_forgotten() {
+fn delayed_start_command_is_rejected_after_its_task_was_forgotten() {
     let mut sim = running_cluster(1);
-    // Every start is also delivered again half a minute later.
+    // The first start command times out and is delivered half a minute later.
     let mut first = true;
     sim.fault_injector = Box::new(move |_, _, call| match call.destination {
         Destination::Worker(_) if first && call.body.windows(5).any(|b| b == b"start") => {
@@ -120,40 +135,41 @@
     assert_eq!(
         sim.start_log.len(),
         started,
-        "the copy starts nothing: {:?}",
+        "the delayed command starts no task: {:?}",
         sim.start_log
     );
 }
 
 #[test]
-fn an_old_copy_of_a_report_proves_nothing() {
+fn outdated_heartbeat_without_tasks_restarts_no_tasks() {
     let mut sim = running_cluster(1);
-    let empty = json!({"banc": "vm-a", "address": "w/vm-a", "gamme": "g8", "secteur": "a",
+    let outdated_heartbeat = json!({"banc": "vm-a", "address": "w/vm-a", "gamme": "g8", "secteur": "a",
         "occasion": false, "quart": 1, "numero": 1, "jeton": 0, "preavisS": null, "pieces": []});
     assert_eq!(sim.submit(0, &service("run-1", 8)), 201);
     sim.run_for(3000);
     assert_eq!(sim.on_machines("run-1"), 8);
     let started = sim.start_log.len();
-    sim.deliver_heartbeat(0, &empty);
+    sim.deliver_heartbeat(0, &outdated_heartbeat);
     sim.run_for(5000);
-    // A new leader has no order to go by, only tokens.
+    // A new leader does not know the order of earlier heartbeats, only the fencing tokens.
     sim.kill(0);
     sim.run_for(500);
     sim.start(0);
     sim.run_for(100);
-    sim.deliver_heartbeat(0, &empty);
+    sim.deliver_heartbeat(0, &outdated_heartbeat);
     sim.run_for(8000);
     assert_eq!(sim.on_machines("run-1"), 8);
     assert_eq!(sim.start_log.len(), started, "{:?}", sim.start_log);
 }
 
 #[test]
-fn a_lost_answer_to_a_transaction_is_cleared_up() {
+fn indeterminate_transaction_outcome_is_resolved_by_reading() {
     let mut sim = running_cluster(1);
-    let mut left = 3;
+    let mut responses_to_lose = 3;
     sim.fault_injector = Box::new(move |_, _, call| {
-        if call.destination == Destination::KvStore && call.path == "/txn" && left > 0 {
-            left -= 1;
+        if call.destination == Destination::KvStore && call.path == "/txn" && responses_to_lose > 0
+        {
+            responses_to_lose -= 1;
             return Delivery::ResponseLost;
         }
         Delivery::Normal
@@ -162,7 +178,7 @@
     sim.run_for(4000);
     assert!(
         matches!(sim.status_and_state(user).0, 200 | 201),
-        "reading shows that it was stored"
+        "a read shows that the job was stored"
     );
     sim.run_for(10_000);
     assert_eq!(sim.poll(0, "run-1").1, "done");
@@ -170,25 +186,32 @@
 }
 
 #[test]
-fn cancel_against_done_has_one_winner() {
-    let mut seen = [0, 0];
+fn concurrent_cancellation_and_completion_yield_one_final_state() {
+    let mut outcomes = [0, 0];
     for delay in (0..60).step_by(4) {
         let mut sim = running_cluster(1);
         assert_eq!(sim.submit(0, &array("run-1", 1)), 201);
         sim.run_for(sim.task_duration_ms - 300 + delay * 25);
         let (status, state) = sim.cancel(0, "run-1");
         assert_eq!(status, 200);
-        seen[usize::from(state == "done")] += 1;
+        outcomes[usize::from(state == "done")] += 1;
         sim.run_for(8000);
-        assert_eq!(sim.poll(0, "run-1").1, state, "it stays what it was called");
+        assert_eq!(
+            sim.poll(0, "run-1").1,
+            state,
+            "the final state does not change"
+        );
         assert_eq!(sim.cancel(0, "run-1").1, state);
         assert_eq!(sim.on_machines("run-1"), 0);
     }
-    assert!(seen[0] > 0 && seen[1] > 0, "both happen: {seen:?}");
+    assert!(
+        outcomes[0] > 0 && outcomes[1] > 0,
+        "both outcomes occur: {outcomes:?}"
+    );
 }
 
 #[test]
-fn all_controllers_are_restarted() {
+fn tasks_and_results_survive_restart_of_all_controllers() {
     let mut sim = running_cluster(3);
     assert_eq!(sim.submit(0, &service("run-1", 4)), 201);
     assert_eq!(sim.submit(0, &array("run-2", 2)), 201);
@@ -203,23 +226,31 @@
     }
     sim.run_for(8000);
     assert_eq!(sim.on_machines("run-1"), 4);
-    assert_eq!(sim.poll(1, "run-2").1, "done", "what was over still is");
+    assert_eq!(
+        sim.poll(1, "run-2").1,
+        "done",
+        "the completed job is still done"
+    );
     assert_eq!(
         sim.start_log.len(),
         started,
-        "nothing started anew: {:?}",
+        "no task restarts: {:?}",
         sim.start_log
     );
 }
 
 #[test]
-fn a_silent_machine_keeps_its_tasks_and_its_share_of_the_quota() {
+fn unresponsive_machine_keeps_tasks_and_quota_until_its_release() {
     let mut sim = running_cluster(1);
     let mut spec = service("run-1", 16);
     spec["equipe"] = json!("blue");
     assert_eq!(sim.submit(0, &spec), 201);
     sim.run_for(3000);
-    assert_eq!(sim.on_machines("run-1"), 16, "all that the team may have");
+    assert_eq!(
+        sim.on_machines("run-1"),
+        16,
+        "the team uses its whole quota"
+    );
     let mut more = service("run-2", 1);
     more["equipe"] = json!("blue");
     assert_eq!(sim.submit(0, &more), 201);
@@ -228,19 +259,23 @@
         worker.unresponsive = true;
     }
     sim.run_for(60_000);
-    assert_eq!(sim.on_machines("run-2"), 0, "silence frees nothing");
+    assert_eq!(
+        sim.on_machines("run-2"),
+        0,
+        "missing heartbeats free no quota"
+    );
     let before = sim.start_log.len();
     sim.cloud_unavailable = false;
     sim.run_for(30_000);
     assert!(
         sim.start_log.len() > before,
-        "the machine's return is the proof"
+        "the release of the machine proves that its tasks have ended"
     );
     assert_eq!(sim.on_machines("run-1"), 16);
 }
 
 #[test]
-fn a_cancelled_job_leaves_even_a_machine_that_does_not_answer() {
+fn cancelled_job_ends_on_unresponsive_machines() {
     let mut sim = running_cluster(1);
     assert_eq!(sim.submit(0, &service("run-1", 2)), 201);
     sim.run_for(2000);
@@ -251,22 +286,28 @@
     sim.run_for(29_000);
     assert_eq!(sim.on_machines("run-1"), 0);
     sim.run_for(30_000);
-    assert!(!sim.kv_store.items.contains_key("j/run-1"), "cleared away");
+    assert!(
+        !sim.kv_store.items.contains_key("j/run-1"),
+        "the job record is deleted"
+    );
     assert_eq!(sim.poll(0, "run-1").1, "cancelled");
 }
 
 #[test]
-fn a_machine_that_fails_everything_is_left_and_returned() {
+fn machine_that_fails_all_tasks_is_avoided_and_released() {
     let mut sim = running_cluster(1);
     sim.workers.get_mut("vm-a").unwrap().faulty = true;
     assert_eq!(sim.submit(0, &array("run-1", 6)), 201);
     sim.run_for(25_000);
     assert_eq!(sim.poll(0, "run-1").1, "done");
-    assert!(sim.workers["vm-a"].released, "the faulty one goes back");
+    assert!(
+        sim.workers["vm-a"].released,
+        "the faulty machine is released"
+    );
 }
 
 #[test]
-fn a_job_that_fails_everywhere_slows_down_and_condemns_no_machine() {
+fn job_that_fails_on_every_machine_is_retried_with_backoff() {
     let mut sim = running_cluster(1);
     for worker in sim.workers.values_mut() {
         worker.faulty = true;
@@ -275,16 +316,19 @@
     sim.workers.get_mut("vm-c").unwrap().faulty = true;
     assert_eq!(sim.submit(0, &array("run-1", 1)), 201);
     sim.run_for(60_000);
-    let early = sim.start_log.len();
+    let early_attempts = sim.start_log.len();
     sim.run_for(60_000);
-    let late = sim.start_log.len() - early;
-    assert!(late <= early, "pauses grow: {early} then {late}");
-    assert!(late <= 4, "{late}");
+    let late_attempts = sim.start_log.len() - early_attempts;
+    assert!(
+        late_attempts <= early_attempts,
+        "{early_attempts} attempts in the first minute, {late_attempts} in the second"
+    );
+    assert!(late_attempts <= 4, "{late_attempts}");
 }
 
-/// Minutes of scheduling with a job of the largest size take seconds at most.
+/// Simulating minutes of scheduling with a job of the largest size takes at most seconds.
 #[test]
-fn the_largest_job_is_taken_and_worked_off_piece_by_piece() {
+fn largest_allowed_job_is_accepted_and_runs_in_steps() {
     let mut sim = running_cluster(1);
     sim.capacity = 4;
     let mut spec = array("run-1", 100_000);
@@ -306,7 +350,7 @@
 }
 
 #[test]
-fn a_large_job_is_stored_in_records_of_bounded_size() {
+fn large_job_is_stored_in_records_of_bounded_size() {
     let mut sim = running_cluster(1);
     sim.capacity = 3;
     let mut spec = array("run-1", 2000);
@@ -315,7 +359,8 @@
     spec["memoryGb"] = json!(0.1);
     assert_eq!(sim.submit(0, &spec), 201);
     sim.run_for(60_000);
-    // The stand-in checks sizes; a new leader must read it all back.
+    // The simulated key-value store checks the size of each record. A new leader must be able to
+    // read all records.
     sim.kill(0);
     sim.run_for(100);
     sim.start(0);
@@ -324,12 +369,12 @@
     sim.run_for(10_000);
     assert!(
         !sim.kv_store.items.keys().any(|k| k.starts_with("p/")),
-        "records are cleared away"
+        "placement records are deleted"
     );
 }
 
 #[test]
-fn a_gang_waits_until_all_of_it_finds_room() {
+fn gang_starts_only_when_all_its_tasks_fit() {
     let mut sim = running_cluster(1);
     sim.cloud_unavailable = true;
     sim.task_duration_ms = 1_000_000;
@@ -342,7 +387,7 @@
     assert_eq!(
         sim.on_machines("run-2"),
         0,
-        "six places are not enough for eight"
+        "capacity for six tasks is not enough for a gang of eight"
     );
     sim.cancel(0, "run-1");
     sim.run_for(4000);
@@ -354,14 +399,14 @@
         .collect();
     assert!(
         attempts.iter().all(|t| t.ends_with("#1")),
-        "one attempt for all: {attempts:?}"
+        "each task takes one attempt: {attempts:?}"
     );
 }
 
-/// A slow response to a read once restored a job that had already ended: its end was
-/// written again, failed, and the leader gave up its term.
+/// A delayed response to a read once restored a job that had already ended. The leader tried to
+/// store the end of the job again, the write failed, and the leader gave up its term.
 #[test]
-fn a_slow_read_brings_no_job_back() {
+fn delayed_read_response_does_not_restore_ended_job() {
     let mut sim = running_cluster(3);
     let leader = sim.leader().unwrap();
     assert_eq!(sim.submit(0, &service("run-1", 2)), 201);
@@ -372,7 +417,7 @@
         }
         Delivery::Normal
     });
-    // The watch is late, so the leader reads, and reads again.
+    // The watch is stalled, so the leader reads the records repeatedly.
     sim.kv_store.watches_stalled = true;
     let other = (leader + 1) % 3;
     assert_eq!(sim.cancel(other, "run-1").1, "cancelled");
@@ -381,20 +426,24 @@
     sim.run_for(5000);
     assert_eq!(
         sim.kv_store.items["leader/term"].0["term"], 1,
-        "the same leadership"
+        "the leader keeps its term"
     );
     assert!(!sim.kv_store.items.keys().any(|k| k.starts_with("j/")));
 }
 
 #[test]
-fn a_machine_that_runs_far_too_slowly_is_left_and_returned() {
+fn machine_that_runs_tasks_far_too_slowly_is_avoided_and_released() {
     let mut sim = running_cluster(1);
     sim.workers.get_mut("vm-b").unwrap().slowdown_factor = 5;
     assert_eq!(sim.submit(0, &array("run-1", 40)), 201);
     sim.run_for(60_000);
     assert_eq!(sim.poll(0, "run-1").1, "done");
-    let slow = sim.start_log.iter().filter(|t| t.contains("vm-b")).count();
-    assert!(slow <= 8, "nothing more goes there: {:?}", sim.start_log);
+    let slow_starts = sim.start_log.iter().filter(|t| t.contains("vm-b")).count();
+    assert!(
+        slow_starts <= 8,
+        "the slow machine gets no more tasks: {:?}",
+        sim.start_log
+    );
     assert!(sim.workers["vm-b"].released);
     assert!(!sim.workers["vm-a"].released || sim.workers.len() > 2);
 }
