--- a/tests/integration/boot_times.rs
+++ b/tests/integration/boot_times.rs
@@ -1,73 +1,78 @@
-//! Machines that boot at once, late or never.
+//! Estimates of boot times, with boots that are quick, slow or overdue.
 
 use crate::simulation::{array, service, Simulation, Worker};
 use serde_json::json;
 
-/// An array whose tasks run until the end of the test, eight to a machine.
-fn long_array(sim: &mut Simulation, id: &str, tasks: u32) {
+/// Submits an array whose tasks run until the end of the test. A machine has capacity for
+/// eight of them.
+fn submit_long_running_array(sim: &mut Simulation, id: &str, tasks: u32) {
     sim.task_duration_ms = 600_000;
     assert_eq!(sim.submit(0, &array(id, tasks)), 201);
 }
 
-/// Machines that were released before they were up.
+/// Returns the number of machines that were released before they had booted.
 fn failed_boots(sim: &Simulation) -> usize {
-    let early = |worker: &&Worker| worker.released && !worker.up;
-    sim.workers.values().filter(early).count()
+    let released_before_boot = |worker: &&Worker| worker.released && !worker.up;
+    sim.workers.values().filter(released_before_boot).count()
 }
 
-/// After some boots of a second, ordinary ones once counted as too long: machines were
-/// declared failed after 8 s and provisioned again, without end, and none came up
-/// (inc-683a, from 497 s on: twelve in a row).
+/// After several boots of about a second, boots of the usual duration once counted as
+/// overdue: machines were declared failed after 8 s and provisioned again without end, and
+/// none of them finished booting (incident inc-683a, from 497 s on: twelve in a row).
 #[test]
-fn quick_boots_make_no_ordinary_one_late() {
+fn boot_of_usual_duration_is_not_overdue_after_quick_boots() {
     let mut sim = Simulation::new(1);
     sim.boot_ms = 300;
     sim.run_until(5000);
     for n in 0..8 {
-        long_array(&mut sim, &format!("run-{n}"), 8);
+        submit_long_running_array(&mut sim, &format!("run-{n}"), 8);
         sim.run_for(2000);
     }
     assert_eq!(sim.on_machines("run-"), 64);
-    // The catalog says five seconds; some boots take several times as long.
-    let before = sim.workers.len();
+    // The catalog states a boot time of 5 s, but some boots take several times as long.
+    let machines_before = sim.workers.len();
     sim.boot_ms = 12_000;
-    long_array(&mut sim, "run-8", 16);
+    submit_long_running_array(&mut sim, "run-8", 16);
     sim.run_for(14_000);
-    assert_eq!(failed_boots(&sim), 0, "none is late yet");
+    assert_eq!(failed_boots(&sim), 0, "a boot counted as overdue");
     assert_eq!(sim.on_machines("run-8"), 16);
     assert!(
-        sim.workers.len() <= before + 4,
-        "{} for two machines' work",
-        sim.workers.len() - before
+        sim.workers.len() <= machines_before + 4,
+        "{} machines provisioned for two machines' work",
+        sim.workers.len() - machines_before
     );
 }
 
-/// When all boots take several times as long as the catalog says, the estimate learns
-/// that from failed boots, too; otherwise no machine would ever come up.
+/// When all boots take several times as long as the catalog states, the estimate has to
+/// increase after overdue boots too. Otherwise every machine would be declared failed before
+/// it has booted.
 #[test]
-fn boots_that_all_take_long_are_waited_for_in_the_end() {
+fn boot_time_estimate_increases_when_all_boots_are_slow() {
     let mut sim = Simulation::new(1);
     sim.boot_ms = 22_000;
     sim.run_until(5000);
-    long_array(&mut sim, "run-1", 16);
+    submit_long_running_array(&mut sim, "run-1", 16);
     sim.run_for(60_000);
     assert_eq!(sim.on_machines("run-1"), 16);
     let machines = sim.workers.len();
-    assert!(machines <= 12, "{machines} rented for two machines' work");
-    long_array(&mut sim, "run-2", 16);
+    assert!(
+        machines <= 12,
+        "{machines} machines provisioned for two machines' work"
+    );
+    submit_long_running_array(&mut sim, "run-2", 16);
     sim.run_for(40_000);
     assert_eq!(sim.on_machines("run-2"), 16);
     assert!(
         sim.workers.len() - machines <= 4,
-        "{} more for as much work",
+        "{} more machines provisioned for two machines' work",
         sim.workers.len() - machines
     );
 }
 
-/// The estimates of boot times were once lost with the leader: the next one declared
-/// booting machines failed, and provisioned others, until it had learned them again.
+/// The estimates of boot times were once lost when the leader changed: the new leader declared
+/// booting machines failed and provisioned others until it had learned the boot times again.
 #[test]
-fn a_new_leader_knows_how_long_boots_take() {
+fn new_leader_restores_boot_time_estimates() {
     let mut sim = Simulation::new(3);
     sim.boot_ms = 22_000;
     sim.run_until(5000);
@@ -76,24 +81,28 @@
     assert_eq!(sim.submit(leader, &array("run-1", 16)), 201);
     sim.run_for(75_000);
     assert_eq!(sim.on_machines("run-1"), 16);
-    let (machines, late) = (sim.workers.len(), failed_boots(&sim));
+    let (machines, failed_before) = (sim.workers.len(), failed_boots(&sim));
     sim.kill(leader);
     sim.run_for(8000);
-    let next = sim.leader().unwrap();
-    assert_eq!(sim.submit(next, &array("run-2", 16)), 201);
+    let new_leader = sim.leader().unwrap();
+    assert_eq!(sim.submit(new_leader, &array("run-2", 16)), 201);
     sim.run_for(35_000);
     assert_eq!(sim.on_machines("run-2"), 16);
     assert!(
         sim.workers.len() <= machines + 2,
-        "{} rented for two machines' work",
+        "{} machines provisioned for two machines' work",
         sim.workers.len() - machines
     );
-    assert_eq!(failed_boots(&sim), late, "none was given up");
+    assert_eq!(
+        failed_boots(&sim),
+        failed_before,
+        "a booting machine was declared failed"
+    );
 }
 
-/// A record of estimates that is old or malformed has no effect.
+/// An outdated or malformed record of boot time estimates has no effect.
 #[test]
-fn a_malformed_record_of_estimates_is_ignored() {
+fn outdated_or_malformed_boot_time_record_is_ignored() {
     for record in [
         json!("nonsense"),
         json!({"t": "yesterday", "b": 7}),
--- a/tests/integration/failure_attribution.rs
+++ b/tests/integration/failure_attribution.rs
@@ -1,71 +1,81 @@
-//! Tasks that fail: by their job's fault, by their machine's, or both at once.
+//! Attribution of task failures to jobs, to machines, or to both at once.
 
 use crate::simulation::fixtures::{released, running_cluster, task_starts};
 use crate::simulation::{array, service, Simulation};
 use lilacfork::faults::{CircuitBreaker, MachineFaults};
 use lilacfork::ids::{JobId, MachineId};
 
-const REPORT_MS: u64 = 1000;
+const HEARTBEAT_INTERVAL_MS: u64 = 1000;
 
 fn machine(n: u32) -> MachineId {
     MachineId::new(&format!("vm-{n}"))
 }
 
 #[test]
-fn a_machine_is_faulty_by_two_jobs_or_by_one_that_succeeds_elsewhere() {
-    let (one, other) = (JobId::new("run-1"), JobId::new("run-2"));
+fn machine_is_faulty_after_failures_of_two_jobs_or_of_one_that_succeeds_elsewhere() {
+    let (first, second) = (JobId::new("run-1"), JobId::new("run-2"));
     let mut evidence = MachineFaults::default();
-    evidence.add(&one, false);
+    evidence.add(&first, false);
     assert!(!evidence.is_suspect());
-    evidence.add(&one, false);
+    evidence.add(&first, false);
     assert!(
         evidence.is_suspect() && !evidence.is_faulty(),
-        "it may be the job"
+        "failures of one job only may be the fault of the job"
     );
-    evidence.confirm(&other);
-    assert!(!evidence.is_faulty(), "that job never failed here");
-    let mut by_success = evidence.clone();
-    by_success.confirm(&one);
-    assert!(by_success.is_faulty());
-    let mut by_two = evidence.clone();
-    by_two.add(&other, false);
-    assert!(by_two.is_faulty());
-    by_two.exonerate(&one);
-    assert!(!by_two.is_suspect());
-    by_success.clear();
-    assert!(!by_success.is_suspect());
+    evidence.confirm(&second);
+    assert!(
+        !evidence.is_faulty(),
+        "a job that never failed on the machine must not count"
+    );
+    let mut confirmed_by_success = evidence.clone();
+    confirmed_by_success.confirm(&first);
+    assert!(confirmed_by_success.is_faulty());
+    let mut failed_by_two_jobs = evidence.clone();
+    failed_by_two_jobs.add(&second, false);
+    assert!(failed_by_two_jobs.is_faulty());
+    failed_by_two_jobs.exonerate(&first);
+    assert!(!failed_by_two_jobs.is_suspect());
+    confirmed_by_success.clear();
+    assert!(!confirmed_by_success.is_suspect());
 }
 
 #[test]
-fn a_breaker_opens_after_three_machines_and_closes_by_a_success() {
-    let mut history = CircuitBreaker::default();
+fn circuit_breaker_opens_after_failures_on_three_machines_and_closes_on_success() {
+    let mut breaker = CircuitBreaker::default();
     for n in [1, 1, 1, 2, 2] {
-        history.record_failure(0, &machine(n), true, REPORT_MS);
+        breaker.record_failure(0, &machine(n), true, HEARTBEAT_INTERVAL_MS);
     }
-    assert!(!history.is_open(), "two machines may both be faulty");
-    history.record_failure(0, &machine(3), false, REPORT_MS);
-    assert!(history.is_open() && history.allows_attempt(0));
-    let pauses: Vec<u64> = (0..9)
+    assert!(!breaker.is_open(), "two machines may both be faulty");
+    breaker.record_failure(0, &machine(3), false, HEARTBEAT_INTERVAL_MS);
+    assert!(breaker.is_open() && breaker.allows_attempt(0));
+    let pauses_ms: Vec<u64> = (0..9)
         .map(|_| {
-            history.record_failure(0, &machine(4), true, REPORT_MS);
-            (0..).find(|ms| history.allows_attempt(*ms)).unwrap_or(0)
+            breaker.record_failure(0, &machine(4), true, HEARTBEAT_INTERVAL_MS);
+            (0..).find(|ms| breaker.allows_attempt(*ms)).unwrap_or(0)
         })
         .collect();
     assert_eq!(
-        pauses,
+        pauses_ms,
         [500, 1000, 2000, 4000, 8000, 16_000, 32_000, 64_000, 64_000]
     );
-    let mut inherited = CircuitBreaker::default();
-    inherited.restore(history.to_record());
-    assert!(inherited.is_open() && inherited.allows_attempt(0));
-    assert!(inherited.record_success(), "the first");
-    assert!(!inherited.is_open());
-    assert!(!inherited.record_success(), "the second");
+    let mut restored = CircuitBreaker::default();
+    restored.restore(breaker.to_record());
+    assert!(restored.is_open() && restored.allows_attempt(0));
+    assert!(
+        restored.record_success(),
+        "not reported as the first success"
+    );
+    assert!(!restored.is_open());
+    assert!(
+        !restored.record_success(),
+        "reported as the first success again"
+    );
     assert_eq!(CircuitBreaker::default().to_record(), 0);
 }
 
-/// Six machines, and a job of forty tasks that fail everywhere.
-fn with_a_mistake(nodes: usize) -> (Simulation, Vec<String>) {
+/// Creates a cluster of six machines in which all tasks of `run-1` fail. Returns the names of
+/// the four machines in addition to those of [`running_cluster`].
+fn cluster_with_failing_job(nodes: usize) -> (Simulation, Vec<String>) {
     let mut sim = running_cluster(nodes);
     let names: Vec<String> = (1..5).map(|n| format!("vm-c{n}")).collect();
     for name in &names {
@@ -76,30 +86,34 @@
     (sim, names)
 }
 
-/// All its tasks once started again after every backoff, on up to 35 machines, and
-/// machines were provisioned for them (inc-c0eb, inc-683a).
+/// All tasks of a failing job were once restarted after every backoff, on up to 35 machines,
+/// and machines were provisioned for them (incidents inc-c0eb and inc-683a).
 #[test]
-fn a_job_with_a_mistake_is_probed_by_one_task_at_a_time() {
-    let (mut sim, names) = with_a_mistake(1);
-    let machines = sim.workers.len();
+fn failing_job_is_probed_with_one_task_at_a_time() {
+    let (mut sim, names) = cluster_with_failing_job(1);
+    let machines_before = sim.workers.len();
     assert_eq!(sim.submit(0, &array("run-1", 40)), 201);
     sim.run_for(4000);
-    let first = task_starts(&sim, "run-1");
+    let initial_starts = task_starts(&sim, "run-1");
     sim.run_for(45_000);
-    let probes = task_starts(&sim, "run-1") - first;
+    let probes = task_starts(&sim, "run-1") - initial_starts;
     assert!(
         (3..=7).contains(&probes),
-        "{first} at first, {probes} since"
+        "{initial_starts} initial starts, then {probes} probes"
+    );
+    assert_eq!(
+        sim.workers.len(),
+        machines_before,
+        "a machine was provisioned for the failing job"
     );
-    assert_eq!(sim.workers.len(), machines, "nothing is rented for it");
     assert!(released(&sim, &names).is_empty());
     assert_eq!(sim.cancel(0, "run-1").0, 200);
 }
 
-/// A machine without tasks but those of such a job was once released at once.
+/// A machine whose only tasks belonged to a failing job was once released immediately.
 #[test]
-fn a_job_with_a_mistake_costs_no_empty_machine() {
-    let (mut sim, names) = with_a_mistake(1);
+fn failing_job_does_not_cause_release_of_empty_machines() {
+    let (mut sim, names) = cluster_with_failing_job(1);
     assert_eq!(sim.submit(0, &array("run-1", 2)), 201);
     sim.run_for(10_000);
     assert!(
@@ -108,47 +122,51 @@
         released(&sim, &names)
     );
     assert!(!sim.workers["vm-a"].released && !sim.workers["vm-b"].released);
-    // And it is of use at once.
+    // The machines accept tasks of other jobs immediately.
     assert_eq!(sim.submit(0, &service("run-2", 12)), 201);
     sim.run_for(2000);
     assert_eq!(sim.on_machines("run-2"), 12);
 }
 
-/// A faulty machine and a failing job at once, also with a failover in between.
+/// A faulty machine and failing jobs occur at the same time, with and without a leader
+/// failover.
 #[test]
-fn a_faulty_machine_is_found_among_jobs_with_a_mistake() {
-    for leader_ends in [false, true] {
-        let (mut sim, names) = with_a_mistake(3);
+fn faulty_machine_is_detected_among_failing_jobs() {
+    for leader_fails in [false, true] {
+        let (mut sim, names) = cluster_with_failing_job(3);
         sim.failing_jobs.insert("run-3".into());
         sim.workers.get_mut("vm-c2").unwrap().faulty = true;
         for (n, id) in ["run-1", "run-2", "run-3"].iter().enumerate() {
             assert_eq!(sim.submit(n, &array(id, 14)), 201);
         }
-        if leader_ends {
+        if leader_fails {
             sim.run_for(600);
             sim.kill(sim.leader().unwrap());
         }
         sim.run_for(30_000);
-        let alive = sim.leader().unwrap();
-        assert_eq!(sim.poll(alive, "run-2").1, "done");
+        let leader = sim.leader().unwrap();
+        assert_eq!(sim.poll(leader, "run-2").1, "done");
         assert_eq!(
             released(&sim, &names),
             ["vm-c2"],
-            "leader ends: {leader_ends}"
+            "leader fails: {leader_fails}"
         );
     }
 }
 
-/// A new leader once knew nothing of the failures and started all tasks again.
+/// A new leader once had no record of earlier failures and restarted all tasks of the job.
 #[test]
-fn a_new_leader_knows_which_jobs_fail_everywhere() {
-    let (mut sim, _) = with_a_mistake(3);
+fn new_leader_restores_open_circuit_breaker_of_failing_job() {
+    let (mut sim, _) = cluster_with_failing_job(3);
     assert_eq!(sim.submit(0, &array("run-1", 40)), 201);
     sim.run_for(10_000);
-    let first = task_starts(&sim, "run-1");
+    let initial_starts = task_starts(&sim, "run-1");
     sim.kill(sim.leader().unwrap());
     sim.run_for(20_000);
     assert!(sim.leader().is_some());
-    let since = task_starts(&sim, "run-1") - first;
-    assert!((1..=6).contains(&since), "{first} at first, {since} since");
+    let restarts = task_starts(&sim, "run-1") - initial_starts;
+    assert!(
+        (1..=6).contains(&restarts),
+        "{initial_starts} initial starts, then {restarts} restarts"
+    );
 }
--- a/tests/integration/http.rs
+++ b/tests/integration/http.rs
@@ -1,27 +1,27 @@
-//! The HTTP parser on split, oversized and malformed input.
+//! The HTTP parser with split, oversized and malformed input.
 
 use lilacfork::http::{
     parse_request, parse_response, HttpError, Response, MAX_HEAD_BYTES, MAX_REQUEST_BODY_BYTES,
 };
 
-const REQUEST: &[u8] = b"POST /v2/runs HTTP/1.1\r\nHost: x\r\nContent-Length: 4\r\n\r\nbody";
-const CHUNKED: &[u8] =
+const PLAIN_REQUEST: &[u8] = b"POST /v2/runs HTTP/1.1\r\nHost: x\r\nContent-Length: 4\r\n\r\nbody";
+const CHUNKED_REQUEST: &[u8] =
     b"POST /x HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3;a=b\r\nbod\r\n1\r\ny\r\n0\r\nT: v\r\n\r\n";
 
 #[test]
-fn a_request_is_whole_at_its_last_byte_and_not_before() {
-    for (text, path) in [(REQUEST, "/v2/runs"), (CHUNKED, "/x")] {
+fn request_is_parsed_only_after_its_last_byte() {
+    for (text, path) in [(PLAIN_REQUEST, "/v2/runs"), (CHUNKED_REQUEST, "/x")] {
         for n in 0..text.len() {
             assert!(
                 parse_request(&text[..n], MAX_REQUEST_BODY_BYTES)
                     .unwrap()
                     .is_none(),
-                "{n}"
+                "{n} bytes"
             );
         }
-        let mut longer = text.to_vec();
-        longer.extend_from_slice(b"GET / HT");
-        let parsed = parse_request(&longer, MAX_REQUEST_BODY_BYTES)
+        let mut input = text.to_vec();
+        input.extend_from_slice(b"GET / HT");
+        let parsed = parse_request(&input, MAX_REQUEST_BODY_BYTES)
             .unwrap()
             .unwrap();
         assert_eq!(parsed.size, text.len());
@@ -31,7 +31,7 @@
     }
 }
 
-/// Requests that break the protocol or exceed a limit, and what the parser reports.
+/// Requests that violate the protocol or exceed a limit, with the error that the parser returns.
 const INVALID: &[(&[u8], HttpError)] = &[
     (b"\r\n\r\n", HttpError::Malformed),
     (b"GET\r\n\r\n", HttpError::Malformed),
@@ -78,38 +78,43 @@
 ];
 
 #[test]
-fn what_is_broken_or_too_large_is_named() {
+fn malformed_or_oversized_request_is_rejected_with_its_error() {
     for (text, error) in INVALID {
         let got =
             parse_request(text, MAX_REQUEST_BODY_BYTES).expect_err(&String::from_utf8_lossy(text));
         assert_eq!(got, *error, "{}", String::from_utf8_lossy(text));
     }
-    let endless = vec![b'a'; MAX_HEAD_BYTES];
+    let unterminated_head = vec![b'a'; MAX_HEAD_BYTES];
     assert_eq!(
-        parse_request(&endless, MAX_REQUEST_BODY_BYTES).unwrap_err(),
+        parse_request(&unterminated_head, MAX_REQUEST_BODY_BYTES).unwrap_err(),
         HttpError::HeadTooLarge
     );
-    let big = format!(
+    let oversized = format!(
         "POST / HTTP/1.1\r\nContent-Length: {}\r\n\r\n",
         MAX_REQUEST_BODY_BYTES + 1
     );
     assert_eq!(
-        parse_request(big.as_bytes(), MAX_REQUEST_BODY_BYTES).unwrap_err(),
+        parse_request(oversized.as_bytes(), MAX_REQUEST_BODY_BYTES).unwrap_err(),
         HttpError::BodyTooLarge
     );
 }
 
 #[test]
-fn random_damage_never_panics() {
+fn randomly_corrupted_messages_cause_no_panic() {
     let mut rng = fastrand::Rng::with_seed(7);
     for _ in 0..20_000 {
-        let mut text = if rng.bool() { REQUEST } else { CHUNKED }.to_vec();
+        let mut text = if rng.bool() {
+            PLAIN_REQUEST
+        } else {
+            CHUNKED_REQUEST
+        }
+        .to_vec();
         for _ in 0..rng.usize(1..6) {
-            let at = rng.usize(..text.len());
+            let index = rng.usize(..text.len());
             match rng.u8(..3) {
-                0 => text[at] = rng.u8(..),
-                1 => text.truncate(at.max(1)),
-                _ => text.insert(at, rng.u8(..)),
+                0 => text[index] = rng.u8(..),
+                1 => text.truncate(index.max(1)),
+                _ => text.insert(index, rng.u8(..)),
             }
         }
         if let Ok(Some(parsed)) = parse_request(&text, MAX_REQUEST_BODY_BYTES) {
@@ -120,7 +125,7 @@
 }
 
 #[test]
-fn responses_without_a_length_end_with_their_connection() {
+fn response_without_length_ends_when_its_connection_closes() {
     let text = b"HTTP/1.1 200 OK\r\n\r\n{}";
     assert!(parse_response(text, false).unwrap().is_none());
     let parsed = parse_response(text, true).unwrap().unwrap();
--- a/tests/integration/provisioning.rs
+++ b/tests/integration/provisioning.rs
@@ -5,15 +5,15 @@
 use lilacfork::messages::Destination;
 
 #[test]
-fn an_order_whose_response_is_lost_is_placed_once() {
+fn provisioning_order_with_lost_response_is_placed_once() {
     let mut sim = Simulation::new(1);
-    let mut lost = 0;
+    let mut lost_responses = 0;
     sim.fault_injector = Box::new(move |_, _, call| {
         if call.destination == Destination::Cloud
             && call.body.windows(5).any(|b| b == b"\"bon\"")
-            && lost < 2
+            && lost_responses < 2
         {
-            lost += 1;
+            lost_responses += 1;
             return Delivery::ResponseLost;
         }
         Delivery::Normal
@@ -25,9 +25,10 @@
     assert!(sim.workers.len() <= 2, "{:?}", sim.workers.keys());
 }
 
-/// Machines provisioned long after the call timed out: nobody expects them.
+/// A cloud call that timed out may still provision a machine much later, when the leader no
+/// longer expects it.
 #[test]
-fn an_unexpected_machine_is_used_and_then_released() {
+fn unexpected_machine_runs_tasks_and_is_released_when_idle() {
     let mut sim = Simulation::new(3);
     sim.run_until(3000);
     sim.cloud_unavailable = true;
@@ -42,14 +43,14 @@
     assert!(sim.workers["vm-late"].released);
 }
 
-/// A new leader once took empty machines, which it knew by the cloud's list alone, for
-/// ones that had never come up, and released them at once.
+/// A new leader once released empty machines immediately: it knew these machines only from
+/// the cloud's list and treated them as machines that had never booted.
 #[test]
-fn a_new_leader_waits_for_the_reports_of_machines_that_it_finds_in_the_list() {
+fn new_leader_waits_for_heartbeats_of_listed_machines() {
     let mut sim = running_cluster(3);
     sim.run_until(40_000);
     sim.kill(sim.leader().unwrap());
-    // Their next reports come a little after the list.
+    // The machines' next heartbeats arrive shortly after the cloud's list.
     for worker in sim.workers.values_mut() {
         worker.unresponsive = true;
     }
@@ -62,33 +63,40 @@
     assert!(!sim.workers["vm-a"].released && !sim.workers["vm-b"].released);
     assert_eq!(sim.submit(sim.leader().unwrap(), &service("run-1", 2)), 201);
     sim.run_for(2000);
-    assert_eq!(sim.on_machines("run-1"), 2, "they are of use at once");
+    assert_eq!(
+        sim.on_machines("run-1"),
+        2,
+        "the machines didn't accept tasks immediately"
+    );
 }
 
-/// A new leader once began with no forecast of demand, and released the capacity that its
+/// A new leader once started without a demand forecast and released the capacity that its
 /// predecessor had reserved.
 #[test]
-fn a_new_leader_expects_what_stored_jobs_show() {
+fn new_leader_forecasts_demand_from_stored_jobs() {
     let mut sim = running_cluster(3);
     sim.capacity = 0;
     for n in 0..16 {
         assert_eq!(sim.submit(0, &service(&format!("run-{n}"), 1)), 201);
     }
     sim.run_for(3000);
-    assert_eq!(sim.on_machines("run-"), 16, "all room is taken");
+    assert_eq!(sim.on_machines("run-"), 16, "the machines aren't full");
     sim.kill(sim.leader().unwrap());
     sim.run_for(4000);
     assert!(sim.leader().is_some());
     sim.capacity = 100;
     let machines = sim.workers.len();
     sim.run_for(15_000);
-    assert!(sim.workers.len() > machines, "room is made for more");
+    assert!(
+        sim.workers.len() > machines,
+        "no machine was provisioned for the forecast"
+    );
 }
 
-/// After a burst of work dozens of machines once stayed empty for as long as the one or
-/// two that the next arrival would need.
+/// After a burst of work, dozens of machines once stayed idle for as long as the one or two
+/// machines that the next job would need.
 #[test]
-fn of_many_empty_machines_most_leave_soon() {
+fn all_but_one_of_many_idle_machines_are_released_early() {
     let mut sim = running_cluster(1);
     sim.capacity = 0;
     sim.task_duration_ms = 75_000;
@@ -97,25 +105,38 @@
     }
     sim.run_for(3000);
     assert_eq!(sim.submit(0, &array("run-1", 128)), 201);
-    let there = |sim: &Simulation| sim.workers.values().filter(|m| !m.released).count();
+    let unreleased = |sim: &Simulation| {
+        sim.workers
+            .values()
+            .filter(|worker| !worker.released)
+            .count()
+    };
     sim.run_until(82_500);
-    assert_eq!((there(&sim), sim.on_machines("run-1")), (16, 128));
+    assert_eq!((unreleased(&sim), sim.on_machines("run-1")), (16, 128));
     sim.run_until(87_000);
-    assert_eq!((there(&sim), sim.on_machines("run-1")), (1, 0), "one waits");
+    assert_eq!(
+        (unreleased(&sim), sim.on_machines("run-1")),
+        (1, 0),
+        "not exactly one idle machine is kept"
+    );
     sim.run_until(92_000);
-    assert_eq!(there(&sim), 0, "and leave in the end");
+    assert_eq!(
+        unreleased(&sim),
+        0,
+        "the last idle machine was not released"
+    );
 }
 
-/// The very first leader once waited three heartbeat intervals for machines that nobody
-/// could have provisioned, and all first jobs waited with it.
+/// The first leader of a new deployment once waited three heartbeat intervals for heartbeats of
+/// machines that no earlier leader could have provisioned, which delayed the first jobs.
 #[test]
-fn the_first_leader_provisions_at_once_unless_machines_exist() {
+fn first_leader_provisions_immediately_unless_machines_exist() {
     let mut sim = Simulation::new(1);
     sim.run_until(1000);
     assert_eq!(sim.submit(0, &service_without_objective("run-1")), 201);
     sim.run_for(500);
     assert_eq!(sim.workers.len(), 3, "twenty replicas, eight to a machine");
-    // What is there already is heard first.
+    // If machines exist, the leader waits for their heartbeats first.
     let mut sim = Simulation::new(1);
     for n in 0..3 {
         sim.add_machine(&format!("vm-e{n}"), "a", false, true);
@@ -126,10 +147,10 @@
     assert_eq!((sim.workers.len(), sim.on_machines("run-1")), (3, 20));
 }
 
-/// Jobs once waited for machines that took several times the usual time to boot: they
-/// counted as coming capacity until twice that time.
+/// Jobs once waited for machines that took several times the usual boot time, because these
+/// machines counted as future capacity until twice the usual boot time.
 #[test]
-fn a_machine_that_boots_for_unusually_long_is_no_coming_capacity() {
+fn machine_with_overdue_boot_does_not_count_as_future_capacity() {
     let mut sim = Simulation::new(1);
     sim.boot_ms = 40_000;
     sim.run_until(5000);
@@ -137,11 +158,11 @@
     sim.run_for(6500);
     let first = sim.workers.len();
     assert!(first >= 3, "twenty replicas, eight to a machine: {first}");
-    // The catalog says five seconds.
+    // The catalog states a boot time of 5 s.
     sim.run_for(2500);
     assert_eq!(
         sim.workers.len(),
         first * 2,
-        "others are rented in their stead"
+        "no replacements were provisioned"
     );
 }
--- a/tests/integration/replica_groups/cancellations.rs
+++ b/tests/integration/replica_groups/cancellations.rs
@@ -1,19 +1,23 @@
 //! Cancellations of jobs with replica groups.
 
-use super::During;
+use super::GroupOperation;
 use crate::simulation::replica_groups::{
     cluster_with_machines, machines_by_task, start_service, whole_machine_service,
 };
 
 #[test]
-fn a_cancellation_at_each_step_leaves_nothing() {
-    for during in [During::Start, During::Repair, During::Migration] {
+fn cancellation_during_start_repair_or_migration_leaves_no_tasks_or_placements() {
+    for operation in [
+        GroupOperation::Start,
+        GroupOperation::Repair,
+        GroupOperation::Migration,
+    ] {
         for after_ms in (0..3600).step_by(200) {
             let mut sim = cluster_with_machines(3, &["vm-a", "vm-b", "vm-c"]);
             sim.image_fetch_ms = 400;
             sim.track_replicas("run-1", 2, 2);
             let leader = sim.leader().unwrap();
-            if during == During::Start {
+            if operation == GroupOperation::Start {
                 sim.request(
                     leader,
                     "POST",
@@ -24,24 +28,40 @@
                 start_service(&mut sim, &whole_machine_service("run-1", 2));
                 let machine = machines_by_task(&sim, "run-1")["run-1/1"].clone();
                 let worker = sim.workers.get_mut(&machine).unwrap();
-                worker.unresponsive = during == During::Repair;
-                worker.preemption_notice_s = (during == During::Migration).then_some(60.0);
-                sim.run_for(if during == During::Repair { 7000 } else { 0 });
+                worker.unresponsive = operation == GroupOperation::Repair;
+                worker.preemption_notice_s =
+                    (operation == GroupOperation::Migration).then_some(60.0);
+                sim.run_for(if operation == GroupOperation::Repair {
+                    7000
+                } else {
+                    0
+                });
             }
             sim.run_for(after_ms);
-            let mut told = sim.cancel(leader, "run-1");
+            let mut response = sim.cancel(leader, "run-1");
             for _ in 0..5 {
-                if told.0 != 200 {
+                if response.0 != 200 {
                     sim.run_for(1000);
-                    told = sim.cancel(leader, "run-1");
+                    response = sim.cancel(leader, "run-1");
                 }
             }
-            assert_eq!(told, (200, "cancelled".into()), "{during:?} {after_ms}");
+            assert_eq!(
+                response,
+                (200, "cancelled".into()),
+                "{operation:?} after {after_ms} ms"
+            );
             sim.run_for(20_000);
-            assert_eq!(sim.on_machines("run-1"), 0, "{during:?} {after_ms}");
+            assert_eq!(
+                sim.on_machines("run-1"),
+                0,
+                "{operation:?} after {after_ms} ms"
+            );
             assert_eq!(sim.poll(0, "run-1").1, "cancelled");
             assert!(sim.kv_store.items.contains_key("f/run-1"));
-            assert!(!sim.kv_store.items.contains_key("p/run-1/0"), "no litter");
+            assert!(
+                !sim.kv_store.items.contains_key("p/run-1/0"),
+                "the placement record was not deleted"
+            );
         }
     }
 }
--- a/tests/integration/replica_groups/gangs.rs
+++ b/tests/integration/replica_groups/gangs.rs
@@ -1,4 +1,4 @@
-//! Gangs that are replica groups by themselves.
+//! Gangs, each of which forms one replica group.
 
 use super::gang;
 use crate::simulation::replica_groups::{
@@ -7,7 +7,7 @@
 use std::collections::BTreeSet;
 
 #[test]
-fn a_gang_that_loses_a_machine_starts_again_as_a_whole_and_is_done() {
+fn gang_that_loses_a_machine_restarts_as_a_whole_and_completes() {
     let mut sim = cluster_with_machines(3, &["vm-a", "vm-b", "vm-c", "vm-d"]);
     sim.task_duration_ms = 25_000;
     let leader = sim.leader().unwrap();
@@ -24,17 +24,21 @@
     assert_eq!(sim.poll(0, "run-1").1, "done");
 }
 
-/// Parts that have completed don't start again with the others.
+/// Completed parts aren't restarted with the other parts.
 #[test]
-fn the_parts_of_a_gang_that_are_done_stay_done() {
+fn completed_parts_of_a_gang_are_not_restarted() {
     let mut sim = cluster_with_machines(3, &["vm-a", "vm-b", "vm-c"]);
     sim.task_duration_ms = 4000;
     sim.workers.get_mut("vm-b").unwrap().slowdown_factor = 5;
     let leader = sim.leader().unwrap();
     assert_eq!(sim.submit(leader, &gang("run-1", 2)), 201);
     sim.run_for(7500);
-    let left = machines_by_task(&sim, "run-1");
-    assert_eq!(left.len(), 1, "one is done: {left:?}");
+    let remaining = machines_by_task(&sim, "run-1");
+    assert_eq!(
+        remaining.len(),
+        1,
+        "not exactly one part remains: {remaining:?}"
+    );
     sim.workers.get_mut("vm-b").unwrap().unresponsive = true;
     sim.run_for(25_000);
     assert_eq!(sim.poll(0, "run-1").1, "done");
--- a/tests/integration/replica_groups/leader_changes.rs
+++ b/tests/integration/replica_groups/leader_changes.rs
@@ -1,6 +1,6 @@
-//! Changes of leader at each step of a start, a repair and a migration.
+//! Leader changes at each step of a start, a repair and a migration.
 
-use super::{longest, noticed, During, REPAIR_MS};
+use super::{longest_incomplete_ms, send_preemption_notice, GroupOperation, MAX_REPAIR_MS};
 use crate::simulation::replica_groups::{
     attempts_by_task, cluster_with_machines, first_placement_record, machines_by_task, running,
     start_service, whole_machine_service,
@@ -8,33 +8,35 @@
 use crate::simulation::{Delivery, Simulation};
 use lilacfork::messages::Destination;
 
-/// The condition of the key-value store meanwhile.
+/// The condition of the key-value store during the leader change.
 #[derive(Clone, Copy, PartialEq, Debug)]
 enum StoreCondition {
     Healthy,
-    /// It is unavailable for three seconds.
+    /// The store is unavailable for three seconds.
     Unavailable,
-    /// Half of its responses are lost.
+    /// Half of the store's responses are lost.
     LosingResponses,
 }
 
-fn leader_ends(during: During, store: StoreCondition, after_ms: u64) {
-    let what = format!("{during:?}, {store:?}, after {after_ms}");
+/// Checks that a replica recovers completely if the leader fails `after_ms` after the beginning
+/// of an operation.
+fn check_leader_failure(operation: GroupOperation, store: StoreCondition, after_ms: u64) {
+    let case = format!("{operation:?}, {store:?}, after {after_ms} ms");
     let mut sim = cluster_with_machines(3, &["vm-a", "vm-b", "vm-c", "vm-d"]);
     sim.image_fetch_ms = 400;
     sim.track_replicas("run-1", 2, 2);
     let leader = sim.leader().unwrap();
-    if during == During::Start {
+    if operation == GroupOperation::Start {
         assert_eq!(
             sim.submit((leader + 1) % 3, &whole_machine_service("run-1", 2)),
             201,
-            "{what}"
+            "{case}"
         );
     } else {
         start_service(&mut sim, &whole_machine_service("run-1", 2));
         let machine = machines_by_task(&sim, "run-1")["run-1/1"].clone();
         let worker = sim.workers.get_mut(&machine).unwrap();
-        if during == During::Repair {
+        if operation == GroupOperation::Repair {
             worker.unresponsive = true;
             // The machine is declared failed after eight seconds.
             sim.run_for(7500);
@@ -44,8 +46,8 @@
     }
     if store == StoreCondition::LosingResponses {
         let mut rng = fastrand::Rng::with_seed(after_ms);
-        sim.fault_injector = Box::new(move |now, _, call| match call.destination {
-            Destination::KvStore if now < 40_000 && rng.bool() => Delivery::ResponseLost,
+        sim.fault_injector = Box::new(move |now_ms, _, call| match call.destination {
+            Destination::KvStore if now_ms < 40_000 && rng.bool() => Delivery::ResponseLost,
             _ => Delivery::Normal,
         });
     }
@@ -66,83 +68,92 @@
             running(&mut sim, "run-1");
         }
     }
-    assert_eq!(running(&mut sim, "run-1"), 2, "{what}: {:?}", sim.start_log);
-    assert_eq!(sim.on_machines("run-1"), 2, "{what}");
+    assert_eq!(running(&mut sim, "run-1"), 2, "{case}: {:?}", sim.start_log);
+    assert_eq!(sim.on_machines("run-1"), 2, "{case}");
     let attempts = attempts_by_task(&sim, "run-1");
-    assert_eq!(attempts["run-1/0"], attempts["run-1/1"], "{what}");
-    // Without a leader nothing is stopped. Responses are lost until 40 s.
+    assert_eq!(attempts["run-1/0"], attempts["run-1/1"], "{case}");
+    // Without a leader no part is stopped. Responses are lost until 40 s.
     let leaderless_ms = match store {
         StoreCondition::LosingResponses => 30_000,
         _ => 8000,
     };
-    let most_ms = REPAIR_MS + leaderless_ms;
-    assert!(longest(&sim) < most_ms, "{what}: {:?}", sim.replicas);
+    let max_ms = MAX_REPAIR_MS + leaderless_ms;
+    let incomplete_ms = longest_incomplete_ms(&sim);
+    assert!(incomplete_ms < max_ms, "{case}: {:?}", sim.replicas);
 }
 
 #[test]
-fn the_leader_ends_at_each_step_of_a_start() {
+fn replica_recovers_when_leader_fails_at_any_step_of_a_start() {
     for after_ms in (0..1000).step_by(45) {
         for store in [
             StoreCondition::Healthy,
             StoreCondition::Unavailable,
             StoreCondition::LosingResponses,
         ] {
-            leader_ends(During::Start, store, after_ms);
+            check_leader_failure(GroupOperation::Start, store, after_ms);
         }
     }
 }
 
 #[test]
-fn the_leader_ends_at_each_step_of_a_repair() {
+fn replica_recovers_when_leader_fails_at_any_step_of_a_repair() {
     for after_ms in (0..3500).step_by(130) {
         for store in [
             StoreCondition::Healthy,
             StoreCondition::Unavailable,
             StoreCondition::LosingResponses,
         ] {
-            leader_ends(During::Repair, store, after_ms);
+            check_leader_failure(GroupOperation::Repair, store, after_ms);
         }
     }
 }
 
 #[test]
-fn the_leader_ends_at_each_step_of_a_move() {
+fn replica_recovers_when_leader_fails_at_any_step_of_a_migration() {
     for after_ms in (0..2600).step_by(90) {
         for store in [
             StoreCondition::Healthy,
             StoreCondition::Unavailable,
             StoreCondition::LosingResponses,
         ] {
-            leader_ends(During::Migration, store, after_ms);
+            check_leader_failure(GroupOperation::Migration, store, after_ms);
         }
     }
 }
 
-/// A migration whose intent is stored, but of which no step was taken, is carried out by
-/// the next leader.
+/// A migration whose intent is stored, but whose first step wasn't taken, is carried out by the
+/// next leader.
 #[test]
-fn the_next_leader_resumes_a_move_that_was_only_stored() {
+fn new_leader_resumes_migration_with_only_its_intent_stored() {
     let mut sim = cluster_with_machines(3, &["vm-a", "vm-b", "vm-c", "vm-d"]);
     start_service(&mut sim, &whole_machine_service("run-1", 2));
-    noticed(&mut sim);
+    send_preemption_notice(&mut sim);
     let intent = |sim: &Simulation| {
-        let stored = first_placement_record(sim, "run-1").map(|p| p["g"][0]["m"].clone());
+        let stored = first_placement_record(sim, "run-1").map(|record| record["g"][0]["m"].clone());
         stored.filter(|intent| intent.is_object())
     };
-    let until = sim.now_ms + 5000;
+    let deadline_ms = sim.now_ms + 5000;
     while intent(&sim).is_none() {
         sim.run_for(1);
-        assert!(sim.now_ms < until);
+        assert!(sim.now_ms < deadline_ms);
     }
-    let planned = intent(&sim).unwrap();
+    let stored_intent = intent(&sim).unwrap();
     let leader = sim.leader().unwrap();
     sim.kill(leader);
-    assert_eq!(sim.on_machines("run-1"), 2, "nothing was stopped yet");
+    assert_eq!(
+        sim.on_machines("run-1"),
+        2,
+        "a part was stopped before the leader failed"
+    );
     sim.run_for(15_000);
-    let at = machines_by_task(&sim, "run-1");
-    for target in planned["t"].as_array().unwrap() {
+    let machines = machines_by_task(&sim, "run-1");
+    for target in stored_intent["t"].as_array().unwrap() {
         let task = format!("run-1/{}", target["p"]);
-        assert_eq!(at[&task], target["m"].as_str().unwrap(), "{planned}");
+        assert_eq!(
+            machines[&task],
+            target["m"].as_str().unwrap(),
+            "{stored_intent}"
+        );
     }
     assert_eq!(running(&mut sim, "run-1"), 2);
 }
--- a/tests/integration/replica_groups/mod.rs
+++ b/tests/integration/replica_groups/mod.rs
@@ -1,5 +1,5 @@
-//! Replica groups: their parts start, migrate and are repaired together, whatever
-//! fails.
+//! Replica groups: the parts of a group start, migrate and are repaired together, despite
+//! failures of machines, controllers and the key-value store.
 
 mod admission;
 mod cancellations;
@@ -16,33 +16,34 @@
 use crate::simulation::{array, Simulation};
 use serde_json::json;
 
-/// The longest repair: in the simulations a machine counts as silent after 3 s and is
-/// declared failed after 8 s; the other parts of its replica are stopped within two
-/// heartbeats of that.
-const REPAIR_MS: u64 = 12_000;
+/// The maximum duration of a repair. In the simulations a machine counts as unresponsive after
+/// 3 s and is declared failed after 8 s. The other parts of its replica are stopped within two
+/// heartbeats after that.
+const MAX_REPAIR_MS: u64 = 12_000;
 
-/// The longest time for which an incomplete replica of `run-1` had parts on machines.
-fn longest(sim: &Simulation) -> u64 {
+/// Returns the longest time for which a replica of `run-1` had running parts while other parts
+/// were on no machine.
+fn longest_incomplete_ms(sim: &Simulation) -> u64 {
     sim.replicas["run-1"].longest_incomplete_ms
 }
 
-/// Announces that the machine of the second part is going to be reclaimed, and returns
-/// it.
-fn noticed(sim: &mut Simulation) -> String {
+/// Sends a preemption notice to the machine of the second part of `run-1`, and returns the
+/// machine's name.
+fn send_preemption_notice(sim: &mut Simulation) -> String {
     let machine = machines_by_task(sim, "run-1")["run-1/1"].clone();
     sim.workers.get_mut(&machine).unwrap().preemption_notice_s = Some(60.0);
     machine
 }
 
-/// What happens to the replica meanwhile.
+/// The operation on a replica during which a test injects a fault or a cancellation.
 #[derive(Clone, Copy, PartialEq, Debug)]
-enum During {
+enum GroupOperation {
     Start,
     Repair,
     Migration,
 }
 
-/// A gang whose tasks take a whole machine each.
+/// Returns the specification of a gang whose tasks take a whole machine each.
 fn gang(id: &str, tasks: u32) -> serde_json::Value {
     let mut spec = array(id, tasks);
     spec["genre"] = json!("group");
--- a/tests/integration/replica_groups/starts.rs
+++ b/tests/integration/replica_groups/starts.rs
@@ -1,6 +1,6 @@
-//! Starts of replica groups, also while a machine fails.
+//! Starts of replica groups, with and without machine failures.
 
-use super::{longest, REPAIR_MS};
+use super::{longest_incomplete_ms, MAX_REPAIR_MS};
 use crate::simulation::replica_groups::{
     attempts_by_task, cluster_with_machines, first_placement_record, machines_by_task, running,
     start_service, whole_machine_service,
@@ -13,26 +13,33 @@
 use std::rc::Rc;
 
 #[test]
-fn a_replica_starts_whole_on_different_machines_under_one_attempt() {
+fn parts_of_a_replica_start_on_different_machines_in_one_generation() {
     let mut sim = cluster_with_machines(3, &["vm-a", "vm-b", "vm-c", "vm-d"]);
     let mut spec = whole_machine_service("run-1", 4);
     spec["gpus"] = json!(1.0);
     spec["cpus"] = json!(4.0);
     start_service(&mut sim, &spec);
-    let (at, attempt) = (
+    let (machines, attempts) = (
         machines_by_task(&sim, "run-1"),
         attempts_by_task(&sim, "run-1"),
     );
-    for (one, other) in [("run-1/0", "run-1/1"), ("run-1/2", "run-1/3")] {
-        assert_ne!(at[one], at[other], "{at:?}");
-        assert_eq!(attempt[one], attempt[other], "one generation");
+    for (first, second) in [("run-1/0", "run-1/1"), ("run-1/2", "run-1/3")] {
+        assert_ne!(machines[first], machines[second], "{machines:?}");
+        assert_eq!(
+            attempts[first], attempts[second],
+            "parts have different generations"
+        );
     }
-    assert_ne!(attempt["run-1/0"], attempt["run-1/2"]);
+    assert_ne!(attempts["run-1/0"], attempts["run-1/2"]);
 }
 
-/// A replica that has just been submitted. Its second machine fails as soon as `fails`
-/// returns true.
-fn fails_while_starting(mut sim: Simulation, fails: impl Fn(&Simulation) -> bool) -> Simulation {
+/// Submits a replica, makes the machine of its second part unresponsive as soon as
+/// `should_fail` returns true, and checks that the replica starts on other machines. If no
+/// placement is stored at that time, `vm-a` becomes unresponsive.
+fn start_with_machine_failure(
+    mut sim: Simulation,
+    should_fail: impl Fn(&Simulation) -> bool,
+) -> Simulation {
     sim.track_replicas("run-1", 2, 2);
     let leader = sim.leader().unwrap();
     sim.request(
@@ -41,15 +48,18 @@
         "/v2/runs",
         whole_machine_service("run-1", 2),
     );
-    let until = sim.now_ms + 20_000;
-    while !fails(&sim) {
+    let deadline_ms = sim.now_ms + 20_000;
+    while !should_fail(&sim) {
         sim.run_for(1);
-        assert!(sim.now_ms < until, "the moment never comes");
+        assert!(
+            sim.now_ms < deadline_ms,
+            "the condition for the failure was not met"
+        );
     }
-    let bound = first_placement_record(&sim, "run-1")
-        .and_then(|p| p["a"][1][2].as_str().map(str::to_string));
-    let dies = bound.unwrap_or_else(|| "vm-a".into());
-    sim.workers.get_mut(&dies).unwrap().unresponsive = true;
+    let placed_on = first_placement_record(&sim, "run-1")
+        .and_then(|record| record["a"][1][2].as_str().map(str::to_string));
+    let failed = placed_on.unwrap_or_else(|| "vm-a".into());
+    sim.workers.get_mut(&failed).unwrap().unresponsive = true;
     let generations = |sim: &Simulation| {
         attempts_by_task(sim, "run-1")
             .into_values()
@@ -61,53 +71,60 @@
     }
     assert_eq!(running(&mut sim, "run-1"), 2, "{:?}", sim.start_log);
     assert_eq!(generations(&sim).len(), 1);
-    assert!(!machines_by_task(&sim, "run-1").values().any(|m| *m == dies));
-    assert!(longest(&sim) < REPAIR_MS, "{:?}", sim.replicas);
+    assert!(!machines_by_task(&sim, "run-1")
+        .values()
+        .any(|machine| *machine == failed));
+    assert!(
+        longest_incomplete_ms(&sim) < MAX_REPAIR_MS,
+        "{:?}",
+        sim.replicas
+    );
     sim
 }
 
 #[test]
-fn a_machine_fails_before_the_binding_is_written() {
+fn replica_starts_when_machine_fails_before_its_placement_is_stored() {
     let mut sim = cluster_with_machines(3, &["vm-a", "vm-b", "vm-c"]);
-    // The first write of the placement is rejected for two seconds.
-    let refused = Rc::new(Cell::new(0));
-    let seen = refused.clone();
+    // The first eight writes of the placement are rejected, which takes two seconds.
+    let rejected_writes = Rc::new(Cell::new(0));
+    let counter = rejected_writes.clone();
     sim.fault_injector = Box::new(move |_, _, call| {
-        let placement = call.path == "/txn" && call.body.windows(8).any(|b| b == b"p/run-1/");
-        if placement && seen.get() < 8 {
-            seen.set(seen.get() + 1);
+        let writes_placement =
+            call.path == "/txn" && call.body.windows(8).any(|b| b == b"p/run-1/");
+        if writes_placement && counter.get() < 8 {
+            counter.set(counter.get() + 1);
             return Delivery::Rejected;
         }
         Delivery::Normal
     });
-    let at_first = refused.clone();
-    let sim = fails_while_starting(sim, move |_| at_first.get() > 0);
-    assert_eq!(refused.get(), 8);
+    let writes_until_failure = rejected_writes.clone();
+    let sim = start_with_machine_failure(sim, move |_| writes_until_failure.get() > 0);
+    assert_eq!(rejected_writes.get(), 8);
     assert!(sim.start_log.len() <= 4, "{:?}", sim.start_log);
 }
 
 #[test]
-fn a_machine_fails_between_write_and_start() {
+fn replica_starts_when_machine_fails_between_placement_write_and_task_start() {
     let mut sim = cluster_with_machines(3, &["vm-a", "vm-b", "vm-c"]);
-    // Commands are delayed by half a second, so that nothing has started yet.
+    // Commands are delayed by half a second, so that no part has started when the machine fails.
     sim.fault_injector = Box::new(|_, _, call| match &call.destination {
         Destination::Worker(_) => Delivery::RequestDelayed(500),
         _ => Delivery::Normal,
     });
-    fails_while_starting(sim, |sim| {
+    start_with_machine_failure(sim, |sim| {
         first_placement_record(sim, "run-1").is_some() && sim.start_log.is_empty()
     });
 }
 
 #[test]
-fn a_machine_fails_while_it_fetches() {
+fn replica_starts_when_machine_fails_during_an_image_fetch() {
     let mut sim = cluster_with_machines(3, &["vm-a", "vm-b", "vm-c"]);
     sim.image_fetch_ms = 4000;
-    fails_while_starting(sim, |sim| sim.start_log.len() == 2);
+    start_with_machine_failure(sim, |sim| sim.start_log.len() == 2);
 }
 
 #[test]
-fn a_machine_fails_while_another_part_runs_already() {
+fn replica_starts_when_machine_fails_while_another_part_runs() {
     let mut sim = cluster_with_machines(3, &["vm-a", "vm-b", "vm-c"]);
     sim.image_fetch_ms = 2000;
     for name in ["vm-a", "vm-b", "vm-c"] {
@@ -115,17 +132,17 @@
     }
     sim.workers.get_mut("vm-a").unwrap().image_fetch_stuck = false;
     sim.workers.get_mut("vm-c").unwrap().image_fetch_stuck = false;
-    let running = |sim: &Simulation| {
+    let running_tasks = |sim: &Simulation| {
         let tasks = sim
             .workers
             .values()
             .flat_map(|worker| worker.tasks.values());
         tasks.filter(|task| task.state == "running").count()
     };
-    let sim = fails_while_starting(sim, move |sim| running(sim) == 1);
-    assert_eq!(shown_state(&sim), 2);
+    let sim = start_with_machine_failure(sim, move |sim| running_tasks(sim) == 1);
+    assert_eq!(tasks_on_machines(&sim), 2);
 }
 
-fn shown_state(sim: &Simulation) -> usize {
+fn tasks_on_machines(sim: &Simulation) -> usize {
     sim.on_machines("run-1")
 }
--- a/tests/integration/resource_limits.rs
+++ b/tests/integration/resource_limits.rs
@@ -1,4 +1,4 @@
-//! Fleet sizes that a fixed bound once did not allow.
+//! Numbers of jobs that exceeded former fixed limits.
 
 use crate::simulation::{service, Simulation};
 use lilacfork::gateway::{Gateway, GatewayEffects};
@@ -12,14 +12,16 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// At 4,000 machines there may be as many jobs as tasks; a leader's first heartbeat held
-/// a count of each, and from some 18,000 jobs on no peer accepted it: none learned that
-/// there was a leader, at that and at every later try.
+/// At 4,000 machines there may be as many jobs as tasks. A leader's first heartbeat once
+/// contained the progress of every job, and from about 18,000 jobs on it was too large to be
+/// accepted by any peer. The peers didn't learn of the leader, because every retry was rejected
+/// too.
 #[test]
-fn heartbeats_of_a_leader_of_many_jobs_are_accepted_by_its_peers() {
+fn peers_accept_heartbeats_of_a_leader_with_many_jobs() {
     let mut sim = Simulation::new(3);
     sim.capacity = 0;
-    // So many machines that the books aren't counted anew at every event.
+    // With more than 40 machines, the simulation skips the controllers' invariant checks, which
+    // would take too long with this many jobs.
     for n in 0..41 {
         sim.add_machine(&format!("vm-{n}"), "a", false, true);
     }
@@ -34,33 +36,36 @@
             .items
             .insert(key, (record, sim.kv_store.revision, None));
     }
-    let largest = Rc::new(Cell::new(0));
-    let seen = largest.clone();
+    let largest_body_bytes = Rc::new(Cell::new(0));
+    let largest_seen_bytes = largest_body_bytes.clone();
     sim.fault_injector = Box::new(move |_, _, call| {
         if matches!(call.destination, Destination::Peer(_)) {
-            seen.set(seen.get().max(call.body.len()));
+            largest_seen_bytes.set(largest_seen_bytes.get().max(call.body.len()));
         }
         crate::simulation::Delivery::Normal
     });
     sim.run_for(20_000);
     assert!(
-        largest.get() <= MAX_PEER_BODY_BYTES,
+        largest_body_bytes.get() <= MAX_PEER_BODY_BYTES,
         "{} bytes",
-        largest.get()
+        largest_body_bytes.get()
     );
-    assert!(largest.get() > 16_000, "counts are told all the same");
-    let leader = sim.leader().expect("somebody leads");
-    // Those that run are shown by a peer, however many wait.
+    assert!(
+        largest_body_bytes.get() > 16_000,
+        "the heartbeats lack job progress"
+    );
+    let leader = sim.leader().expect("a leader is elected");
+    // A follower reports running jobs as running, however many jobs are pending.
     let running = sim.workers.values().flat_map(|worker| worker.tasks.keys());
-    let last = running.max().expect("tasks run").clone();
-    let (job, _) = last.split_once('/').expect("a task's name");
+    let last_task = running.max().expect("tasks run").clone();
+    let (job, _) = last_task.split_once('/').expect("a task name");
     assert_eq!(sim.poll((leader + 1) % 3, job), (200, "running".into()));
 }
 
-/// 20,000 jobs were remembered, however much memory there was: of more, running ones were
-/// shown as pending.
+/// The gateway once kept the progress of at most 20,000 jobs, independent of the available
+/// memory. Beyond that number, running jobs were reported as pending.
 #[test]
-fn what_is_remembered_of_jobs_follows_the_memory() {
+fn gateway_job_progress_capacity_scales_with_memory() {
     let mut settings = crate::simulation::settings("n-0", 3);
     settings.site.limits.ram_mb = 512.0;
     let mut gateway = Gateway::new(Rc::new(settings), ReplicaClasses::default(), 2000);
@@ -76,11 +81,15 @@
     let now = Now::default();
     let mut out = GatewayEffects::default();
     gateway.query(now, ConnectionId(1), "run-0", &mut out);
-    let call = out.calls.pop().expect("its record is read");
+    let call = out.calls.pop().expect("a read of the job's record");
     let record = json!({"k": "j/run-0", "v": {"spec": service("run-0", 1), "t": 0}, "retouche": 7});
-    let answer = KvResponse::Status(200, record.to_string().into_bytes());
-    gateway.on_kv_response(now, call.tag, answer, &mut out);
-    let (_, reply) = out.replies.pop().expect("an answer");
-    let shown: serde_json::Value = serde_json::from_slice(&reply.body).expect("JSON");
-    assert_eq!(shown["etat"], "running", "the first of 60,000");
+    let response = KvResponse::Status(200, record.to_string().into_bytes());
+    gateway.on_kv_response(now, call.tag, response, &mut out);
+    let (_, reply) = out.replies.pop().expect("a reply to the query");
+    let reported: serde_json::Value =
+        serde_json::from_slice(&reply.body).expect("a reply body in JSON");
+    assert_eq!(
+        reported["etat"], "running",
+        "state of the first of 60,000 jobs"
+    );
 }
