--- a/tests/integration/cancellations.rs
+++ b/tests/integration/cancellations.rs
@@ -1,13 +1,13 @@
-//! Cancelled jobs end in time, whichever nodes know of the cancellation. The observer
-//! compares each task with the moment of the first confirmation.
+//! The tasks of a cancelled job must end within `cancel_s`, whichever controllers know of
+//! the cancellation. The observer measures the time from the first confirmation.
 
 use crate::simulation::fixtures::{heal, isolate_node, node_at, running_cluster};
 use crate::simulation::{service, Delivery, Simulation, CANCEL_MS};
 use lilacfork::messages::Destination;
 use serde_json::json;
 
-/// Two services of eight tasks on two machines.
-fn two_services() -> Simulation {
+/// Creates a cluster that runs two services of eight tasks each on two machines.
+fn cluster_with_two_services() -> Simulation {
     let mut sim = running_cluster(3);
     assert_eq!(sim.submit(0, &service("run-1", 8)), 201);
     assert_eq!(sim.submit(0, &service("run-2", 8)), 201);
@@ -16,31 +16,34 @@
     sim
 }
 
-/// The key-value store rejects this node's calls; `deaf`: nor do messages of its peers
-/// reach it.
-fn refuse(sim: &mut Simulation, lone: usize, deaf: bool) {
-    isolate_node(sim, lone, Delivery::Rejected, deaf);
+/// Makes the key-value store reject all calls of one controller. If `from_peers`, calls
+/// between this controller and its peers are lost in both directions too.
+fn reject_kv_calls(sim: &mut Simulation, node: usize, from_peers: bool) {
+    isolate_node(sim, node, Delivery::Rejected, from_peers);
 }
 
-/// What happens to the confirming node and the leader besides.
+/// A further fault of the controllers in [`cancel_before_outage`].
 #[derive(Clone, Copy, PartialEq, Debug)]
-enum Also {
-    Nothing,
-    /// The confirming node ends at once and returns inside the outage.
-    ConfirmerRestarts,
-    /// The leader changes twice beforehand.
-    TwoChanges,
-    /// The cancellation is stored and its answer lost; another node tells.
-    AnswerLost,
+enum AdditionalFault {
+    None,
+    /// The controller that confirms the cancellation is killed at once and restarted during
+    /// the outage.
+    ConfirmingNodeRestarts,
+    /// The leader changes twice before the cancellation.
+    TwoLeaderChanges,
+    /// The cancellation is stored but the response to the write is lost. Another controller
+    /// reports the cancellation to a user.
+    ResponseLost,
 }
 
-/// A leader whose calls alone the key-value store rejects, and then an outage of the
-/// store for all. The leader once took the outage for a reason to believe that it had
-/// missed no cancellation; most schedulers that the users have seen fail here.
-fn gap(also: Also, refused_ms: u64) -> Simulation {
-    let mut sim = two_services();
+/// Cancels `run-1` while the leader can't learn of it, and then makes the key-value store
+/// unavailable to all controllers. At first the store rejects the calls of the leader only,
+/// and the leader is partitioned from its peers. The leader once concluded from the outage
+/// that it had missed no cancellation. Most schedulers that the users know fail in this case.
+fn cancel_before_outage(fault: AdditionalFault, rejected_ms: u64) -> Simulation {
+    let mut sim = cluster_with_two_services();
     sim.kv_store.watches_stalled = true;
-    if also == Also::TwoChanges {
+    if fault == AdditionalFault::TwoLeaderChanges {
         for _ in 0..2 {
             let leader = sim.leader().unwrap();
             sim.kill(leader);
@@ -51,9 +54,9 @@
     }
     let leader = sim.leader().unwrap();
     let other = (leader + 1) % 3;
-    refuse(&mut sim, leader, true);
-    sim.run_for(refused_ms);
-    if also == Also::AnswerLost {
+    reject_kv_calls(&mut sim, leader, true);
+    sim.run_for(rejected_ms);
+    if fault == AdditionalFault::ResponseLost {
         sim.fault_injector = Box::new(move |_, node, call| match &call.destination {
             Destination::KvStore | Destination::KvWatch if node == leader => Delivery::Rejected,
             Destination::Peer(addr) if node == leader || node_at(addr) == leader => {
@@ -65,28 +68,28 @@
         sim.request(other, "POST", "/v2/runs/run-1/abort", json!(null));
         sim.run_for(20);
         assert_eq!(sim.poll((leader + 2) % 3, "run-1").1, "cancelled");
-        // Users ask for this at many nodes, and the first confirmation counts.
-        refuse(&mut sim, leader, true);
+        // Users query the job at several controllers, and the first confirmation counts.
+        reject_kv_calls(&mut sim, leader, true);
     } else {
         assert_eq!(sim.cancel(other, "run-1").1, "cancelled");
     }
-    if also == Also::ConfirmerRestarts {
+    if fault == AdditionalFault::ConfirmingNodeRestarts {
         sim.kill(other);
     }
     sim.run_for(300);
     sim.kv_store.unavailable = true;
     heal(&mut sim);
-    if also == Also::ConfirmerRestarts {
+    if fault == AdditionalFault::ConfirmingNodeRestarts {
         sim.run_for(4000);
         sim.start(other);
     }
     sim.run_for(CANCEL_MS + 15_000);
-    assert_eq!(sim.on_machines("run-1"), 0, "{also:?}");
+    assert_eq!(sim.on_machines("run-1"), 0, "{fault:?}");
     sim
 }
 
-/// Ends the outage: what wasn't cancelled is served, the rest stays ended.
-fn settle(mut sim: Simulation) {
+/// Ends the outage and checks that `run-1` stays cancelled and that `run-2` runs.
+fn end_outage_and_check_jobs(mut sim: Simulation) {
     sim.kv_store.watches_stalled = false;
     sim.end_kv_store_outage();
     sim.run_for(20_000);
@@ -99,38 +102,48 @@
 }
 
 #[test]
-fn a_cancellation_that_a_refused_leader_missed_ends_its_tasks_in_a_later_outage() {
-    for refused_ms in [100, 1000, 2000] {
-        let sim = gap(Also::Nothing, refused_ms);
-        assert_eq!(sim.on_machines("run-2"), 8, "what all know lives on");
-        settle(sim);
+fn cancellation_missed_by_leader_without_kv_access_stops_tasks_during_later_outage() {
+    for rejected_ms in [100, 1000, 2000] {
+        let sim = cancel_before_outage(AdditionalFault::None, rejected_ms);
+        assert_eq!(
+            sim.on_machines("run-2"),
+            8,
+            "tasks of the uncancelled job ended"
+        );
+        end_outage_and_check_jobs(sim);
     }
 }
 
 #[test]
-fn the_gap_with_the_confirming_node_restarted_inside_the_outage() {
-    settle(gap(Also::ConfirmerRestarts, 1000));
+fn missed_cancellation_stops_tasks_when_confirming_node_restarts_during_outage() {
+    end_outage_and_check_jobs(cancel_before_outage(
+        AdditionalFault::ConfirmingNodeRestarts,
+        1000,
+    ));
 }
 
 #[test]
-fn the_gap_after_two_changes_of_leader() {
-    settle(gap(Also::TwoChanges, 1000));
+fn missed_cancellation_stops_tasks_after_two_leader_changes() {
+    end_outage_and_check_jobs(cancel_before_outage(
+        AdditionalFault::TwoLeaderChanges,
+        1000,
+    ));
 }
 
 #[test]
-fn the_gap_with_the_answer_to_the_cancellation_lost() {
-    settle(gap(Also::AnswerLost, 1000));
+fn missed_cancellation_stops_tasks_when_its_response_is_lost() {
+    end_outage_and_check_jobs(cancel_before_outage(AdditionalFault::ResponseLost, 1000));
 }
 
-/// A leader that only workers reach can't learn of cancellations: tasks whose leases it
-/// alone renews end in time.
+/// A leader that only workers reach can't learn of cancellations. The leader must stop
+/// renewing leases, so that the tasks end in time.
 #[test]
-fn a_leader_that_nobody_can_tell_lets_leases_end() {
-    for cloud_away in [false, true] {
-        let mut sim = two_services();
-        sim.cloud_unavailable = cloud_away;
+fn leader_reachable_only_by_workers_stops_renewing_leases() {
+    for cloud_unavailable in [false, true] {
+        let mut sim = cluster_with_two_services();
+        sim.cloud_unavailable = cloud_unavailable;
         let leader = sim.leader().unwrap();
-        refuse(&mut sim, leader, true);
+        reject_kv_calls(&mut sim, leader, true);
         sim.run_for(1000);
         assert_eq!(sim.cancel((leader + 1) % 3, "run-1").1, "cancelled");
         sim.run_for(300);
@@ -141,18 +154,18 @@
         sim.cloud_unavailable = false;
         sim.end_kv_store_outage();
         sim.run_for(30_000);
-        assert_eq!(sim.on_machines("run-2"), 8, "is served again");
+        assert_eq!(sim.on_machines("run-2"), 8, "run-2 does not run again");
     }
 }
 
-/// A machine that hangs meanwhile and resumes within its lease learns of the cancellation
-/// with the first reply, or its lease expires.
+/// A machine hangs during the cancellation and the outage. If the machine resumes within its
+/// lease, the first heartbeat response stops the tasks; otherwise its lease expires.
 #[test]
-fn the_gap_with_a_machine_that_hangs_and_goes_on() {
+fn missed_cancellation_stops_tasks_on_machine_that_hangs_and_resumes() {
     for hang_ms in [4000, 9000, 14_000, 35_000] {
-        let mut sim = two_services();
+        let mut sim = cluster_with_two_services();
         let leader = sim.leader().unwrap();
-        refuse(&mut sim, leader, true);
+        reject_kv_calls(&mut sim, leader, true);
         sim.run_for(1000);
         sim.workers.get_mut("vm-a").unwrap().unresponsive = true;
         assert_eq!(sim.cancel((leader + 1) % 3, "run-1").1, "cancelled");
@@ -163,18 +176,17 @@
         sim.workers.get_mut("vm-a").unwrap().unresponsive = false;
         sim.run_for(45_000 - hang_ms);
         assert_eq!(sim.on_machines("run-1"), 0);
-        settle(sim);
+        end_outage_and_check_jobs(sim);
     }
 }
 
-/// A leader elected just before an outage, which can't read the records until its end,
-/// once answered heartbeats and stopped nothing.
+/// A leader that was elected just before an outage can't read the placement records until
+/// the outage ends. Such a leader once accepted heartbeats but stopped no cancelled job.
 #[test]
-fn a_leader_still_loading_in_an_outage_stops_what_it_knows_is_cancelled() {
-    let mut sim = two_services();
+fn leader_still_loading_during_outage_stops_known_cancelled_jobs() {
+    let mut sim = cluster_with_two_services();
     let leader = sim.leader().unwrap();
-    let other = (leader + 1) % 3;
-    // Whoever leads next can't read the placements.
+    // The next leader can't read the placement records.
     sim.fault_injector = Box::new(move |_, _, call| match &call.destination {
         Destination::KvStore if call.path.contains("under=p/") => Delivery::Rejected,
         Destination::Worker(_) => Delivery::RequestLost,
@@ -188,15 +200,15 @@
     sim.kv_store.unavailable = true;
     sim.start(leader);
     sim.run_for(CANCEL_MS + 15_000);
-    assert_eq!(sim.on_machines("run-1"), 0, "{other}");
+    assert_eq!(sim.on_machines("run-1"), 0, "former leader: {leader}");
     heal(&mut sim);
-    settle(sim);
+    end_outage_and_check_jobs(sim);
 }
 
-/// A start without effect is repeated; a leader that couldn't learn of cancellations once
-/// repeated it long after the job was cancelled.
+/// A start command without effect is retried. A leader that couldn't learn of cancellations
+/// once retried the command long after the job was cancelled.
 #[test]
-fn a_leader_that_nobody_can_tell_repeats_no_start() {
+fn leader_reachable_only_by_workers_retries_no_start_of_cancelled_job() {
     let mut sim = running_cluster(3);
     let leader = sim.leader().unwrap();
     for m in sim.workers.values_mut() {
@@ -204,9 +216,13 @@
     }
     assert_eq!(sim.submit(0, &service("run-1", 8)), 201);
     sim.run_for(200);
-    assert_eq!(sim.on_machines("run-1"), 0, "the start is lost");
+    assert_eq!(
+        sim.on_machines("run-1"),
+        0,
+        "the start command was not lost"
+    );
     sim.kv_store.watches_stalled = true;
-    refuse(&mut sim, leader, true);
+    reject_kv_calls(&mut sim, leader, true);
     assert_eq!(sim.cancel((leader + 1) % 3, "run-1").1, "cancelled");
     sim.kv_store.unavailable = true;
     sim.run_for(3000);
@@ -215,17 +231,17 @@
         m.node = leader;
     }
     sim.run_for(15_000);
-    let heard = sim
+    let accepted = sim
         .heartbeat_responses
         .iter()
         .any(|(_, n, s)| (*n, *s) == (leader, 200));
-    assert!(heard, "they report to it");
-    let late = &sim.observer.starts_after_cancel;
-    assert!(late.is_empty(), "{late:?}");
+    assert!(accepted, "the leader accepted no heartbeat");
+    let late_starts = &sim.observer.starts_after_cancel;
+    assert!(late_starts.is_empty(), "{late_starts:?}");
 }
 
-mod knowledge {
-    //! The actor by itself: when the watermark moves, and when it must not.
+mod watermark {
+    //! Tests of the actor alone: which events advance its watermark, and which must not.
 
     use lilacfork::cancellations::{CancellationBounds, Cancellations, CancellationsKvCall};
     use lilacfork::ids::JobId;
@@ -234,11 +250,11 @@
     use lilacfork::wire::peers::ConfirmedCancellations;
     use serde_json::json;
 
-    fn at(ms: u64) -> Now {
+    fn time(ms: u64) -> Now {
         Now { ms, wall: ms }
     }
 
-    fn node(name: &str, incarnation: u64) -> Cancellations {
+    fn new_actor(name: &str, incarnation: u64) -> Cancellations {
         let bounds = CancellationBounds {
             heartbeat_interval_ms: 1000,
             cancel_ms: 30_000,
@@ -252,218 +268,263 @@
         KvResponse::Status(200, body.to_string().into_bytes())
     }
 
-    /// A complete read, asked for and answered at these times.
-    fn read(n: &mut Cancellations, asked_ms: u64, answered_ms: u64) {
+    /// Performs a complete read of the key-value store that is requested and responded to at
+    /// these times.
+    fn complete_read(actor: &mut Cancellations, requested_ms: u64, responded_ms: u64) {
         let mut out = Vec::new();
-        n.tick(at(asked_ms), &mut out);
-        let call = out.pop().expect("it asks").tag;
+        actor.tick(time(requested_ms), &mut out);
+        let call = out.pop().expect("no read was requested").tag;
         let body = match call {
             CancellationsKvCall::List => json!({"rows": [], "tirage": 5}),
             CancellationsKvCall::Poll => json!({"events": [], "tirage": 5}),
         };
-        n.on_kv_response(at(answered_ms), call, &ok(body), &mut out);
+        actor.on_kv_response(time(responded_ms), call, &ok(body), &mut out);
         assert!(out.is_empty());
     }
 
-    /// `n` asks its peer `index`, which is `peer`; its new jobs.
-    fn pull(n: &mut Cancellations, index: usize, peer: &Cancellations, asked_ms: u64) -> usize {
-        let cursor = n.cursor(index).unwrap();
+    /// Requests the confirmations of `peer`, which is peer number `index` of the actor.
+    /// Returns the number of jobs that are newly known to be cancelled.
+    fn request_confirmations(
+        actor: &mut Cancellations,
+        index: usize,
+        peer: &Cancellations,
+        requested_ms: u64,
+    ) -> usize {
+        let cursor = actor.cursor(index).unwrap();
         let message = peer.confirmations_after(&cursor);
-        n.receive_confirmations(at(asked_ms + 10), index, Some(asked_ms), &message)
+        actor
+            .receive_confirmations(time(requested_ms + 10), index, Some(requested_ms), &message)
             .len()
     }
 
-    fn id(n: u32) -> JobId {
-        JobId::new(&format!("run-{n}"))
+    fn job_id(number: u32) -> JobId {
+        JobId::new(&format!("run-{number}"))
     }
 
-    /// Three nodes; the first has read once and knows both others.
-    fn three() -> (Cancellations, Cancellations, Cancellations) {
-        let (mut n, p1, p2) = (node("n-0", 1), node("n-1", 2), node("n-2", 3));
-        pull(&mut n, 0, &p1, 0);
-        pull(&mut n, 1, &p2, 0);
-        read(&mut n, 1000, 1040);
-        (n, p1, p2)
+    /// Creates the actors of three controllers. The first has received a response from both
+    /// others and then completed a read that was requested at 1000 ms.
+    fn three_actors() -> (Cancellations, Cancellations, Cancellations) {
+        let (mut actor, peer_1, peer_2) = (
+            new_actor("n-0", 1),
+            new_actor("n-1", 2),
+            new_actor("n-2", 3),
+        );
+        request_confirmations(&mut actor, 0, &peer_1, 0);
+        request_confirmations(&mut actor, 1, &peer_2, 0);
+        complete_read(&mut actor, 1000, 1040);
+        (actor, peer_1, peer_2)
     }
 
     #[test]
-    fn a_new_process_has_no_watermark_until_it_has_read() {
-        let mut n = node("n-0", 1);
-        assert!(!n.may_renew_leases(at(10)));
-        pull(&mut n, 0, &node("n-1", 2), 20);
-        pull(&mut n, 1, &node("n-2", 3), 20);
-        assert_eq!(n.watermark_ms(), None, "peers alone don't tell the past");
-        read(&mut n, 100, 900);
-        assert_eq!(n.watermark_ms(), Some(100), "dated by the question");
-        assert!(n.may_renew_leases(at(18_600)) && !n.may_renew_leases(at(18_601)));
+    fn new_process_has_no_watermark_before_first_complete_read() {
+        let mut actor = new_actor("n-0", 1);
+        assert!(!actor.may_renew_leases(time(10)));
+        request_confirmations(&mut actor, 0, &new_actor("n-1", 2), 20);
+        request_confirmations(&mut actor, 1, &new_actor("n-2", 3), 20);
+        assert_eq!(
+            actor.watermark_ms(),
+            None,
+            "peers don't know what was confirmed before they started"
+        );
+        complete_read(&mut actor, 100, 900);
+        assert_eq!(
+            actor.watermark_ms(),
+            Some(100),
+            "the watermark is not the time of the request"
+        );
+        assert!(actor.may_renew_leases(time(18_600)) && !actor.may_renew_leases(time(18_601)));
     }
 
     #[test]
-    fn all_peers_together_move_the_watermark_and_one_alone_does_not() {
-        let (mut n, mut p1, p2) = three();
-        p1.confirm(at(2000), &id(1));
-        assert_eq!(pull(&mut n, 0, &p1, 3000), 1);
-        assert!(n.is_cancelled(&id(1)));
-        assert_eq!(n.watermark_ms(), Some(1000), "the other may know more");
-        pull(&mut n, 1, &p2, 4000);
-        assert_eq!(n.watermark_ms(), Some(3000));
+    fn watermark_advances_only_after_responses_from_all_peers() {
+        let (mut actor, mut peer_1, peer_2) = three_actors();
+        peer_1.confirm(time(2000), &job_id(1));
+        assert_eq!(request_confirmations(&mut actor, 0, &peer_1, 3000), 1);
+        assert!(actor.is_cancelled(&job_id(1)));
+        assert_eq!(
+            actor.watermark_ms(),
+            Some(1000),
+            "the watermark advanced without the second peer"
+        );
+        request_confirmations(&mut actor, 1, &peer_2, 4000);
+        assert_eq!(actor.watermark_ms(), Some(3000));
     }
 
     #[test]
-    fn a_restarted_peer_stops_the_watermark_until_the_next_read() {
-        let (mut n, mut p1, p2) = three();
-        pull(&mut n, 0, &p1, 1500);
-        pull(&mut n, 1, &p2, 1500);
-        assert_eq!(n.watermark_ms(), Some(1500));
-        // Confirmed, and no node was informed before it ended.
-        p1.confirm(at(2000), &id(1));
-        let p1 = node("n-1", 22);
-        for asked_ms in [3000, 4000] {
-            pull(&mut n, 0, &p1, asked_ms);
-            pull(&mut n, 1, &p2, asked_ms);
+    fn restarted_peer_holds_watermark_until_next_complete_read() {
+        let (mut actor, mut peer_1, peer_2) = three_actors();
+        request_confirmations(&mut actor, 0, &peer_1, 1500);
+        request_confirmations(&mut actor, 1, &peer_2, 1500);
+        assert_eq!(actor.watermark_ms(), Some(1500));
+        // The peer confirms a cancellation and restarts before any controller receives it.
+        peer_1.confirm(time(2000), &job_id(1));
+        let peer_1 = new_actor("n-1", 22);
+        for requested_ms in [3000, 4000] {
+            request_confirmations(&mut actor, 0, &peer_1, requested_ms);
+            request_confirmations(&mut actor, 1, &peer_2, requested_ms);
         }
-        assert_eq!(n.watermark_ms(), Some(1500));
-        read(&mut n, 5000, 5040);
-        pull(&mut n, 0, &p1, 6000);
-        pull(&mut n, 1, &p2, 6000);
-        assert_eq!(n.watermark_ms(), Some(6000));
+        assert_eq!(actor.watermark_ms(), Some(1500));
+        complete_read(&mut actor, 5000, 5040);
+        request_confirmations(&mut actor, 0, &peer_1, 6000);
+        request_confirmations(&mut actor, 1, &peer_2, 6000);
+        assert_eq!(actor.watermark_ms(), Some(6000));
     }
 
     #[test]
-    fn a_gap_in_the_sequence_numbers_stops_the_watermark_until_the_next_read() {
-        let (mut n, mut p1, p2) = three();
-        // More than it keeps.
+    fn gap_in_sequence_numbers_holds_watermark_until_next_complete_read() {
+        let (mut actor, mut peer_1, peer_2) = three_actors();
+        // More confirmations than the log retains.
         for k in 0..5000 {
-            p1.confirm(at(2000), &id(k));
+            peer_1.confirm(time(2000), &job_id(k));
         }
-        for asked_ms in [3000, 4000, 5000] {
-            pull(&mut n, 0, &p1, asked_ms);
-            pull(&mut n, 1, &p2, asked_ms);
+        for requested_ms in [3000, 4000, 5000] {
+            request_confirmations(&mut actor, 0, &peer_1, requested_ms);
+            request_confirmations(&mut actor, 1, &peer_2, requested_ms);
         }
-        assert_eq!(n.watermark_ms(), Some(1000));
-        read(&mut n, 6000, 6040);
-        pull(&mut n, 0, &p1, 7000);
-        pull(&mut n, 1, &p2, 7000);
-        assert_eq!(n.watermark_ms(), Some(7000));
+        assert_eq!(actor.watermark_ms(), Some(1000));
+        complete_read(&mut actor, 6000, 6040);
+        request_confirmations(&mut actor, 0, &peer_1, 7000);
+        request_confirmations(&mut actor, 1, &peer_2, 7000);
+        assert_eq!(actor.watermark_ms(), Some(7000));
     }
 
     #[test]
-    fn many_confirmations_come_in_several_messages_and_none_counts_before_the_last() {
-        let (mut n, mut p1, p2) = three();
+    fn confirmations_in_several_messages_advance_watermark_only_after_the_last() {
+        let (mut actor, mut peer_1, peer_2) = three_actors();
         for k in 0..1200 {
-            p1.confirm(at(2000), &id(k));
+            peer_1.confirm(time(2000), &job_id(k));
         }
-        let mut new = 0;
-        for asked_ms in [3000, 3100, 3200] {
-            assert_eq!(n.watermark_ms(), Some(1000));
-            new += pull(&mut n, 0, &p1, asked_ms);
-            pull(&mut n, 1, &p2, asked_ms);
+        let mut received = 0;
+        for requested_ms in [3000, 3100, 3200] {
+            assert_eq!(actor.watermark_ms(), Some(1000));
+            received += request_confirmations(&mut actor, 0, &peer_1, requested_ms);
+            request_confirmations(&mut actor, 1, &peer_2, requested_ms);
         }
-        assert_eq!((new, n.watermark_ms()), (1200, Some(3200)));
+        assert_eq!((received, actor.watermark_ms()), (1200, Some(3200)));
     }
 
     #[test]
-    fn an_unsolicited_message_informs_but_moves_no_watermark() {
-        let (mut n, mut p1, p2) = three();
-        p1.on_acknowledgement(0, n.cursor(0).unwrap());
-        assert!(p1.unacknowledged(0).is_none());
-        p1.confirm(at(2000), &id(1));
-        let message = p1.unacknowledged(0).expect("something to tell");
+    fn unrequested_message_adds_cancellations_without_advancing_watermark() {
+        let (mut actor, mut peer_1, peer_2) = three_actors();
+        peer_1.on_acknowledgement(0, actor.cursor(0).unwrap());
+        assert!(peer_1.unacknowledged(0).is_none());
+        peer_1.confirm(time(2000), &job_id(1));
+        let message = peer_1
+            .unacknowledged(0)
+            .expect("no unacknowledged confirmation");
         assert_eq!(
-            n.receive_confirmations(at(2010), 0, None, &message).len(),
+            actor
+                .receive_confirmations(time(2010), 0, None, &message)
+                .len(),
             1
         );
-        pull(&mut n, 1, &p2, 2500);
-        assert_eq!(n.watermark_ms(), Some(1000));
-        p1.on_acknowledgement(0, n.cursor(0).unwrap());
-        assert!(p1.unacknowledged(0).is_none(), "and is told once");
+        request_confirmations(&mut actor, 1, &peer_2, 2500);
+        assert_eq!(actor.watermark_ms(), Some(1000));
+        peer_1.on_acknowledgement(0, actor.cursor(0).unwrap());
+        assert!(
+            peer_1.unacknowledged(0).is_none(),
+            "the confirmation was sent again"
+        );
     }
 
     #[test]
-    fn a_late_response_of_an_earlier_process_counts_for_its_own_time_only() {
-        let (mut n, mut p1, p2) = three();
-        let cursor = n.cursor(0).unwrap();
-        let late = p1.confirmations_after(&cursor);
-        p1.confirm(at(1800), &id(1));
-        let p1 = node("n-1", 22);
-        pull(&mut n, 0, &p1, 3000);
-        pull(&mut n, 1, &p2, 3000);
-        // Asked for at 1500, before the confirmation and the end.
-        n.receive_confirmations(at(3100), 0, Some(1500), &late);
-        pull(&mut n, 1, &p2, 3200);
-        assert!(n.watermark_ms() <= Some(1500), "{:?}", n.watermark_ms());
+    fn late_response_of_earlier_process_advances_watermark_at_most_to_its_request() {
+        let (mut actor, mut peer_1, peer_2) = three_actors();
+        let cursor = actor.cursor(0).unwrap();
+        let late = peer_1.confirmations_after(&cursor);
+        peer_1.confirm(time(1800), &job_id(1));
+        let peer_1 = new_actor("n-1", 22);
+        request_confirmations(&mut actor, 0, &peer_1, 3000);
+        request_confirmations(&mut actor, 1, &peer_2, 3000);
+        // Requested at 1500 ms, before the confirmation and the restart of the peer.
+        actor.receive_confirmations(time(3100), 0, Some(1500), &late);
+        request_confirmations(&mut actor, 1, &peer_2, 3200);
+        assert!(
+            actor.watermark_ms() <= Some(1500),
+            "{:?}",
+            actor.watermark_ms()
+        );
     }
 
     #[test]
     fn malformed_messages_are_dropped() {
-        let (mut n, p1, p2) = three();
-        let sound = p1.confirmations_after(&n.cursor(0).unwrap());
+        let (mut actor, peer_1, peer_2) = three_actors();
+        let valid = peer_1.confirmations_after(&actor.cursor(0).unwrap());
         let job = vec!["run-7".to_string()];
         for message in [
             ConfirmedCancellations {
                 node: "n-2".into(),
-                ..sound.clone()
+                ..valid.clone()
             },
             ConfirmedCancellations {
                 incarnation: 0,
-                ..sound.clone()
+                ..valid.clone()
             },
             ConfirmedCancellations {
                 first: 0,
-                ..sound.clone()
+                ..valid.clone()
             },
             ConfirmedCancellations {
                 first: u64::MAX,
                 jobs: job.clone(),
-                ..sound.clone()
+                ..valid.clone()
             },
             ConfirmedCancellations {
                 first: 3,
                 total: 1,
                 jobs: job.clone(),
-                ..sound.clone()
+                ..valid.clone()
             },
             ConfirmedCancellations {
                 first: 1,
                 total: 1,
                 jobs: vec!["a/../b".into()],
-                ..sound.clone()
+                ..valid.clone()
             },
         ] {
             assert!(
-                n.receive_confirmations(at(2000), 0, Some(1990), &message)
+                actor
+                    .receive_confirmations(time(2000), 0, Some(1990), &message)
                     .is_empty(),
                 "{message:?}"
             );
         }
-        pull(&mut n, 1, &p2, 2000);
-        assert_eq!(n.watermark_ms(), Some(1000));
-        assert!(n
-            .receive_confirmations(at(2000), 9, Some(1990), &sound)
+        request_confirmations(&mut actor, 1, &peer_2, 2000);
+        assert_eq!(actor.watermark_ms(), Some(1000));
+        assert!(actor
+            .receive_confirmations(time(2000), 9, Some(1990), &valid)
             .is_empty());
     }
 
     #[test]
-    fn a_read_that_fails_or_falls_too_far_behind_moves_nothing() {
-        let (mut n, ..) = three();
+    fn failed_or_incomplete_read_does_not_advance_watermark() {
+        let (mut actor, ..) = three_actors();
         let mut out = Vec::new();
-        n.tick(at(2000), &mut out);
-        let gone = KvResponse::Status(410, b"{}".to_vec());
-        n.on_kv_response(at(2001), CancellationsKvCall::Poll, &gone, &mut out);
+        actor.tick(time(2000), &mut out);
+        let compacted = KvResponse::Status(410, b"{}".to_vec());
+        actor.on_kv_response(time(2001), CancellationsKvCall::Poll, &compacted, &mut out);
         out.clear();
-        n.tick(at(2002), &mut out);
-        assert_eq!(out.pop().unwrap().tag, CancellationsKvCall::List, "anew");
+        actor.tick(time(2002), &mut out);
+        assert_eq!(
+            out.pop().unwrap().tag,
+            CancellationsKvCall::List,
+            "no new list"
+        );
         let page = json!({"rows": [{"k": "j/run-5", "v": {"c": 7}, "retouche": 3}],
             "truncated": true, "tirage": 9});
-        n.on_kv_response(at(2010), CancellationsKvCall::List, &ok(page), &mut out);
-        assert_eq!(n.watermark_ms(), Some(1000), "half a list is none");
-        n.on_kv_response(
-            at(4000),
+        actor.on_kv_response(time(2010), CancellationsKvCall::List, &ok(page), &mut out);
+        assert_eq!(
+            actor.watermark_ms(),
+            Some(1000),
+            "an incomplete list counted as a complete read"
+        );
+        actor.on_kv_response(
+            time(4000),
             CancellationsKvCall::List,
             &KvResponse::Indeterminate,
             &mut out,
         );
-        assert_eq!(n.watermark_ms(), Some(1000));
-        assert!(!n.is_cancelled(&id(5)));
+        assert_eq!(actor.watermark_ms(), Some(1000));
+        assert!(!actor.is_cancelled(&job_id(5)));
     }
 }
--- a/tests/integration/fault_interactions/kv_store_faults.rs
+++ b/tests/integration/fault_interactions/kv_store_faults.rs
@@ -1,14 +1,14 @@
-//! Faults of the key-value store that meet cancellations, queries and writes.
+//! Faults of the key-value store during cancellations, queries and writes.
 
 use crate::simulation::fixtures::{heal, isolate_node, running_cluster};
 use crate::simulation::{array, service, Delivery, CANCEL_MS};
 use lilacfork::messages::Destination;
 use serde_json::Value;
 
-/// The key-value store responds slowly, then rejects the calls of the leader alone, then
-/// is unavailable for longer than `cancel_s`, while users cancel and query jobs.
+/// Users cancel and query jobs while the key-value store first responds slowly, then also
+/// rejects the calls of the leader, and then is unavailable for longer than `cancel_s`.
 #[test]
-fn a_slow_state_service_then_none_while_users_cancel_and_ask() {
+fn cancelled_jobs_stop_in_time_while_kv_store_is_slow_and_then_unavailable() {
     let mut sim = running_cluster(3);
     for n in 0..4 {
         assert_eq!(sim.submit(0, &service(&format!("run-{n}"), 4)), 201);
@@ -17,9 +17,9 @@
     let leader = sim.leader().unwrap();
     let mut cancelled = Vec::new();
     for phase in 0..3 {
-        sim.fault_injector = Box::new(move |at, node, call| match call.destination {
+        sim.fault_injector = Box::new(move |now_ms, node, call| match call.destination {
             Destination::KvStore if phase >= 1 && node == leader => Delivery::Rejected,
-            Destination::KvStore => Delivery::ResponseDelayed(100 + (at * 31) % 900),
+            Destination::KvStore => Delivery::ResponseDelayed(100 + (now_ms * 31) % 900),
             _ => Delivery::Normal,
         });
         sim.kv_store.unavailable = phase == 2;
@@ -44,10 +44,10 @@
     assert_eq!(sim.on_machines("run-3"), 4);
 }
 
-/// Transactions time out and are carried out 2 to 12 s later, after newer ones of the
-/// same controller: submissions, cancellations, placements and ends.
+/// Transactions time out and are executed 2 to 12 s later, after newer transactions of the
+/// same controller: submissions, cancellations, placements and completions.
 #[test]
-fn transactions_carried_out_late_change_nothing_that_is_newer() {
+fn delayed_transactions_do_not_overwrite_newer_writes() {
     for seed in 0..8 {
         let mut sim = running_cluster(3);
         let mut rng = fastrand::Rng::with_seed(seed);
@@ -87,10 +87,10 @@
     }
 }
 
-/// A leader is partitioned from the key-value store and from the other controllers while
-/// workers and users still reach it, and jobs are cancelled at the new leader.
+/// A leader is partitioned from the key-value store and from its peers, while workers and
+/// users still reach it. Jobs are cancelled at another controller meanwhile.
 #[test]
-fn a_leader_cut_from_all_but_workers_and_users_while_jobs_are_cancelled() {
+fn jobs_cancelled_elsewhere_stop_while_leader_reaches_only_workers_and_users() {
     let mut sim = running_cluster(3);
     for n in 0..4 {
         assert_eq!(sim.submit(0, &service(&format!("run-{n}"), 4)), 201);
@@ -101,9 +101,13 @@
     let other = (old + 1) % 3;
     for n in 0..3 {
         assert_eq!(sim.cancel(other, &format!("run-{n}")).1, "cancelled");
-        let asked = sim.request(old, "GET", &format!("/v2/runs/run-{n}"), Value::Null);
+        let query = sim.request(old, "GET", &format!("/v2/runs/run-{n}"), Value::Null);
         sim.run_for(4000);
-        assert_eq!(sim.status_and_state(asked).0, 503, "it can't tell");
+        assert_eq!(
+            sim.status_and_state(query).0,
+            503,
+            "query at the isolated leader"
+        );
     }
     sim.run_for(CANCEL_MS);
     assert!((0..3).all(|n| sim.on_machines(&format!("run-{n}/")) == 0));
@@ -113,13 +117,13 @@
     assert!(sim.observer.starts_after_cancel.is_empty());
 }
 
-/// A transaction is carried out at once and only its response is lost, while other nodes
-/// read what it wrote and report it to users.
+/// A transaction is executed without delay and only its response is lost. Other controllers
+/// read the written records and report them to users before the writer knows the outcome.
 #[test]
-fn what_was_written_unheard_is_read_and_told_by_others() {
+fn write_with_lost_response_is_reported_by_other_nodes() {
     for writer in 0..3 {
         let mut sim = running_cluster(3);
-        let at_once = |writer: usize| -> crate::simulation::FaultInjector {
+        let lose_responses = |writer: usize| -> crate::simulation::FaultInjector {
             Box::new(move |_, node, call| match call.destination {
                 Destination::KvStore if call.path == "/txn" && node == writer => {
                     Delivery::ResponseLost
@@ -127,7 +131,7 @@
                 _ => Delivery::Normal,
             })
         };
-        sim.fault_injector = at_once(writer);
+        sim.fault_injector = lose_responses(writer);
         let spec = service("run-1", 4);
         let submitted = sim.request(writer, "POST", "/v2/runs", spec.clone());
         sim.run_for(10);
@@ -141,12 +145,12 @@
         assert_eq!(
             sim.status_and_state(submitted).0,
             200,
-            "it finds its own write"
+            "the writer did not find its own write"
         );
         heal(&mut sim);
         sim.run_for(4000);
         assert_eq!(sim.on_machines("run-1"), 4);
-        sim.fault_injector = at_once(writer);
+        sim.fault_injector = lose_responses(writer);
         let path = "/v2/runs/run-1/abort";
         let cancelled = sim.request(writer, "POST", path, Value::Null);
         sim.run_for(10);
--- a/tests/integration/fault_interactions/leader_changes.rs
+++ b/tests/integration/fault_interactions/leader_changes.rs
@@ -1,4 +1,4 @@
-//! Changes of leader that meet cancellations, limits, slow writes or unreachable machines.
+//! Leader changes combined with cancellations, quotas, slow writes or unreachable machines.
 
 use super::change_leader;
 use crate::simulation::fixtures::{full_zone, heal, running_cluster};
@@ -7,11 +7,11 @@
 use serde_json::json;
 use std::collections::BTreeSet;
 
-/// All controllers are down for longer than a lease: every task ends, and everything is
-/// served again but the cancelled jobs.
+/// All controllers are down for longer than a worker's lease, so that every task ends.
+/// Afterwards all jobs except the cancelled job must be served again.
 #[test]
-fn all_controllers_away_for_longer_than_a_lease() {
-    for state_goes_too in [false, true] {
+fn uncancelled_jobs_are_served_again_after_all_controllers_were_down_beyond_lease() {
+    for kv_store_unavailable in [false, true] {
         let mut sim = running_cluster(3);
         assert_eq!(sim.submit(0, &service("run-1", 6)), 201);
         assert_eq!(sim.submit(1, &service("run-2", 6)), 201);
@@ -21,10 +21,14 @@
         for n in 0..3 {
             sim.kill(n);
         }
-        sim.kv_store.unavailable = state_goes_too;
+        sim.kv_store.unavailable = kv_store_unavailable;
         sim.run_for(LEASE_MS + 4000);
-        assert_eq!(sim.on_machines("run-"), 0, "leases are over");
-        if state_goes_too {
+        assert_eq!(
+            sim.on_machines("run-"),
+            0,
+            "tasks run after their leases expired"
+        );
+        if kv_store_unavailable {
             sim.end_kv_store_outage();
         }
         for n in 0..3 {
@@ -40,16 +44,17 @@
     }
 }
 
-/// The tasks of a job end far apart, before and after a failover.
+/// One task of a job completes before a failover and the others after it, because one
+/// machine is five times slower.
 #[test]
-fn tasks_that_end_far_apart_across_a_change_of_leader_count_once() {
+fn tasks_completing_before_and_after_failover_run_once() {
     for tasks in [2, 3] {
         let mut sim = running_cluster(3);
         for name in ["vm-a", "vm-b"] {
             sim.workers.get_mut(name).unwrap().slowdown_factor = if name == "vm-a" { 1 } else { 5 };
         }
         let mut spec = array("run-1", tasks);
-        // One machine has room for one task only.
+        // Each machine has capacity for only one task.
         spec["cpus"] = json!(49.0);
         assert_eq!(sim.submit(0, &spec), 201);
         sim.run_for(sim.task_duration_ms + 1200);
@@ -65,12 +70,12 @@
     }
 }
 
-/// Every team is at its limit while jobs are cancelled whose machines are partitioned,
-/// hang or receive nothing, and the leader changes: tasks on machines that can't be asked
-/// count towards the limit.
+/// A team is at its quota when one of its machines hangs, receives nothing or is partitioned,
+/// its jobs are cancelled and the leader changes. Tasks on machines that the controllers
+/// can't query count towards the quota.
 #[test]
-fn a_team_at_its_limit_loses_machines_and_its_leader_and_cancels() {
-    for trouble in 0..3 {
+fn team_at_quota_is_served_after_machine_fault_cancellations_and_failover() {
+    for machine_fault in 0..3 {
         let mut sim = running_cluster(3);
         let mut spec = service("run-1", 8);
         spec["equipe"] = json!("blue");
@@ -79,9 +84,9 @@
         spec["equipe"] = json!("blue");
         assert_eq!(sim.submit(0, &spec), 201);
         sim.run_for(3000);
-        assert_eq!(sim.on_machines("run-"), 16, "the limit");
+        assert_eq!(sim.on_machines("run-"), 16, "the team is not at its quota");
         let m = sim.workers.get_mut("vm-b").unwrap();
-        match trouble {
+        match machine_fault {
             0 => m.unresponsive = true,
             1 => m.inbound_blocked = true,
             _ => sim.partitions = (0..3).map(|n| (n, "b".to_string())).collect(),
@@ -100,18 +105,23 @@
         heal(&mut sim);
         sim.run_for(40_000);
         assert_eq!(sim.on_machines("run-1") + sim.on_machines("run-2"), 0);
-        assert_eq!(sim.on_machines("run-3"), 8, "{trouble} {:?}", sim.start_log);
+        assert_eq!(
+            sim.on_machines("run-3"),
+            8,
+            "{machine_fault} {:?}",
+            sim.start_log
+        );
     }
 }
 
-/// Ten failovers in two minutes, one of them in an outage of the key-value store: between
-/// them jobs are accepted, placed, stored and done.
+/// Ten failovers occur in two minutes, one of them during an outage of the key-value store.
+/// Between the failovers jobs must be accepted, placed, stored and completed.
 #[test]
-fn ten_changes_of_leader_in_two_minutes_leave_time_to_serve() {
+fn jobs_are_served_between_ten_failovers_in_two_minutes() {
     let mut sim = running_cluster(3);
     assert_eq!(sim.submit(0, &service("run-0", 8)), 201);
     sim.run_for(2000);
-    let mut done = 0;
+    let mut completed = 0;
     for n in 1..=10 {
         let mut other = n % 3;
         if let Some(leader) = sim.leader() {
@@ -128,26 +138,29 @@
         let id = format!("run-{n}");
         assert_eq!(sim.submit(other, &array(&id, 3)), 201);
         sim.run_for(11_700);
-        done += usize::from(sim.poll(n % 3, &id).1 == "done");
+        completed += usize::from(sim.poll(n % 3, &id).1 == "done");
     }
-    assert!(done >= 9, "served between two changes: {done}");
+    assert!(
+        completed >= 9,
+        "jobs completed between failovers: {completed}"
+    );
     sim.run_for(12_000);
     for n in 1..=10 {
         assert_eq!(sim.poll(0, &format!("run-{n}")).1, "done");
     }
     assert_eq!(sim.on_machines("run-0"), 8);
-    let moved = sim
+    let starts = sim
         .start_log
         .iter()
-        .filter(|t| t.contains("run-0/"))
+        .filter(|start| start.contains("run-0/"))
         .count();
-    assert_eq!(moved, 8, "a change of leader moves nothing");
+    assert_eq!(starts, 8, "a failover restarted tasks");
 }
 
-/// Leadership passes on and back, all controllers are killed, and one returns within a
-/// second.
+/// Leadership changes to a second controller, the second controller is killed and restarted,
+/// all controllers are killed, and the first leader restarts within a second.
 #[test]
-fn controllers_hand_over_and_back_all_end_and_one_returns() {
+fn single_restarted_controller_preserves_tasks_after_all_were_killed() {
     let mut sim = running_cluster(3);
     assert_eq!(sim.submit(0, &service("run-1", 8)), 201);
     assert_eq!(sim.submit(0, &service("run-2", 8)), 201);
@@ -172,9 +185,9 @@
     assert_eq!(sim.poll(first, "run-2").1, "cancelled");
 }
 
-/// Jobs are cancelled during a failover.
+/// Jobs are cancelled at various times during a failover.
 #[test]
-fn jobs_cancelled_while_the_work_changes_hands() {
+fn jobs_cancelled_during_failover_stop() {
     for offset in (0..5000).step_by(250) {
         let mut sim = running_cluster(3);
         assert_eq!(sim.submit(0, &service("run-1", 8)), 201);
@@ -194,18 +207,18 @@
     }
 }
 
-/// New machines are up within two seconds and get work at once while writes are slow, and
-/// the leader is killed before, while and after the placements are stored.
+/// New machines boot within two seconds and receive tasks at once while writes are slow. The
+/// leader is killed before, during or after the write of the placements.
 #[test]
-fn machines_up_at_once_get_work_while_writes_lag_and_the_leader_ends() {
+fn tasks_start_once_when_leader_is_killed_while_placements_are_written() {
     for offset in (0..4000).step_by(200) {
         let mut sim = Simulation::new(3);
         sim.boot_ms = 300;
         sim.run_until(4000);
         let leader = sim.leader().unwrap();
-        sim.fault_injector = Box::new(move |at, node, call| match call.destination {
+        sim.fault_injector = Box::new(move |now_ms, node, call| match call.destination {
             Destination::KvStore if call.path == "/txn" && node == leader => {
-                Delivery::ResponseDelayed(200 + (at * 37) % 1500)
+                Delivery::ResponseDelayed(200 + (now_ms * 37) % 1500)
             }
             _ => Delivery::Normal,
         });
@@ -225,30 +238,30 @@
         let tasks: BTreeSet<&str> = sim
             .start_log
             .iter()
-            .filter_map(|t| t.split(' ').nth(2))
+            .filter_map(|start| start.split(' ').nth(2))
             .collect();
         assert_eq!(
             (tasks.len(), sim.start_log.len()),
             (12, 12),
-            "{offset}: once each"
+            "{offset}: not every task started exactly once"
         );
     }
 }
 
-/// A leader is killed while machines with long tasks are unreachable, or don't receive
-/// the replies of the new leader.
+/// A leader is killed while machines with long tasks are unresponsive, or don't receive the
+/// heartbeat responses of the new leader.
 #[test]
-fn a_leader_ends_while_machines_with_long_tasks_hear_nothing() {
-    for deaf in [true, false] {
-        for spell_ms in [4000, 14_000] {
+fn long_tasks_run_after_failover_with_unreachable_machines() {
+    for inbound_blocked in [true, false] {
+        for unreachable_ms in [4000, 14_000] {
             let (mut sim, names) = full_zone(3);
             for name in &names {
                 let m = sim.workers.get_mut(name).unwrap();
-                (m.inbound_blocked, m.unresponsive) = (deaf, !deaf);
+                (m.inbound_blocked, m.unresponsive) = (inbound_blocked, !inbound_blocked);
             }
             let old = sim.leader().unwrap();
             sim.kill(old);
-            sim.run_for(spell_ms);
+            sim.run_for(unreachable_ms);
             for name in &names {
                 let m = sim.workers.get_mut(name).unwrap();
                 (m.inbound_blocked, m.unresponsive) = (false, false);
@@ -256,9 +269,13 @@
             sim.start(old);
             sim.capacity = 20;
             sim.run_for(60_000);
-            assert_eq!(sim.on_machines("run-1"), 56, "{deaf} {spell_ms}");
-            if spell_ms < 9000 {
-                assert_eq!(sim.start_log.len(), 56, "nothing was given up");
+            assert_eq!(
+                sim.on_machines("run-1"),
+                56,
+                "{inbound_blocked} {unreachable_ms}"
+            );
+            if unreachable_ms < 9000 {
+                assert_eq!(sim.start_log.len(), 56, "tasks were restarted");
             }
         }
     }
--- a/tests/integration/fault_interactions/mod.rs
+++ b/tests/integration/fault_interactions/mod.rs
@@ -1,6 +1,6 @@
-//! Two faults at a time: one trace for each combination that operators have met and that
-//! no other file holds (docs/FAULT_INTERACTIONS.md). The observer checks the protocol's
-//! rules throughout; a test adds what has to be served.
+//! Tests of two simultaneous faults. Each test reproduces one combination that operators
+//! have encountered and that no other file covers (docs/FAULT_INTERACTIONS.md). The observer
+//! checks the protocol's rules throughout; each test also checks which jobs are served.
 
 mod kv_store_faults;
 mod leader_changes;
@@ -11,13 +11,14 @@
 
 use crate::simulation::Simulation;
 
-/// Kills the leader, and restarts it once another node leads; returns that node.
+/// Kills the leader and restarts it once another controller leads. Returns the index of the
+/// new leader.
 fn change_leader(sim: &mut Simulation) -> usize {
-    let old = sim.leader().expect("somebody leads");
+    let old = sim.leader().expect("no leader before the failover");
     sim.kill(old);
     sim.run_for(4500);
     sim.start(old);
-    let new = sim.leader().expect("somebody else leads");
+    let new = sim.leader().expect("no leader after the failover");
     assert_ne!(new, old);
     new
 }
--- a/tests/integration/fault_interactions/overload.rs
+++ b/tests/integration/fault_interactions/overload.rs
@@ -1,4 +1,4 @@
-//! More work than writes or capacity allow.
+//! Load beyond the write limit of the key-value store or the capacity of the fleet.
 
 use crate::simulation::fixtures::running_cluster;
 use crate::simulation::{array, service, Delivery};
@@ -7,39 +7,39 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// Four one-task jobs a second for two minutes, a quarter of them cancelled, with the
-/// key-value store at its write limit.
+/// Users submit four one-task jobs per second for two minutes and cancel a quarter of them,
+/// while the key-value store is at its write limit.
 #[test]
-fn a_flood_of_one_task_jobs_is_stored_served_and_cancelled() {
+fn flood_of_one_task_jobs_is_served_within_write_limit() {
     let mut sim = running_cluster(3);
     sim.task_duration_ms = 2000;
     let writes = Rc::new(RefCell::new(Vec::new()));
-    let seen = writes.clone();
-    sim.fault_injector = Box::new(move |at, _, call| {
+    let recorded_writes = writes.clone();
+    sim.fault_injector = Box::new(move |now_ms, _, call| {
         if call.path == "/txn" {
             let body: Value = serde_json::from_slice(&call.body).unwrap();
             let count = body["writes"].as_array().map_or(0, Vec::len) as u64;
-            seen.borrow_mut().push((at, count));
+            recorded_writes.borrow_mut().push((now_ms, count));
         }
         Delivery::Normal
     });
     let jobs = 480;
-    let mut waits = Vec::new();
+    let mut late_jobs = Vec::new();
     for n in 0..jobs {
         let id = format!("run-{n}");
-        let began = sim.now_ms;
+        let submitted_ms = sim.now_ms;
         assert_eq!(sim.submit(n % 3, &array(&id, 1)), 201);
         if n % 4 == 3 {
             sim.run_for(100);
             assert_eq!(sim.cancel((n + 1) % 3, &id).0, 200);
         }
         if n >= 16 {
-            let old = format!("run-{}", n - 16);
-            if sim.poll(n % 3, &old).1 != "done" && (n - 16) % 4 != 3 {
-                waits.push(old);
+            let earlier = format!("run-{}", n - 16);
+            if sim.poll(n % 3, &earlier).1 != "done" && (n - 16) % 4 != 3 {
+                late_jobs.push(earlier);
             }
         }
-        sim.run_until(began + 250);
+        sim.run_until(submitted_ms + 250);
     }
     sim.run_for(8000);
     for n in 0..jobs {
@@ -47,33 +47,40 @@
         assert_eq!(status, 200);
         assert!(state == "done" || n % 4 == 3, "run-{n} is {state}");
     }
-    assert!(waits.len() < jobs / 20, "late by 4 s: {}", waits.len());
+    assert!(
+        late_jobs.len() < jobs / 20,
+        "jobs not done after 4 s: {}",
+        late_jobs.len()
+    );
     assert!(sim.kv_store.items.keys().all(|k| !k.starts_with("p/")));
     let writes = writes.borrow();
-    let most = (0..sim.now_ms / 1000)
-        .map(|s| {
-            let second = writes.iter().filter(|(at, _)| at / 1000 == s);
-            second.map(|(_, count)| *count).sum::<u64>()
+    let max_writes_per_s = (0..sim.now_ms / 1000)
+        .map(|second| {
+            let in_second = writes.iter().filter(|(at_ms, _)| at_ms / 1000 == second);
+            in_second.map(|(_, count)| *count).sum::<u64>()
         })
         .max();
-    assert!(most.unwrap_or(0) <= 50, "changes in a second: {most:?}");
+    assert!(
+        max_writes_per_s.unwrap_or(0) <= 50,
+        "writes in one second: {max_writes_per_s:?}"
+    );
 }
 
-/// More work than capacity, of all ranks, over slow links.
+/// Jobs of all priorities exceed the capacity while every network link is slow.
 #[test]
-fn more_work_than_room_urgent_and_not_over_slow_links() {
+fn jobs_of_all_priorities_complete_with_scarce_capacity_and_slow_links() {
     let mut sim = running_cluster(3);
     sim.capacity = 4;
-    sim.fault_injector = Box::new(|at, _, call| match call.destination {
-        Destination::Worker(_) => Delivery::ResponseDelayed((at * 13) % 1500),
-        Destination::Peer(_) => Delivery::ResponseDelayed((at * 7) % 300),
-        Destination::KvStore => Delivery::ResponseDelayed((at * 3) % 120),
+    sim.fault_injector = Box::new(|now_ms, _, call| match call.destination {
+        Destination::Worker(_) => Delivery::ResponseDelayed((now_ms * 13) % 1500),
+        Destination::Peer(_) => Delivery::ResponseDelayed((now_ms * 7) % 300),
+        Destination::KvStore => Delivery::ResponseDelayed((now_ms * 3) % 120),
         _ => Delivery::Normal,
     });
-    let ranks = ["idle", "standard", "high", "critical"];
+    let priorities = ["idle", "standard", "high", "critical"];
     for n in 0..40 {
         let mut spec = array(&format!("run-{n}"), 4);
-        spec["rang"] = json!(ranks[n % 4]);
+        spec["rang"] = json!(priorities[n % 4]);
         assert!(sim.request(n % 3, "POST", "/v2/runs", spec) > 0);
         sim.run_for(300);
         if n % 7 == 0 {
--- a/tests/integration/fault_interactions/unreachable_machines.rs
+++ b/tests/integration/fault_interactions/unreachable_machines.rs
@@ -1,4 +1,4 @@
-//! Machines that controllers reach late, in one direction only or not at all.
+//! Machines that are reachable only with delay, in one direction or not at all.
 
 use crate::simulation::fixtures::{
     full_zone, heal, partition_zones, released, running_cluster, set_unresponsive,
@@ -7,11 +7,11 @@
 use lilacfork::messages::Destination;
 use serde_json::json;
 
-/// A machine that reaches no controller, while direct commands reach it, once counted as
-/// responsive by its responses to these: it was assigned its tasks again whenever its
-/// lease had expired.
+/// The heartbeats of a machine are lost while direct commands reach it. Its responses to the
+/// commands once counted as signs of life: the machine was not declared failed, and was
+/// assigned its tasks again whenever its lease had expired.
 #[test]
-fn a_mute_machine_is_given_up_though_direct_commands_reach_it() {
+fn machine_without_heartbeats_is_declared_failed_although_direct_commands_reach_it() {
     let mut sim = running_cluster(3);
     sim.capacity = 2;
     let name = "vm-a";
@@ -21,11 +21,11 @@
         assert_eq!(sim.submit(0, &spec), 201);
     }
     sim.run_for(3000);
-    let on = sim.workers[name].tasks.len();
-    assert_eq!(on, 4);
+    let tasks = sim.workers[name].tasks.len();
+    assert_eq!(tasks, 4);
     sim.workers.get_mut(name).unwrap().outbound_blocked = true;
-    let started = sim.start_log.len();
-    // Commands go there all the while, and are answered.
+    let starts_before = sim.start_log.len();
+    // The machine receives commands throughout and responds to them.
     for n in 0..50 {
         let id = format!("run-{}", 100 + n);
         let mut spec = service(&id, 2);
@@ -35,20 +35,30 @@
         assert_eq!(sim.cancel(0, &id).1, "cancelled");
         sim.run_for(200);
     }
-    assert!(sim.workers[name].released, "its lease can't be renewed");
+    assert!(
+        sim.workers[name].released,
+        "the machine was not declared failed"
+    );
     assert_eq!(sim.on_machines("run-1/"), 4);
-    let moved = sim.start_log[started..]
+    let restarts = sim.start_log[starts_before..]
         .iter()
-        .filter(|t| t.contains("run-1/"));
-    let moved: Vec<_> = moved.collect();
-    assert!(moved.iter().all(|t| !t.contains(name)), "{moved:?}");
-    assert_eq!(moved.len(), on, "each moved once: {moved:?}");
+        .filter(|start| start.contains("run-1/"));
+    let restarts: Vec<_> = restarts.collect();
+    assert!(
+        restarts.iter().all(|start| !start.contains(name)),
+        "{restarts:?}"
+    );
+    assert_eq!(
+        restarts.len(),
+        tasks,
+        "not every task restarted exactly once: {restarts:?}"
+    );
 }
 
-/// A machine that reaches no controller has tasks of a cancelled job: the direct command
-/// stops them.
+/// A machine whose heartbeats are lost runs tasks of a cancelled job. The direct stop command
+/// must end them.
 #[test]
-fn a_mute_machine_stops_what_is_cancelled_at_once() {
+fn direct_command_stops_cancelled_job_on_machine_without_heartbeats() {
     let mut sim = running_cluster(3);
     assert_eq!(sim.submit(0, &service("run-1", 16)), 201);
     sim.run_for(3000);
@@ -59,35 +69,39 @@
     assert_eq!(sim.on_machines("run-1"), 0);
 }
 
-/// A zone with workers and a controller is partitioned from the other for longer than a
-/// lease, while a job there is cancelled and another is submitted.
+/// The zones are partitioned from each other for longer than a lease. The leader accepts a
+/// new job and cancels a job in the other zone meanwhile.
 #[test]
-fn a_zone_cut_off_for_longer_than_a_lease() {
+fn zone_partition_longer_than_lease_preserves_tasks_until_cancellation() {
     let (mut sim, names) = full_zone(3);
     partition_zones(&mut sim);
     sim.run_for(2000);
-    let near = sim.leader().unwrap();
-    assert_eq!(sim.submit(near, &service("run-2", 4)), 201);
+    let leader = sim.leader().unwrap();
+    assert_eq!(sim.submit(leader, &service("run-2", 4)), 201);
     sim.run_for(LEASE_MS + 3000);
     assert_eq!(sim.on_machines("run-1"), 56);
-    assert_eq!(sim.cancel(near, "run-1").1, "cancelled");
+    assert_eq!(sim.cancel(leader, "run-1").1, "cancelled");
     sim.run_for(6000);
-    assert_eq!(sim.on_machines("run-1"), 0, "its own controller stops them");
+    assert_eq!(
+        sim.on_machines("run-1"),
+        0,
+        "the zone's own controller did not stop the tasks"
+    );
     heal(&mut sim);
     sim.run_for(8000);
     assert_eq!(sim.on_machines("run-2"), 4);
     assert!(released(&sim, &names).is_empty());
 }
 
-/// A command is delayed for seconds; its machine hangs and resumes after the job was
-/// cancelled or the task moved elsewhere.
+/// A start command is delayed for seconds. Its machine hangs, and resumes after the job was
+/// cancelled or the task was started elsewhere.
 #[test]
-fn a_command_held_up_for_seconds_starts_nothing_that_is_over() {
-    for held_ms in [2000, 5000, 8000, 12_000] {
+fn delayed_command_starts_no_task_of_cancelled_or_moved_job() {
+    for delay_ms in [2000, 5000, 8000, 12_000] {
         for cancel in [true, false] {
             let mut sim = running_cluster(3);
             sim.fault_injector = Box::new(move |_, _, call| match call.destination {
-                Destination::Worker(_) => Delivery::RequestDelayed(held_ms),
+                Destination::Worker(_) => Delivery::RequestDelayed(delay_ms),
                 _ => Delivery::Normal,
             });
             assert_eq!(sim.submit(0, &service("run-1", 8)), 201);
@@ -103,16 +117,16 @@
             sim.fault_injector = Box::new(|_, _, _| Delivery::Normal);
             sim.run_for(15_000);
             let expected = if cancel { 0 } else { 8 };
-            assert_eq!(sim.on_machines("run-1"), expected, "{held_ms}");
+            assert_eq!(sim.on_machines("run-1"), expected, "{delay_ms}");
         }
     }
 }
 
-/// Jobs bound to one zone, arrays too, lose machines while the other zone has free
-/// capacity: that capacity counts for nothing, and machines are provisioned in their
-/// zone.
+/// Jobs that are restricted to one zone, an array among them, lose their machines while the
+/// other zone has free capacity. The jobs can't use that capacity, so machines must be
+/// provisioned in their own zone.
 #[test]
-fn jobs_bound_to_a_zone_that_loses_its_machines_are_served_there() {
+fn jobs_restricted_to_zone_are_served_there_after_its_machines_fail() {
     let mut sim = running_cluster(3);
     sim.task_duration_ms = 20_000;
     let mut names = Vec::new();
--- a/tests/integration/fault_interactions/user_requests.rs
+++ b/tests/integration/fault_interactions/user_requests.rs
@@ -1,4 +1,4 @@
-//! Requests of users that meet changes of the jobs that they ask for, and malformed ones.
+//! Requests of users that coincide with changes of the requested jobs, and invalid requests.
 
 use crate::simulation::fixtures::{heal, running_cluster};
 use crate::simulation::{array, service, Delivery};
@@ -8,16 +8,17 @@
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-/// A cancellation, a query and a repeated submission at every node, from just before the
-/// end of the job's last task until after that end is stored.
+/// Every controller receives a cancellation, a query and a repeated submission, at times from
+/// just before the job's last task completes until after the completion is stored.
 #[test]
-fn everything_at_once_meets_the_end_of_the_last_task() {
-    let mut ends = BTreeSet::new();
+fn requests_during_job_completion_agree_on_final_state() {
+    let mut final_states = BTreeSet::new();
     for offset in (0..120).step_by(6) {
         let mut sim = running_cluster(3);
         let spec = array("run-1", 2);
         assert_eq!(sim.submit(0, &spec), 201);
-        // The task ends some 3 s after its start, and is stored within a report.
+        // The task completes about 3 s after its start, and the next heartbeat reports the
+        // completion.
         sim.run_for(2900 + offset * 12);
         let mut users = Vec::new();
         for n in 0..3 {
@@ -33,19 +34,23 @@
             assert!([200, 201].contains(&sim.status_and_state(user).0));
         }
         assert!(!sim.kv_store.items.keys().any(|k| k.starts_with("j/")));
-        ends.insert(states[0].clone());
+        final_states.insert(states[0].clone());
     }
-    assert_eq!(ends.len(), 2, "both sides win at times: {ends:?}");
+    assert_eq!(
+        final_states.len(),
+        2,
+        "not both final states occurred: {final_states:?}"
+    );
 }
 
-/// Users query all nodes within milliseconds, and repeat the submission, right after a
-/// job was accepted, ended or confirmed as cancelled.
+/// Users query all controllers and repeat the submission, within milliseconds after a job was
+/// accepted, completed or confirmed as cancelled.
 #[test]
-fn close_looks_get_nothing_older_than_what_was_told() {
+fn queries_return_no_state_older_than_an_earlier_response() {
     let mut sim = running_cluster(3);
-    sim.fault_injector = Box::new(|at, node, call| match &call.destination {
-        // Each node's calls take their own time.
-        Destination::KvStore => Delivery::ResponseDelayed((at * 7 + node as u64 * 13) % 40),
+    sim.fault_injector = Box::new(|now_ms, node, call| match &call.destination {
+        // The response delays differ between the controllers.
+        Destination::KvStore => Delivery::ResponseDelayed((now_ms * 7 + node as u64 * 13) % 40),
         Destination::KvWatch if node == 2 => Delivery::ResponseDelayed(300),
         _ => Delivery::Normal,
     });
@@ -55,7 +60,8 @@
         let first = sim.request(n % 3, "POST", "/v2/runs", spec.clone());
         let mut cancel = None;
         for step in 0..200 {
-            // Two close looks at each event, and one now and then.
+            // Rounds of queries follow the acceptance and the cancellation, and recur at
+            // intervals.
             let accepted = sim.replies.contains_key(&first);
             let cancelled = cancel.is_some_and(|c| sim.replies.contains_key(&c));
             if accepted && (step % 20 < 2 || (cancelled && step % 3 == 0)) {
@@ -89,10 +95,11 @@
     }
 }
 
-/// Unusual requests: repeats of unfinished jobs, cancellations of jobs that are done,
-/// jobs that fit no machine or lack a field.
+/// Unusual requests are repeated submissions of unfinished and completed jobs, cancellations
+/// of completed or unknown jobs, and jobs that fit no machine, lack a field or have an invalid
+/// field.
 #[test]
-fn odd_requests_get_their_status_and_take_nothing() {
+fn unusual_requests_get_expected_status_and_invalid_jobs_are_not_stored() {
     let mut sim = running_cluster(3);
     let spec = array("run-1", 2);
     assert_eq!(sim.submit(0, &spec), 201);
@@ -103,13 +110,13 @@
     assert_eq!(sim.cancel(2, "run-9").0, 404);
     let required = spec.as_object().unwrap().keys();
     for (n, field) in required.enumerate() {
-        let mut lacks = array(&format!("run-{}", 20 + n), 2);
-        lacks.as_object_mut().unwrap().remove(field);
+        let mut incomplete = array(&format!("run-{}", 20 + n), 2);
+        incomplete.as_object_mut().unwrap().remove(field);
         let optional = ["gammes", "secteur", "echeanceS"].contains(&field.as_str());
         let expected = if optional { 201 } else { 400 };
-        assert_eq!(sim.submit(n % 3, &lacks), expected, "{field}");
+        assert_eq!(sim.submit(n % 3, &incomplete), expected, "{field}");
     }
-    for (field, odd) in [
+    for (field, value) in [
         ("cpus", json!(97.0)),
         ("gammes", json!(["g9"])),
         ("gammes", json!([])),
@@ -117,10 +124,10 @@
         ("equipe", json!("nobody")),
     ] {
         let mut spec = array("run-3", 2);
-        spec[field] = odd;
+        spec[field] = value;
         assert_eq!(sim.submit(0, &spec), 422, "{field}");
     }
-    for (field, odd) in [
+    for (field, value) in [
         ("pieces", json!(0)),
         ("pieces", json!(1e30)),
         ("cpus", json!("8")),
@@ -130,18 +137,18 @@
         ("id", json!("../x")),
     ] {
         let mut spec = array("run-3", 2);
-        spec[field] = odd;
+        spec[field] = value;
         assert_eq!(sim.submit(0, &spec), 400, "{field}");
     }
     assert_eq!(sim.poll(0, "run-3").0, 404);
 }
 
-/// Users send many times as many queries as usual: one read of the key-value store
-/// answers all queries that came before it was sent, so that queries starve nobody,
-/// themselves included (inc-6c44: two jobs counted as forgotten, since no query about
-/// them was answered for 75 s).
+/// Users send many times as many queries as usual. One read of the key-value store serves all
+/// queries that arrived before the read was sent, so that queries delay neither other requests
+/// nor each other. In incident inc-6c44, no query about two jobs was answered for 75 s, and
+/// the jobs counted as forgotten.
 #[test]
-fn questions_many_times_as_often_cost_no_more_calls_and_starve_nobody() {
+fn frequent_queries_share_reads_and_delay_no_request() {
     let mut sim = running_cluster(3);
     sim.capacity = 40;
     sim.task_duration_ms = 600_000;
@@ -152,22 +159,26 @@
     let leader = sim.leader().unwrap();
     let node = (leader + 1) % 3;
     let reads = Rc::new(RefCell::new(0));
-    let seen = reads.clone();
+    let counted_reads = reads.clone();
     sim.fault_injector = Box::new(move |_, n, call| {
-        *seen.borrow_mut() += usize::from(n == node && call.destination == Destination::KvStore);
+        *counted_reads.borrow_mut() +=
+            usize::from(n == node && call.destination == Destination::KvStore);
         Delivery::Normal
     });
     let mut users = Vec::new();
-    let began = sim.now_ms;
+    let start_ms = sim.now_ms;
     for n in 0..4000 {
         let path = format!("/v2/runs/run-{}", n % 210);
         users.push(sim.request(node, "GET", &path, Value::Null));
-        sim.run_until(began + n * 5);
+        sim.run_until(start_ms + n * 5);
         if n % 200 == 0 {
             let id = format!("run-{}", 300 + n / 200);
-            let sent = sim.now_ms;
+            let sent_ms = sim.now_ms;
             assert_eq!(sim.submit(node, &array(&id, 1)), 201);
-            assert!(sim.now_ms < sent + 500, "a submission waits for nobody");
+            assert!(
+                sim.now_ms < sent_ms + 500,
+                "a submission took 500 ms or longer"
+            );
             assert_eq!(sim.cancel(node, &id).0, 200);
         }
     }
@@ -175,16 +186,19 @@
     let answered = |u: &&u64| matches!(sim.status_and_state(**u).0, 200 | 404);
     assert_eq!(users.iter().filter(answered).count(), users.len());
     let reads = *reads.borrow();
-    assert!(reads < 1200, "{reads} calls for 4,000 questions in 20 s");
+    assert!(
+        reads < 1200,
+        "{reads} key-value calls for 4,000 queries in 20 s"
+    );
 }
 
-/// A controller whose process was paused answers no query with what it had read before
-/// the pause: other nodes may have reported something newer since.
+/// A controller whose process was paused must not serve queries from what it read before the
+/// pause, because other controllers may have reported a newer state since.
 #[test]
-fn a_woken_controller_answers_nothing_that_it_read_before() {
-    for asleep_after_ms in (5..300).step_by(25) {
-        // Also for less than a leader's lease.
-        for (method, path, asleep_ms) in [
+fn resumed_controller_returns_nothing_read_before_its_pause() {
+    for pause_after_ms in (5..300).step_by(25) {
+        // One pause is shorter than the leader's lease.
+        for (method, path, pause_ms) in [
             ("GET", "/v2/runs/run-1", 2500),
             ("GET", "/v2/runs/run-1", 4000),
             ("POST", "/v2/runs", 4000),
@@ -202,18 +216,18 @@
                 Destination::KvStore if node == follower => Delivery::ResponseDelayed(300),
                 _ => Delivery::Normal,
             });
-            let asked = sim.request(follower, method, path, body);
-            sim.run_for(asleep_after_ms);
-            let wakes = sim.now_ms + asleep_ms;
-            sim.paused_until_ms.insert(follower, wakes);
+            let request = sim.request(follower, method, path, body);
+            sim.run_for(pause_after_ms);
+            let resumes_ms = sim.now_ms + pause_ms;
+            sim.paused_until_ms.insert(follower, resumes_ms);
             sim.run_for(500);
             assert_eq!(sim.cancel(leader, "run-1"), (200, "cancelled".into()));
-            sim.run_until(wakes + 200);
-            let (status, state) = sim.status_and_state(asked);
+            sim.run_until(resumes_ms + 200);
+            let (status, state) = sim.status_and_state(request);
             let fresh = status == 503 || state == "cancelled";
             assert!(
                 fresh,
-                "{method} after {asleep_after_ms} ms, for {asleep_ms} ms: {status} {state}"
+                "{method}, paused after {pause_after_ms} ms for {pause_ms} ms: {status} {state}"
             );
             assert_eq!(sim.poll(follower, "run-1"), (200, "cancelled".into()));
         }
