--- a/tests/integration/fault_interactions/leader_changes.rs
+++ b/tests/integration/fault_interactions/leader_changes.rs
@@ -188,22 +188,22 @@
 /// Jobs are cancelled at various times during a failover.
 #[test]
 fn jobs_cancelled_during_failover_stop() {
-    for offset in (0..5000).step_by(250) {
+    for offset_ms in (0..5000).step_by(250) {
         let mut sim = running_cluster(3);
         assert_eq!(sim.submit(0, &service("run-1", 8)), 201);
         assert_eq!(sim.submit(0, &array("run-2", 12)), 201);
         sim.run_for(600);
         let old = sim.leader().unwrap();
         sim.kill(old);
-        sim.run_for(offset);
+        sim.run_for(offset_ms);
         for id in ["run-1", "run-2"] {
-            assert_eq!(sim.cancel((old + 1) % 3, id).1, "cancelled", "{offset}");
+            assert_eq!(sim.cancel((old + 1) % 3, id).1, "cancelled", "{offset_ms}");
         }
         sim.start(old);
         sim.run_for(9000);
-        assert_eq!(sim.on_machines("run-"), 0, "{offset}");
+        assert_eq!(sim.on_machines("run-"), 0, "{offset_ms}");
         assert!(!sim.kv_store.items.keys().any(|k| k.starts_with("j/")));
-        assert!(sim.observer.starts_after_cancel.is_empty(), "{offset}");
+        assert!(sim.observer.starts_after_cancel.is_empty(), "{offset_ms}");
     }
 }
 
@@ -211,7 +211,7 @@
 /// leader is killed before, during or after the write of the placements.
 #[test]
 fn tasks_start_once_when_leader_is_killed_while_placements_are_written() {
-    for offset in (0..4000).step_by(200) {
+    for offset_ms in (0..4000).step_by(200) {
         let mut sim = Simulation::new(3);
         sim.boot_ms = 300;
         sim.run_until(4000);
@@ -223,7 +223,7 @@
             _ => Delivery::Normal,
         });
         assert_eq!(sim.submit((leader + 1) % 3, &service("run-1", 12)), 201);
-        sim.run_for(offset);
+        sim.run_for(offset_ms);
         sim.kill(leader);
         heal(&mut sim);
         sim.run_for(5000);
@@ -232,7 +232,7 @@
         assert_eq!(
             sim.on_machines("run-1"),
             12,
-            "{offset}: {:?}",
+            "{offset_ms}: {:?}",
             sim.start_log
         );
         let tasks: BTreeSet<&str> = sim
@@ -243,7 +243,7 @@
         assert_eq!(
             (tasks.len(), sim.start_log.len()),
             (12, 12),
-            "{offset}: not every task started exactly once"
+            "{offset_ms}: not every task started exactly once"
         );
     }
 }
--- a/tests/integration/fault_interactions/stale_heartbeats.rs
+++ b/tests/integration/fault_interactions/stale_heartbeats.rs
@@ -56,11 +56,11 @@
         let mut sim = running_cluster(3);
         sim.task_duration_ms = 6000;
         assert_eq!(sim.submit(0, &service("run-1", 5)), 201);
-        // Heartbeats from before the start of any task, and from after all tasks started.
-        let before_tasks: Vec<Value> = ["vm-a", "vm-b"].map(|n| sim.next_heartbeat(n)).into();
+        // Heartbeats from right after the first submission, and from 1.2 s after the second.
+        let early: Vec<Value> = ["vm-a", "vm-b"].map(|n| sim.next_heartbeat(n)).into();
         assert_eq!(sim.submit(0, &array("run-2", 6)), 201);
         sim.run_for(1200);
-        let with_tasks: Vec<Value> = ["vm-a", "vm-b"].map(|n| sim.next_heartbeat(n)).into();
+        let late: Vec<Value> = ["vm-a", "vm-b"].map(|n| sim.next_heartbeat(n)).into();
         sim.run_for(2000);
         let old = sim.leader().unwrap();
         sim.kill(old);
@@ -68,13 +68,13 @@
             sim.run_for(1);
         }
         sim.run_for(delay_ms);
-        for heartbeat in before_tasks.iter().chain(&with_tasks) {
+        for heartbeat in early.iter().chain(&late) {
             for n in (0..3).filter(|n| *n != old) {
                 sim.deliver_heartbeat(n, heartbeat);
             }
         }
         sim.run_for(500);
-        for heartbeat in with_tasks.iter().chain(&before_tasks) {
+        for heartbeat in late.iter().chain(&early) {
             for n in (0..3).filter(|n| *n != old) {
                 sim.deliver_heartbeat(n, heartbeat);
             }
--- a/tests/integration/fault_interactions/unreachable_machines.rs
+++ b/tests/integration/fault_interactions/unreachable_machines.rs
@@ -7,8 +7,8 @@
 use lilacfork::messages::Destination;
 use serde_json::json;
 
-/// The heartbeats of a machine are lost while direct commands reach it. Its responses to the
-/// commands once counted as signs of life: the machine was not declared failed, and was
+/// The heartbeats of a machine are lost while direct commands reach it. Such a machine once
+/// counted as responsive because it responded to commands: it was not declared failed, and was
 /// assigned its tasks again whenever its lease had expired.
 #[test]
 fn machine_without_heartbeats_is_declared_failed_although_direct_commands_reach_it() {
@@ -70,7 +70,7 @@
 }
 
 /// The zones are partitioned from each other for longer than a lease. The leader accepts a
-/// new job and cancels a job in the other zone meanwhile.
+/// new job and cancels a job in zone `b` meanwhile.
 #[test]
 fn zone_partition_longer_than_lease_preserves_tasks_until_cancellation() {
     let (mut sim, names) = full_zone(3);
--- a/tests/integration/leadership.rs
+++ b/tests/integration/leadership.rs
@@ -1,4 +1,4 @@
-//! Leader election, and what a failover must not lose.
+//! Leader election, handover of leadership, and failovers that must not lose tasks.
 
 use crate::simulation::fixtures::{full_zone, heal, isolate_node, released, running_cluster};
 use crate::simulation::{array, service, Delivery, Simulation};
@@ -7,18 +7,18 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// A claim carried out late, after its author had given it up and made another lease,
-/// once counted as the newer one's: the leader renewed a lease that held nothing, and the
-/// key expired.
+/// A claim of leadership was once executed late, after the controller had abandoned the claim
+/// and created another lease. The controller took the late claim for one of the newer lease.
+/// It then renewed the newer lease, which held no key, and the leader key expired.
 #[test]
-fn a_claim_carried_out_late_is_no_proof_of_a_lease_made_since() {
+fn delayed_leadership_claim_does_not_count_for_newer_lease() {
     let mut sim = Simulation::new(1);
     let claims = Rc::new(Cell::new(0));
-    let seen = claims.clone();
+    let counted_claims = claims.clone();
     sim.fault_injector = Box::new(move |_, _, call| {
         if call.path == "/txn" && call.body.windows(10).any(|b| b == b"leader/key") {
-            seen.set(seen.get() + 1);
-            return match seen.get() {
+            counted_claims.set(counted_claims.get() + 1);
+            return match counted_claims.get() {
                 1 => Delivery::RequestDelayed(1300),
                 2 => Delivery::RequestLost,
                 _ => Delivery::Normal,
@@ -31,22 +31,25 @@
         if sim.leader().is_some() {
             assert!(
                 sim.kv_store.items.contains_key("leader/key"),
-                "leads without a key at {}",
+                "leader without a leader key at {} ms",
                 sim.now_ms
             );
         }
     }
-    assert!(claims.get() >= 3, "the late one isn't taken for its own");
+    assert!(
+        claims.get() >= 3,
+        "the delayed claim counted for the newer lease"
+    );
     assert_eq!(sim.leader(), Some(0));
     assert_eq!(sim.submit(0, &array("run-1", 2)), 201);
     sim.run_for(15_000);
     assert_eq!(sim.poll(0, "run-1").1, "done");
 }
 
-/// One worker's invalid fencing token once deposed the leader, again and again, and ended
-/// everybody's rounds.
+/// The invalid fencing token of a single worker once deposed the leader repeatedly, which
+/// aborted the scheduling rounds for all jobs.
 #[test]
-fn an_invalid_fencing_token_deposes_no_leader() {
+fn invalid_fencing_token_does_not_depose_leader() {
     let mut sim = running_cluster(3);
     assert_eq!(sim.submit(0, &service("run-1", 8)), 201);
     sim.run_for(3000);
@@ -58,11 +61,11 @@
         .take(30)
         .enumerate()
     {
-        let mut report = sim.next_heartbeat("vm-a");
-        report["banc"] = json!("vm-odd");
-        report["jeton"] = json!(token);
-        report["preavisS"] = json!(1e300);
-        sim.deliver_heartbeat((leader + n) % 3, &report);
+        let mut heartbeat = sim.next_heartbeat("vm-a");
+        heartbeat["banc"] = json!("vm-odd");
+        heartbeat["jeton"] = json!(token);
+        heartbeat["preavisS"] = json!(1e300);
+        sim.deliver_heartbeat((leader + n) % 3, &heartbeat);
         sim.run_for(300);
     }
     assert_eq!(sim.kv_store.items["leader/term"].0["term"], term);
@@ -70,37 +73,39 @@
     assert_eq!(sim.on_machines("run-1"), 8);
 }
 
-/// A fencing token of a later term makes a leader check whether it still leads.
+/// A leader that receives a fencing token of a later term must verify its leadership before it
+/// accepts further heartbeats.
 #[test]
-fn a_leader_that_a_worker_outranks_asks_before_it_goes_on() {
+fn leader_verifies_leadership_after_fencing_token_of_later_term() {
     let (mut sim, _) = full_zone(3);
     let old = sim.leader().unwrap();
-    // It reaches neither peers nor, by its renewals, the key-value store.
+    // The leader reaches neither its peers nor the key-value store, so that its lease expires.
     isolate_node(&mut sim, old, Delivery::Rejected, true);
     sim.run_for(8000);
     let new = (0..3).find(|n| *n != old && sim.nodes[*n].as_ref().unwrap().is_leader());
     assert!(new.is_some());
     sim.heartbeat_responses.clear();
-    let mut report = sim.next_heartbeat("vm-z1");
-    report["jeton"] = json!(3u64 << 20);
-    sim.deliver_heartbeat(old, &report);
+    let mut heartbeat = sim.next_heartbeat("vm-z1");
+    heartbeat["jeton"] = json!(3u64 << 20);
+    sim.deliver_heartbeat(old, &heartbeat);
     sim.run_for(10);
     let later = sim.next_heartbeat("vm-z2");
     sim.deliver_heartbeat(old, &later);
     sim.run_for(3000);
-    let ok = sim
+    let accepted = sim
         .heartbeat_responses
         .iter()
         .any(|(_, n, s)| *n == old && *s == 200);
-    assert!(!ok, "{:?}", sim.heartbeat_responses);
+    assert!(!accepted, "{:?}", sim.heartbeat_responses);
     heal(&mut sim);
     sim.run_for(5000);
     assert_eq!(sim.on_machines("run-1"), 56);
 }
 
-/// Malformed responses, from anybody, prove nothing.
+/// One in six responses of the key-value store, the cloud, the workers and the peers is
+/// malformed, except responses to watches. Every job must be served after the fault ends.
 #[test]
-fn malformed_responses_prove_nothing() {
+fn jobs_are_served_after_malformed_responses() {
     for seed in 0..6 {
         let mut sim = running_cluster(3);
         let mut rng = fastrand::Rng::with_seed(seed);
@@ -129,29 +134,30 @@
         sim.run_for(60_000);
         for n in 0..12 {
             let state = sim.poll(n % 3, &format!("run-{n}")).1;
-            let fine = state == "done" || (n % 4 == 0 && state == "cancelled");
-            assert!(fine, "{seed}: run-{n} is {state}");
+            let is_final = state == "done" || (n % 4 == 0 && state == "cancelled");
+            assert!(is_final, "{seed}: run-{n} is {state}");
         }
     }
 }
 
-/// A leader that no worker reached had handed over leadership; until a follower had read
-/// that, it redirected workers to the old leader, where their leases expired (inc-4c23).
+/// A leader that no worker reached handed over leadership. Until a follower had read of the new
+/// leader, the follower redirected workers to the old leader, where their leases expired
+/// (incident inc-4c23).
 #[test]
-fn workers_are_not_sent_back_to_a_leader_that_stepped_aside() {
+fn workers_are_not_redirected_to_leader_that_handed_over_leadership() {
     let mut sim = running_cluster(3);
     assert_eq!(sim.submit(0, &service("run-1", 16)), 201);
     sim.run_for(3000);
     let old = sim.leader().unwrap();
-    // Word of the new leader comes late to those who only ask for it.
+    // The other controllers read of the new leader with a delay.
     let claims = Rc::new(Cell::new(None));
-    let claimed = claims.clone();
+    let claiming_node = claims.clone();
     sim.fault_injector = Box::new(move |_, node, call| {
         if call.path == "/txn" && call.body.windows(10).any(|b| b == b"leader/key") {
-            claimed.set(Some(node));
+            claiming_node.set(Some(node));
         }
         match call.destination {
-            Destination::KvStore if claimed.get().is_some_and(|n| n != node) => {
+            Destination::KvStore if claiming_node.get().is_some_and(|n| n != node) => {
                 Delivery::ResponseDelayed(900)
             }
             Destination::KvWatch => Delivery::ResponseDelayed(900),
@@ -167,7 +173,7 @@
     }
     sim.run_for(20);
     sim.redirects.clear();
-    // A worker turns up at each node, again and again.
+    // The workers repeatedly send heartbeats to each controller.
     for step in 0..20 {
         for n in 0..3 {
             let name = ["vm-a", "vm-b"][step % 2];
@@ -175,89 +181,111 @@
             sim.run_for(50);
         }
     }
-    let back = sim.redirects.iter().filter(|(_, _, to)| *to == old).count();
-    assert_eq!(back, 0, "{:?}", sim.redirects);
+    let redirects_to_old = sim.redirects.iter().filter(|(_, _, to)| *to == old).count();
+    assert_eq!(redirects_to_old, 0, "{:?}", sim.redirects);
     assert_eq!(sim.on_machines("run-1"), 16);
 }
 
-/// Two silent controllers in a row, in the order in which workers try them, once took
-/// longer than a worker's lease (inc-36de, inc-98e3: 600 to 720 tasks ended). A leader
-/// whose successor is silent hands over leadership, once.
+/// The successor of a leader is the controller that workers try next. Workers that had to try
+/// two unresponsive controllers in a row once took longer than their lease (incidents inc-36de
+/// and inc-98e3: 600 to 720 tasks ended). A leader whose successor is unresponsive must
+/// therefore hand over leadership, once.
 #[test]
-fn a_leader_whose_successor_is_silent_hands_over_before_it_falls_silent_too() {
+fn leader_with_unresponsive_successor_hands_over_leadership_once() {
     let mut sim = running_cluster(3);
     let first = sim.leader().unwrap();
     assert_eq!(sim.submit(0, &service("run-1", 16)), 201);
     sim.run_for(40_000);
     let term = |sim: &Simulation| sim.kv_store.items["leader/term"].0["term"].as_u64();
-    assert_eq!(term(&sim), Some(1), "no silence, no step");
-    let started = sim.start_log.len();
-    let until = sim.now_ms + 60_000;
-    sim.paused_until_ms.insert((first + 1) % 3, until);
+    assert_eq!(
+        term(&sim),
+        Some(1),
+        "a handover although every controller responds"
+    );
+    let starts_before = sim.start_log.len();
+    let resumes_ms = sim.now_ms + 60_000;
+    sim.paused_until_ms.insert((first + 1) % 3, resumes_ms);
     sim.run_for(20_000);
     let leader = sim.leader().unwrap();
-    assert_eq!(leader, (first + 2) % 3, "the only one with a successor");
+    assert_eq!(
+        leader,
+        (first + 2) % 3,
+        "not the controller with a responsive successor"
+    );
     sim.run_for(15_000);
-    assert_eq!(term(&sim), Some(2), "one step");
-    sim.paused_until_ms.insert(leader, until);
+    assert_eq!(term(&sim), Some(2), "not exactly one handover");
+    sim.paused_until_ms.insert(leader, resumes_ms);
     sim.run_for(20_000);
     assert_eq!(sim.on_machines("run-1"), 16);
     assert_eq!(
         sim.start_log.len(),
-        started,
-        "no lease ended: {:?}",
+        starts_before,
+        "leases expired: {:?}",
         sim.start_log
     );
 }
 
-/// A leader resumed after a process pause, took its own silence for that of its workers,
-/// and handed over leadership because of old heartbeats, though another node led by then.
-/// When that one handed leadership over to it, each let the other claim first: there was
-/// no leader for six seconds (reparetout-mtl-ops operations, seed 41).
+/// A leader resumed after a process pause, when another controller already led. The resumed
+/// controller mistook its own pause for silence of its workers, and handed over leadership
+/// because of old heartbeats. When the new leader handed leadership over to the resumed
+/// controller, each of the two waited for the other to claim leadership first. There was no
+/// leader for six seconds (`reparetout-mtl-ops operations`, seed 41).
 #[test]
-fn a_leader_that_wakes_up_may_be_handed_the_lead_at_once() {
+fn resumed_controller_claims_leadership_at_once_when_handed_over() {
     let mut sim = running_cluster(3);
     assert_eq!(sim.submit(0, &service("run-1", 16)), 201);
     sim.run_for(3000);
     let first = sim.leader().unwrap();
-    let until = sim.now_ms + 60_000;
-    sim.paused_until_ms.insert(first, until);
+    let first_resumes_ms = sim.now_ms + 60_000;
+    sim.paused_until_ms.insert(first, first_resumes_ms);
     sim.run_for(8000);
-    let led = |sim: &Simulation, n: usize| sim.nodes[n].as_ref().unwrap().is_leader();
-    let second = (0..3).find(|n| *n != first && led(&sim, *n)).unwrap();
+    let is_leader = |sim: &Simulation, n: usize| sim.nodes[n].as_ref().unwrap().is_leader();
+    let second = (0..3).find(|n| *n != first && is_leader(&sim, *n)).unwrap();
     let third = 3 - first - second;
-    let wakes = sim.now_ms + 16_000;
-    sim.paused_until_ms.insert(second, wakes);
-    sim.run_until(wakes - 10);
-    assert!(led(&sim, third));
-    let mut alone_ms = 0;
+    let second_resumes_ms = sim.now_ms + 16_000;
+    sim.paused_until_ms.insert(second, second_resumes_ms);
+    sim.run_until(second_resumes_ms - 10);
+    assert!(is_leader(&sim, third));
+    let mut leaderless_ms = 0;
     for _ in 0..1000 {
         sim.run_for(10);
-        if !led(&sim, second) && !led(&sim, third) {
-            alone_ms += 10;
+        if !is_leader(&sim, second) && !is_leader(&sim, third) {
+            leaderless_ms += 10;
         }
     }
     assert!(
-        led(&sim, second),
-        "handed over: the third's successor is silent"
+        is_leader(&sim, second),
+        "the third controller did not hand over although its successor is unresponsive"
     );
-    assert!(alone_ms < 500, "nobody led for {alone_ms} ms");
+    assert!(leaderless_ms < 500, "no leader for {leaderless_ms} ms");
     assert_eq!(sim.on_machines("run-1"), 16);
 }
 
-/// A follower that the workers of its zone can't reach, while the leader can: the leader
-/// doesn't redirect a worker that returns from there.
+/// The workers of a zone can't reach the follower in their zone, but can reach the leader. The
+/// leader must not redirect a worker to that follower again after the worker failed to reach
+/// it.
 #[test]
-fn a_worker_that_cannot_reach_the_follower_of_its_zone_is_kept_by_the_leader() {
+fn leader_keeps_workers_that_cannot_reach_follower_in_their_zone() {
     let (mut sim, names) = full_zone(3);
     assert_ne!(sim.leader(), Some(1));
     sim.partitions = vec![(1, "b".into())];
     sim.run_for(40_000);
-    assert_eq!(sim.start_log.len(), 56, "no task ends: {:?}", sim.start_log);
-    assert!(released(&sim, &names).is_empty(), "none is given up");
-    let late = sim
+    assert_eq!(
+        sim.start_log.len(),
+        56,
+        "tasks were restarted: {:?}",
+        sim.start_log
+    );
+    assert!(
+        released(&sim, &names).is_empty(),
+        "machines were declared failed"
+    );
+    let late_redirects = sim
         .redirects
         .iter()
-        .filter(|(at, _, to)| *to == 1 && *at > sim.now_ms - 15_000);
-    assert!(late.count() <= names.len(), "none is sent to and fro");
+        .filter(|(at_ms, _, to)| *to == 1 && *at_ms > sim.now_ms - 15_000);
+    assert!(
+        late_redirects.count() <= names.len(),
+        "workers were redirected repeatedly"
+    );
 }
--- a/tests/integration/network_partitions.rs
+++ b/tests/integration/network_partitions.rs
@@ -1,4 +1,5 @@
-//! Partitions and outages: zones, controllers and the key-value store apart.
+//! Network partitions between zones, controllers and the key-value store, and outages of the
+//! key-value store.
 
 use crate::simulation::fixtures::{
     crosses_partition, full_zone, heal, isolate_zone, partition_zones, released, running_cluster,
@@ -9,14 +10,18 @@
 use serde_json::json;
 
 #[test]
-fn work_lives_through_an_outage_of_the_state_service() {
+fn tasks_survive_kv_store_outage() {
     let mut sim = running_cluster(3);
     assert_eq!(sim.submit(0, &service("run-1", 4)), 201);
     sim.run_for(2000);
     sim.kv_store.unavailable = true;
     sim.run_for(15_000);
-    assert_eq!(sim.submit(1, &array("run-2", 1)), 503, "answered at once");
-    assert_eq!(sim.poll(1, "run-1").0, 503, "nothing older is told");
+    assert_eq!(
+        sim.submit(1, &array("run-2", 1)),
+        503,
+        "submission during the outage"
+    );
+    assert_eq!(sim.poll(1, "run-1").0, 503, "query during the outage");
     assert_eq!(sim.on_machines("run-1"), 4);
     sim.end_kv_store_outage();
     sim.run_for(4000);
@@ -27,7 +32,7 @@
 }
 
 #[test]
-fn an_outage_in_which_the_leader_dies() {
+fn tasks_run_after_leader_restarts_during_kv_store_outage() {
     let mut sim = running_cluster(3);
     let leader = sim.leader().unwrap();
     assert_eq!(sim.submit(0, &service("run-1", 4)), 201);
@@ -44,7 +49,7 @@
 }
 
 #[test]
-fn a_node_that_alone_is_cut_off_is_not_ready() {
+fn node_is_not_ready_if_it_alone_loses_the_kv_store() {
     let mut sim = running_cluster(3);
     let ready = |sim: &mut Simulation, n| {
         let user = sim.request(n, "GET", "/ready", json!(null));
@@ -65,42 +70,47 @@
     assert_eq!(
         ready(&mut sim, (lone + 1) % 3),
         200,
-        "when it is away for all, stay"
+        "not ready although the store is unavailable to all controllers"
     );
 }
 
-/// A partition between zones once ended every task on the far side: the followers there
-/// redirected the workers to a leader that they couldn't reach.
+/// A partition between zones once ended every task in the zone without the leader, because the
+/// followers there redirected the workers to a leader that the workers couldn't reach.
 #[test]
-fn a_cut_between_zones_ends_no_task_and_a_job_cancelled_meanwhile_still_goes() {
+fn zone_partition_ends_only_tasks_of_cancelled_jobs() {
     let mut sim = running_cluster(3);
     let leader = sim.leader().unwrap();
-    let far = if leader == 1 { "a" } else { "b" };
+    let far_zone = if leader == 1 { "a" } else { "b" };
     assert_eq!(sim.submit(0, &service("run-1", 8)), 201);
     assert_eq!(sim.submit(0, &service("run-2", 8)), 201);
     sim.run_for(3000);
     assert_eq!(sim.on_machines("run-"), 16);
-    let started = sim.start_log.len();
+    let starts_before = sim.start_log.len();
     partition_zones(&mut sim);
     sim.run_for(15_000);
-    assert_eq!(sim.on_machines("run-"), 16, "far side is {far}");
+    assert_eq!(
+        sim.on_machines("run-"),
+        16,
+        "zone without the leader: {far_zone}"
+    );
     assert_eq!(sim.cancel(leader, "run-2").1, "cancelled");
     sim.run_for(5000);
     heal(&mut sim);
     sim.run_for(8000);
     assert_eq!(sim.on_machines("run-1"), 8);
     assert_eq!(sim.on_machines("run-2"), 0);
-    assert_eq!(sim.start_log.len(), started, "{:?}", sim.start_log);
+    assert_eq!(sim.start_log.len(), starts_before, "{:?}", sim.start_log);
     assert!(
         sim.workers.values().all(|m| !m.released),
-        "no machine was given up"
+        "machines were declared failed"
     );
 }
 
-/// A partition and then an outage of the key-value store once left the follower beyond
-/// the partition alone; it redirected its workers to nodes that they couldn't reach.
+/// A partition followed by an outage of the key-value store once isolated the follower beyond
+/// the partition. The follower redirected its workers to controllers that the workers couldn't
+/// reach.
 #[test]
-fn a_cut_that_meets_an_outage_ends_no_task() {
+fn zone_partition_with_kv_store_outage_ends_no_task() {
     let mut sim = running_cluster(3);
     assert_eq!(sim.submit(0, &service("run-1", 16)), 201);
     sim.run_for(3000);
@@ -116,14 +126,14 @@
     assert_eq!(sim.start_log.len(), 16, "{:?}", sim.start_log);
 }
 
-/// A zone that is partitioned from everything once lost all its tasks, whichever side the
-/// leader was on: its only controller, suddenly alone, took the fault for its own, and
-/// the other side declared the whole zone failed.
+/// A zone that was partitioned from everything once lost all its tasks, with the leader on
+/// either side. The zone's only controller concluded that it was itself at fault, and the
+/// controllers on the other side declared the whole zone failed.
 #[test]
-fn a_zone_cut_off_from_everything_with_one_controller_ends_no_task() {
-    for leader_ends in [false, true] {
+fn isolated_zone_with_one_controller_ends_no_task() {
+    for restart_leader in [false, true] {
         let (mut sim, names) = full_zone(3);
-        if leader_ends {
+        if restart_leader {
             let leader = sim.leader().unwrap();
             sim.kill(leader);
             sim.run_for(6000);
@@ -136,14 +146,17 @@
         sim.run_for(10_000);
         assert_eq!(sim.on_machines("run-1"), 56);
         assert_eq!(sim.start_log.len(), 56, "{:?}", sim.start_log);
-        assert!(released(&sim, &names).is_empty(), "none is given up");
+        assert!(
+            released(&sim, &names).is_empty(),
+            "machines were declared failed"
+        );
     }
 }
 
-/// A controller that restarts beyond a partition once renewed leases for seconds before
-/// it asked which jobs had been cancelled while it was down.
+/// A controller that restarted beyond a partition once renewed leases for seconds before it
+/// read which jobs had been cancelled while it was down.
 #[test]
-fn a_controller_that_returns_beyond_a_cut_knows_what_was_cancelled() {
+fn controller_restarted_during_partition_stops_cancelled_jobs() {
     let mut sim = running_cluster(3);
     while sim.leader() == Some(1) {
         sim.kill(1);
@@ -161,125 +174,130 @@
     assert_eq!(sim.cancel(0, "run-1").1, "cancelled");
     assert_eq!(sim.cancel(0, "run-2").1, "cancelled");
     sim.run_for(1000);
-    assert_eq!(sim.on_machines("run-"), 8, "those beyond the cut");
+    assert_eq!(sim.on_machines("run-"), 8, "tasks beyond the partition");
     sim.start(1);
     sim.run_for(3500);
     assert_eq!(
         sim.on_machines("run-"),
         0,
-        "are stopped before their lease ends"
+        "tasks were not stopped before their leases expired"
     );
 }
 
-/// Machines that fail together are no reason to hand over leadership: every new leader
-/// would begin to wait for them anew, and none would ever declare them failed.
+/// A leader must not hand over leadership because machines fail together. Each new leader would
+/// restart the time after which it declares them failed, and no leader would ever declare them
+/// failed.
 #[test]
-fn a_leader_whose_own_machines_all_fail_leads_on_and_gives_them_up() {
+fn leader_keeps_leadership_and_releases_machines_when_all_in_its_zone_fail() {
     let (mut sim, names) = full_zone(3);
     let leader = sim.leader().unwrap();
-    // The other zone's heartbeats are forwarded meanwhile.
-    let own: Vec<String> = match leader {
+    // Heartbeats of the other zone are still forwarded to the leader.
+    let own_machines: Vec<String> = match leader {
         1 => names,
         _ => vec!["vm-a".into()],
     };
-    set_unresponsive(&mut sim, &own, true);
+    set_unresponsive(&mut sim, &own_machines, true);
     sim.run_for(30_000);
     assert_eq!(sim.leader(), Some(leader));
     assert_eq!(
-        released(&sim, &own).len(),
-        own.len(),
+        released(&sim, &own_machines).len(),
+        own_machines.len(),
         "{:?}",
-        released(&sim, &own)
+        released(&sim, &own_machines)
     );
 }
 
-/// A leader that resumes after its lease has expired must not act as one: its clocks ran
-/// on, its sockets are full of old heartbeats, and it has received nothing for so long
-/// that it would declare every machine failed.
+/// A leader that resumes after its lease has expired must not act as leader. Its clocks
+/// advanced during the pause, its sockets hold old heartbeats, and it has received nothing for
+/// so long that it would declare every machine failed.
 #[test]
-fn a_paused_leader_answers_no_heartbeat_and_releases_no_machine() {
+fn leader_resumed_after_lease_expiry_accepts_no_heartbeat_and_releases_no_machine() {
     let (mut sim, names) = full_zone(3);
     let old = sim.leader().unwrap();
-    let woken = sim.now_ms + 14_000;
-    sim.paused_until_ms.insert(old, woken);
+    let resumes_ms = sim.now_ms + 14_000;
+    sim.paused_until_ms.insert(old, resumes_ms);
     sim.run_for(13_900);
     sim.heartbeat_responses.clear();
     sim.run_for(12_000);
-    let answered = sim.heartbeat_responses.iter().filter(|(_, n, _)| *n == old);
-    let statuses: Vec<u16> = answered.map(|(_, _, status)| *status).collect();
+    let responses = sim.heartbeat_responses.iter().filter(|(_, n, _)| *n == old);
+    let statuses: Vec<u16> = responses.map(|(_, _, status)| *status).collect();
     assert!(
         !statuses.is_empty() && !statuses.contains(&200),
         "{statuses:?}"
     );
     assert_eq!(sim.on_machines("run-1"), 56);
     assert_eq!(sim.start_log.len(), 56, "{:?}", sim.start_log);
-    assert!(released(&sim, &names).is_empty(), "none is given up");
+    assert!(
+        released(&sim, &names).is_empty(),
+        "machines were declared failed"
+    );
 }
 
-/// Followers once stored only as many of the machines whose leases they proxy as one
-/// record holds, and the leader declared the others failed.
+/// A follower once stored only as many of the machines whose leases it proxied as fit in one
+/// record, and the leader declared the other machines failed.
 #[test]
-fn all_machines_whose_leases_a_follower_proxies_are_stored() {
+fn follower_stores_all_machines_whose_leases_it_proxies() {
     let mut sim = Simulation::new(3);
     sim.capacity = 0;
-    let zone_b = 1400;
-    for n in 0..zone_b {
+    let machines_in_zone_b = 1400;
+    for n in 0..machines_in_zone_b {
         sim.add_machine(&format!("vm-{n:04}"), "b", false, true);
     }
     sim.run_until(5000);
     partition_zones(&mut sim);
     sim.run_for(9000);
-    let held = sim
+    let proxy_records = sim
         .kv_store
         .items
         .iter()
         .filter(|(k, _)| k.starts_with("h/"));
-    let counts: Vec<usize> = held
+    let counts: Vec<usize> = proxy_records
         .map(|(_, i)| i.0["m"].as_array().unwrap().len())
         .collect();
     assert!(
-        counts.len() > 1 && counts.iter().sum::<usize>() == zone_b,
+        counts.len() > 1 && counts.iter().sum::<usize>() == machines_in_zone_b,
         "{counts:?}"
     );
 }
 
-/// A leader that alone was partitioned from the workers once led on: others redirected
-/// the workers to it, their leases expired, and in the end it declared every machine
-/// failed.
+/// A leader that alone was partitioned from the workers once kept its leadership. The followers
+/// redirected the workers to this leader, the workers' leases expired, and the leader finally
+/// declared every machine failed.
 #[test]
-fn a_leader_that_no_worker_reaches_hands_over_leadership() {
+fn leader_unreachable_by_all_workers_hands_over_leadership() {
     let mut sim = running_cluster(3);
     assert_eq!(sim.submit(0, &service("run-1", 16)), 201);
     sim.run_for(3000);
-    let deaf = sim.leader().unwrap();
-    sim.partitions = vec![(deaf, "a".into()), (deaf, "b".into())];
+    let isolated = sim.leader().unwrap();
+    sim.partitions = vec![(isolated, "a".into()), (isolated, "b".into())];
     sim.run_for(8000);
     let leader = sim.leader().unwrap();
-    assert_ne!(leader, deaf);
+    assert_ne!(leader, isolated);
     sim.run_for(12_000);
-    assert_eq!(sim.leader(), Some(leader), "and doesn't claim it back");
-    assert_eq!(sim.cancel(deaf, "run-1").1, "cancelled");
+    assert_eq!(sim.leader(), Some(leader), "leadership changed again");
+    assert_eq!(sim.cancel(isolated, "run-1").1, "cancelled");
     sim.run_for(2000);
     assert_eq!(
         sim.on_machines("run-1"),
         0,
-        "commands reach the workers again"
+        "stop commands did not reach the workers"
     );
-    assert_eq!(sim.submit(deaf, &service("run-2", 16)), 201);
+    assert_eq!(sim.submit(isolated, &service("run-2", 16)), 201);
     sim.run_for(4000);
     assert_eq!(sim.on_machines("run-2"), 16);
     assert_eq!(sim.start_log.len(), 32, "{:?}", sim.start_log);
     assert!(
         sim.workers.values().all(|m| !m.released),
-        "none is given up"
+        "machines were declared failed"
     );
 }
 
-/// With the cloud unavailable as well, only the follower could end these tasks; it once
-/// renewed their leases for longer than `cancel_s`.
+/// A job is cancelled during a partition while the cloud is unavailable. Only the follower
+/// beyond the partition can end the tasks there; it once renewed their leases for longer than
+/// `cancel_s`.
 #[test]
-fn a_job_cancelled_beyond_a_cut_ends_in_time_while_the_cloud_is_away() {
-    for state_goes_too in [false, true] {
+fn job_cancelled_during_partition_ends_in_time_while_cloud_is_unavailable() {
+    for kv_store_partitioned in [false, true] {
         let mut sim = running_cluster(3);
         assert_eq!(sim.submit(0, &service("run-1", 8)), 201);
         assert_eq!(sim.submit(0, &service("run-2", 8)), 201);
@@ -289,31 +307,31 @@
         sim.partitions = zone_partitions();
         sim.fault_injector = Box::new(move |_, node, call| match &call.destination {
             Destination::Peer(addr) if crosses_partition(node, addr) => Delivery::RequestLost,
-            // The far follower alone is partitioned from the key-value store too.
-            Destination::KvStore | Destination::KvWatch if state_goes_too && node == 1 => {
+            // The controller in zone `b` alone is partitioned from the key-value store too.
+            Destination::KvStore | Destination::KvWatch if kv_store_partitioned && node == 1 => {
                 Delivery::RequestLost
             }
             _ => Delivery::Normal,
         });
         sim.cloud_unavailable = true;
         sim.run_for(6000);
-        let near = if leader == 1 { 1 } else { 0 };
-        assert_eq!(sim.cancel(near, "run-1").1, "cancelled");
-        assert_eq!(sim.cancel(near, "run-2").1, "cancelled");
+        let near_leader = if leader == 1 { 1 } else { 0 };
+        assert_eq!(sim.cancel(near_leader, "run-1").1, "cancelled");
+        assert_eq!(sim.cancel(near_leader, "run-2").1, "cancelled");
         sim.run_for(29_000);
         assert_eq!(
             sim.on_machines("run-"),
             0,
-            "{state_goes_too} {:?}",
+            "{kv_store_partitioned} {:?}",
             sim.workers
         );
     }
 }
 
-/// The key-value store becomes unavailable in the moment after a cancellation, before the
-/// leader's watch reports it.
+/// The key-value store becomes unavailable right after a cancellation, before the leader's
+/// watch reports the cancellation.
 #[test]
-fn a_cancellation_reaches_the_leader_past_an_outage() {
+fn cancellation_right_before_kv_store_outage_reaches_leader() {
     let mut sim = running_cluster(3);
     let leader = sim.leader().unwrap();
     assert_eq!(sim.submit(0, &service("run-1", 4)), 201);
@@ -322,7 +340,7 @@
         Destination::KvWatch if node == leader => Delivery::RequestLost,
         _ => Delivery::Normal,
     });
-    // The watch in flight ends unheard: it is lost with the next one.
+    // The pending watch ends without a response, and the following watches are lost.
     sim.kv_store.watches_stalled = true;
     assert_eq!(sim.cancel((leader + 1) % 3, "run-1").1, "cancelled");
     sim.kv_store.unavailable = true;
@@ -332,20 +350,27 @@
     sim.end_kv_store_outage();
     sim.run_for(15_000);
     assert_eq!(sim.poll(leader, "run-1").1, "cancelled");
-    assert!(!sim.kv_store.items.contains_key("j/run-1"), "cleared away");
+    assert!(
+        !sim.kv_store.items.contains_key("j/run-1"),
+        "the job record was not deleted"
+    );
 }
 
-/// Heartbeats that were forwarded together once made messages that the leader rejected as
-/// too large.
+/// Heartbeats that were forwarded together once formed messages that the leader rejected as too
+/// large.
 #[test]
-fn forwarded_heartbeats_fit_in_messages_that_are_accepted() {
+fn forwarded_heartbeats_stay_within_message_size_limit() {
     let mut sim = running_cluster(3);
-    assert_ne!(sim.leader(), Some(1), "the leader stands in the other zone");
+    assert_ne!(
+        sim.leader(),
+        Some(1),
+        "the leader is in the zone of the workers"
+    );
     let sizes = std::rc::Rc::new(std::cell::RefCell::new(Vec::new()));
-    let seen = sizes.clone();
+    let recorded_sizes = sizes.clone();
     sim.fault_injector = Box::new(move |_, node, call| {
         if node == 1 && matches!(call.destination, Destination::Peer(_)) {
-            seen.borrow_mut().push(call.body.len());
+            recorded_sizes.borrow_mut().push(call.body.len());
         }
         Delivery::Normal
     });
@@ -354,10 +379,10 @@
         .collect();
     for n in 0..10 {
         let name = format!("vm-z{n}");
-        let report = json!({"banc": name, "address": format!("w/{name}"), "gamme": "g8",
+        let heartbeat = json!({"banc": name, "address": format!("w/{name}"), "gamme": "g8",
             "secteur": "b", "occasion": false, "quart": 1, "numero": 1, "jeton": 0,
             "preavisS": null, "pieces": tasks});
-        sim.deliver_heartbeat(1, &report);
+        sim.deliver_heartbeat(1, &heartbeat);
     }
     sim.run_for(1000);
     let sizes = sizes.borrow();
@@ -369,14 +394,14 @@
     );
     assert!(
         sizes.iter().sum::<usize>() > 400_000,
-        "all went out: {sizes:?}"
+        "not all heartbeats were forwarded: {sizes:?}"
     );
 }
 
-/// After a partition a zone's workers return one by one. The last of them were once
-/// declared failed at the moment at which most had returned.
+/// After a partition, the workers of a zone resume their heartbeats at different times. The
+/// last of them were once declared failed as soon as most workers had resumed.
 #[test]
-fn workers_that_are_last_to_come_back_from_a_cut_are_kept() {
+fn last_workers_to_resume_after_partition_are_not_declared_failed() {
     let (mut sim, names) = full_zone(1);
     set_unresponsive(&mut sim, &names, true);
     sim.run_for(14_000);
@@ -389,16 +414,16 @@
         "{:?}",
         released(&sim, &names)
     );
-    // One that is silent alone is given up as ever.
+    // A machine that is unresponsive alone is declared failed as usual.
     set_unresponsive(&mut sim, &names[5..], true);
     sim.run_for(12_000);
     assert_eq!(released(&sim, &names), [&names[5]]);
 }
 
-/// A zone beyond a partition was once declared failed at the end of an outage, during
-/// which no follower could have stored that it renews leases there.
+/// A zone beyond a partition was once declared failed at the end of an outage of the key-value
+/// store. During the outage, no follower could store that it proxied leases in the zone.
 #[test]
-fn a_silence_that_an_outage_hides_does_not_count() {
+fn unresponsive_time_during_kv_store_outage_does_not_count_towards_failure() {
     let (mut sim, names) = full_zone(1);
     set_unresponsive(&mut sim, &names, true);
     sim.run_for(5000);
@@ -412,14 +437,18 @@
         released(&sim, &names)
     );
     sim.run_for(20_000);
-    assert_eq!(released(&sim, &names).len(), 6, "in the end it does");
+    assert_eq!(
+        released(&sim, &names).len(),
+        6,
+        "the unresponsive machines were not declared failed"
+    );
 }
 
-/// The same, whenever between two heartbeats the partition begins: messages from a leader
-/// and messages to it stop at different moments, and heartbeats that arrived in between
-/// once got no reply.
+/// The isolation of a zone begins at different times between two heartbeats. Messages from a
+/// leader and messages to the leader stop at different times, and heartbeats that arrived in
+/// between once got no response.
 #[test]
-fn a_zone_cut_off_at_any_moment_between_heartbeats_ends_no_task() {
+fn zone_isolated_at_any_time_between_heartbeats_ends_no_task() {
     for offset_ms in (0..1000).step_by(100) {
         let (mut sim, names) = full_zone(3);
         sim.run_for(offset_ms);
@@ -430,9 +459,12 @@
         assert_eq!(
             sim.start_log.len(),
             56,
-            "cut after {offset_ms} ms: {:?}",
+            "isolated after {offset_ms} ms: {:?}",
             sim.start_log
         );
-        assert!(released(&sim, &names).is_empty(), "none is given up");
+        assert!(
+            released(&sim, &names).is_empty(),
+            "machines were declared failed"
+        );
     }
 }
--- a/tests/integration/randomized_faults.rs
+++ b/tests/integration/randomized_faults.rs
@@ -1,6 +1,6 @@
-//! Many of the faults that operators have met, several at a time, drawn at random from
-//! fixed seeds. The observer checks the rules throughout; once all faults are over, every
-//! accepted job has to be served.
+//! Random combinations of faults that operators have encountered, drawn from fixed seeds. The
+//! observer checks the protocol's rules throughout. Once all faults have ended, every accepted
+//! job must be served.
 
 use crate::simulation::fixtures::node_at;
 use crate::simulation::{array, service, Delivery, Simulation};
@@ -10,22 +10,24 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// How likely each fault is, in percent; it changes over time.
+/// The probability of each fault in percent, and the nodes whose calls currently all
+/// fail. All of them change during the run.
 #[derive(Clone, Copy, Default)]
 struct FaultRates {
-    late_txns: u32,
-    lost_txn_responses: u32,
-    slow_store_calls: u32,
-    /// The node whose calls the key-value store rejects.
+    delayed_transactions: u32,
+    lost_transaction_responses: u32,
+    slow_kv_calls: u32,
+    /// The node whose calls the key-value store rejects; `None` if it rejects no node's calls.
     rejected_node: Option<usize>,
-    /// The node that is partitioned from its peers.
+    /// The node that is partitioned from its peers; `None` if there is no such partition.
     partitioned_node: Option<usize>,
     lost_peer_calls: u32,
-    late_commands: u32,
-    /// Malformed responses, from anybody.
+    delayed_commands: u32,
+    /// Malformed responses to any call except a watch.
     garbled_responses: u32,
 }
 
+/// A simulation with random requests of users and random faults.
 struct RandomFaults {
     sim: Simulation,
     rng: fastrand::Rng,
@@ -33,7 +35,9 @@
     jobs: BTreeMap<String, Value>,
     /// Jobs whose cancellation was confirmed to a user.
     cancelled: Vec<String>,
-    asked: Vec<(u64, String, &'static str)>,
+    /// Request number, job and kind of each request that users sent.
+    requests: Vec<(u64, String, &'static str)>,
+    /// Copies of earlier heartbeats that haven't been delivered yet.
     old_heartbeats: Vec<Value>,
     next_job: u32,
 }
@@ -47,10 +51,10 @@
             sim.add_machine(&format!("vm-{n}"), zone, false, true);
         }
         let rates = Rc::new(Cell::new(FaultRates::default()));
-        let hook_rates = rates.clone();
+        let injector_rates = rates.clone();
         let mut rng = fastrand::Rng::with_seed(seed ^ 0x5eed);
         sim.fault_injector = Box::new(move |_, node, call| {
-            let rates = hook_rates.get();
+            let rates = injector_rates.get();
             let mut chance = |percent: u32| percent > 0 && rng.u32(0..100) < percent;
             if call.destination != Destination::KvWatch && chance(rates.garbled_responses) {
                 return Delivery::Garbled([200, 404, 409, 500][rng.usize(0..4)]);
@@ -61,13 +65,17 @@
                 {
                     Delivery::Rejected
                 }
-                Destination::KvStore if call.path == "/txn" && chance(rates.late_txns) => {
+                Destination::KvStore
+                    if call.path == "/txn" && chance(rates.delayed_transactions) =>
+                {
                     Delivery::RequestDelayed(2000 + rng.u64(0..10_000))
                 }
-                Destination::KvStore if call.path == "/txn" && chance(rates.lost_txn_responses) => {
+                Destination::KvStore
+                    if call.path == "/txn" && chance(rates.lost_transaction_responses) =>
+                {
                     Delivery::ResponseLost
                 }
-                Destination::KvStore if chance(rates.slow_store_calls) => {
+                Destination::KvStore if chance(rates.slow_kv_calls) => {
                     Delivery::ResponseDelayed(rng.u64(0..800))
                 }
                 Destination::Peer(addr) => {
@@ -79,7 +87,7 @@
                         Delivery::Normal
                     }
                 }
-                Destination::Worker(_) if chance(rates.late_commands) => {
+                Destination::Worker(_) if chance(rates.delayed_commands) => {
                     Delivery::RequestDelayed(rng.u64(500..6000))
                 }
                 _ => Delivery::Normal,
@@ -91,13 +99,13 @@
             rates,
             jobs: BTreeMap::new(),
             cancelled: Vec::new(),
-            asked: Vec::new(),
+            requests: Vec::new(),
             old_heartbeats: Vec::new(),
             next_job: 0,
         }
     }
 
-    fn node(&mut self) -> usize {
+    fn random_node(&mut self) -> usize {
         self.rng.usize(0..3)
     }
 
@@ -122,40 +130,41 @@
     }
 
     fn send_spec(&mut self, spec: &Value) {
-        let node = self.node();
+        let node = self.random_node();
         let user = self.sim.request(node, "POST", "/v2/runs", spec.clone());
         let id = spec["id"].as_str().unwrap().to_string();
-        self.asked.push((user, id, "submit"));
+        self.requests.push((user, id, "submit"));
     }
 
     fn cancel(&mut self) {
-        let Some(id) = self.some_job() else { return };
+        let Some(id) = self.random_job() else { return };
         for _ in 0..self.rng.u32(1..3) {
-            let node = self.node();
+            let node = self.random_node();
             let path = format!("/v2/runs/{id}/abort");
             let user = self.sim.request(node, "POST", &path, Value::Null);
-            self.asked.push((user, id.clone(), "cancel"));
+            self.requests.push((user, id.clone(), "cancel"));
         }
     }
 
-    fn look(&mut self) {
-        let Some(id) = self.some_job() else { return };
+    /// Queries a random job at every node.
+    fn query(&mut self) {
+        let Some(id) = self.random_job() else { return };
         for node in 0..3 {
             let user = self
                 .sim
                 .request(node, "GET", &format!("/v2/runs/{id}"), Value::Null);
-            self.asked.push((user, id.clone(), "show"));
+            self.requests.push((user, id.clone(), "query"));
             let pause = self.rng.u64(0..6);
             self.sim.run_for(pause);
         }
     }
 
-    fn some_job(&mut self) -> Option<String> {
+    fn random_job(&mut self) -> Option<String> {
         let known: Vec<&String> = self.jobs.keys().collect();
         (!known.is_empty()).then(|| known[self.rng.usize(0..known.len())].clone())
     }
 
-    fn some_machine(&mut self) -> Option<String> {
+    fn random_machine(&mut self) -> Option<String> {
         let up: Vec<&String> = self
             .sim
             .workers
@@ -166,10 +175,10 @@
         (!up.is_empty()).then(|| up[self.rng.usize(0..up.len())].clone())
     }
 
-    /// Begins a fault, or ends one.
+    /// Starts or ends a random fault.
     fn inject_fault(&mut self) {
         let mut rates = self.rates.get();
-        let node = self.node();
+        let node = self.random_node();
         match self.rng.u32(0..23) {
             0 if self.sim.nodes[node].is_some() => self.sim.kill(node),
             1 => {
@@ -178,32 +187,32 @@
                 }
             }
             2..=5 if self.sim.nodes[node].is_none() => self.sim.start(node),
-            6 => rates.late_txns = self.rng.u32(0..40),
-            7 => rates.lost_txn_responses = self.rng.u32(0..40),
-            8 => rates.slow_store_calls = self.rng.u32(0..60),
+            6 => rates.delayed_transactions = self.rng.u32(0..40),
+            7 => rates.lost_transaction_responses = self.rng.u32(0..40),
+            8 => rates.slow_kv_calls = self.rng.u32(0..60),
             9 => rates.rejected_node = self.sim.leader(),
             10 => rates.partitioned_node = self.sim.leader(),
             11 => (rates.rejected_node, rates.partitioned_node) = (None, None),
             12 => rates.lost_peer_calls = self.rng.u32(0..50),
-            13 => rates.late_commands = self.rng.u32(0..50),
+            13 => rates.delayed_commands = self.rng.u32(0..50),
             14 => self.sim.kv_store.unavailable = true,
             15 | 16 if self.sim.kv_store.unavailable => self.sim.end_kv_store_outage(),
             17 => {
-                if let Some(name) = self.some_machine() {
-                    let deaf = self.rng.bool();
+                if let Some(name) = self.random_machine() {
+                    let inbound_blocked = self.rng.bool();
                     let m = self.sim.workers.get_mut(&name).unwrap();
-                    (m.inbound_blocked, m.outbound_blocked) = (deaf, !deaf);
+                    (m.inbound_blocked, m.outbound_blocked) = (inbound_blocked, !inbound_blocked);
                 }
             }
             18 => {
-                if let Some(name) = self.some_machine() {
+                if let Some(name) = self.random_machine() {
                     let m = self.sim.workers.get_mut(&name).unwrap();
                     m.unresponsive = !m.unresponsive;
                 }
             }
             19 => {
-                let until = self.sim.now_ms + self.rng.u64(1000..9000);
-                self.sim.paused_until_ms.insert(node, until);
+                let resumes_ms = self.sim.now_ms + self.rng.u64(1000..9000);
+                self.sim.paused_until_ms.insert(node, resumes_ms);
             }
             20 => self.sim.cloud_unavailable = !self.sim.cloud_unavailable,
             22 => rates.garbled_responses = self.rng.u32(0..12),
@@ -213,11 +222,12 @@
         self.rates.set(rates);
     }
 
-    /// Copies a heartbeat, and lets an earlier copy arrive at all nodes.
+    /// Copies the next heartbeat of a random machine, and may deliver an earlier copy to all
+    /// nodes.
     fn replay_heartbeats(&mut self) {
-        if let Some(name) = self.some_machine() {
+        if let Some(name) = self.random_machine() {
             let mut copy = self.sim.next_heartbeat(&name);
-            // As if it were one heartbeat older.
+            // The copy gets the sequence number of the previous heartbeat.
             copy["numero"] = json!(copy["numero"].as_u64().unwrap_or(1) - 1);
             self.old_heartbeats.push(copy);
         }
@@ -238,12 +248,12 @@
                 0..=3 => self.submit(),
                 4 => self.cancel(),
                 5 => {
-                    if let Some(id) = self.some_job() {
+                    if let Some(id) = self.random_job() {
                         let spec = self.jobs[&id].clone();
                         self.send_spec(&spec);
                     }
                 }
-                6..=8 => self.look(),
+                6..=8 => self.query(),
                 9..=11 => self.replay_heartbeats(),
                 12..=14 => self.inject_fault(),
                 _ => {}
@@ -253,7 +263,7 @@
         }
     }
 
-    fn calm(&mut self) {
+    fn end_all_faults(&mut self) {
         self.rates.set(FaultRates::default());
         self.sim.paused_until_ms.clear();
         self.sim.cloud_unavailable = false;
@@ -271,37 +281,38 @@
         }
     }
 
-    /// Submissions and cancellations are repeated until they are answered.
-    fn settle(&mut self) {
-        self.calm();
+    /// Ends all faults, repeats all submissions and cancellations, and checks that every job is
+    /// cancelled or served.
+    fn check_jobs_after_faults(&mut self) {
+        self.end_all_faults();
         self.sim.run_for(20_000);
         let specs: Vec<Value> = self.jobs.values().cloned().collect();
-        let wanted: Vec<String> = self
-            .asked
+        let cancellations: Vec<String> = self
+            .requests
             .iter()
-            .filter(|(_, _, verb)| *verb == "cancel")
+            .filter(|(_, _, kind)| *kind == "cancel")
             .map(|(_, id, _)| id.clone())
             .collect();
         for spec in &specs {
-            let node = self.node();
+            let node = self.random_node();
             let status = self.sim.submit(node, spec);
-            assert!(status == 200 || status == 201, "{spec} gets {status}");
+            assert!(status == 200 || status == 201, "status {status} for {spec}");
         }
-        for id in &wanted {
-            let node = self.node();
+        for id in &cancellations {
+            let node = self.random_node();
             let (status, state) = self.sim.cancel(node, id);
             assert_eq!(status, 200, "{id}");
             if state == "cancelled" {
                 self.cancelled.push(id.clone());
             }
         }
-        // No job is left waiting for 90 s beside room that fits: arrays end,
-        // and of services as much runs as the fleet and the limits hold.
+        // No job waits for 90 s while suitable capacity is free: arrays complete, and services
+        // run as many tasks as the capacity and the quotas allow.
         self.sim.run_for(90_000);
         let mut waiting = Vec::new();
         let mut services = Vec::new();
         for (id, spec) in self.jobs.clone() {
-            let node = self.node();
+            let node = self.random_node();
             let (status, state) = self.sim.poll(node, &id);
             assert_eq!(status, 200, "{id}");
             if self.cancelled.contains(&id) {
@@ -313,25 +324,29 @@
                 waiting.push((id, spec));
             }
         }
-        let missing: Vec<String> = services
+        let incomplete: Vec<String> = services
             .iter()
             .filter(|(id, spec)| {
-                let on = self.sim.on_machines(&format!("{id}/")) as u64;
-                on < spec["pieces"].as_u64().unwrap()
+                let placed = self.sim.on_machines(&format!("{id}/")) as u64;
+                placed < spec["pieces"].as_u64().unwrap()
             })
             .chain(&waiting)
             .map(|(id, spec)| format!("{id} {spec}"))
             .collect();
-        // The limit of the team, or the cloud's capacity, may leave some out.
-        let blue = self.gpus_of(&services, "blue");
-        let all = blue + self.gpus_of(&services, "red");
-        let full = all >= (self.sim.capacity * 8) as f64 * 0.8;
-        let excused = |m: &&String| full || (m.contains("blue") && blue >= 12.0);
-        let fair: Vec<&String> = missing.iter().filter(|m| !excused(m)).collect();
-        assert!(fair.is_empty(), "left waiting: {fair:#?}");
+        // Jobs may wait if their team is at its quota or the cloud's capacity is exhausted.
+        let blue_gpus = self.service_gpus(&services, "blue");
+        let all_gpus = blue_gpus + self.service_gpus(&services, "red");
+        let capacity_exhausted = all_gpus >= (self.sim.capacity * 8) as f64 * 0.8;
+        let may_wait =
+            |job: &&String| capacity_exhausted || (job.contains("blue") && blue_gpus >= 12.0);
+        let unserved: Vec<&String> = incomplete.iter().filter(|job| !may_wait(job)).collect();
+        assert!(
+            unserved.is_empty(),
+            "not served although capacity is free: {unserved:#?}"
+        );
     }
 
-    fn gpus_of(&self, services: &[(String, Value)], team: &str) -> f64 {
+    fn service_gpus(&self, services: &[(String, Value)], team: &str) -> f64 {
         services
             .iter()
             .filter(|(_, s)| s["equipe"] == team)
@@ -340,17 +355,17 @@
     }
 }
 
-/// Two minutes of random faults, and then time for everything to be served.
+/// Runs two minutes of random faults and then checks all jobs.
 fn run_seed(seed: u64) {
     let mut run = RandomFaults::new(seed);
     run.sim.run_until(4000);
     run.run_with_faults(120_000);
-    run.settle();
+    run.check_jobs_after_faults();
 }
 
-/// `SEEDS=FROM..TO` in the environment runs other seeds.
+/// Runs the seeds 0 to 23, or those of `SEEDS=FROM..TO` in the environment (`TO` is excluded).
 #[test]
-fn random_faults_break_no_rule_and_leave_no_job_waiting() {
+fn random_faults_violate_no_rule_and_leave_no_job_unserved() {
     let seeds = std::env::var("SEEDS").ok();
     let seeds = seeds
         .as_deref()
--- a/tests/integration/version_compatibility.rs
+++ b/tests/integration/version_compatibility.rs
@@ -1,5 +1,5 @@
-//! Two versions on one set of records, and limits of the key-value store that fall while
-//! the service runs.
+//! Two versions that share one set of records, and limits of the key-value store that are
+//! lowered while the controllers run.
 
 use crate::simulation::kv_store::SizeLimits;
 use crate::simulation::{array, service, Delivery, Simulation, SETTINGS};
@@ -14,12 +14,14 @@
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 
-const LOWERED: SizeLimits = SizeLimits {
+/// The limits of the key-value store after they are lowered.
+const LOWERED_LIMITS: SizeLimits = SizeLimits {
     value_bytes: 2048,
     txn_ops: 6,
 };
 
-fn announced() -> NextStateLimits {
+/// Returns the settings that announce [`LOWERED_LIMITS`].
+fn announced_limits() -> NextStateLimits {
     NextStateLimits {
         rps: None,
         write_rps: Some(30.0),
@@ -28,8 +30,8 @@
     }
 }
 
-/// A small task, many of which fit on one machine.
-fn many(id: &str, tasks: u32) -> Value {
+/// Returns an array whose tasks are so small that many fit on one machine.
+fn small_tasks(id: &str, tasks: u32) -> Value {
     let mut spec = array(id, tasks);
     spec["cpus"] = json!(0.5);
     spec["gpus"] = json!(0.0);
@@ -37,9 +39,9 @@
     spec
 }
 
-/// Three controllers and machines with capacity for 400 small tasks.
-fn wide(next: Option<NextStateLimits>) -> Simulation {
-    let mut sim = match next {
+/// Creates a cluster of three controllers, and machines with capacity for 400 small tasks.
+fn large_cluster(announced: Option<NextStateLimits>) -> Simulation {
+    let mut sim = match announced {
         Some(next) => Simulation::with_announced_limits(3, next),
         None => Simulation::new(3),
     };
@@ -50,7 +52,7 @@
     sim
 }
 
-/// The tasks of a job, by its records.
+/// The tasks of a job according to its placement records.
 #[derive(Debug, Default, PartialEq)]
 struct StoredTasks {
     done: Vec<u32>,
@@ -58,24 +60,26 @@
     assigned: Vec<(u32, u64, String)>,
 }
 
-/// What the records contain, by job.
-type Facts = BTreeMap<String, StoredTasks>;
+/// The contents of all placement records, by job.
+type TasksByJob = BTreeMap<String, StoredTasks>;
 
-/// How version 0.1 reads the records: in ranges whose length it computes from its
-/// settings, without fields that it doesn't know.
-fn read_by_the_old_version(sim: &Simulation) -> Facts {
+/// Reads the records as version 0.1 does: in ranges whose length it computes from its
+/// settings, without the fields that it doesn't know.
+fn read_as_version_0_1(sim: &Simulation) -> TasksByJob {
     let tasks_per_record = tasks_per_record(32.0) as u64;
-    let mut facts = Facts::new();
+    let mut tasks_by_job = TasksByJob::new();
     for (key, (record, ..)) in &sim.kv_store.items {
         let Some((job, number)) = key.strip_prefix("p/").and_then(|k| k.rsplit_once('/')) else {
             continue;
         };
         let tasks = sim.kv_store.items[&format!("j/{job}")].0["spec"]["pieces"].as_u64();
-        let number: u64 = number.parse().expect("a number");
+        let number: u64 = number.parse().expect("the range number in the key");
         assert!(number < tasks.unwrap().div_ceil(tasks_per_record), "{key}");
-        let StoredTasks { done, assigned } = facts.entry(job.into()).or_default();
+        let StoredTasks { done, assigned } = tasks_by_job.entry(job.into()).or_default();
         let ranges = record["d"].as_str().unwrap_or("");
-        done.extend(parse_task_ranges(ranges, tasks.unwrap() as u32).expect("ranges"));
+        done.extend(
+            parse_task_ranges(ranges, tasks.unwrap() as u32).expect("ranges of completed tasks"),
+        );
         for row in record["a"].as_array().into_iter().flatten() {
             let task = row[0].as_u64().unwrap();
             assert_eq!(task / tasks_per_record, number, "{key}");
@@ -84,12 +88,12 @@
             assigned.push((task as u32, row[1].as_u64().unwrap(), machine));
         }
     }
-    facts
+    tasks_by_job
 }
 
-/// How this version reads them.
-fn read_by_this_version(sim: &Simulation) -> Facts {
-    let mut facts = Facts::new();
+/// Reads the records as the current version does.
+fn read_as_this_version(sim: &Simulation) -> TasksByJob {
+    let mut tasks_by_job = TasksByJob::new();
     for (key, (record, version, _)) in sim
         .kv_store
         .items
@@ -115,156 +119,174 @@
         assert!(!job.unreadable, "{key}");
         let rows = job.assignments.iter();
         let rows = rows.map(|(task, a)| (*task, a.attempt.0, a.machine.to_string()));
-        let both = job
+        let done_and_assigned = job
             .done
             .iter()
             .filter(|task| job.assignments.contains_key(task));
-        assert_eq!(both.count(), 0, "{key}: done, and on a machine");
+        assert_eq!(
+            done_and_assigned.count(),
+            0,
+            "{key}: tasks are both completed and assigned"
+        );
         let stored_tasks = StoredTasks {
             done: job.done.iter().copied().collect(),
             assigned: rows.collect(),
         };
         if stored_tasks != StoredTasks::default() {
-            facts.insert(key[2..].into(), stored_tasks);
+            tasks_by_job.insert(key[2..].into(), stored_tasks);
         }
     }
-    facts
+    tasks_by_job
 }
 
-/// Turns the records into those that version 0.1 leaves once it has written them all.
-fn rewrite_by_the_old_version(sim: &mut Simulation) {
+/// Converts the records to those that version 0.1 leaves after it has written all of them.
+fn rewrite_as_version_0_1(sim: &mut Simulation) {
     for (key, (record, ..)) in &mut sim.kv_store.items {
         let Some(fields) = record.as_object_mut() else {
             continue;
         };
-        let new = match key.split_once('/').map(|(prefix, _)| prefix) {
+        let added_field = match key.split_once('/').map(|(prefix, _)| prefix) {
             Some("p") => "z",
             Some("f") => "t",
             Some("leader") => "limits_lowered",
             _ => continue,
         };
-        fields.remove(new);
+        fields.remove(added_field);
     }
 }
 
 #[test]
-fn each_version_reads_the_others_records_as_the_same_facts() {
-    let mut sim = wide(Some(announced()));
+fn both_versions_read_the_same_tasks_from_shared_records() {
+    let mut sim = large_cluster(Some(announced_limits()));
     sim.task_duration_ms = 12_000;
-    assert_eq!(sim.submit(0, &many("run-1", 150)), 201);
-    assert_eq!(sim.submit(1, &many("run-2", 3)), 201);
+    assert_eq!(sim.submit(0, &small_tasks("run-1", 150)), 201);
+    assert_eq!(sim.submit(1, &small_tasks("run-2", 3)), 201);
     assert_eq!(sim.submit(2, &service("run-3", 4)), 201);
-    let mut seen = 0;
-    // Upgraded, back to the old version, upgraded again, and so on.
+    let mut compared = 0;
+    // The cluster is upgraded, downgraded to the old version, upgraded again, and so on.
     for step in 0..12 {
-        let facts = read_by_this_version(&sim);
-        assert_eq!(read_by_the_old_version(&sim), facts);
-        seen += facts
+        let stored = read_as_this_version(&sim);
+        assert_eq!(read_as_version_0_1(&sim), stored);
+        compared += stored
             .values()
             .map(|tasks| tasks.assigned.len())
             .sum::<usize>();
         if step % 3 == 2 {
             (0..3).for_each(|n| sim.kill(n));
-            rewrite_by_the_old_version(&mut sim);
-            assert_eq!(read_by_this_version(&sim), facts);
+            rewrite_as_version_0_1(&mut sim);
+            assert_eq!(read_as_this_version(&sim), stored);
             (0..3).for_each(|n| sim.start(n));
         }
         sim.run_for(1700);
     }
-    assert!(seen > 300, "{seen} places were compared");
+    assert!(compared > 300, "{compared} assignments were compared");
     sim.run_for(20_000);
     assert_eq!(sim.poll(1, "run-1").1, "done");
     assert_eq!(sim.on_machines("run-3"), 4);
 }
 
-/// A leader once took a rejected record for the end of its term, and so did the next.
+/// Lowered limits make the key-value store reject records that are too large. A leader once took
+/// such a rejection for the end of its term, and so did its successors.
 #[test]
-fn limits_that_fall_while_tasks_run_cost_no_task_and_no_leader() {
-    let mut half_cut = 0;
-    // The leader ends as long after the limits fell: as new records are cut, and as
-    // stored ones are, when their tasks end.
-    let moments = (0..1500).step_by(150).chain((5400..9000).step_by(200));
-    for kill_after in moments.map(Some).chain([None]) {
-        let mut sim = wide(Some(announced()));
+fn lowered_limits_restart_no_task_and_depose_no_leader() {
+    let mut partly_split = 0;
+    // The leader is killed at these times after the limits are lowered: while new records are
+    // split, and while stored records are split because their tasks complete.
+    let kill_times_ms = (0..1500).step_by(150).chain((5400..9000).step_by(200));
+    for kill_after_ms in kill_times_ms.map(Some).chain([None]) {
+        let mut sim = large_cluster(Some(announced_limits()));
         sim.task_duration_ms = 9000;
         sim.stagger_ms = 40;
-        assert_eq!(sim.submit(0, &many("run-1", 200)), 201);
+        assert_eq!(sim.submit(0, &small_tasks("run-1", 200)), 201);
         sim.run_for(3000);
         assert_eq!(sim.on_machines("run-1"), 200);
-        sim.kv_store.limits = Some(LOWERED);
+        sim.kv_store.limits = Some(LOWERED_LIMITS);
         let term = sim.kv_store.items["leader/term"].0["term"].clone();
-        assert_eq!(sim.submit(1, &many("run-2", 150)), 201);
-        if let Some(delay) = kill_after {
-            sim.run_for(delay);
+        assert_eq!(sim.submit(1, &small_tasks("run-2", 150)), 201);
+        if let Some(delay_ms) = kill_after_ms {
+            sim.run_for(delay_ms);
             let leader = sim.leader().unwrap();
             sim.kill(leader);
-            half_cut += usize::from(is_half_cut(&sim, "run-1"));
-            read_by_this_version(&sim);
+            partly_split += usize::from(is_partly_split(&sim, "run-1"));
+            read_as_this_version(&sim);
             sim.run_for(5000);
             sim.start(leader);
         }
         sim.run_for(1000);
-        assert_eq!(sim.submit(2, &many("run-3", 70)), 201);
+        assert_eq!(sim.submit(2, &small_tasks("run-3", 70)), 201);
         sim.run_for(2000);
         assert_eq!(sim.cancel(2, "run-3").1, "cancelled");
         sim.run_for(45_000);
         for id in ["run-1", "run-2"] {
-            assert_eq!(sim.poll(2, id).1, "done", "{id} {kill_after:?}");
+            assert_eq!(sim.poll(2, id).1, "done", "{id} {kill_after_ms:?}");
         }
         let starts = sim.start_log.iter().filter(|line| line.contains(" run-1/"));
-        assert_eq!(starts.count(), 200, "each task once, {kill_after:?}");
-        if kill_after.is_none() {
+        assert_eq!(
+            starts.count(),
+            200,
+            "not every task started exactly once, {kill_after_ms:?}"
+        );
+        if kill_after_ms.is_none() {
             assert_eq!(sim.kv_store.items["leader/term"].0["term"], term);
         }
         assert!(
             sim.kv_store.oversized_transactions > 0,
-            "the first refusal told it"
+            "no transaction was rejected as too large"
         );
     }
-    assert!(half_cut > 2, "{half_cut} leaders ended within a cut");
+    assert!(
+        partly_split > 2,
+        "{partly_split} leaders were killed during a split"
+    );
 }
 
-/// The response to a transaction is lost just before the limits fall: its retry is
-/// rejected, which doesn't tell whether the first copy was carried out.
+/// The response to a transaction is lost just before the limits are lowered, and its retry is
+/// rejected. The rejection doesn't show whether the first attempt was executed.
 #[test]
-fn a_repeat_that_is_refused_does_not_undo_its_first_copy() {
-    for (offset, carried_out) in (0..300).step_by(25).flat_map(|n| [(n, true), (n, false)]) {
-        let mut sim = wide(Some(announced()));
+fn rejected_retry_does_not_undo_executed_transaction() {
+    for (offset_ms, executed) in (0..300).step_by(25).flat_map(|n| [(n, true), (n, false)]) {
+        let mut sim = large_cluster(Some(announced_limits()));
         sim.task_duration_ms = 9000;
-        let from = sim.now_ms;
-        sim.fault_injector = Box::new(move |at, _, call| {
-            let places = call.body.windows(8).any(|b| b == b"p/run-1/");
-            match call.path == "/txn" && places && at < from + 1500 {
-                true if carried_out => Delivery::ResponseLost,
+        let start_ms = sim.now_ms;
+        sim.fault_injector = Box::new(move |now_ms, _, call| {
+            let has_placements = call.body.windows(8).any(|b| b == b"p/run-1/");
+            match call.path == "/txn" && has_placements && now_ms < start_ms + 1500 {
+                true if executed => Delivery::ResponseLost,
                 true => Delivery::RequestLost,
                 false => Delivery::Normal,
             }
         });
-        sim.request(0, "POST", "/v2/runs", many("run-1", 200));
-        sim.run_for(offset);
-        sim.kv_store.limits = Some(LOWERED);
+        sim.request(0, "POST", "/v2/runs", small_tasks("run-1", 200));
+        sim.run_for(offset_ms);
+        sim.kv_store.limits = Some(LOWERED_LIMITS);
         sim.run_for(40_000);
-        assert_eq!(sim.poll(1, "run-1").1, "done", "{offset} {carried_out}");
+        assert_eq!(sim.poll(1, "run-1").1, "done", "{offset_ms} {executed}");
         let starts = sim.start_log.iter().filter(|line| line.contains(" run-1/"));
-        assert_eq!(starts.count(), 200, "{offset} {carried_out}");
+        assert_eq!(starts.count(), 200, "{offset_ms} {executed}");
     }
 }
 
-/// The same for ends of jobs: when they counted as not carried out, they cost the leader
-/// its term.
+/// The response to a transaction that completes jobs is lost just before the limits are lowered,
+/// and its retry is rejected. Such a transaction once counted as not executed, which cost the
+/// leader its term.
 #[test]
-fn ends_whose_repeat_is_refused_cost_no_term() {
-    let mut sim = wide(Some(announced()));
+fn rejected_retry_of_job_completions_keeps_term() {
+    let mut sim = large_cluster(Some(announced_limits()));
     sim.task_duration_ms = 3000;
     for n in 0..7 {
-        sim.request(n % 3, "POST", "/v2/runs", many(&format!("run-{n}"), 1));
+        sim.request(
+            n % 3,
+            "POST",
+            "/v2/runs",
+            small_tasks(&format!("run-{n}"), 1),
+        );
     }
     sim.run_for(1000);
     let term = sim.kv_store.items["leader/term"].0["term"].clone();
-    let until = sim.now_ms + 3500;
-    sim.fault_injector = Box::new(move |at, _, call| {
-        let ends = call.body.windows(6).any(|b| b == b"f/run-");
-        match call.path == "/txn" && ends && at < until {
+    let fault_ends_ms = sim.now_ms + 3500;
+    sim.fault_injector = Box::new(move |now_ms, _, call| {
+        let completes_jobs = call.body.windows(6).any(|b| b == b"f/run-");
+        match call.path == "/txn" && completes_jobs && now_ms < fault_ends_ms {
             true => Delivery::ResponseLost,
             false => Delivery::Normal,
         }
@@ -277,17 +299,20 @@
     {
         sim.run_for(10);
     }
-    let ended = sim
+    let final_records = sim
         .kv_store
         .items
         .keys()
         .filter(|key| key.starts_with("f/run-"));
-    assert!(ended.count() > 3, "more changes than the lower limit takes");
-    sim.kv_store.limits = Some(LOWERED);
+    assert!(
+        final_records.count() > 3,
+        "the transaction is within the lowered limits"
+    );
+    sim.kv_store.limits = Some(LOWERED_LIMITS);
     sim.run_for(20_000);
     assert!(
         sim.kv_store.oversized_transactions > 0,
-        "the repeat was refused"
+        "the retry was not rejected"
     );
     for n in 0..7 {
         assert_eq!(sim.poll(1, &format!("run-{n}")).1, "done");
@@ -295,8 +320,8 @@
     assert_eq!(sim.kv_store.items["leader/term"].0["term"], term);
 }
 
-/// Whether a job's placements are in a coarse record and in finer ones.
-fn is_half_cut(sim: &Simulation, id: &str) -> bool {
+/// Returns whether a job's placements are stored both in a coarse record and in finer records.
+fn is_partly_split(sim: &Simulation, id: &str) -> bool {
     let prefix = format!("p/{id}/");
     let names = sim
         .kv_store
@@ -307,49 +332,54 @@
     !fine.is_empty() && !coarse.is_empty()
 }
 
-/// Later leaders learn the limits from the one before, and new processes from the record
-/// that it left.
+/// Later leaders learn the lowered limits from the previous leader, and new processes from the
+/// record that the previous leader stored.
 #[test]
-fn limits_that_fell_are_known_to_every_later_leader() {
-    let mut sim = wide(Some(announced()));
-    sim.kv_store.limits = Some(LOWERED);
-    assert_eq!(sim.submit(0, &many("run-1", 200)), 201);
+fn lowered_limits_are_known_to_later_leaders() {
+    let mut sim = large_cluster(Some(announced_limits()));
+    sim.kv_store.limits = Some(LOWERED_LIMITS);
+    assert_eq!(sim.submit(0, &small_tasks("run-1", 200)), 201);
     sim.run_for(10_000);
-    let refused = sim.kv_store.oversized_transactions;
-    assert!(refused > 0);
-    for all_end in [false, true] {
+    let rejected = sim.kv_store.oversized_transactions;
+    assert!(rejected > 0);
+    for kill_all in [false, true] {
         let leader = sim.leader().unwrap();
-        let ends: Vec<usize> = if all_end { vec![0, 1, 2] } else { vec![leader] };
-        ends.iter().for_each(|n| sim.kill(*n));
+        let killed: Vec<usize> = if kill_all {
+            vec![0, 1, 2]
+        } else {
+            vec![leader]
+        };
+        killed.iter().for_each(|n| sim.kill(*n));
         sim.run_for(6000);
-        ends.iter().for_each(|n| sim.start(*n));
+        killed.iter().for_each(|n| sim.start(*n));
         sim.run_for(6000);
         let id = format!("run-{}", sim.now_ms);
-        assert_eq!(sim.submit(0, &many(&id, 200)), 201);
+        assert_eq!(sim.submit(0, &small_tasks(&id, 200)), 201);
         sim.run_for(30_000);
         assert_eq!(sim.poll(1, &id).1, "done");
     }
-    assert_eq!(sim.kv_store.oversized_transactions, refused);
+    assert_eq!(sim.kv_store.oversized_transactions, rejected);
 }
 
-/// The announced limits become those of the settings, and processes start with them.
+/// The announced limits become the limits in the settings, and the controllers restart with
+/// them. Records that were stored under the earlier settings must remain readable.
 #[test]
-fn records_cut_under_other_settings_are_read_as_they_were_cut() {
-    let mut sim = wide(Some(announced()));
+fn records_split_under_earlier_settings_remain_readable() {
+    let mut sim = large_cluster(Some(announced_limits()));
     sim.task_duration_ms = 15_000;
-    assert_eq!(sim.submit(0, &many("run-1", 200)), 201);
+    assert_eq!(sim.submit(0, &small_tasks("run-1", 200)), 201);
     sim.run_for(3000);
-    sim.kv_store.limits = Some(LOWERED);
-    let mut now = crate::simulation::settings("n-0", 3).site.state;
-    now.value_kb = 2.0;
-    now.txn_ops = 6;
-    sim.set_kv_store_limits(now);
+    sim.kv_store.limits = Some(LOWERED_LIMITS);
+    let mut lowered = crate::simulation::settings("n-0", 3).site.state;
+    lowered.value_kb = 2.0;
+    lowered.txn_ops = 6;
+    sim.set_kv_store_limits(lowered);
     (0..3).for_each(|n| {
         sim.kill(n);
         sim.start(n);
     });
     sim.run_for(5000);
-    // What was there is started again elsewhere, and nothing else.
+    // Only the tasks of the failed machine are started again.
     let lost = sim.workers["vm-0"].tasks.len();
     assert!(lost > 0);
     sim.workers.get_mut("vm-0").unwrap().unresponsive = true;
@@ -359,17 +389,17 @@
     assert_eq!(starts.count(), 200 + lost);
 }
 
-/// Limits that nobody announced: what is rejected is held back, and everything else
-/// continues.
+/// The limits are lowered without an announcement. A job whose record is rejected is held back,
+/// and all other jobs proceed.
 #[test]
-fn what_is_refused_without_a_cause_is_held_back_alone() {
-    let mut sim = wide(None);
+fn unannounced_limits_hold_back_only_the_rejected_job() {
+    let mut sim = large_cluster(None);
     sim.task_duration_ms = 2000;
-    sim.kv_store.limits = Some(LOWERED);
+    sim.kv_store.limits = Some(LOWERED_LIMITS);
     let term = sim.kv_store.items["leader/term"].0["term"].clone();
-    assert_eq!(sim.submit(0, &many("run-large", 200)), 201);
+    assert_eq!(sim.submit(0, &small_tasks("run-large", 200)), 201);
     for n in 0..12 {
-        assert_eq!(sim.submit(n % 3, &many(&format!("run-{n}"), 3)), 201);
+        assert_eq!(sim.submit(n % 3, &small_tasks(&format!("run-{n}"), 3)), 201);
     }
     sim.run_for(20_000);
     for n in 0..12 {
@@ -382,16 +412,18 @@
     assert!(sim.kv_store.items.contains_key("f/run-large"));
 }
 
-/// A record of a form that only a later version knows: its meaning isn't guessed.
+/// A job with a placement record in a format that only a later version knows must stay pending,
+/// and its record must not be overwritten.
 #[test]
-fn a_job_with_a_record_that_cannot_be_read_waits() {
-    // One that named a task too many was written over, and that task counted as one
-    // of the job's.
-    let too_far = json!({"n": 2, "w": 1, "a": [[0, 1, "vm-a", 1, 0], [700, 1, "vm-a", 1, 0]]});
+fn job_with_unreadable_record_stays_pending() {
+    // A record with a task beyond the job's last task was once overwritten, and that task
+    // counted as a task of the job.
+    let task_out_of_range =
+        json!({"n": 2, "w": 1, "a": [[0, 1, "vm-a", 1, 0], [700, 1, "vm-a", 1, 0]]});
     for (key, record) in [
         ("p/run-1/0:7", json!({"later": true})),
         ("p/run-1/0", json!({"later": true})),
-        ("p/run-1/0", too_far),
+        ("p/run-1/0", task_out_of_range),
     ] {
         let mut sim = Simulation::new(3);
         sim.add_machine("vm-a", "a", false, true);
@@ -412,17 +444,24 @@
         sim.run_for(15_000);
         assert_eq!(sim.poll(0, "run-3").1, "done");
         assert_eq!(sim.poll(0, "run-1").1, "pending");
-        assert_eq!(sim.kv_store.items[key].0, record, "not written over");
+        assert_eq!(
+            sim.kv_store.items[key].0, record,
+            "the record was overwritten"
+        );
     }
 }
 
-/// Fields that only a later version knows survive a cancellation.
+/// A cancellation must preserve fields of the job record that only a later version knows.
 #[test]
-fn a_cancellation_keeps_what_it_does_not_know() {
-    let mut sim = wide(None);
+fn cancellation_preserves_unknown_record_fields() {
+    let mut sim = large_cluster(None);
     sim.task_duration_ms = 60_000;
     assert_eq!(sim.submit(0, &array("run-1", 1)), 201);
-    let (record, version, _) = sim.kv_store.items.get_mut("j/run-1").expect("its record");
+    let (record, version, _) = sim
+        .kv_store
+        .items
+        .get_mut("j/run-1")
+        .expect("the job record");
     record["later"] = json!({"kept": [1, 2]});
     let version = *version;
     sim.run_for(100);
@@ -436,10 +475,10 @@
 }
 
 #[test]
-fn a_submission_that_could_not_be_stored_later_is_refused_at_once() {
-    let mut sim = wide(Some(announced()));
-    assert_eq!(sim.submit(0, &many("run-0", 1)), 201);
-    let mut spec = many("run-1", 1);
+fn submission_too_large_for_announced_limits_is_rejected() {
+    let mut sim = large_cluster(Some(announced_limits()));
+    assert_eq!(sim.submit(0, &small_tasks("run-0", 1)), 201);
+    let mut spec = small_tasks("run-1", 1);
     spec["gammes"] = json!((0..400).map(|n| format!("type-{n}")).collect::<Vec<_>>());
     spec["gammes"][0] = json!("g8");
     assert_eq!(sim.submit(0, &spec), 422);
@@ -449,55 +488,59 @@
 }
 
 #[test]
-fn ranges_are_cut_into_finer_ones_that_hold_for_their_tasks() {
+fn split_ranges_hold_each_task_exactly_once() {
     let tasks = 1000;
-    let mut shards = PlacementRanges::new(tasks, 409);
+    let mut ranges = PlacementRanges::new(tasks, 409);
     let mut rng = fastrand::Rng::with_seed(7);
     for _ in 0..200 {
-        let number = rng.usize(..shards.len());
+        let number = rng.usize(..ranges.len());
         let unit = 4;
-        let before: u32 = shards
+        let before: u32 = ranges
             .tasks_of(number)
             .iter()
             .map(|r| r.end - r.start)
             .sum();
-        let split = shards.split(number, rng.u32(1..200), unit);
+        let split = ranges.split(number, rng.u32(1..200), unit);
         assert_eq!(split, before > unit);
-        // Each task is held by one record, whose key names it.
-        let mut held = vec![0; tasks as usize];
-        for number in 0..shards.len() {
-            let name = shards.get(number).unwrap().name;
+        // Exactly one range holds each task. If the range's key names first and last task, the
+        // task lies between them.
+        let mut holders = vec![0; tasks as usize];
+        for number in 0..ranges.len() {
+            let name = ranges.get(number).unwrap().name;
             let key = placement_key(&JobId::new("run-1"), name);
             assert_eq!(
                 parse_placement_key(&key),
                 Some((JobId::new("run-1"), Some(name)))
             );
-            for task in shards.tasks_of(number).into_iter().flatten() {
-                held[task as usize] += 1;
-                assert_eq!(shards.range_of_task(task), Some(number));
+            for task in ranges.tasks_of(number).into_iter().flatten() {
+                holders[task as usize] += 1;
+                assert_eq!(ranges.range_of_task(task), Some(number));
                 if let RangeName::Tasks { first, last } = name {
                     assert!((first..=last).contains(&task));
                 }
             }
         }
-        assert!(held.iter().all(|count| *count == 1));
+        assert!(holders.iter().all(|count| *count == 1));
     }
-    assert!(shards.len() > 100);
+    assert!(ranges.len() > 100);
 }
 
 #[test]
-fn announced_limits_are_checked() {
-    let with = |line: &str| {
+fn announced_limits_are_validated() {
+    let with_announcement = |line: &str| {
         let next = format!("[settings.state.next]\n{line}\n[settings.cloud]");
         SETTINGS.replace("[settings.cloud]", &next)
     };
-    for fine in [
+    for valid in [
         "",
         "value_kb = 2.0",
         "rps = 1.5\ntxn_ops = 4",
         "later = true",
     ] {
-        assert!(Settings::parse(&with(fine), "test").is_ok(), "{fine}");
+        assert!(
+            Settings::parse(&with_announcement(valid), "test").is_ok(),
+            "{valid}"
+        );
     }
     for (line, key) in [
         ("value_kb = 1.0", "settings.state.next.value_kb"),
@@ -506,16 +549,17 @@
         ("rps = 0.0", "settings.state.next.rps"),
         ("write_rps = -1.0", "settings.state.next.write_rps"),
     ] {
-        let error = Settings::parse(&with(line), "test")
+        let error = Settings::parse(&with_announcement(line), "test")
             .unwrap_err()
             .to_string();
         assert!(error.starts_with(&format!("test: {key}: ")), "{error}");
     }
 }
 
-/// Every full deployment's file names the version that runs in production, permanently.
+/// The deploy file must identify the version that runs in production by a full commit ID,
+/// which is permanent.
 #[test]
-fn the_version_in_production_is_a_whole_commit_id() {
+fn production_version_is_a_full_commit_id() {
     let file = concat!(env!("CARGO_MANIFEST_DIR"), "/deploy/service.toml");
     let text = std::fs::read_to_string(file).expect("the deploy file");
     let deploy: toml::Table = toml::from_str(&text).expect("TOML");
@@ -527,9 +571,9 @@
     assert!(deploy["build"].is_str() && deploy["run"].is_str());
 }
 
-/// A catalog record that was rejected was once written again in every turn.
+/// A rejected catalog record was once written again in every turn.
 #[test]
-fn a_catalogue_that_is_refused_is_not_written_without_a_pause() {
+fn rejected_catalog_record_is_not_written_in_every_turn() {
     let mut sim = Simulation::new(3);
     sim.kv_store.limits = Some(SizeLimits {
         value_bytes: 150,
