--- a/dependencies/src/graph.rs
+++ b/dependencies/src/graph.rs
@@ -40,13 +40,13 @@
         self.open_dependencies.get(job).into_iter().flatten()
     }
 
-    /// Returns the jobs that directly depend on this one, as long as it isn't done.
+    /// Returns the jobs that have an open dependency on this one.
     pub fn dependents_of(&self, job: &JobId) -> impl Iterator<Item = &JobId> {
         self.dependents.get(job).into_iter().flatten()
     }
 
-    /// Marks a job as done, once that is stored. Returns the jobs for which the job was the
-    /// last open dependency.
+    /// Removes a job from the open dependencies of its dependents. The caller has stored that
+    /// the job is done. Returns the jobs for which the job was the last open dependency.
     pub fn mark_done(&mut self, job: &JobId) -> Vec<JobId> {
         let dependents = self.dependents.remove(job).unwrap_or_default();
         dependents
--- a/dependencies/src/lib.rs
+++ b/dependencies/src/lib.rs
@@ -1,5 +1,5 @@
 //! Dependencies between jobs. A job starts once every job that it depends on is done, and
-//! is cancelled as soon as one of them is cancelled. This package does no I/O and reads no
+//! is cancelled as soon as one of them is cancelled. This crate does no I/O and reads no
 //! clock.
 //!
 //! - [`validation`]: checks the dependencies that a submission names.
--- a/dependencies/src/propagation.rs
+++ b/dependencies/src/propagation.rs
@@ -15,8 +15,8 @@
 }
 
 impl<P: Ord + Copy> StageUrgency<P> {
-    /// Returns the urgency of a job that has to be done before this one, whose run time is
-    /// `run_time_ms`.
+    /// Returns the urgency of a job that has to be done before this one may start.
+    /// `run_time_ms` is the run time of this job.
     pub fn for_predecessor(&self, run_time_ms: u64) -> StageUrgency<P> {
         let deadlines = self.deadlines_wall_ms.iter();
         StageUrgency {
@@ -30,7 +30,7 @@
     /// Combines two urgencies: the more important priority, and the deadlines of whichever
     /// has the earlier first deadline.
     pub fn merge(self, other: StageUrgency<P>) -> StageUrgency<P> {
-        let own_come_first = match (
+        let own_are_earlier = match (
             self.deadlines_wall_ms.first(),
             other.deadlines_wall_ms.first(),
         ) {
@@ -39,7 +39,7 @@
         };
         StageUrgency {
             priority: self.priority.min(other.priority),
-            deadlines_wall_ms: if own_come_first {
+            deadlines_wall_ms: if own_are_earlier {
                 self.deadlines_wall_ms
             } else {
                 other.deadlines_wall_ms
--- a/replica-groups/src/group/evaluation.rs
+++ b/replica-groups/src/group/evaluation.rs
@@ -114,8 +114,9 @@
     }
 
     /// Starts the outage of a group that was in service, and reserves its healthy machines
-    /// for the next generation. The caller skips this step for a generation that was
-    /// stopped in favour of other work, because that work needs the capacity.
+    /// for the next generation unless a migration already reserves others. The caller skips
+    /// this step for a generation that was stopped in favour of other work, because that work
+    /// needs the capacity.
     fn record_broken_generation(&mut self, evaluation: &Evaluation) {
         if self.was_in_service() {
             self.begin_outage(evaluation.now_ms, evaluation.summary.generation);
--- a/replica-groups/src/group/migrating.rs
+++ b/replica-groups/src/group/migrating.rs
@@ -56,7 +56,7 @@
         if evaluation.targets == MigrationTargets::Unavailable {
             // A new leader may not have received heartbeats from the target machines yet.
             if !migration.inherited {
-                self.abandon_migration(AbandonReason::NoCapacity, evaluation);
+                self.abandon_migration(AbandonReason::TargetUnavailable, evaluation);
             }
             return;
         }
--- a/replica-groups/src/migration.rs
+++ b/replica-groups/src/migration.rs
@@ -33,7 +33,7 @@
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum AbandonReason {
     /// A target machine doesn't accept tasks any more.
-    NoCapacity,
+    TargetUnavailable,
     /// The generation broke before any part was stopped for the migration.
     PartLost,
     /// The reservation of the target capacity expired before the migration was complete, or
@@ -45,7 +45,7 @@
     /// Returns the `reason` value for log lines.
     pub fn reason(self) -> &'static str {
         match self {
-            AbandonReason::NoCapacity => "target machine unavailable",
+            AbandonReason::TargetUnavailable => "target machine unavailable",
             AbandonReason::PartLost => "part lost before migration started",
             AbandonReason::ReservationExpired => "reservation expired",
         }
--- a/replica-groups/tests/group/migration.rs
+++ b/replica-groups/tests/group/migration.rs
@@ -80,7 +80,9 @@
     group.begin_migration(1000, &TIMING, intent());
     group.mark_intent_stored(&intent());
     let actions = group.evaluate(1100, &TIMING, &leaving(), MigrationTargets::Unavailable);
-    let abandoned = GroupAction::Emit(GroupEvent::MigrationAbandoned(AbandonReason::NoCapacity));
+    let abandoned = GroupAction::Emit(GroupEvent::MigrationAbandoned(
+        AbandonReason::TargetUnavailable,
+    ));
     assert_eq!(actions, [abandoned, GroupAction::Persist]);
     assert_eq!(group.to_record(), None);
     assert_eq!(
--- a/src/node/effects.rs
+++ b/src/node/effects.rs
@@ -61,7 +61,7 @@
         scheduler_effects: &mut SchedulerEffects,
     ) {
         self.scheduler
-            .set_cancellations_watermark(self.cancellations.watermark_ms());
+            .set_cancellation_watermark(self.cancellations.watermark_ms());
         for id in jobs {
             self.scheduler.on_job_cancelled(now, id, scheduler_effects);
         }
--- a/src/records/placements.rs
+++ b/src/records/placements.rs
@@ -114,9 +114,10 @@
 /// The value of a placement record: the state of one range of a job's tasks.
 #[derive(Clone, PartialEq, Debug, Default, Serialize, Deserialize)]
 pub struct PlacementRecord {
-    /// The next attempt; attempts are never reused within a range.
+    /// The last attempt that was allocated in the range. Attempts are never reused within a
+    /// range.
     #[serde(rename = "n")]
-    pub next_attempt: Attempt,
+    pub last_attempt: Attempt,
     /// Identifies the write, so that the controller that sent it can determine whether it
     /// was applied.
     #[serde(rename = "w")]
@@ -134,7 +135,7 @@
     /// The state of the job's circuit breaker: 0 if it is closed, otherwise one more than
     /// the number of failed probes.
     #[serde(rename = "f", default, skip_serializing_if = "super::is_default")]
-    pub failures: u32,
+    pub circuit_breaker: u32,
     /// The replica groups that have state beyond the assignments of their parts.
     #[serde(rename = "g", default, skip_serializing_if = "Vec::is_empty")]
     pub groups: Vec<GroupRecord>,
--- a/src/scheduler/dependencies/mod.rs
+++ b/src/scheduler/dependencies/mod.rs
@@ -53,8 +53,9 @@
         }
     }
 
-    /// Cancels the job if one of its open dependencies is cancelled. Open dependencies
-    /// that the leader doesn't hold as jobs are scheduled to be read.
+    /// Cancels the job and its dependents if one of its open dependencies is cancelled.
+    /// Schedules a read of the final records of the open dependencies that aren't among
+    /// the leader's jobs.
     fn resolve_dependencies(&mut self, now: Now, id: &JobId) {
         let mut is_cancelled = false;
         for dependency in self.dependencies.graph.open_dependencies_of(id) {
@@ -75,7 +76,7 @@
     /// Resolves the dependencies of all jobs once a new leader has read all records.
     /// A job that started under an earlier leader has all its dependencies done. The
     /// dependents of a cancelled job are cancelled. The final records of dependencies
-    /// that the leader doesn't hold as jobs are scheduled to be read.
+    /// that aren't among the leader's jobs are scheduled to be read.
     pub(in crate::scheduler) fn resolve_loaded_dependencies(&mut self, now: Now) {
         let blocked: Vec<JobId> = self
             .jobs
@@ -97,8 +98,8 @@
         }
     }
 
-    /// Whether a placement record of the job is stored, which is the case once the job
-    /// has started.
+    /// Returns whether a placement record of the job is stored, which is the case once the
+    /// job has started.
     fn has_stored_placements(&self, id: &JobId) -> bool {
         let Some(job) = self.jobs.get(id) else {
             return false;
@@ -235,11 +236,12 @@
             Some(record) => {
                 self.on_dependency_finished(now, id, record.state, record.ended_wall_ms)
             }
-            // The dependency is unfinished: its job record has been read since. If it has
-            // not, the watch will deliver it.
+            // The job record of the dependency has been read since: the dependency is
+            // unfinished.
             None if self.jobs.contains(id) => {
                 self.dependencies.unresolved.remove(id);
             }
+            // The final record is read again until the watch delivers the job record.
             None => {}
         }
     }
--- a/src/scheduler/displacement/image_displacement.rs
+++ b/src/scheduler/displacement/image_displacement.rs
@@ -53,7 +53,7 @@
 
 /// The migration target for the replicas of each job, valid while no other migration to
 /// that machine is planned; `None` if there is no target.
-type MigrationTargets = HashMap<JobId, Option<MigrationTarget>>;
+type TargetsByJob = HashMap<JobId, Option<MigrationTarget>>;
 
 /// The resources that one planned migration uses on its target.
 struct PlannedTask {
@@ -104,7 +104,7 @@
 
 impl Scheduler {
     /// Displaces replicas to place one task on a machine that has its image, if the image
-    /// pull on the machine `cold` might make the task miss its objective. Holds the
+    /// pull on the machine `cold` might make the task miss its objective. Reserves the
     /// capacity for the task and returns the machine.
     pub(in crate::scheduler) fn displace_for_image(
         &mut self,
@@ -142,7 +142,7 @@
     /// Returns the displacement with the lowest cost among the machines that have the
     /// image.
     fn cheapest_displacement(&self, now: Now, request: &PlacementRequest) -> Option<Displacement> {
-        let mut targets = MigrationTargets::new();
+        let mut targets = TargetsByJob::new();
         let mut cheapest: Option<Displacement> = None;
         let machines =
             self.capacity
@@ -175,7 +175,7 @@
         request: &PlacementRequest,
         from: Slot,
         capacity: &MachineCapacity,
-        targets: &mut MigrationTargets,
+        targets: &mut TargetsByJob,
     ) -> Option<Displacement> {
         let machine = self.fleet.get(&capacity.id)?;
         let priority = request.spec.priority;
@@ -229,7 +229,7 @@
         job: &Job,
         zone: &str,
         displacement: &Displacement,
-        targets: &mut MigrationTargets,
+        targets: &mut TargetsByJob,
     ) -> Option<MigrationTarget> {
         let Displacement {
             from,
--- a/src/scheduler/displacement/migration.rs
+++ b/src/scheduler/displacement/migration.rs
@@ -47,9 +47,9 @@
 /// objective.
 const LONG_PULL_SHARE: f64 = 0.5;
 
-/// Returns the run time after which a task is settled: its start counts for the start
-/// objective even if the task migrates.
-pub(in crate::scheduler) fn settled_ms(settings: &Settings) -> u64 {
+/// Returns the run time, in milliseconds, after which a task's start counts as a success.
+/// A later migration of the task doesn't make its start count as late.
+pub(in crate::scheduler) fn success_after_ms(settings: &Settings) -> u64 {
     let report_s = settings.site.workers.heartbeat_s * START_REPORT_HEARTBEATS;
     ((START_COUNTS_AFTER_S + report_s) * 1000.0) as u64
 }
@@ -90,9 +90,9 @@
         zones
     }
 
-    /// Returns [`settled_ms`] for the scheduler's settings.
-    pub(in crate::scheduler) fn settled_ms(&self) -> u64 {
-        settled_ms(&self.settings)
+    /// Returns [`success_after_ms`] for the scheduler's settings.
+    pub(in crate::scheduler) fn success_after_ms(&self) -> u64 {
+        success_after_ms(&self.settings)
     }
 
     /// Returns whether a task may migrate. A task may migrate if it has run long enough
@@ -102,15 +102,15 @@
         let Some(running_since_ms) = assignment.running_since_ms else {
             return false;
         };
-        let settled_ms = self.settled_ms();
-        let settled = now.ms > running_since_ms + settled_ms;
+        let success_after_ms = self.success_after_ms();
+        let start_counts = now.ms > running_since_ms + success_after_ms;
         // A new leader doesn't know the start times of running tasks, only the time at
         // which the job was submitted.
-        let old = assignment.started_by_earlier_leader
-            && now.wall_ms > job.submitted_wall_ms + settled_ms;
+        let submitted_long_ago = assignment.started_by_earlier_leader
+            && now.wall_ms > job.submitted_wall_ms + success_after_ms;
         job.shape.is_none()
             && assignment.stop.is_none()
-            && (old || assignment.missed_start_slo || settled)
+            && (submitted_long_ago || assignment.missed_start_slo || start_counts)
     }
 
     pub(super) fn is_short_outage(&self, outage_s: f64) -> bool {
@@ -127,9 +127,9 @@
     }
 
     /// Preplaces images for forecast demand. Capacity may be reserved on a machine where
-    /// the image pull would take a large share of the start objective. A settled replica
-    /// with that image then migrates to the machine, which frees capacity where the image
-    /// already is. Preplacement migrations of a class are rare, so that their outages stay
+    /// the image pull would take a large share of the start objective. A replica with that
+    /// image that may migrate then moves to the machine, which frees capacity where the
+    /// image already is. Preplacement migrations of a class are rare, so that their outages stay
     /// far below what the objectives allow.
     pub(in crate::scheduler) fn preplace_images(
         &mut self,
--- a/src/scheduler/displacement/preemption.rs
+++ b/src/scheduler/displacement/preemption.rs
@@ -12,7 +12,7 @@
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-/// The multiple at which the lost work of a recently started task counts.
+/// The factor by which the lost work of a recently started task is multiplied.
 const RECENT_START_FACTOR: f64 = 2.0;
 /// The cost added for each victim, so that plans with fewer victims are preferred.
 const VICTIM_COST_S: f64 = 1.0;
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Stops the victims on a machine and holds the capacity for one task.
+    /// Stops the victims on a machine and reserves the capacity for one task.
     pub(in crate::scheduler) fn carry_out_preemption(
         &mut self,
         now: Now,
@@ -247,7 +247,8 @@
         } else {
             ran_s
         };
-        let started_recently = assignment.running_since_ms.is_some() && ran_ms < self.settled_ms();
+        let started_recently =
+            assignment.running_since_ms.is_some() && ran_ms < self.success_after_ms();
         let factor = if started_recently {
             RECENT_START_FACTOR
         } else {
--- a/src/scheduler/effects.rs
+++ b/src/scheduler/effects.rs
@@ -29,7 +29,7 @@
     ListLeaseProxies,
     /// Deletes the records with these keys.
     Cleanup(Vec<String>),
-    /// Reads the final state of this job, which other jobs depend on.
+    /// Reads the final record of this job, which other jobs depend on.
     ReadDependency(JobId),
     /// Reads the online estimates that the previous leader stored.
     ReadEstimates,
@@ -76,7 +76,8 @@
     pub step_down: Option<StepDownReason>,
     /// Whether a heartbeat carried a higher term than this leader's.
     pub later_term_seen: bool,
-    /// The size of a transaction that the key-value store rejected as malformed.
+    /// The size of a transaction that the key-value store rejected with status 400, for
+    /// example because the transaction exceeds a lowered limit.
     pub rejected_request: Option<RequestSize>,
 }
 
--- a/src/scheduler/invariants.rs
+++ b/src/scheduler/invariants.rs
@@ -13,24 +13,24 @@
 #[derive(Clone, PartialEq, Debug, Error)]
 pub enum InvariantViolation {
     /// A list of jobs differs from the list recomputed from the jobs' states.
-    #[error("list of {list} jobs: maintained {listed:?}, recomputed {recounted:?}")]
+    #[error("list of {list} jobs: maintained {listed:?}, recomputed {recomputed:?}")]
     JobList {
         /// The state that the listed jobs have in common.
         list: &'static str,
         /// The incrementally maintained list.
         listed: BTreeSet<JobId>,
         /// The list recomputed from the jobs' states.
-        recounted: BTreeSet<JobId>,
+        recomputed: BTreeSet<JobId>,
     },
     /// A team's resource usage differs from the sum over its jobs.
-    #[error("usage of team {team}: maintained {used:?}, recomputed {recounted:?}")]
+    #[error("usage of team {team}: maintained {used:?}, recomputed {recomputed:?}")]
     TeamUsage {
         /// The name of the team, as in the settings.
         team: Rc<str>,
         /// The incrementally maintained usage.
         used: Resources,
         /// The sum over the team's jobs.
-        recounted: Resources,
+        recomputed: Resources,
     },
     /// The capacity index and the fleet contain different machines.
     #[error("machines in the fleet {machines:?}, in the capacity index {indexed:?}")]
@@ -52,14 +52,14 @@
         machine: MachineId,
     },
     /// A machine's allocated resources differ from the sum over its tasks.
-    #[error("usage of machine {machine}: maintained {used:?}, recomputed {recounted:?}")]
+    #[error("usage of machine {machine}: maintained {used:?}, recomputed {recomputed:?}")]
     MachineUsage {
         /// The machine whose usage is wrong.
         machine: MachineId,
         /// The incrementally maintained usage.
         used: Resources,
         /// The sum over the machine's tasks.
-        recounted: Resources,
+        recomputed: Resources,
     },
     /// A finished job still has replica groups.
     #[error("finished job {0} still has replica groups")]
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -189,7 +189,7 @@
     /// Advances the cancellation watermark: all cancellations confirmed before
     /// `watermark_ms` have been received. `None`, or an earlier time than before, leaves
     /// the watermark unchanged.
-    pub fn set_cancellations_watermark(&mut self, watermark_ms: Option<u64>) {
+    pub fn set_cancellation_watermark(&mut self, watermark_ms: Option<u64>) {
         self.cancellation_watermark_ms = self
             .cancellation_watermark_ms
             .max(watermark_ms.unwrap_or(0));
@@ -310,7 +310,7 @@
             response,
             KvResponse::NotExecuted | KvResponse::Indeterminate
         ) {
-            self.failure_detection.last_store_failure_ms = Some(now.ms);
+            self.failure_detection.last_kv_failure_ms = Some(now.ms);
         }
         match (self.stage, call) {
             (LeaderStage::Idle, _) => {}
--- a/src/scheduler/provisioning/estimate_store.rs
+++ b/src/scheduler/provisioning/estimate_store.rs
@@ -39,7 +39,11 @@
 
 impl Scheduler {
     /// Requests the previous leader's record from the key-value store.
-    pub(in crate::scheduler) fn read_estimates(&mut self, now: Now, out: &mut SchedulerEffects) {
+    pub(in crate::scheduler) fn read_estimates(
+        &mut self,
+        now: Now,
+        effects: &mut SchedulerEffects,
+    ) {
         self.estimate_store
             .start_term(now, self.heartbeat_interval_ms());
         let call = kv_client::get(ESTIMATES_KEY, CALL_TIMEOUT_MS);
@@ -49,7 +53,7 @@
             call,
             0,
             SchedulerKvCall::ReadEstimates,
-            out,
+            effects,
         );
     }
 
@@ -75,7 +79,11 @@
 
     /// Writes the estimates to the key-value store if the write interval has passed, there
     /// are new samples, and neither a commit nor an earlier write is in flight.
-    pub(in crate::scheduler) fn write_estimates(&mut self, now: Now, out: &mut SchedulerEffects) {
+    pub(in crate::scheduler) fn write_estimates(
+        &mut self,
+        now: Now,
+        effects: &mut SchedulerEffects,
+    ) {
         let samples = self.estimates.samples();
         let write_interval_ms = self.heartbeat_interval_ms() * WRITE_INTERVAL_HEARTBEATS;
         let store = &mut self.estimate_store;
@@ -93,7 +101,7 @@
             .compare(LEADER_KEY, self.leader_key_revision)
             .put(ESTIMATES_KEY, value);
         let tag = SchedulerKvCall::StoreEstimates;
-        self.call_kv_txn(now, CallPriority::Background, &txn, tag, out);
+        self.call_kv_txn(now, CallPriority::Background, &txn, tag, effects);
     }
 
     /// Marks the write as completed. Its outcome doesn't matter, because the next record
--- a/src/scheduler/provisioning/online_estimates.rs
+++ b/src/scheduler/provisioning/online_estimates.rs
@@ -94,7 +94,7 @@
     /// Records an overdue boot of a machine that was provisioned at `provisioned_ms`. Overdue
     /// boots are abandoned before they complete; if they weren't counted, the estimate would
     /// be based on fast boots only. A sample is ignored if a machine that was provisioned
-    /// later has already booted, since slow boots are then not general.
+    /// later has already booted, because boots of the type are then not slow in general.
     pub(in crate::scheduler) fn record_overdue_boot(
         &mut self,
         machine_type: &Rc<str>,
--- a/src/scheduler/provisioning/pending_machines.rs
+++ b/src/scheduler/provisioning/pending_machines.rs
@@ -8,8 +8,8 @@
 use crate::scheduler::Scheduler;
 use crate::wire::cloud::MachineType;
 
-/// Boots usually take up to this many times the known boot time (PROTOCOL). A boot beyond
-/// that may take several times as long, so its machine doesn't count as pending capacity.
+/// By the protocol, a boot usually takes at most this many times the nominal boot time. A boot
+/// beyond that may take several times as long, so its machine doesn't count as pending capacity.
 const MAX_PENDING_BOOT_TIMES: f64 = 1.5;
 
 impl Scheduler {
@@ -37,7 +37,8 @@
         pending
     }
 
-    /// Returns whether the machine is booting and has been for no longer than is usual.
+    /// Returns whether the machine is booting and its boot isn't longer than
+    /// [`MAX_PENDING_BOOT_TIMES`] allows.
     fn is_booting_in_time(&self, now: Now, machine: &Machine) -> bool {
         let max_boot_ms =
             (self.conservative_boot_ms(&machine.offer) as f64 * MAX_PENDING_BOOT_TIMES) as u64;
--- a/src/scheduler/provisioning/scale_in.rs
+++ b/src/scheduler/provisioning/scale_in.rs
@@ -45,8 +45,8 @@
             let Some(machine) = self.fleet.get(&idle.id) else {
                 continue;
             };
-            let reserved = self.is_reserved(&idle.id);
-            if is_spare(machine, reserved) {
+            let retained = self.is_retained(&idle.id);
+            if is_spare(machine, retained) {
                 spares += 1.0;
             }
             let kind = if spares <= max_spares {
@@ -54,7 +54,7 @@
             } else {
                 IdleKind::Surplus
             };
-            if self.should_release(now, machine, idle.idle_since_ms, kind, reserved) {
+            if self.should_release(now, machine, idle.idle_since_ms, kind, retained) {
                 to_release.push(idle.id);
             }
         }
@@ -88,23 +88,24 @@
         idle
     }
 
-    /// Returns whether the demand forecast or a replica group has a reservation on the
-    /// machine.
-    fn is_reserved(&self, id: &MachineId) -> bool {
+    /// Returns whether the machine has a reservation for forecast demand or for an incoming
+    /// task, such as a part of a replica group.
+    fn is_retained(&self, id: &MachineId) -> bool {
         self.capacity
             .slot(id)
             .and_then(|slot| self.capacity.get(slot))
             .is_some_and(MachineCapacity::is_retained)
     }
 
-    /// Returns whether an idle machine should be released now.
+    /// Returns whether an idle machine should be released now. A faulty machine is released at
+    /// once, a draining one as soon as the minimum billing time has passed.
     fn should_release(
         &self,
         now: Now,
         machine: &Machine,
         idle_since_ms: u64,
         kind: IdleKind,
-        reserved: bool,
+        retained: bool,
     ) -> bool {
         if machine.faults.is_faulty() {
             return true;
@@ -117,11 +118,11 @@
         let idle_limit_passed = now.ms > idle_since_ms + idle_limit_ms;
         let drained = machine.phase == MachinePhase::Draining;
         let min_billed_passed = now.ms > machine.provisioned_ms + MIN_BILLED_MS;
-        (drained || (!reserved && idle_limit_passed)) && min_billed_passed
+        (drained || (!retained && idle_limit_passed)) && min_billed_passed
     }
 }
 
-/// Returns whether an idle machine can take any task that arrives.
-fn is_spare(machine: &Machine, reserved: bool) -> bool {
-    !machine.faults.is_faulty() && machine.phase != MachinePhase::Draining && !reserved
+/// Returns whether an idle machine counts as a spare, which any new task may use.
+fn is_spare(machine: &Machine, retained: bool) -> bool {
+    !machine.faults.is_faulty() && machine.phase != MachinePhase::Draining && !retained
 }
--- a/src/scheduler/replica_groups/evaluation.rs
+++ b/src/scheduler/replica_groups/evaluation.rs
@@ -9,7 +9,8 @@
 /// The urgency with which a group's record is written.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(super) enum WriteUrgency {
-    /// Written with the next write of the placement record.
+    /// Written with the next write of the placement record, which happens at the latest after
+    /// the delay for changes that aren't urgent.
     Lazy,
     /// Written with the next transaction.
     Immediate,
--- a/src/scheduler/replica_groups/mod.rs
+++ b/src/scheduler/replica_groups/mod.rs
@@ -11,7 +11,7 @@
 
 use crate::ids::{Attempt, JobId, MachineId, TaskRef};
 use crate::messages::Now;
-use crate::scheduler::displacement::migration::settled_ms;
+use crate::scheduler::displacement::migration::success_after_ms;
 use crate::scheduler::{Assignment, InvariantViolation, Job, Scheduler};
 use crate::settings::Settings;
 use crate::tuning::Tuning;
@@ -27,7 +27,7 @@
     let workers = &settings.site.workers;
     GroupTiming {
         reservation_ms: (workers.lease_s * tuning.hold_leases * 1000.0) as u64,
-        success_after_ms: settled_ms(settings),
+        success_after_ms: success_after_ms(settings),
         heartbeat_ms: (workers.heartbeat_s * 1000.0) as u64,
     }
 }
@@ -103,7 +103,8 @@
 
     /// Records that a part failed on its own. The failure counts against the part's machine
     /// unless the group's circuit breaker is open. It never counts against the machines of the
-    /// other parts.
+    /// other parts. While the circuit breaker is open, the job's failures are removed from the
+    /// fault records of the machines on which the group's parts failed.
     pub(in crate::scheduler) fn record_part_failure(
         &mut self,
         now: Now,
--- a/src/scheduler/replica_groups/placement.rs
+++ b/src/scheduler/replica_groups/placement.rs
@@ -30,13 +30,13 @@
         &mut self,
         now: Now,
         job_id: &JobId,
-        deadline: u64,
+        deadline_wall_ms: u64,
         round: &mut Round,
     ) {
         let Some(job) = self.jobs.get(job_id) else {
             return;
         };
-        let mut request = PlacementRequest::new(job, deadline);
+        let mut request = PlacementRequest::new(job, deadline_wall_ms);
         request.zones = job.zone_counts();
         for replica in self.waiting_groups(now, job_id) {
             let id = GroupId::new(job_id, replica);
@@ -85,8 +85,8 @@
         within_quota(&self.settings, team, &used, &request.resources)
     }
 
-    /// Places one group. If there is no capacity, holds the capacity of stopping tasks for it
-    /// or adds it to the round's unplaced work.
+    /// Places one group. If there is no capacity, reserves the capacity of stopping tasks for
+    /// the group or adds the group to the round's unplaced work.
     fn place_group(
         &mut self,
         now: Now,
@@ -105,7 +105,7 @@
         }
         self.reserve_for_group(now, id);
         if !is_probe {
-            let unplaced = self.hold_stopping_capacity(now, id, tasks, request);
+            let unplaced = self.reserve_stopping_capacity_for_group(now, id, tasks, request);
             round.unplaced.extend(unplaced);
         }
     }
@@ -228,7 +228,7 @@
             log::error!("replica group placement invalid group={id}");
             return;
         }
-        let Some(generation) = self.next_generation(id) else {
+        let Some(generation) = self.allocate_generation(id) else {
             return;
         };
         for PartPlacement { task, machine } in placements {
@@ -264,10 +264,10 @@
     }
 
     /// Allocates the attempt that all parts of the next generation share.
-    fn next_generation(&mut self, id: &GroupId) -> Option<Attempt> {
+    fn allocate_generation(&mut self, id: &GroupId) -> Option<Attempt> {
         let job = self.jobs.get_mut(&id.job)?;
         let first = job.shape?.tasks_of(id.replica).start;
-        job.next_attempt(first)
+        job.allocate_attempt(first)
     }
 }
 
--- a/src/scheduler/replica_groups/provisioning.rs
+++ b/src/scheduler/replica_groups/provisioning.rs
@@ -86,7 +86,7 @@
         true
     }
 
-    /// Preempts less important tasks in the zone with the lowest total preemption cost. Does
+    /// Preempts tasks of lower priority in the zone with the lowest total preemption cost. Does
     /// nothing if no zone yields capacity for all unplaced parts, because a group can't start
     /// with fewer.
     pub(in crate::scheduler) fn preempt_for_group(
--- a/src/scheduler/replica_groups/reservations.rs
+++ b/src/scheduler/replica_groups/reservations.rs
@@ -70,10 +70,10 @@
         }
     }
 
-    /// Holds the capacity of tasks that are being stopped for all parts without a reservation.
-    /// Returns these parts as unplaced if that capacity doesn't suffice or the job has no start
-    /// objective.
-    pub(super) fn hold_stopping_capacity(
+    /// Reserves the capacity of tasks that are being stopped for all parts without a
+    /// reservation. Returns these parts as unplaced if that capacity doesn't suffice or the job
+    /// has no start objective.
+    pub(super) fn reserve_stopping_capacity_for_group(
         &mut self,
         now: Now,
         id: &GroupId,
--- a/src/scheduler/replica_groups/search.rs
+++ b/src/scheduler/replica_groups/search.rs
@@ -168,12 +168,12 @@
                 uses_forecast_reservation: false,
             });
         }
-        self.find_occupied_machine(&demand, scope)
+        self.find_reserved_or_stopping(&demand, scope)
     }
 
     /// Returns the first machine that has enough capacity if its forecast reservation is
     /// released or its stopping tasks have ended, as `scope` allows.
-    fn find_occupied_machine(
+    fn find_reserved_or_stopping(
         &self,
         demand: &TaskDemand,
         scope: SearchScope,
--- a/src/scheduler/rounds/capacity_sync.rs
+++ b/src/scheduler/rounds/capacity_sync.rs
@@ -104,7 +104,7 @@
             return Err(InvariantViolation::MachineUsage {
                 machine: machine.id.clone(),
                 used: machine.allocated,
-                recounted: used,
+                recomputed: used,
             });
         }
         Ok(())
--- a/src/scheduler/rounds/machine_choice.rs
+++ b/src/scheduler/rounds/machine_choice.rs
@@ -11,9 +11,9 @@
 pub(super) enum MachineChoice {
     /// The task can be placed on this machine immediately.
     Free(Slot),
-    /// Capacity on this machine is held for the task, which can be placed there when
+    /// Capacity on this machine is reserved for the task, which can be placed there when
     /// stopping tasks have freed enough of it.
-    Held(Slot),
+    Reserved(Slot),
     /// No machine fits the task now.
     Unavailable,
 }
@@ -36,7 +36,7 @@
         }
         let best = self.best_free(&task.job, request);
         if let Some(slot) = self.displace_if_cold(now, request, best) {
-            return MachineChoice::Held(slot);
+            return MachineChoice::Reserved(slot);
         }
         if let Some(slot) = best {
             return MachineChoice::Free(slot);
@@ -77,7 +77,7 @@
             && target.free_after_stops().covers(&request.resources)
         {
             self.capacity.reserve(slot, &request.resources);
-            return Some(MachineChoice::Held(slot));
+            return Some(MachineChoice::Reserved(slot));
         }
         None
     }
@@ -87,7 +87,7 @@
     /// reused without a search as long as its rank has not become worse.
     fn best_free(&mut self, id: &JobId, request: &mut PlacementRequest) -> Option<Slot> {
         let job = self.jobs.get(id)?;
-        let failed_on = |machine: &MachineId| job.failures.failed_on(machine);
+        let failed_on = |machine: &MachineId| job.circuit_breaker.failed_on(machine);
         let demand = TaskDemand {
             spec: &request.spec,
             resources: &request.resources,
@@ -108,7 +108,7 @@
 
     /// Displaces replicas from a machine that has the task's image if the best free
     /// machine lacks the image and the image pull would take too long. Returns the
-    /// machine on which capacity is now held for the task.
+    /// machine on which capacity is now reserved for the task.
     fn displace_if_cold(
         &mut self,
         now: Now,
@@ -142,11 +142,11 @@
             .map(|(slot, _)| slot)
     }
 
-    /// Holds capacity that stopping tasks are about to free for a job with a start
-    /// objective. Without the hold, preempted tasks would restart in freed capacity that
-    /// is still too small for the job, and would be preempted again repeatedly. Returns
-    /// the number of tasks for which no such capacity was found.
-    pub(super) fn hold_freeing_capacity(
+    /// Reserves capacity that stopping tasks are about to free for a job with a start
+    /// objective. Without the reservation, preempted tasks would restart in freed capacity
+    /// that is still too small for the job, and would be preempted again repeatedly.
+    /// Returns the number of tasks for which no such capacity was found.
+    pub(super) fn reserve_stopping_capacity(
         &mut self,
         request: &mut PlacementRequest,
         count: usize,
@@ -154,7 +154,7 @@
         if self.settings.start_slo_ms(&request.spec).is_none() {
             return count;
         }
-        for held in 0..count {
+        for reserved in 0..count {
             let fits = |machine: &MachineCapacity| {
                 placement_allowed(&request.spec, &request.zones, &machine.state.offer)
                     && machine.free_after_stops().covers(&request.resources)
@@ -164,7 +164,7 @@
                 .with_stopping_tasks()
                 .find(|(_, machine)| fits(machine));
             let Some((slot, machine)) = fitting else {
-                return count - held;
+                return count - reserved;
             };
             request.zones.add(&machine.state.offer.zone);
             self.capacity.reserve(slot, &request.resources);
--- a/src/scheduler/rounds/queue_order.rs
+++ b/src/scheduler/rounds/queue_order.rs
@@ -110,13 +110,13 @@
             || job.stale
             || job.unreadable
             || job.has_open_dependencies
-            || !job.failures.allows_attempt(now.ms)
+            || !job.circuit_breaker.allows_attempt(now.ms)
         {
             return None;
         }
         let failing = match self.groups.get(id) {
             Some(groups) => groups.all_waiting_breakers_open(now.ms)?,
-            None => job.failures.is_open(),
+            None => job.circuit_breaker.is_open(),
         };
         let is_migrating = migrating.contains(id);
         let priority = if is_migrating {
--- a/src/scheduler/rounds/round.rs
+++ b/src/scheduler/rounds/round.rs
@@ -32,7 +32,7 @@
     pub(in crate::scheduler) zones: ZoneCounts,
     pub(in crate::scheduler) is_forecast: bool,
     /// Set for the parts of one replica that spans machines. The parts need `count`
-    /// different machines; a smaller number is of no use.
+    /// different machines and can't be placed on fewer.
     pub(in crate::scheduler) group: Option<GroupDemand>,
 }
 
@@ -79,8 +79,8 @@
     migrating: BTreeSet<JobId>,
     pub(in crate::scheduler) unplaced: Vec<Unplaced>,
     pub(super) cold_reservations: Vec<ColdReservation>,
-    /// The capacity held for each team's tasks that can't be assigned yet.
-    pub(super) held_by_team: HashMap<Rc<str>, Resources>,
+    /// The capacity reserved for each team's tasks that can't be assigned yet.
+    pub(super) reserved_by_team: HashMap<Rc<str>, Resources>,
     stage: RoundStage,
     /// The scheduler's count of examined entries when the round began.
     examined_before: u64,
@@ -95,7 +95,7 @@
             migrating,
             unplaced: Vec::new(),
             cold_reservations: Vec::new(),
-            held_by_team: HashMap::new(),
+            reserved_by_team: HashMap::new(),
             stage: RoundStage::Placing,
             examined_before,
         }
@@ -113,7 +113,8 @@
 }
 
 impl Scheduler {
-    /// Returns the age of its last heartbeat at which a machine gets no new tasks.
+    /// Returns the age that the last heartbeat of a machine must not reach for the machine to
+    /// get new tasks.
     pub(in crate::scheduler) fn max_heartbeat_age_ms(&self) -> u64 {
         self.heartbeat_interval_ms() * MAX_HEARTBEAT_AGE_INTERVALS
     }
@@ -132,7 +133,7 @@
         self.refresh(now);
         self.capacity.begin_round();
         self.reserve_for_groups(now);
-        self.forget_ended_migrations();
+        self.remove_ended_migrations();
         if full {
             self.demand_forecast = self.forecast_demand(now);
         }
@@ -145,7 +146,7 @@
     }
 
     /// Removes the migration targets of tasks that are neither pending nor stopping.
-    fn forget_ended_migrations(&mut self) {
+    fn remove_ended_migrations(&mut self) {
         let jobs = &self.jobs;
         self.migrations.targets.retain(|task, _| {
             jobs.get(&task.job).is_some_and(|job| {
--- a/src/scheduler/rounds/task_placement.rs
+++ b/src/scheduler/rounds/task_placement.rs
@@ -1,4 +1,4 @@
-//! Places the pending tasks of a job on free capacity, or holds capacity that is being
+//! Places the pending tasks of a job on free capacity, or reserves capacity that is being
 //! freed for them.
 
 use crate::capacity_index::{BestFit, Slot};
@@ -42,8 +42,8 @@
 struct PlacementCounts {
     /// Tasks bound to a machine.
     placed: usize,
-    /// Tasks for which capacity is held that is still being freed.
-    held: usize,
+    /// Tasks for which capacity is reserved that is still being freed.
+    reserved: usize,
     /// Tasks that wait because their team's quota is used up.
     over_quota: usize,
 }
@@ -51,7 +51,7 @@
 impl PlacementCounts {
     /// Returns the number of tasks, out of `tasks`, that still need capacity.
     fn remaining(&self, tasks: usize) -> usize {
-        tasks - self.placed - self.held - self.over_quota
+        tasks - self.placed - self.reserved - self.over_quota
     }
 }
 
@@ -76,7 +76,7 @@
             resources: job.task_request,
             zones,
             deadline_wall_ms,
-            probing: job.failures.is_open(),
+            probing: job.circuit_breaker.is_open(),
             siblings,
             last_fit: None,
             displacement_failed: false,
@@ -142,12 +142,12 @@
         }
         let counts = self.place_tasks(now, id, &tasks, &mut request, round);
         if request.probing {
-            // A probe only uses free capacity: no capacity is held, provisioned or
+            // A probe only uses free capacity: no capacity is reserved, provisioned or
             // preempted for it.
             return None;
         }
         let remaining = counts.remaining(tasks.len());
-        let unplaced = self.hold_freeing_capacity(&mut request, remaining);
+        let unplaced = self.reserve_stopping_capacity(&mut request, remaining);
         (unplaced > 0).then(|| request.into_unplaced(unplaced))
     }
 
@@ -178,13 +178,13 @@
                 index: *index,
             };
             let slot = match self.choose_machine(now, request, &task) {
-                MachineChoice::Held(slot) => {
+                MachineChoice::Reserved(slot) => {
                     if let Some(machine) = self.capacity.get(slot) {
                         self.migrations.targets.insert(task, machine.id.clone());
                     }
-                    let held = round.held_by_team.entry(team.clone()).or_default();
-                    held.add(&request.resources);
-                    counts.held += 1;
+                    let reserved = round.reserved_by_team.entry(team.clone()).or_default();
+                    reserved.add(&request.resources);
+                    counts.reserved += 1;
                     slot
                 }
                 MachineChoice::Free(slot) => {
@@ -211,15 +211,15 @@
             return None;
         }
         let job = self.jobs.get_mut(id)?;
-        Some(job.placements.common_attempt())
+        Some(job.placements.allocate_common_attempt())
     }
 
-    /// Returns the resources that a team's tasks use, including the capacity held for the
-    /// team in this round.
+    /// Returns the resources that a team's tasks use, including the capacity reserved for
+    /// the team in this round.
     pub(in crate::scheduler) fn team_usage(&self, team: &str, round: &Round) -> Resources {
         let mut used = self.jobs.used(team);
-        if let Some(held) = round.held_by_team.get(team) {
-            used.add(held);
+        if let Some(reserved) = round.reserved_by_team.get(team) {
+            used.add(reserved);
         }
         used
     }
@@ -249,7 +249,7 @@
             log::error!("task placement not allowed task={task} machine={id}");
             return None;
         }
-        let attempt = shared_attempt.or_else(|| job.next_attempt(task.index))?;
+        let attempt = shared_attempt.or_else(|| job.allocate_attempt(task.index))?;
         let image = &job.spec.image;
         log::debug!(
             "task placed task={task} attempt={attempt} machine={id} zone={} free_gpus={} \
--- a/src/scheduler/state/commit.rs
+++ b/src/scheduler/state/commit.rs
@@ -1,6 +1,6 @@
 //! Scheduling of the leader's writes. The leader has at most one transaction in flight.
 //! Each transaction is guarded by compares and holds the changes of as many jobs as the
-//! store's limits and the write budget allow.
+//! key-value store's limits and the write budget allow.
 
 use crate::ids::JobId;
 use crate::kv_client::{self, CallPriority, WriteBudget};
@@ -25,8 +25,8 @@
     lazy_due_ms: u64,
     /// How many transactions were built in this term. The count is part of the write id.
     pub(super) transactions_built: u64,
-    /// The jobs of the transaction that the store last rejected with status 400; empty
-    /// once the rejection is handled.
+    /// The jobs of the transaction that the key-value store last rejected with status 400;
+    /// empty once the rejection is handled.
     pub(super) rejected_jobs: Vec<JobId>,
     /// The most jobs that a transaction may hold: half of the jobs of a rejected
     /// transaction, doubled after each commit.
@@ -168,7 +168,7 @@
             let Some(job) = self.jobs.get(id) else {
                 continue;
             };
-            if now.ms < job.held_back_until_ms && job.final_state().is_none() {
+            if now.ms < job.write_retry_due_ms && job.final_state().is_none() {
                 continue;
             }
             if job.final_state().is_some() {
--- a/src/scheduler/state/commit_outcome.rs
+++ b/src/scheduler/state/commit_outcome.rs
@@ -13,7 +13,7 @@
 use crate::wire::kv::{KeyValue, TxnResponse};
 
 /// The pause, in heartbeat intervals, before a job is written again whose record the
-/// store rejected for an unknown reason.
+/// key-value store rejected for an unknown reason.
 const REJECTED_JOB_RETRY_HEARTBEATS: u64 = 30;
 /// How long the id of a finished job is kept, so that late responses don't add the job
 /// again. Longer than the timeout of any call.
@@ -140,12 +140,12 @@
         self.commits.max_jobs = self.commits.max_jobs.saturating_mul(2);
         self.cleanup.obsolete_keys.extend(transaction.obsolete_keys);
         for finished in transaction.finished_jobs {
-            self.forget_finished_job(now, finished);
+            self.remove_finished_job(now, finished);
         }
     }
 
     /// Removes a job whose final record is stored.
-    fn forget_finished_job(&mut self, now: Now, finished: FinishedJob) {
+    fn remove_finished_job(&mut self, now: Now, finished: FinishedJob) {
         let FinishedJob { id, state } = finished;
         self.finished_jobs
             .insert(id.clone(), now.ms + FINISHED_RETENTION_MS);
@@ -179,7 +179,7 @@
         );
         let pause_ms = self.heartbeat_interval_ms() * REJECTED_JOB_RETRY_HEARTBEATS;
         if let Some(job) = self.jobs.get_mut(id) {
-            job.held_back_until_ms = now.ms + pause_ms;
+            job.write_retry_due_ms = now.ms + pause_ms;
         }
     }
 
--- a/src/scheduler/state/job.rs
+++ b/src/scheduler/state/job.rs
@@ -60,7 +60,7 @@
     pub unreadable: bool,
     /// The earliest time at which the job is written again after the key-value store
     /// rejected its record; 0: no limit.
-    pub(in crate::scheduler) held_back_until_ms: u64,
+    pub(in crate::scheduler) write_retry_due_ms: u64,
     /// The assignments of the tasks that may be on a machine, by task index.
     pub assignments: BTreeMap<u32, Assignment>,
     /// The indices of the tasks that have completed successfully.
@@ -73,7 +73,7 @@
     /// Whether the final record is part of the current transaction.
     pub(in crate::scheduler) finishing: bool,
     /// Opens once tasks have failed on several machines and none has succeeded.
-    pub(in crate::scheduler) failures: CircuitBreaker,
+    pub(in crate::scheduler) circuit_breaker: CircuitBreaker,
     run_times: RunTimes,
     /// Whether another writer has changed the job record, which must then be read before
     /// the next write.
@@ -81,7 +81,7 @@
     /// The membership in the lists of the job table, as of the last refresh.
     pub(super) listed: JobListing,
     /// Whether the job may have changed since the last refresh of the job table.
-    pub(super) dirty: bool,
+    pub(super) touched: bool,
 }
 
 /// Run times of a job's tasks whose whole run this leader observed.
@@ -123,22 +123,22 @@
             revision,
             placements: PlacementRanges::new(tasks, tasks_per_range),
             unreadable: false,
-            held_back_until_ms: 0,
+            write_retry_due_ms: 0,
             assignments: BTreeMap::new(),
             done: BTreeSet::new(),
             pending: (0..tasks).collect(),
             unstored_ends: BTreeSet::new(),
             finishing: false,
-            failures: CircuitBreaker::default(),
+            circuit_breaker: CircuitBreaker::default(),
             run_times: RunTimes::default(),
             stale: false,
             listed: JobListing::default(),
-            dirty: false,
+            touched: false,
             spec: Rc::new(record.spec),
         }
     }
 
-    /// Whether the job is a service, whose tasks run until it is cancelled.
+    /// Returns whether the job is a service, whose tasks run until it is cancelled.
     pub(in crate::scheduler) fn is_service(&self) -> bool {
         self.spec.kind == JobKind::Service
     }
@@ -155,8 +155,9 @@
         }
     }
 
-    /// Whether the end of the job or any placement has yet to be stored. The placements
-    /// of a cancelled job need not be stored, because a new leader stops all its tasks.
+    /// Returns whether the end of the job or any placement has yet to be stored. The
+    /// placements of a cancelled job need not be stored, because a new leader stops all its
+    /// tasks.
     pub(super) fn has_unwritten_changes(&self) -> bool {
         // An unreadable record must not be overwritten.
         let may_be_written = self.cancelled_wall_ms.is_none() && !self.unreadable;
@@ -192,10 +193,10 @@
 
     /// Allocates the next attempt in the range that holds the task; `None`: the job has no
     /// such task.
-    pub(in crate::scheduler) fn next_attempt(&mut self, task: u32) -> Option<Attempt> {
+    pub(in crate::scheduler) fn allocate_attempt(&mut self, task: u32) -> Option<Attempt> {
         let range = self.placements.range_of_task_mut(task)?;
-        range.next_attempt = Attempt(range.next_attempt.0 + 1);
-        Some(range.next_attempt)
+        range.last_attempt = Attempt(range.last_attempt.0 + 1);
+        Some(range.last_attempt)
     }
 
     /// Records the run time of a task, unless it is an outlier, and returns whether it is
@@ -243,7 +244,7 @@
             .flat_map(|s| self.assignments.range(s.clone()));
         let range = self.placements.get(number);
         PlacementRecord {
-            next_attempt: range.map_or(Attempt(0), |range| range.next_attempt),
+            last_attempt: range.map_or(Attempt(0), |range| range.last_attempt),
             write_id,
             tasks_per_range: self.placements.tasks_per_range(),
             done: format_task_ranges(done.copied()),
@@ -256,7 +257,7 @@
                     zone: zone_number(assignment),
                 })
                 .collect(),
-            failures: self.failures.to_record(),
+            circuit_breaker: self.circuit_breaker.to_record(),
             groups: Vec::new(),
         }
     }
@@ -308,13 +309,13 @@
         };
         let range = self.placements.get_mut(number)?;
         range.revision = revision;
-        range.next_attempt = record.next_attempt;
+        range.last_attempt = record.last_attempt;
         let done = parse_task_ranges(&record.done, self.spec.tasks)?;
-        self.failures.restore(record.failures);
+        self.circuit_breaker.restore(record.circuit_breaker);
         for task in done {
             self.pending.remove(&task);
             self.done.insert(task);
-            self.failures.record_success();
+            self.circuit_breaker.record_success();
         }
         let mut fits = true;
         for row in record.assigned {
--- a/src/scheduler/state/job_table.rs
+++ b/src/scheduler/state/job_table.rs
@@ -105,7 +105,7 @@
     /// Returns the job for modification, and marks it as touched.
     pub(in crate::scheduler) fn get_mut(&mut self, id: &JobId) -> Option<&mut Job> {
         let job = self.jobs.get_mut(id)?;
-        if !std::mem::replace(&mut job.dirty, true) {
+        if !std::mem::replace(&mut job.touched, true) {
             self.touched.push(id.clone());
         }
         Some(job)
@@ -148,7 +148,7 @@
             let Some(job) = self.jobs.get_mut(id) else {
                 continue;
             };
-            job.dirty = false;
+            job.touched = false;
             let now = JobListing::of(job);
             let before = std::mem::replace(&mut job.listed, now);
             if now != before {
@@ -271,24 +271,24 @@
     }
 
     fn check_lists(&self) -> Result<(), InvariantViolation> {
-        let recount = |is_listed: fn(&JobListing) -> bool| -> BTreeSet<JobId> {
+        let recompute = |is_listed: fn(&JobListing) -> bool| -> BTreeSet<JobId> {
             self.jobs
                 .iter()
                 .filter(|(_, job)| is_listed(&JobListing::of(job)))
                 .map(|(id, _)| id.clone())
                 .collect()
         };
-        for (list, listed, recounted) in [
-            ("waiting", &self.waiting, recount(|l| l.waiting)),
-            ("unwritten", &self.unwritten, recount(|l| l.unwritten)),
-            ("stale", &self.stale, recount(|l| l.stale)),
-            ("stopping", &self.stopping, recount(|l| l.stopping)),
+        for (list, listed, recomputed) in [
+            ("waiting", &self.waiting, recompute(|l| l.waiting)),
+            ("unwritten", &self.unwritten, recompute(|l| l.unwritten)),
+            ("stale", &self.stale, recompute(|l| l.stale)),
+            ("stopping", &self.stopping, recompute(|l| l.stopping)),
         ] {
-            if *listed != recounted {
+            if *listed != recomputed {
                 return Err(InvariantViolation::JobList {
                     list,
                     listed: listed.clone(),
-                    recounted,
+                    recomputed,
                 });
             }
         }
@@ -302,14 +302,14 @@
             sum.add(&job.task_request.scaled(job.assignments.len() as f64));
         }
         for (team, used) in self.teams.all_used() {
-            let recounted = by_team.get(team).copied().unwrap_or_default();
+            let recomputed = by_team.get(team).copied().unwrap_or_default();
             let difference =
-                (used.gpus - recounted.gpus).abs() + (used.cpus - recounted.cpus).abs();
+                (used.gpus - recomputed.gpus).abs() + (used.cpus - recomputed.cpus).abs();
             if difference > MAX_USAGE_DIFFERENCE {
                 return Err(InvariantViolation::TeamUsage {
                     team: team.clone(),
                     used: *used,
-                    recounted,
+                    recomputed,
                 });
             }
         }
--- a/src/scheduler/state/job_watch.rs
+++ b/src/scheduler/state/job_watch.rs
@@ -152,8 +152,8 @@
         );
     }
 
-    /// Applies the changes in a watch response. The leader steps down if the store no
-    /// longer holds the changes since the watched revision (status 410).
+    /// Applies the changes in a watch response. The leader steps down if the key-value store
+    /// no longer holds the changes since the watched revision (status 410).
     pub(in crate::scheduler) fn on_watch_response(
         &mut self,
         now: Now,
--- a/src/scheduler/state/loading.rs
+++ b/src/scheduler/state/loading.rs
@@ -67,7 +67,8 @@
         effects: &mut SchedulerEffects,
     ) {
         let Some(page) = response.read::<KeyPage>(200) else {
-            // The store is unavailable. The read is retried unless the lease expires before.
+            // The key-value store is unavailable. The read is retried unless the leader's lease
+            // expires before.
             self.loading.retry_due_ms = Some(now.ms + RETRY_MS);
             return;
         };
--- a/src/scheduler/state/placement_ranges.rs
+++ b/src/scheduler/state/placement_ranges.rs
@@ -20,7 +20,7 @@
     /// The revision of the stored record; 0: no record is stored.
     pub(in crate::scheduler) revision: u64,
     /// The last attempt allocated in the range. Each allocation increments it.
-    pub(in crate::scheduler) next_attempt: Attempt,
+    pub(in crate::scheduler) last_attempt: Attempt,
     /// Since when the range has unwritten changes; `None`: it has none.
     pub(in crate::scheduler) dirty_since_ms: Option<u64>,
     /// Whether the changes are written as soon as possible rather than lazily.
@@ -33,13 +33,13 @@
             name,
             tasks,
             revision: 0,
-            next_attempt: Attempt::default(),
+            last_attempt: Attempt::default(),
             dirty_since_ms: None,
             urgent: false,
         }
     }
 
-    /// Whether the record should be written now.
+    /// Returns whether the record should be written now.
     pub(super) fn is_due(&self, now: Now, lazy_delay_ms: u64) -> bool {
         self.dirty_since_ms
             .is_some_and(|since_ms| self.urgent || now.ms >= since_ms + lazy_delay_ms)
@@ -99,7 +99,7 @@
         self.ranges.len()
     }
 
-    /// Whether there are no ranges, which is never the case for a job with tasks.
+    /// Returns whether there are no ranges, which is never the case for a job with tasks.
     pub fn is_empty(&self) -> bool {
         self.ranges.is_empty()
     }
@@ -173,19 +173,19 @@
     /// tasks, in multiples of `unit`. Returns `false` if the range can't be split further.
     pub fn split(&mut self, number: usize, max_tasks: u32, unit: u32) -> bool {
         let segments = self.tasks_of(number);
-        let held = task_count(&segments);
+        let total = task_count(&segments);
         // A finer range holds at most half of the tasks: otherwise the split could produce
         // the same record again.
-        let max_tasks = max_tasks.min(held / 2) / unit * unit;
+        let max_tasks = max_tasks.min(total / 2) / unit * unit;
         let length = max_tasks.max(unit);
-        if held <= unit {
+        if total <= unit {
             return false;
         }
         let Some(coarse) = self.ranges.get_mut(number) else {
             return false;
         };
-        let (next, dirty_since_ms, urgent) = (
-            coarse.next_attempt,
+        let (last_attempt, dirty_since_ms, urgent) = (
+            coarse.last_attempt,
             coarse.dirty_since_ms.take(),
             coarse.urgent,
         );
@@ -197,7 +197,7 @@
                 let Some(fine) = number.and_then(|number| self.ranges.get_mut(number)) else {
                     continue;
                 };
-                fine.next_attempt = next;
+                fine.last_attempt = last_attempt;
                 fine.dirty_since_ms = dirty_since_ms;
                 fine.urgent = urgent;
             }
@@ -206,11 +206,11 @@
     }
 
     /// Allocates a new attempt that is the same for the tasks of all ranges.
-    pub(in crate::scheduler) fn common_attempt(&mut self) -> Attempt {
-        let latest = self.ranges.iter().map(|range| range.next_attempt).max();
+    pub(in crate::scheduler) fn allocate_common_attempt(&mut self) -> Attempt {
+        let latest = self.ranges.iter().map(|range| range.last_attempt).max();
         let next = Attempt(latest.unwrap_or_default().0 + 1);
         for range in &mut self.ranges {
-            range.next_attempt = next;
+            range.last_attempt = next;
         }
         next
     }
--- a/src/scheduler/state/quotas.rs
+++ b/src/scheduler/state/quotas.rs
@@ -36,7 +36,7 @@
     teams: HashMap<Rc<str>, TeamAccount>,
 }
 
-/// Whether the resources stay within the bounds. A bound of 0 means unlimited.
+/// Returns whether the resources stay within the bounds. A bound of 0 means unlimited.
 fn within_bounds(used: &Resources, max_cpus: f64, max_gpus: f64) -> bool {
     let fits = |used: f64, max: f64| max <= 0.0 || used <= max + ROUNDING_TOLERANCE;
     fits(used.cpus, max_cpus) && fits(used.gpus, max_gpus)
@@ -90,7 +90,7 @@
             .map_or(Resources::default(), |account| account.used)
     }
 
-    /// Whether a job fits into its team's guarantee together with the team's earlier
+    /// Returns whether a job fits into its team's guarantee together with the team's earlier
     /// unfinished jobs. Adds the number of jobs visited to `examined`.
     pub(in crate::scheduler) fn is_guaranteed(
         &mut self,
@@ -137,7 +137,7 @@
     }
 }
 
-/// Whether the team's quota allows one more task with this request; `false` for an
+/// Returns whether the team's quota allows one more task with this request; `false` for an
 /// unknown team.
 pub(in crate::scheduler) fn within_quota(
     settings: &Settings,
--- a/src/scheduler/state/transaction.rs
+++ b/src/scheduler/state/transaction.rs
@@ -61,7 +61,7 @@
     pub(super) sent: bool,
     /// Whether an earlier copy of the transaction may have been executed.
     pub(super) indeterminate: bool,
-    /// The keys whose compares failed, from the response of the store.
+    /// The keys whose compares failed, from the response of the key-value store.
     pub(super) failed_compares: Vec<String>,
     /// The earliest time at which the transaction is sent.
     pub(super) due_ms: u64,
@@ -230,8 +230,8 @@
     }
 }
 
-/// Whether the record of a range may be larger than the store accepts. The size is not
-/// known in advance for jobs with replica groups.
+/// Returns whether the record of a range may be larger than the key-value store accepts.
+/// The size is not known in advance for jobs with replica groups.
 fn may_exceed(job: &Job, number: usize, limits: &StoreLimits) -> bool {
     job.shape.is_some() || job.placements.max_record_bytes(number) > limits.value_bytes
 }
--- a/src/scheduler/statistics.rs
+++ b/src/scheduler/statistics.rs
@@ -49,8 +49,8 @@
 impl Scheduler {
     /// Adds the cost of scanning this many task indexes or candidates to the examined
     /// entries.
-    pub(in crate::scheduler) fn count_scanned(&mut self, numbers: usize) {
-        self.pacing.examined += (numbers as u64).div_ceil(SCANNED_PER_ENTRY);
+    pub(in crate::scheduler) fn count_scanned(&mut self, scanned: usize) {
+        self.pacing.examined += (scanned as u64).div_ceil(SCANNED_PER_ENTRY);
     }
 
     /// Returns the counters of the leader's periodic work.
--- a/src/scheduler/tick.rs
+++ b/src/scheduler/tick.rs
@@ -78,8 +78,8 @@
     }
 
     /// Begins a round if one is due. Full rounds run at regular intervals. A round between
-    /// two full ones only places queued work and scales out for it; scale in and
-    /// compaction wait for the next full round.
+    /// two full ones only places queued work, and preempts and scales out for it; scale in
+    /// and compaction wait for the next full round.
     fn begin_round_if_due(&mut self, now: Now, effects: &mut SchedulerEffects) {
         let full = now.ms >= self.next_full_round_ms();
         let requested_due =
--- a/src/scheduler/workers/commands.rs
+++ b/src/scheduler/workers/commands.rs
@@ -30,7 +30,7 @@
         now: Now,
         id: &MachineId,
         heartbeat: Option<&WorkerHeartbeat>,
-        out: &mut SchedulerEffects,
+        effects: &mut SchedulerEffects,
     ) -> Vec<Command> {
         if !self
             .fleet
@@ -51,7 +51,7 @@
         if acknowledges {
             if let Some(machine) = self.fleet.get_mut(id) {
                 if machine.advance_fencing_token().is_none() {
-                    out.step_down = Some(StepDownReason::FencingTokensExhausted);
+                    effects.step_down = Some(StepDownReason::FencingTokensExhausted);
                     return Vec::new();
                 }
             }
@@ -86,8 +86,8 @@
             .collect()
     }
 
-    /// Returns the command that makes the worker stop or forget a task that isn't assigned to
-    /// its machine. Returns `None` if the task is assigned, or if it has ended and its end isn't
+    /// Returns the command that stops or acknowledges a task that isn't assigned to the worker's
+    /// machine. Returns `None` if the task is assigned, or if it has ended and its end isn't
     /// stored yet.
     fn unassigned_task_command(&self, id: &MachineId, status: &TaskStatus) -> Option<Command> {
         let task = status.task.as_ref()?;
--- a/src/scheduler/workers/direct_commands.rs
+++ b/src/scheduler/workers/direct_commands.rs
@@ -11,9 +11,9 @@
 
 impl Scheduler {
     /// Sends commands directly to the workers in `machines_to_command`.
-    pub(in crate::scheduler) fn push_commands(&mut self, now: Now, out: &mut SchedulerEffects) {
+    pub(in crate::scheduler) fn push_commands(&mut self, now: Now, effects: &mut SchedulerEffects) {
         for id in std::mem::take(&mut self.machines_to_command) {
-            self.push_commands_to(now, id, None, out);
+            self.push_commands_to(now, id, None, effects);
         }
     }
 
@@ -25,7 +25,7 @@
         now: Now,
         id: MachineId,
         heartbeat: Option<&WorkerHeartbeat>,
-        out: &mut SchedulerEffects,
+        effects: &mut SchedulerEffects,
     ) {
         let address = self
             .fleet
@@ -33,8 +33,8 @@
             .filter(|machine| !machine.command_in_flight)
             .and_then(|machine| machine.address.clone());
         if let Some(address) = address {
-            let commands = self.commands_for(now, &id, heartbeat, out);
-            self.send_commands(id, address, &commands, out);
+            let commands = self.commands_for(now, &id, heartbeat, effects);
+            self.send_commands(id, address, &commands, effects);
         }
     }
 
@@ -44,7 +44,7 @@
         id: MachineId,
         address: String,
         commands: &[Command],
-        out: &mut SchedulerEffects,
+        effects: &mut SchedulerEffects,
     ) {
         let timeout_ms = self.heartbeat_interval_ms() * COMMAND_TIMEOUT_HEARTBEATS;
         let Some(machine) = self.fleet.get_mut(&id) else {
@@ -68,7 +68,8 @@
             body: serde_json::to_vec(&body).unwrap_or_default(),
             timeout_ms,
         };
-        out.worker_calls
+        effects
+            .worker_calls
             .push((WorkerCommandCall { machine: id }, call));
     }
 
@@ -79,7 +80,7 @@
         now: Now,
         call: WorkerCommandCall,
         outcome: CallResult,
-        out: &mut SchedulerEffects,
+        effects: &mut SchedulerEffects,
     ) {
         if self.stage != LeaderStage::Active {
             return;
@@ -94,7 +95,7 @@
         };
         match serde_json::from_slice::<WorkerHeartbeat>(&body) {
             Ok(status) => {
-                self.apply_heartbeat(now, &status, HeartbeatSource::CommandResponse, out);
+                self.apply_heartbeat(now, &status, HeartbeatSource::CommandResponse, effects);
             }
             Err(error) => log::debug!(
                 "worker response unreadable machine={} reason=\"{error}\"",
--- a/src/scheduler/workers/failure_attribution.rs
+++ b/src/scheduler/workers/failure_attribution.rs
@@ -14,17 +14,17 @@
             return;
         };
         let no_task_assigned = job.assignments.is_empty();
-        let was_open = job.failures.is_open();
-        job.failures
+        let was_open = job.circuit_breaker.is_open();
+        job.circuit_breaker
             .record_failure(now.ms, id, no_task_assigned, heartbeat_ms);
-        if job.failures.is_open() {
+        if job.circuit_breaker.is_open() {
             if !was_open {
                 log::info!("job circuit breaker opened job={}", task.job);
             }
             self.discard_machine_faults(&task.job);
             return;
         }
-        let job_succeeds = job.failures.has_succeeded();
+        let job_succeeds = job.circuit_breaker.has_succeeded();
         if let Some(machine) = self.fleet.get_mut(id) {
             machine.faults.record_failure(&task.job, job_succeeds);
             if machine.faults.is_suspect() {
@@ -39,20 +39,20 @@
         let Some(job) = self.jobs.get(job_id) else {
             return;
         };
-        for id in job.failures.failed_machines() {
+        for id in job.circuit_breaker.failed_machines() {
             if let Some(machine) = self.fleet.get_mut(id) {
                 machine.faults.discard_failures_of(job_id);
             }
         }
     }
 
-    /// Removes the failures of a completed job from the machines' fault records if none of the
+    /// Removes the failures of a finished job from the machines' fault records if none of the
     /// job's tasks has succeeded, because the cause may then be the job itself.
     pub(in crate::scheduler) fn discard_faults_unless_succeeded(&mut self, job_id: &JobId) {
         let succeeded = self
             .jobs
             .get(job_id)
-            .is_some_and(|job| job.failures.has_succeeded());
+            .is_some_and(|job| job.circuit_breaker.has_succeeded());
         if !succeeded {
             self.discard_machine_faults(job_id);
         }
@@ -64,10 +64,10 @@
         let Some(job) = self.jobs.get_mut(job_id) else {
             return;
         };
-        if !job.failures.record_success() {
+        if !job.circuit_breaker.record_success() {
             return;
         }
-        for id in job.failures.failed_machines() {
+        for id in job.circuit_breaker.failed_machines() {
             if let Some(machine) = self.fleet.get_mut(id) {
                 machine.faults.record_success_elsewhere(job_id);
             }
--- a/src/scheduler/workers/failure_detection.rs
+++ b/src/scheduler/workers/failure_detection.rs
@@ -6,7 +6,7 @@
 use crate::fleet::{Machine, MachinePhase};
 use crate::ids::{MachineId, TaskRef};
 use crate::messages::Now;
-use crate::scheduler::workers::zone_silence::ZoneHealth;
+use crate::scheduler::workers::zone_health::ZoneHealth;
 use crate::scheduler::Scheduler;
 use std::collections::HashMap;
 use std::fmt;
@@ -22,8 +22,8 @@
     pub(super) zone_last_unresponsive_ms: HashMap<Rc<str>, u64>,
     /// When this process last resumed after a pause, during which it received no heartbeats.
     pub(super) last_process_pause_ms: u64,
-    /// When a call of the key-value store last failed or had an indeterminate outcome.
-    pub(in crate::scheduler) last_store_failure_ms: Option<u64>,
+    /// When a call to the key-value store last failed or had an indeterminate outcome.
+    pub(in crate::scheduler) last_kv_failure_ms: Option<u64>,
 }
 
 impl FailureDetection {
@@ -65,7 +65,7 @@
 
 /// The result of checking a machine that is up.
 #[derive(Clone, Copy, Default, PartialEq, Eq, Debug)]
-struct MachineHealth {
+struct MachineAssessment {
     /// Why the machine is to be declared failed, if it is.
     failure: Option<MachineFailure>,
     /// Whether the machine has a preemption notice and still has tasks.
@@ -77,7 +77,7 @@
     /// requests pending releases again and enforces the stops of cancelled jobs.
     pub(in crate::scheduler) fn check_machines(&mut self, now: Now, cloud: &mut CloudClient) {
         self.fleet.expire_released(now.ms);
-        self.finished_jobs.retain(|_, until| now.ms < *until);
+        self.finished_jobs.retain(|_, until_ms| now.ms < *until_ms);
         self.jobs.refresh();
         let cancelled: Vec<_> = self.jobs.stopping().iter().cloned().collect();
         for id in &cancelled {
@@ -114,7 +114,7 @@
     }
 
     /// Checks a machine that is up.
-    fn assess_machine(&self, now: Now, machine: &Machine, zone: &ZoneHealth) -> MachineHealth {
+    fn assess_machine(&self, now: Now, machine: &Machine, zone: &ZoneHealth) -> MachineAssessment {
         let starts_ignored = machine
             .starts_ignored_since_ms
             .is_some_and(|since_ms| now.ms > since_ms + self.lease_ms());
@@ -128,7 +128,7 @@
                 .then_some(MachineFailure::CancelledTaskNotStopped)
         });
         let has_preemption_notice = machine.reclaim_at_ms.is_some();
-        MachineHealth {
+        MachineAssessment {
             failure,
             must_drain: worker_failure.is_none()
                 && has_preemption_notice
@@ -145,11 +145,11 @@
             .max(zone.timeouts_start_ms);
         // While the key-value store fails, followers can't record which leases they renew, and
         // the machine's tasks couldn't be placed elsewhere anyway.
-        let store_failed = self
+        let kv_store_failed = self
             .failure_detection
-            .last_store_failure_ms
+            .last_kv_failure_ms
             .is_some_and(|failed_ms| now.ms < failed_ms + self.lease_ms() / 2);
-        !store_failed && now.ms > timeout_start_ms + zone.heartbeat_timeout_ms
+        !kv_store_failed && now.ms > timeout_start_ms + zone.heartbeat_timeout_ms
     }
 
     /// Returns whether a task of a cancelled job is still assigned to the machine too long after
@@ -194,12 +194,12 @@
     /// Marks unresponsive machines as changed for the capacity index. Becoming unresponsive
     /// isn't an event, but such a machine must not get tasks.
     fn refresh_unresponsive_machines(&mut self, now: Now) {
-        let fresh_ms = self.max_heartbeat_age_ms();
+        let max_heartbeat_age_ms = self.max_heartbeat_age_ms();
         let unresponsive: Vec<MachineId> = self
             .fleet
             .iter()
             .filter(|machine| machine.is_schedulable())
-            .filter(|machine| !machine.accepts_tasks(now.ms, fresh_ms))
+            .filter(|machine| !machine.accepts_tasks(now.ms, max_heartbeat_age_ms))
             .map(|machine| machine.id.clone())
             .collect();
         for id in &unresponsive {
--- a/src/scheduler/workers/heartbeats.rs
+++ b/src/scheduler/workers/heartbeats.rs
@@ -29,20 +29,20 @@
         connection: ConnectionId,
         heartbeat: &WorkerHeartbeat,
         stops: Vec<Command>,
-        out: &mut SchedulerEffects,
+        effects: &mut SchedulerEffects,
     ) {
         if heartbeat.fencing_token.term() > self.term {
-            out.later_term_seen = true;
+            effects.later_term_seen = true;
             let redirect = Reply::json(421, &RedirectTo { node: None });
-            out.replies.push((connection, redirect));
+            effects.replies.push((connection, redirect));
             return;
         }
         let id = MachineId::new(&heartbeat.machine);
         let mut commands = Vec::new();
         if self.active() && !self.fleet.is_released(&id) {
-            let applied = self.apply_heartbeat(now, heartbeat, HeartbeatSource::Heartbeat, out);
+            let applied = self.apply_heartbeat(now, heartbeat, HeartbeatSource::Heartbeat, effects);
             if applied && heartbeat.fencing_token.term() == self.term {
-                commands = self.commands_for(now, &id, Some(heartbeat), out);
+                commands = self.commands_for(now, &id, Some(heartbeat), effects);
             }
         }
         for stop in stops {
@@ -57,7 +57,9 @@
             fencing_token,
             commands: &commands,
         };
-        out.replies.push((connection, Reply::json(200, &response)));
+        effects
+            .replies
+            .push((connection, Reply::json(200, &response)));
     }
 
     /// Processes a heartbeat that a follower has responded to and forwarded. The commands are
@@ -66,17 +68,17 @@
         &mut self,
         now: Now,
         heartbeat: &WorkerHeartbeat,
-        out: &mut SchedulerEffects,
+        effects: &mut SchedulerEffects,
     ) {
         if self.stage != LeaderStage::Active {
             return;
         }
-        let applied = self.apply_heartbeat(now, heartbeat, HeartbeatSource::Heartbeat, out);
+        let applied = self.apply_heartbeat(now, heartbeat, HeartbeatSource::Heartbeat, effects);
         if !applied || heartbeat.fencing_token.term() != self.term {
             return;
         }
         let id = MachineId::new(&heartbeat.machine);
-        self.push_commands_to(now, id, Some(heartbeat), out);
+        self.push_commands_to(now, id, Some(heartbeat), effects);
     }
 
     /// Updates the machine and its tasks from a worker's status. Returns whether the status was
@@ -87,10 +89,10 @@
         now: Now,
         heartbeat: &WorkerHeartbeat,
         source: HeartbeatSource,
-        out: &mut SchedulerEffects,
+        effects: &mut SchedulerEffects,
     ) -> bool {
         if heartbeat.fencing_token.term() > self.term {
-            out.later_term_seen = true;
+            effects.later_term_seen = true;
             return false;
         }
         let id = MachineId::new(&heartbeat.machine);
@@ -122,7 +124,7 @@
                 self.pacing.requested |= !machine.token_acknowledged;
                 machine.token_acknowledged = true;
             }
-            self.reconcile(now, &id, heartbeat, out);
+            self.reconcile(now, &id, heartbeat, effects);
         }
         true
     }
--- a/src/scheduler/workers/lease_proxies.rs
+++ b/src/scheduler/workers/lease_proxies.rs
@@ -12,8 +12,8 @@
 /// The leader reads the followers' records once a machine has sent no heartbeat for this many
 /// heartbeat intervals.
 const POLL_AFTER_HEARTBEATS: u64 = 3;
-/// Page size that is large enough for the records of all followers.
-const PAGE_KEYS: u64 = 1000;
+/// The timeout for reading the page that holds the records of all followers.
+const PAGE_TIMEOUT_MS: u64 = 1000;
 
 /// State of reading the followers' records while machines are unresponsive.
 #[derive(Debug, Default)]
@@ -34,7 +34,7 @@
     pub(in crate::scheduler) fn poll_lease_proxies(
         &mut self,
         now: Now,
-        out: &mut SchedulerEffects,
+        effects: &mut SchedulerEffects,
     ) {
         let unresponsive_after_ms = self.heartbeat_interval_ms() * POLL_AFTER_HEARTBEATS;
         let any_unresponsive = self.fleet.iter().any(|machine| {
@@ -49,14 +49,14 @@
         }
         self.lease_proxies.in_flight = true;
         self.lease_proxies.next_poll_ms = now.ms + unresponsive_after_ms / 2;
-        let call = kv_client::list(LEASE_PROXY_PREFIX, None, PAGE_KEYS);
+        let call = kv_client::list(LEASE_PROXY_PREFIX, None, PAGE_TIMEOUT_MS);
         self.call_kv(
             now,
             CallPriority::Leadership,
             call,
             0,
             SchedulerKvCall::ListLeaseProxies,
-            out,
+            effects,
         );
     }
 
@@ -78,7 +78,7 @@
     /// Updates the machines from one follower's record: the leases it has renewed and the agent
     /// epochs it has received.
     fn apply_lease_proxy_record(&mut self, now: Now, record: LeaseProxyRecord) {
-        // The clocks of the controllers differ slightly, so the age may be a little off. The
+        // The clocks of the controllers differ slightly, so the age is approximate. The
         // renewals in a record older than a lease have expired.
         let age_ms = now.wall_ms.saturating_sub(record.written_wall_ms);
         if age_ms > self.lease_ms() {
--- a/src/scheduler/workers/machines.rs
+++ b/src/scheduler/workers/machines.rs
@@ -154,8 +154,8 @@
     fn remove_released_machine(&mut self, now: Now, id: &MachineId) {
         let retention_ms =
             (self.settings.site.cloud.list_lag_s * RELEASED_RETENTION_MS_PER_LAG_S) as u64;
-        let forget_ms = now.ms + retention_ms + RELEASED_RETENTION_MARGIN_MS;
-        let Some(machine) = self.fleet.remove(id, forget_ms) else {
+        let retained_until_ms = now.ms + retention_ms + RELEASED_RETENTION_MARGIN_MS;
+        let Some(machine) = self.fleet.remove(id, retained_until_ms) else {
             return;
         };
         // The released machine leaves capacity for its offer, even if the cloud has recently
--- a/src/scheduler/workers/mod.rs
+++ b/src/scheduler/workers/mod.rs
@@ -11,4 +11,4 @@
 mod machines;
 mod reconciliation;
 mod task_exits;
-mod zone_silence;
+mod zone_health;
--- a/src/scheduler/workers/reconciliation.rs
+++ b/src/scheduler/workers/reconciliation.rs
@@ -42,7 +42,7 @@
         now: Now,
         id: &MachineId,
         heartbeat: &WorkerHeartbeat,
-        out: &mut SchedulerEffects,
+        effects: &mut SchedulerEffects,
     ) {
         self.expire_earlier_epochs(now, id, heartbeat.agent_epoch);
         let mut present: HashMap<(&TaskRef, Attempt), &TaskStatus> = heartbeat
@@ -68,7 +68,7 @@
                 Some(status) => self.update_present_task(now, id, task, status.phase),
                 None => {
                     start_overdue |=
-                        self.update_absent_task(now, id, task, heartbeat.fencing_token, out);
+                        self.update_absent_task(now, id, task, heartbeat.fencing_token, effects);
                 }
             }
         }
@@ -93,7 +93,7 @@
 
     /// Updates the assignment of a task that the worker has and that hasn't ended.
     fn update_present_task(&mut self, now: Now, id: &MachineId, task: &TaskRef, phase: TaskPhase) {
-        let settled_ms = self.settled_ms();
+        let success_after_ms = self.success_after_ms();
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
@@ -118,12 +118,12 @@
         }
         // A service task doesn't end by itself, so it succeeds by running for long enough. The
         // success of a replica that spans machines is recorded by its replica group.
-        let settled = is_service
+        let counts_as_success = is_service
             && !multi_host
             && phase == TaskPhase::Running
             && assignment
                 .running_since_ms
-                .is_some_and(|since_ms| now.ms > since_ms + settled_ms);
+                .is_some_and(|since_ms| now.ms > since_ms + success_after_ms);
         let (image, image_gb) = (job.spec.image.clone(), job.spec.image_gb);
         if let Some(machine) = self.fleet.get_mut(id) {
             if phase == TaskPhase::PullingImage {
@@ -132,7 +132,7 @@
                 machine.mark_image_used(&image, image_gb);
             }
         }
-        if settled {
+        if counts_as_success {
             self.record_job_success(&task.job);
         }
     }
@@ -146,7 +146,7 @@
         id: &MachineId,
         task: &TaskRef,
         reported_token: FencingToken,
-        out: &mut SchedulerEffects,
+        effects: &mut SchedulerEffects,
     ) -> bool {
         let start_timeout_ms = START_TIMEOUT_HEARTBEATS * self.heartbeat_interval_ms();
         let assignment = self
@@ -176,7 +176,7 @@
                     .and_then(|machine| machine.advance_fencing_token())
                 {
                     Some(token) => assignment.absence_proof_token = Some(token),
-                    None => out.step_down = Some(StepDownReason::FencingTokensExhausted),
+                    None => effects.step_down = Some(StepDownReason::FencingTokensExhausted),
                 }
                 false
             }
--- a/src/scheduler/workers/task_exits.rs
+++ b/src/scheduler/workers/task_exits.rs
@@ -96,7 +96,7 @@
             ExitReason::Error => self.record_task_failure(now, id, task),
             ExitReason::Stopped => {}
             _ if multi_host => self.defer_group(task, retry_ms),
-            _ => job.failures.defer_until(retry_ms),
+            _ => job.circuit_breaker.defer_until(retry_ms),
         }
     }
 }
--- a/src/scheduler/workers/zone_silence.rs
+++ b/src/scheduler/workers/zone_health.rs
@@ -100,7 +100,7 @@
             mostly_unresponsive: true,
             heartbeat_timeout_ms,
             timeouts_start_ms: detection
-                .last_store_failure_ms
+                .last_kv_failure_ms
                 .unwrap_or(0)
                 .max(detection.last_process_pause_ms),
         }
