--- a/loadtest/src/checker.rs
+++ b/loadtest/src/checker.rs
@@ -13,58 +13,57 @@
 /// An accepted job counts as lost once all requests about it have failed for this long.
 const MAX_FAILURE_PERIOD_US: u64 = 90_000_000;
 
-/// The rules of the protocol that the checker checks.
+/// The rules of the protocol that the checker checks. The report prints the names of the
+/// variants.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Rule {
-    /// A task starts on one machine while it is still on another.
+    /// A task must not start on one machine while it is still on another.
     RanTwice,
-    /// The tasks of a team use more GPUs than its limit allows.
+    /// The tasks of a team must not use more GPUs than the team's limit.
     Quota,
-    /// A task of a job with `spread` starts in a zone in which at least half of the job's
-    /// tasks already are.
+    /// A task of a job with `spread` must not start in a zone that already has half of the
+    /// job's tasks, rounded up.
     WrongPlace,
-    /// A task is still on a machine when the time for stopping it, which starts at the
-    /// confirmed cancellation of its job, has expired.
+    /// A task must not be on a machine more than `workers.cancel_s` after a response first
+    /// reported its job as cancelled.
     RanCancelled,
-    /// The controllers do not know an accepted job any more, or requests about it have
-    /// failed for too long.
-    #[serde(rename = "forgotten")]
-    JobLost,
-    /// A controller reports a state of a job that no user submitted.
-    #[serde(rename = "invented")]
-    UnsubmittedJob,
-    /// A job is reported as done before all of its tasks have completed.
-    #[serde(rename = "not_done")]
-    DoneTooEarly,
-    /// A job is reported in another state after a final one, or as cancelled although no
-    /// user requested the cancellation of the job or of one of its dependencies.
-    #[serde(rename = "went_back")]
-    InvalidStateChange,
-    /// Tasks of an incomplete replica are reported as running.
-    #[serde(rename = "incomplete_serves")]
-    IncompleteReplicaRunning,
-    /// The remaining tasks of an incomplete replica are not stopped in time.
-    #[serde(rename = "left_alone")]
-    IncompleteReplicaKept,
-    /// A task starts before all jobs that its job depends on are done.
-    #[serde(rename = "too_early")]
-    DependencyNotDone,
-    /// A job is still reported as pending or running when the time for its cancellation,
-    /// which starts at the cancellation of one of its dependencies, has expired.
+    /// The controllers must not lose an accepted job. A job counts as lost if the response to
+    /// a request about it has status 404, the response to its repeated submission has status
+    /// 400 or 422, or all requests about it fail for more than `MAX_FAILURE_PERIOD_US`.
+    Forgotten,
+    /// A response must not report a state of a job that no user submitted.
+    Invented,
+    /// A response must not report a job as done before all of its tasks have completed.
+    NotDone,
+    /// A response must not report another state of a job after a final one, nor report a
+    /// job as cancelled if no user requested the cancellation of the job or of a job that it
+    /// depends on.
+    WentBack,
+    /// The running tasks that a response reports must form whole multi-host replicas, each
+    /// complete now or within the last five heartbeat intervals.
+    IncompleteServes,
+    /// The remaining tasks of a multi-host replica must not stay on their machines for more
+    /// than two leases plus four heartbeat intervals after the replica lost a task, unless it
+    /// is complete again by then.
+    LeftAlone,
+    /// A task must not start before all jobs that its job depends on are done.
+    TooEarly,
+    /// A response must not report a job as pending or running more than `workers.cancel_s`
+    /// after a response first reported a job that it depends on as cancelled.
     Orphaned,
 }
 
-/// A violation of a rule.
+/// A violation of a rule. The report prints the names of the fields.
 #[derive(Clone, PartialEq, Debug, Serialize)]
 pub struct Violation {
     /// The violated rule.
     pub rule: Rule,
-    /// The time of the event that violates the rule, in microseconds since 1970.
+    /// The time of the event that violates the rule, in microseconds since 1970. For a task
+    /// that is still on a machine when the history ends, the time of the last event.
     pub at_us: u64,
-    /// The name of the job or task that the event is about.
-    #[serde(rename = "what")]
-    pub subject: String,
+    /// The job or task that violates the rule, as `job` or `job/index`.
+    pub what: String,
 }
 
 /// The events of one job, as far as the rules depend on them.
@@ -88,7 +87,7 @@
     /// The number of the job's tasks.
     tasks: u32,
     /// Whether a user has requested the cancellation of a job that this job depends on.
-    has_cancelled_dependency: bool,
+    dependency_cancel_requested: bool,
     /// Whether a job that this job depends on was cancelled so long ago that this job has
     /// to be cancelled, too.
     is_orphan: bool,
@@ -101,23 +100,23 @@
         let mut violated = Vec::new();
         self.failing_since_us = None;
         if !self.submitted {
-            violated.push(Rule::UnsubmittedJob);
+            violated.push(Rule::Invented);
         }
-        let revokes = |final_state: &String| final_state != state;
-        if self.final_state.as_ref().is_some_and(revokes) {
-            violated.push(Rule::InvalidStateChange);
+        let differs = |final_state: &String| final_state != state;
+        if self.final_state.as_ref().is_some_and(differs) {
+            violated.push(Rule::WentBack);
         }
         if context.is_orphan && matches!(state, "pending" | "running") {
             violated.push(Rule::Orphaned);
         }
         if state == "cancelled" {
-            if !self.cancel_requested && !context.has_cancelled_dependency {
-                violated.push(Rule::InvalidStateChange);
+            if !self.cancel_requested && !context.dependency_cancel_requested {
+                violated.push(Rule::WentBack);
             }
             self.cancelled_us.get_or_insert(at_us);
         }
         if state == "done" && (self.finished.len() as u32) < context.tasks {
-            violated.push(Rule::DoneTooEarly);
+            violated.push(Rule::NotDone);
         }
         if matches!(state, "done" | "cancelled") {
             self.final_state.get_or_insert_with(|| state.to_string());
@@ -130,7 +129,7 @@
     fn observe_failure(&mut self, at_us: u64) -> Vec<Rule> {
         let since_us = *self.failing_since_us.get_or_insert(at_us);
         if at_us > since_us + MAX_FAILURE_PERIOD_US {
-            vec![Rule::JobLost]
+            vec![Rule::Forgotten]
         } else {
             Vec::new()
         }
@@ -141,7 +140,7 @@
 pub struct Checker<'a> {
     scenario: &'a Scenario,
     jobs: HashMap<String, JobHistory>,
-    /// The specifications that the scenario gave for jobs; `None`: it has no such job.
+    /// The specifications of jobs, by job id; `None`: the scenario has no such job.
     specs: HashMap<String, Option<JobSpec>>,
     /// The machine of each task that is on one, by job and task index.
     placed: BTreeMap<String, BTreeMap<u32, u32>>,
@@ -191,11 +190,11 @@
         spec.or_insert_with(|| scenario.job(job)).clone()
     }
 
-    fn add_violation(&mut self, rule: Rule, at_us: u64, subject: &str) {
+    fn add_violation(&mut self, rule: Rule, at_us: u64, what: &str) {
         self.violations.push(Violation {
             rule,
             at_us,
-            subject: subject.to_string(),
+            what: what.to_string(),
         });
     }
 
@@ -247,8 +246,8 @@
                 job.accepted |= request == UserRequest::Submit;
                 job.observe_state(at_us, state, &context)
             }
-            404 if job.accepted => vec![Rule::JobLost],
-            400 | 422 if job.accepted && request == UserRequest::Submit => vec![Rule::JobLost],
+            404 if job.accepted => vec![Rule::Forgotten],
+            400 | 422 if job.accepted && request == UserRequest::Submit => vec![Rule::Forgotten],
             404 => Vec::new(),
             _ if job.accepted => job.observe_failure(at_us),
             _ => Vec::new(),
@@ -264,7 +263,7 @@
         let tasks = self.spec(name).map_or(0, |spec| spec.tasks);
         let dependencies = self.all_dependencies(name);
         let limit_us = self.cancellation_limit_us();
-        let is_orphan = |dependency: &String| {
+        let cancellation_expired = |dependency: &String| {
             let cancelled_us = self.jobs.get(dependency).and_then(|job| job.cancelled_us);
             cancelled_us.is_some_and(|since_us| at_us > since_us + limit_us)
         };
@@ -275,8 +274,8 @@
         };
         JobContext {
             tasks,
-            has_cancelled_dependency: dependencies.iter().any(cancel_requested),
-            is_orphan: dependencies.iter().any(is_orphan),
+            dependency_cancel_requested: dependencies.iter().any(cancel_requested),
+            is_orphan: dependencies.iter().any(cancellation_expired),
         }
     }
 
@@ -319,13 +318,13 @@
                 self.add_violation(Rule::Quota, at_us, name);
             }
         }
-        self.check_not_cancelled(at_us, &job, name);
+        self.check_cancellation_limit(at_us, &job, name);
         if !spec
             .dependencies
             .iter()
             .all(|dependency| self.is_done(dependency.as_str()))
         {
-            self.add_violation(Rule::DependencyNotDone, at_us, name);
+            self.add_violation(Rule::TooEarly, at_us, name);
         }
     }
 
@@ -353,9 +352,9 @@
         self.job(job).finished.len() as u32 >= tasks
     }
 
-    /// Adds a violation if the time for stopping the tasks of a cancelled job had expired
-    /// at this time, at which the task was still on a machine.
-    fn check_not_cancelled(&mut self, at_us: u64, job: &str, task: &str) {
+    /// Checks a task that is on a machine at `at_us`: adds a violation if its job is cancelled
+    /// and the time for stopping the job's tasks has expired.
+    fn check_cancellation_limit(&mut self, at_us: u64, job: &str, task: &str) {
         let limit_us = self.cancellation_limit_us();
         let cancelled_us = self.job(job).cancelled_us;
         if cancelled_us.is_some_and(|since| at_us > since + limit_us) {
@@ -377,7 +376,7 @@
         if let Some(spec) = self.spec(&job) {
             *self.team_gpus.entry(spec.team.to_string()).or_insert(0.0) -= spec.gpus;
         }
-        self.check_not_cancelled(at_us, &job, name);
+        self.check_cancellation_limit(at_us, &job, name);
     }
 
     fn observe_lost_machines(&mut self, at_us: u64, machines: MachineRange) {
@@ -401,7 +400,7 @@
             .flat_map(|(job, tasks)| tasks.keys().map(move |task| (job.clone(), *task)))
             .collect();
         for (job, task) in placed {
-            self.check_not_cancelled(at_us, &job, &format!("{job}/{task}"));
+            self.check_cancellation_limit(at_us, &job, &format!("{job}/{task}"));
         }
     }
 }
--- a/loadtest/src/replica_groups.rs
+++ b/loadtest/src/replica_groups.rs
@@ -76,14 +76,14 @@
 /// The state of one replica, as far as the history has been read.
 #[derive(Default)]
 struct Replica {
-    /// The indexes of its tasks that are on machines.
+    /// The indexes of the replica's tasks that are on machines.
     on_machines: BTreeSet<u32>,
     complete: bool,
     /// The last time at which the replica became or ceased to be complete; `None`: it was
     /// never complete.
     complete_until_us: Option<u64>,
-    /// When the replica lost a task; `None`: it is complete again, lost none, or its job
-    /// was cancelled.
+    /// When the replica lost a task; `None`: the replica is complete again, has lost none, or
+    /// a user requested the cancellation of its job.
     lost_us: Option<u64>,
     /// The period from a loss until none or all of the replica's tasks are on machines.
     incomplete: Option<IncompletePeriod>,
@@ -154,20 +154,26 @@
 
     /// Records that a task started.
     pub(crate) fn record_start(&mut self, at_us: u64, task: &TaskRef) {
-        self.change(at_us, task, |on_machines, index| {
+        self.update_replica(at_us, task, |on_machines, index| {
             on_machines.insert(index);
         });
     }
 
     /// Records that a task has left its machine.
     pub(crate) fn record_departure(&mut self, at_us: u64, task: &TaskRef) {
-        self.change(at_us, task, |on_machines, index| {
+        self.update_replica(at_us, task, |on_machines, index| {
             on_machines.remove(&index);
         });
     }
 
-    /// Changes which tasks of a replica are on machines, and updates its figures.
-    fn change(&mut self, at_us: u64, task: &TaskRef, change: impl FnOnce(&mut BTreeSet<u32>, u32)) {
+    /// Updates which tasks of the task's replica are on machines, and the figures that
+    /// follow from them.
+    fn update_replica(
+        &mut self,
+        at_us: u64,
+        task: &TaskRef,
+        update: impl FnOnce(&mut BTreeSet<u32>, u32),
+    ) {
         let job = task.job.as_str();
         let Some(size) = self.scenario.tasks_per_replica(job) else {
             return;
@@ -176,18 +182,18 @@
         let is_cancelled = self.cancelled.contains(job);
         let replicas = self.jobs.entry(job.to_string()).or_default();
         let replica = replicas.entry(task.index / size).or_default();
-        let before = replica.on_machines.len();
-        change(&mut replica.on_machines, task.index);
-        let now = replica.on_machines.len();
-        if now == before {
+        let count_before = replica.on_machines.len();
+        update(&mut replica.on_machines, task.index);
+        let count = replica.on_machines.len();
+        if count == count_before {
             return;
         }
         if let Some(period) = &mut replica.incomplete {
             let counted_us = at_us.saturating_sub(period.counted_us);
-            self.figures.incomplete_gpu_s += gpus * before as f64 * counted_us as f64 / 1e6;
+            self.figures.incomplete_gpu_s += gpus * count_before as f64 * counted_us as f64 / 1e6;
             period.counted_us = at_us;
         }
-        if now == size as usize {
+        if count == size as usize {
             self.figures.seen += u64::from(replica.complete_until_us.is_none());
             if let Some(lost_us) = replica.completed(at_us) {
                 self.figures.repaired += 1;
@@ -198,7 +204,7 @@
         } else {
             replica.lost_task(at_us, is_cancelled);
         }
-        if now == 0 || now == size as usize {
+        if count == 0 || count == size as usize {
             if let Some(period) = replica.incomplete.take() {
                 self.end_incomplete(at_us, period, job);
             }
@@ -213,7 +219,7 @@
         let incomplete_s = at_us.saturating_sub(period.since_us) as f64 / 1e6;
         self.figures.incomplete_max_s = self.figures.incomplete_max_s.max(incomplete_s);
         if incomplete_s > max_s {
-            self.add_violation(Rule::IncompleteReplicaKept, at_us, job);
+            self.add_violation(Rule::LeftAlone, at_us, job);
         }
     }
 
@@ -231,15 +237,15 @@
         let replicas = self.jobs.get(job).into_iter().flat_map(BTreeMap::values);
         let complete = replicas.filter(was_complete_recently).count() as u32;
         if !running.is_multiple_of(size) || running > complete * size {
-            self.add_violation(Rule::IncompleteReplicaRunning, at_us, job);
+            self.add_violation(Rule::IncompleteServes, at_us, job);
         }
     }
 
-    fn add_violation(&mut self, rule: Rule, at_us: u64, subject: &str) {
+    fn add_violation(&mut self, rule: Rule, at_us: u64, what: &str) {
         self.violations.push(Violation {
             rule,
             at_us,
-            subject: subject.to_string(),
+            what: what.to_string(),
         });
     }
 
--- a/loadtest/tests/checker.rs
+++ b/loadtest/tests/checker.rs
@@ -180,19 +180,22 @@
         let response = responded(ARRAY, request, status, "");
         vec![(0, submitted(ARRAY)), (0, accepted(ARRAY)), (1, response)]
     };
-    assert_eq!(rules(events_with(UserRequest::Query, 404)), [Rule::JobLost]);
+    assert_eq!(
+        rules(events_with(UserRequest::Query, 404)),
+        [Rule::Forgotten]
+    );
     assert_eq!(
         rules(events_with(UserRequest::Submit, 400)),
-        [Rule::JobLost]
+        [Rule::Forgotten]
     );
     assert_eq!(
         rules(events_with(UserRequest::Submit, 422)),
-        [Rule::JobLost]
+        [Rule::Forgotten]
     );
     assert_eq!(rules(events_with(UserRequest::Query, 503)), []);
     let mut failing = events_with(UserRequest::Query, 503);
     failing.push((92, responded(ARRAY, UserRequest::Query, 0, "")));
-    assert_eq!(rules(failing), [Rule::JobLost]);
+    assert_eq!(rules(failing), [Rule::Forgotten]);
 }
 
 #[test]
@@ -201,7 +204,7 @@
         0,
         responded("run-2x5-never", UserRequest::Query, 200, "pending"),
     )];
-    assert_eq!(rules(events), [Rule::UnsubmittedJob]);
+    assert_eq!(rules(events), [Rule::Invented]);
 }
 
 #[test]
@@ -212,7 +215,7 @@
         (1, finished(ARRAY, 0)),
         (2, responded(ARRAY, UserRequest::Query, 200, "done")),
     ];
-    assert_eq!(rules(events), [Rule::DoneTooEarly]);
+    assert_eq!(rules(events), [Rule::NotDone]);
 }
 
 #[test]
@@ -226,14 +229,14 @@
     ];
     let mut running = base.clone();
     running.push((3, responded(ARRAY, UserRequest::Query, 200, "running")));
-    assert_eq!(rules(running), [Rule::InvalidStateChange]);
+    assert_eq!(rules(running), [Rule::WentBack]);
     // A job is reported as cancelled although no user requested its cancellation.
     let events = vec![
         (0, submitted(SERVICE)),
         (0, accepted(SERVICE)),
         (1, responded(SERVICE, UserRequest::Query, 200, "cancelled")),
     ];
-    assert_eq!(rules(events), [Rule::InvalidStateChange]);
+    assert_eq!(rules(events), [Rule::WentBack]);
 }
 
 /// A scenario in which the two tasks of a service form one multi-host replica.
@@ -293,21 +296,18 @@
     assert_eq!(replica_rules(&scenario, events.clone()), []);
     let mut late = events.clone();
     late.push(reported_running(33, 2));
-    assert_eq!(
-        replica_rules(&scenario, late),
-        [Rule::IncompleteReplicaRunning]
-    );
+    assert_eq!(replica_rules(&scenario, late), [Rule::IncompleteServes]);
     let mut half = events.clone();
     half.push(reported_running(33, 1));
     assert_eq!(
         replica_rules(&scenario, half.clone()),
-        [Rule::IncompleteReplicaRunning]
+        [Rule::IncompleteServes]
     );
     let mut early = replica_loses_one_task();
     early[3] = reported_running(1, 2);
     assert_eq!(
         replica_rules(&scenario, early)[..1],
-        [Rule::IncompleteReplicaRunning],
+        [Rule::IncompleteServes],
         "before it was ever complete"
     );
     let mut ungrouped = scenario.clone();
@@ -330,17 +330,11 @@
         events
     };
     assert_eq!(replica_rules(&scenario, ends(60)), []);
-    assert_eq!(
-        replica_rules(&scenario, ends(61)),
-        [Rule::IncompleteReplicaKept]
-    );
+    assert_eq!(replica_rules(&scenario, ends(61)), [Rule::LeftAlone]);
     // A task that is still on its machine when the history ends is reported as well.
     let mut stays = replica_loses_one_task();
     stays.push((70, submitted(ARRAY)));
-    assert_eq!(
-        replica_rules(&scenario, stays),
-        [Rule::IncompleteReplicaKept]
-    );
+    assert_eq!(replica_rules(&scenario, stays), [Rule::LeftAlone]);
     // After a user's cancellation request, a lost task is not a violation.
     let mut cancelled = replica_loses_one_task();
     cancelled.insert(
@@ -422,7 +416,7 @@
         (4, finished(&one, 0)),
         (5, started(&two, 0, 0)),
     ];
-    assert_eq!(rules_of(half), [Rule::DependencyNotDone]);
+    assert_eq!(rules_of(half), [Rule::TooEarly]);
     let cancel = vec![
         (3, Event::CancelRequested { job: one.clone() }),
         (4, responded(&one, UserRequest::Cancel, 200, "cancelled")),
@@ -436,5 +430,5 @@
         rules_of([cancel, query(50, "pending")].concat()),
         [Rule::Orphaned]
     );
-    assert_eq!(rules_of(query(5, "cancelled")), [Rule::InvalidStateChange]);
+    assert_eq!(rules_of(query(5, "cancelled")), [Rule::WentBack]);
 }
