--- a/loadtest/src/cloud.rs
+++ b/loadtest/src/cloud.rs
@@ -76,12 +76,12 @@
         let ProcessRole::Cloud { workers } = &config.role else {
             return Err(io::ErrorKind::InvalidInput.into());
         };
-        let now = now_us();
+        let now_us = now_us();
         let running_machine = |number| {
             let running = ProvisionedMachine {
                 state: MachineState::Running,
-                provisioned_at_us: now,
-                boot_complete_us: now,
+                provisioned_at_us: now_us,
+                boot_complete_us: now_us,
             };
             (number, running)
         };
@@ -147,12 +147,12 @@
         }
         self.unused.retain(|number| !numbers.contains(number));
         let boot_s = scenario.machine_types[scenario.machine(numbers[0]).machine_type].boot_s;
-        let now = now_us();
+        let now_us = now_us();
         for number in &numbers {
             let starting = ProvisionedMachine {
                 state: MachineState::Starting,
-                provisioned_at_us: now,
-                boot_complete_us: now + (boot_s * 1e6) as u64,
+                provisioned_at_us: now_us,
+                boot_complete_us: now_us + (boot_s * 1e6) as u64,
             };
             self.provisioned.insert(*number, starting);
         }
@@ -190,28 +190,28 @@
         let from = from
             .and_then(Scenario::machine_number)
             .map_or(0, |number| number + 1);
-        let now = now_us();
+        let now_us = now_us();
         let lag_us = (self.scenario.cloud.list_lag_s * 1e6) as u64;
         let listed = self
             .provisioned
             .range(from..)
-            .filter(|(_, machine)| now >= machine.provisioned_at_us + lag_us);
+            .filter(|(_, machine)| now_us >= machine.provisioned_at_us + lag_us);
         let rows: Vec<serde_json::Value> = listed
             .take(MAX_LISTED_MACHINES + 1)
-            .map(|(number, machine)| self.row(*number, machine, now))
+            .map(|(number, machine)| self.row(*number, machine, now_us))
             .collect();
         let truncated = rows.len() > MAX_LISTED_MACHINES;
         let rows = &rows[..rows.len().min(MAX_LISTED_MACHINES)];
         Reply::json(200, &json!({"bancs": rows, "truncated": truncated}))
     }
 
-    fn row(&self, number: u32, provisioned: &ProvisionedMachine, now: u64) -> serde_json::Value {
+    fn row(&self, number: u32, provisioned: &ProvisionedMachine, now_us: u64) -> serde_json::Value {
         let machine = self.scenario.machine(number);
         let address = self
             .process_of(number)
             .map(|p| p.addresses[(number - p.first) as usize]);
         let state = match provisioned.state {
-            MachineState::Starting if now < provisioned.boot_complete_us => "starting",
+            MachineState::Starting if now_us < provisioned.boot_complete_us => "starting",
             MachineState::Failed => "failed",
             _ => "running",
         };
@@ -222,7 +222,7 @@
             "secteur": self.scenario.zones[machine.zone],
             "occasion": false,
             "etat": state,
-            "heldS": now.saturating_sub(provisioned.provisioned_at_us) as f64 / 1e6,
+            "heldS": now_us.saturating_sub(provisioned.provisioned_at_us) as f64 / 1e6,
         })
     }
 
--- a/loadtest/src/control.rs
+++ b/loadtest/src/control.rs
@@ -1,4 +1,5 @@
-//! The control interface of simulators: the harness sends each command as a POST request.
+//! The control interface of simulators: the harness and the simulated cloud send each
+//! command as a POST request.
 
 use crate::net::Traffic;
 use lilacfork::http;
@@ -9,7 +10,7 @@
 
 /// The HTTP path to which commands are sent.
 pub const CONTROL_PATH: &str = "/control";
-/// How long the sender of a command waits for the response.
+/// How long each read of a response may block.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A command to a simulator. A simulator ignores commands that are meant for another kind
@@ -37,7 +38,7 @@
         /// The boot time in milliseconds, after which the workers send heartbeats.
         after_ms: u64,
     },
-    /// Workers: end these machines and their tasks immediately.
+    /// Workers: shut down these machines and end their tasks immediately.
     Remove {
         /// The machines' numbers, as in [`crate::scenario::Scenario::machine`].
         machines: Vec<u32>,
--- a/loadtest/src/harness/fault_injection.rs
+++ b/loadtest/src/harness/fault_injection.rs
@@ -30,9 +30,9 @@
     ResumeController(usize),
     /// Resumes a paused process of simulated workers.
     ResumeWorkers(usize),
-    /// Makes a machine fail; the cloud lists it as failed.
-    ReplaceMachine(u32),
-    /// Makes a machine unreachable for `for_ms`.
+    /// Shuts down a machine, and makes the cloud list it as failed.
+    FailMachine(u32),
+    /// Isolates a machine from all controllers for `for_ms`.
     IsolateMachine {
         machine: u32,
         for_ms: u64,
@@ -73,7 +73,6 @@
             .map_or(0, |(number, _)| number)
     }
 
-    /// Performs one scheduled action.
     fn perform(&mut self, action: ScheduledAction, now_us: u64) -> Result<(), RunError> {
         match action {
             ScheduledAction::Fault(fault) => self.inject_fault(&fault, now_us),
@@ -95,7 +94,7 @@
                 self.workers[number].process.resume();
                 Ok(())
             }
-            ScheduledAction::ReplaceMachine(machine) => self.replace_machine(machine),
+            ScheduledAction::FailMachine(machine) => self.fail_machine(machine),
             ScheduledAction::IsolateMachine { machine, for_ms } => {
                 let machines = vec![machine];
                 let command = SimulatorCommand::Isolate { machines, for_ms };
@@ -141,7 +140,7 @@
                 self.kv_store.send(&SimulatorCommand::ApplyNextLimits);
             }
             FaultKind::Replace => {
-                self.schedule_machine_faults(fault, now_us, ScheduledAction::ReplaceMachine);
+                self.schedule_machine_faults(fault, now_us, ScheduledAction::FailMachine);
             }
             FaultKind::Silent => {
                 let isolate = |machine| ScheduledAction::IsolateMachine { machine, for_ms };
@@ -169,7 +168,8 @@
         }
     }
 
-    /// Makes the workers of the fault's zone unreachable; the first zone if it names none.
+    /// Isolates the workers in the fault's zone from all controllers. A fault that names no
+    /// zone isolates the first one.
     fn isolate_zone(&self, fault: &FaultSettings, for_ms: u64) {
         let zones = &self.scenario.zones;
         let named = fault
@@ -205,7 +205,7 @@
         }
     }
 
-    fn replace_machine(&mut self, machine: u32) -> Result<(), RunError> {
+    fn fail_machine(&mut self, machine: u32) -> Result<(), RunError> {
         let machines = vec![machine];
         self.send_to_worker_process(machine, &SimulatorCommand::Remove { machines });
         self.record_lost_machines(MachineRange {
--- a/loadtest/src/history.rs
+++ b/loadtest/src/history.rs
@@ -56,7 +56,8 @@
         /// The number of the machine on which the task runs.
         machine: u32,
     },
-    /// A task completed and its result is kept.
+    /// A task of an array job has completed. Its result is kept, even if the task's machine is
+    /// lost later.
     Finished {
         /// The task, as `job/index`.
         task: String,
--- a/loadtest/src/kv_store/mod.rs
+++ b/loadtest/src/kv_store/mod.rs
@@ -112,13 +112,13 @@
         request_handle: RequestHandle,
         request: &Request,
     ) {
-        let now = now_us();
+        let now_us = now_us();
         self.count("requests", 1.0);
         if self.rejects_requests_of(controller) {
             net.reply(request_handle, &Reply::error(503, "refused"));
             return;
         }
-        if !self.request_limit.try_take(now, 1.0) {
+        if !self.request_limit.try_take(now_us, 1.0) {
             self.count("refused", 1.0);
             net.reply(request_handle, &Reply::error(429, "too many requests"));
             return;
@@ -133,9 +133,9 @@
                     controller,
                     prefix: parameter("under"),
                     after_revision: parameter("from").parse().unwrap_or(0),
-                    deadline_us: now + MAX_WATCH_MS.min(wait_ms) * 1000,
+                    deadline_us: now_us + MAX_WATCH_MS.min(wait_ms) * 1000,
                 };
-                let Some(reply) = self.watch_reply(&watch, now) else {
+                let Some(reply) = self.watch_reply(&watch, now_us) else {
                     self.watches.push(watch);
                     return;
                 };
@@ -147,21 +147,27 @@
                 parameter("limit").parse().unwrap_or(MAX_PAGE_ITEMS),
             ),
             ("GET", key) => self.get(key.strip_prefix("/kv/").unwrap_or("")),
-            ("POST", "/txn") => self.transaction(now, &request.body),
-            ("POST", "/leases") => self.grant_lease(now, &request.body),
-            (method, path) => self.renew_or_end_lease(now, method, path),
+            ("POST", "/txn") => self.transaction(now_us, &request.body),
+            ("POST", "/leases") => self.grant_lease(now_us, &request.body),
+            (method, path) => self.renew_or_end_lease(now_us, method, path),
         };
-        self.reply(net, now, request_handle, reply);
-        self.complete_watches(net, now);
+        self.reply(net, now_us, request_handle, reply);
+        self.complete_watches(net, now_us);
     }
 
     /// Sends a response after the delay that the scenario configures.
-    fn reply(&mut self, net: &mut Network, now: u64, request_handle: RequestHandle, reply: Reply) {
+    fn reply(
+        &mut self,
+        net: &mut Network,
+        now_us: u64,
+        request_handle: RequestHandle,
+        reply: Reply,
+    ) {
         if self.response_delay_us == 0 {
             net.reply(request_handle, &reply);
         } else {
             self.delayed.push_back(DelayedReply {
-                due_us: now + self.response_delay_us,
+                due_us: now_us + self.response_delay_us,
                 request_handle,
                 reply,
             });
@@ -208,7 +214,7 @@
 
     /// Checks a transaction against the limits, its compares and its leases, in this order,
     /// and applies all writes or none.
-    fn transaction(&mut self, now: u64, body: &[u8]) -> Reply {
+    fn transaction(&mut self, now_us: u64, body: &[u8]) -> Reply {
         let Ok(transaction) = serde_json::from_slice::<TransactionBody>(body) else {
             return Reply::error(400, "malformed");
         };
@@ -216,7 +222,7 @@
         if writes.len() > self.settings.txn_ops as usize || body.len() > MAX_TRANSACTION_BYTES {
             return Reply::error(400, "too large");
         }
-        if !writes.is_empty() && !self.write_limit.try_take(now, writes.len() as f64) {
+        if !writes.is_empty() && !self.write_limit.try_take(now_us, writes.len() as f64) {
             self.count("refused", 1.0);
             return Reply::error(429, "too many changes");
         }
@@ -269,15 +275,15 @@
         }
     }
 
-    fn grant_lease(&mut self, now: u64, body: &[u8]) -> Reply {
+    fn grant_lease(&mut self, now_us: u64, body: &[u8]) -> Reply {
         let Ok(body) = serde_json::from_slice::<GrantBody>(body) else {
             return Reply::error(400, "malformed");
         };
-        let lease = self.storage.grant_lease(now, body.ttl_ms * 1000);
+        let lease = self.storage.grant_lease(now_us, body.ttl_ms * 1000);
         Reply::json(200, &json!({"bail": lease}))
     }
 
-    fn renew_or_end_lease(&mut self, now: u64, method: &str, path: &str) -> Reply {
+    fn renew_or_end_lease(&mut self, now_us: u64, method: &str, path: &str) -> Reply {
         let lease: u64 = path
             .strip_prefix("/leases/")
             .and_then(|rest| rest.split('/').next())
@@ -289,14 +295,14 @@
         if method == "DELETE" {
             self.storage.end_lease(lease);
         } else {
-            self.storage.renew_lease(now, lease);
+            self.storage.renew_lease(now_us, lease);
         }
         Reply::json(200, &json!({}))
     }
 
     /// Returns the response to a watch, or `None` while the watch has neither changes to
     /// report nor reached its deadline.
-    fn watch_reply(&self, watch: &Watch, now: u64) -> Option<Reply> {
+    fn watch_reply(&self, watch: &Watch, now_us: u64) -> Option<Reply> {
         let Some(changes) = self
             .storage
             .changes_since(watch.after_revision, &watch.prefix)
@@ -309,7 +315,7 @@
                 None => json!({"drop": change.key, "retouche": change.revision}),
             })
             .collect();
-        if events.is_empty() && now < watch.deadline_us {
+        if events.is_empty() && now_us < watch.deadline_us {
             return None;
         }
         let revision = self.storage.revision();
@@ -320,14 +326,14 @@
     }
 
     /// Responds to the watches that have changes to report or have reached their deadline.
-    fn complete_watches(&mut self, net: &mut Network, now: u64) {
+    fn complete_watches(&mut self, net: &mut Network, now_us: u64) {
         let mut waiting = Vec::new();
         for watch in std::mem::take(&mut self.watches) {
             // A watch stays open while the store rejects its controller's requests.
             let reply = if self.rejects_requests_of(watch.controller) {
                 None
             } else {
-                self.watch_reply(&watch, now)
+                self.watch_reply(&watch, now_us)
             };
             match reply {
                 Some(reply) => net.reply(watch.request_handle, &reply),
@@ -367,14 +373,19 @@
     }
 
     fn tick(&mut self, net: &mut Network) -> io::Result<u64> {
-        let now = now_us();
-        self.storage.expire_leases(now);
-        self.complete_watches(net, now);
-        while let Some(delayed) = self.delayed.pop_front_if(|delayed| delayed.due_us <= now) {
+        let now_us = now_us();
+        self.storage.expire_leases(now_us);
+        self.complete_watches(net, now_us);
+        while let Some(delayed) = self
+            .delayed
+            .pop_front_if(|delayed| delayed.due_us <= now_us)
+        {
             net.reply(delayed.request_handle, &delayed.reply);
         }
         let delayed_us = self.delayed.front().map(|delayed| delayed.due_us);
-        Ok(delayed_us.unwrap_or(u64::MAX).min(now + CHECK_INTERVAL_US))
+        Ok(delayed_us
+            .unwrap_or(u64::MAX)
+            .min(now_us + CHECK_INTERVAL_US))
     }
 
     fn command(&mut self, _: &mut Network, command: &SimulatorCommand) -> io::Result<()> {
--- a/loadtest/src/kv_store/storage.rs
+++ b/loadtest/src/kv_store/storage.rs
@@ -131,7 +131,7 @@
         }
     }
 
-    /// Extends all leases to their full time to live from this time on.
+    /// Sets the expiry of every lease to its full time to live after `from_us`.
     pub(super) fn renew_all_leases(&mut self, from_us: u64) {
         for lease in self.leases.values_mut() {
             lease.expires_us = from_us + lease.ttl_us;
--- a/loadtest/src/lib.rs
+++ b/loadtest/src/lib.rs
@@ -5,7 +5,7 @@
 //! The simulators implement the whole protocol without doing the work: a simulated task
 //! runs until its configured duration has passed. Each simulator is a separate process
 //! ([`process`]). The [`harness`] starts and stops the processes and injects faults, and
-//! the [`checker`] checks the history that the simulators write.
+//! the [`checker`] checks the history that the harness and the simulators write.
 
 #![warn(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
--- a/loadtest/src/net.rs
+++ b/loadtest/src/net.rs
@@ -94,8 +94,8 @@
     listeners: Vec<TcpListener>,
     connections: HashMap<usize, Connection>,
     links: HashMap<Link, usize>,
-    /// The deadlines of calls, in microseconds, each with its connection's key. A call's
-    /// entry remains after the call has completed.
+    /// The deadlines of calls, in microseconds since 1970, each with its connection's key. The
+    /// entry of a call remains after the call has completed.
     deadlines: BTreeSet<(u64, usize)>,
     next_key: usize,
     events: Events,
@@ -149,7 +149,7 @@
 
     /// Sends a request on a link; [`Network::wait`] later returns the outcome. If the link
     /// has a call in flight, that call is abandoned without an outcome and its connection
-    /// is closed. A connection to another address is closed too.
+    /// is closed. If the link is connected to another address, that connection is closed, too.
     pub fn call(
         &mut self,
         link: Link,
@@ -267,12 +267,12 @@
 
     /// Fails the calls whose deadline has passed.
     fn expire_calls(&mut self) {
-        let now = now_us();
+        let now_us = now_us();
         while let Some((deadline_us, key)) = self
             .deadlines
             .first()
             .copied()
-            .filter(|(deadline_us, _)| *deadline_us <= now)
+            .filter(|(deadline_us, _)| *deadline_us <= now_us)
         {
             self.deadlines.remove(&(deadline_us, key));
             if self
--- a/loadtest/src/process.rs
+++ b/loadtest/src/process.rs
@@ -14,8 +14,8 @@
 use std::net::SocketAddrV4;
 use std::path::{Path, PathBuf};
 
-/// The number of the listener that accepts commands of the harness. The simulator's own
-/// listeners are numbered from the next one on.
+/// The number of the listener that accepts commands of the harness and the simulated cloud.
+/// The simulator's own listeners have the numbers after it.
 pub const CONTROL_LISTENER: usize = 0;
 
 /// The machines and addresses of a process of simulated workers, for the simulated cloud.
@@ -66,14 +66,15 @@
     pub history: PathBuf,
 }
 
-/// A simulator, driven by messages, timers and commands of the harness.
+/// A simulator, driven by messages, timers and commands.
 pub trait Simulator {
-    /// Handles a message or a connection event that isn't a command of the harness.
+    /// Handles a received message that isn't a command, or the failure of a call.
     fn incoming(&mut self, net: &mut Network, incoming: Incoming) -> io::Result<()>;
     /// Performs all actions that are due, and returns when to be called again at the latest,
     /// in microseconds since 1970.
     fn tick(&mut self, net: &mut Network) -> io::Result<u64>;
-    /// Executes a command of the harness. Commands for other simulators are ignored.
+    /// Executes a command of the harness or the simulated cloud. Commands for other kinds of
+    /// simulators are ignored.
     fn command(&mut self, net: &mut Network, command: &SimulatorCommand) -> io::Result<()>;
     /// Adds the simulator's own counters to `stats`.
     fn stats(&self, stats: &mut Stats);
--- a/loadtest/src/report.rs
+++ b/loadtest/src/report.rs
@@ -95,7 +95,7 @@
     /// The number of violations of each rule; empty: no rule was violated.
     #[serde(rename = "broken")]
     pub violations: BTreeMap<Rule, usize>,
-    /// The first violations that were found, up to the number that the report lists.
+    /// The violations that were found first, at most five.
     #[serde(rename = "first_broken")]
     pub first_violations: Vec<Violation>,
 }
--- a/loadtest/src/scenario/jobs.rs
+++ b/loadtest/src/scenario/jobs.rs
@@ -12,16 +12,17 @@
         format!("run-{class}x{number}")
     }
 
-    /// Returns the class index and the number that a job's name holds, or `None` if this
-    /// scenario has no such job.
+    /// Returns the class index and the number that a job's name holds, or `None` if the
+    /// name has another form or the scenario has no such class.
     pub fn parse_job_name(&self, job: &str) -> Option<(usize, u32)> {
         let (class, number) = job.strip_prefix("run-")?.split_once('x')?;
         let class = class.parse().ok().filter(|c| *c < self.classes.len())?;
         Some((class, number.parse().ok()?))
     }
 
-    /// Returns the random number generator of a job or of one of its tasks. Its sequence is
-    /// the same in every process.
+    /// Returns the random number generator of a job's task, whose sequence is the same in
+    /// every process. Values of `task` above the index of every task select generators for
+    /// the job itself.
     fn random_generator(&self, class: usize, number: u32, task: u32) -> fastrand::Rng {
         let job = (class as u64) << 48 | u64::from(number) << 16;
         fastrand::Rng::with_seed(
--- a/loadtest/src/scenario/mod.rs
+++ b/loadtest/src/scenario/mod.rs
@@ -17,8 +17,8 @@
 use std::path::Path;
 use thiserror::Error;
 
-/// Scaling to fewer workers lowers the key-value store's rates at most to this share of the
-/// scenario's rates.
+/// Scaling to fewer workers lowers the rate limits of the key-value store no further than to
+/// this share of the scenario's limits.
 const MIN_KV_RATE_FACTOR: f64 = 0.2;
 
 /// A scenario file that can't be read or is invalid. The message fits on one line.
@@ -75,7 +75,7 @@
     }
 
     /// Returns the scenario scaled to this number of workers: spare machines, teams, jobs
-    /// and key-value store rates change in proportion.
+    /// and rate limits of the key-value store change in proportion.
     pub fn resized(mut self, workers: u32) -> Scenario {
         let factor = f64::from(workers) / f64::from(self.workers.count);
         let scaled = |count: u32| (f64::from(count) * factor).round().max(1.0) as u32;
--- a/loadtest/src/scenario/settings.rs
+++ b/loadtest/src/scenario/settings.rs
@@ -176,7 +176,7 @@
     /// each task is a replica by itself.
     #[serde(default, rename = "parts")]
     pub tasks_per_replica: u32,
-    /// Limits each zone to at most half of a job's tasks.
+    /// Limits each zone to half of a job's tasks, rounded up.
     #[serde(default)]
     pub spread: bool,
     /// The service-level objective for the wait until a task starts, in seconds; `None` if
@@ -198,7 +198,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FaultSettings {
-    /// The time of the injection, in seconds after the warm-up.
+    /// The time of the injection, in seconds after the end of the warm-up.
     pub at_s: f64,
     /// The kind of fault, which determines the keys that apply.
     pub kind: FaultKind,
@@ -224,9 +224,10 @@
     LeaderKill,
     /// The leader's process is paused for `for_s`.
     LeaderPause,
-    /// All controllers are killed and restarted immediately, one after another.
+    /// The controllers are killed one after another, and each is restarted shortly after.
     RestartAll,
     /// A process of simulated workers, which represents a rack, is killed and not restarted.
+    /// The cloud lists its machines as failed.
     RackLost,
     /// A process of simulated workers is paused for `for_s`.
     RackPaused,
--- a/loadtest/src/users.rs
+++ b/loadtest/src/users.rs
@@ -15,10 +15,14 @@
 use std::io;
 use std::net::SocketAddrV4;
 
-/// Users' timeouts and intervals (PROTOCOL, "Users -> controller nodes").
+/// The timeout of a submission or a cancellation, as set by the user protocol.
 const SUBMIT_TIMEOUT_MS: u64 = 5000;
+/// The timeout of a query, as set by the user protocol.
 const POLL_TIMEOUT_MS: u64 = 2000;
+/// The interval between queries of a job, as set by the user protocol.
 const POLL_INTERVAL_US: u64 = 5_000_000;
+/// The delay before a failed submission or cancellation is repeated, as set by the user
+/// protocol.
 const RETRY_DELAY_US: u64 = 1_000_000;
 /// The interval between the health probes of a controller, and the timeout of a probe.
 const PROBE_INTERVAL_US: u64 = 250_000;
@@ -50,7 +54,7 @@
     /// The number of running tasks in the latest successful response to the user.
     running: Option<u32>,
     last_request_failed: bool,
-    /// The query in flight names a job that nobody submitted.
+    /// Whether the query in flight names a job that nobody submitted.
     queries_unknown: bool,
 }
 
@@ -88,7 +92,7 @@
             || outcome.request != UserRequest::Query
     }
 
-    fn answered_event(&self, outcome: &Outcome) -> Event {
+    fn completion_event(&self, outcome: &Outcome) -> Event {
         Event::RequestCompleted {
             job: self.queried_name(),
             request: outcome.request,
@@ -99,8 +103,8 @@
     }
 
     /// Moves the job to its next stage, and returns the time of the next request.
-    fn advance(&mut self, outcome: &Outcome, now: u64) -> u64 {
-        let mut next_us = now + POLL_INTERVAL_US;
+    fn advance(&mut self, outcome: &Outcome, now_us: u64) -> u64 {
+        let mut next_us = now_us + POLL_INTERVAL_US;
         let is_final = matches!(outcome.state.as_str(), "done" | "cancelled");
         match (outcome.request, outcome.is_success()) {
             (UserRequest::Submit, true) => self.stage = Stage::Polling,
@@ -108,10 +112,10 @@
             (UserRequest::Cancel, true) => self.stage = Stage::Finished,
             (UserRequest::Query, _) => {}
             (_, false) if matches!(outcome.status, 400 | 404 | 422) => self.stage = Stage::Finished,
-            (_, false) => next_us = now + RETRY_DELAY_US,
+            (_, false) => next_us = now_us + RETRY_DELAY_US,
         }
         if self.stage == Stage::Polling {
-            next_us = next_us.min(self.cancel_due_us.max(now + 1));
+            next_us = next_us.min(self.cancel_due_us.max(now_us + 1));
         }
         next_us
     }
@@ -170,22 +174,24 @@
     /// warm-up.
     pub fn new(config: &ProcessConfig) -> io::Result<UserSimulator> {
         let scenario = config.scenario.clone();
-        let now = now_us();
+        let now_us = now_us();
         let probe = Probe {
-            last_ready_us: now,
+            last_ready_us: now_us,
             consecutive_failures: 0,
             longest_unready_us: 0,
             was_ready: false,
         };
-        let timers =
-            (0..config.controllers.len() as Link).map(|link| LinkTimer { due_us: now, link });
+        let timers = (0..config.controllers.len() as Link).map(|link| LinkTimer {
+            due_us: now_us,
+            link,
+        });
         Ok(UserSimulator {
-            next_arrival_us: vec![now; scenario.classes.len()],
+            next_arrival_us: vec![now_us; scenario.classes.len()],
             submitted_by_class: vec![0; scenario.classes.len()],
             probes: vec![probe; config.controllers.len()],
             timers: timers.collect(),
             controllers: config.controllers.clone(),
-            started_us: now,
+            started_us: now_us,
             jobs: HashMap::new(),
             next_link: FIRST_JOB_LINK,
             recorder: Recorder::create(&config.history)?,
@@ -199,8 +205,8 @@
         })
     }
 
-    /// Submits all jobs of a class whose time has come, and sets the time of the next one.
-    fn submit_arrivals(&mut self, net: &mut Network, class: usize, now: u64) -> io::Result<()> {
+    /// Submits all jobs of a class that are due, and sets the time of the next one.
+    fn submit_arrivals(&mut self, net: &mut Network, class: usize, now_us: u64) -> io::Result<()> {
         let settings = self.scenario.classes[class].clone();
         if !settings.after.is_empty() {
             // `submit_dependents` submits jobs that depend on other jobs.
@@ -209,10 +215,12 @@
         }
         let warm_us = (self.scenario.warm_s * 1e6) as u64;
         let last_arrival_us = self.started_us + warm_us + (self.scenario.run_s * 1e6) as u64;
-        while self.next_arrival_us[class] <= now && now < last_arrival_us {
+        while self.next_arrival_us[class] <= now_us && now_us < last_arrival_us {
             let number = self.submitted_by_class[class];
             self.submitted_by_class[class] += 1;
-            self.submit_new_job(net, Scenario::job_name(class, number), now)?;
+            self.submit_new_job(net, Scenario::job_name(class, number), now_us)?;
+            // The initial jobs are submitted evenly over the first 70 % of the warm-up. Later
+            // arrivals form a Poisson process.
             let gap_us = if number < settings.initial {
                 warm_us as f64 * 0.7 / f64::from(settings.initial)
             } else if settings.rate > 0.0 {
@@ -226,7 +234,7 @@
     }
 
     /// Creates a user for a new job, and sends the first submission.
-    fn submit_new_job(&mut self, net: &mut Network, name: String, now: u64) -> io::Result<()> {
+    fn submit_new_job(&mut self, net: &mut Network, name: String, now_us: u64) -> io::Result<()> {
         let link = self.next_link;
         self.next_link += 1;
         self.submitted += 1;
@@ -239,15 +247,15 @@
         let is_service = self.scenario.classes[class].kind == JobKind::Service;
         let lifetime_s = self.scenario.run_s(&name, 0).unwrap_or(0.0);
         let cancel_due_us = match (is_service, self.scenario.cancelled_early(&name)) {
-            (true, _) => now + (lifetime_s * 1e6) as u64,
-            (false, true) => now + (lifetime_s * 0.5e6) as u64,
+            (true, _) => now_us + (lifetime_s * 1e6) as u64,
+            (false, true) => now_us + (lifetime_s * 0.5e6) as u64,
             (false, false) => u64::MAX,
         };
         let job = Job {
             controller: self.healthy_controller(),
             name,
             stage: Stage::Submitting,
-            submitted_us: now,
+            submitted_us: now_us,
             cancel_due_us,
             last_state: String::new(),
             running: None,
@@ -277,11 +285,11 @@
     /// Sends the request that the job's stage calls for.
     fn send_next_request(&mut self, net: &mut Network, link: Link) -> io::Result<()> {
         let queries_unknown = self.rng.u32(..QUERIES_PER_UNKNOWN_JOB) == 0;
-        let now = now_us();
+        let now_us = now_us();
         let Some(job) = self.jobs.get_mut(&link) else {
             return Ok(());
         };
-        if job.stage == Stage::Polling && now >= job.cancel_due_us {
+        if job.stage == Stage::Polling && now_us >= job.cancel_due_us {
             job.stage = Stage::Cancelling;
             self.recorder.record(Event::CancelRequested {
                 job: job.name.clone(),
@@ -314,7 +322,7 @@
         link: Link,
         response: Option<Response>,
     ) -> io::Result<()> {
-        let now = now_us();
+        let now_us = now_us();
         let Response { status, body } = response.unwrap_or_default();
         let body: JobBody = serde_json::from_slice(&body).unwrap_or_default();
         let other_controller = self.healthy_controller();
@@ -337,7 +345,7 @@
         let spec = self.scenario.job(&job.name);
         let has_dependencies = spec.is_some_and(|spec| !spec.dependencies.is_empty());
         if has_dependencies || job.must_record(&outcome) {
-            self.recorder.record(job.answered_event(&outcome))?;
+            self.recorder.record(job.completion_event(&outcome))?;
         }
         job.last_request_failed = !outcome.is_success();
         if status == 0 || status >= 500 {
@@ -350,9 +358,9 @@
             self.accepted += 1;
             let _ = self
                 .acceptance_latency_ms
-                .record((now - job.submitted_us) / 1000);
+                .record((now_us - job.submitted_us) / 1000);
         }
-        let next_us = job.advance(&outcome, now);
+        let next_us = job.advance(&outcome, now_us);
         if !job.queries_unknown && outcome.is_success() {
             job.last_state = outcome.state;
             job.running = outcome.running;
@@ -365,14 +373,19 @@
             self.timers.insert(LinkTimer { due_us, link });
         }
         match accepted {
-            Some(name) => self.submit_dependents(net, name, now),
+            Some(name) => self.submit_dependents(net, name, now_us),
             None => Ok(()),
         }
     }
 
     /// Submits the dependents of a job that was just accepted, if all their dependencies are
     /// accepted by now.
-    fn submit_dependents(&mut self, net: &mut Network, name: String, now: u64) -> io::Result<()> {
+    fn submit_dependents(
+        &mut self,
+        net: &mut Network,
+        name: String,
+        now_us: u64,
+    ) -> io::Result<()> {
         let dependents = self.scenario.dependents(&name);
         if dependents.is_empty() {
             return Ok(());
@@ -382,26 +395,27 @@
             let is_accepted = |name: &JobId| self.accepted_dependencies.contains(name.as_str());
             let spec = self.scenario.job(&dependent);
             if spec.is_some_and(|spec| spec.dependencies.iter().all(is_accepted)) {
-                self.submit_new_job(net, dependent, now)?;
+                self.submit_new_job(net, dependent, now_us)?;
             }
         }
         Ok(())
     }
 
     fn handle_probe_response(&mut self, link: Link, response: Option<Response>) {
-        let now = now_us();
+        let now_us = now_us();
         let probe = &mut self.probes[link as usize];
         if response.is_some_and(|response| response.status == 200) {
             if probe.was_ready {
-                probe.longest_unready_us = probe.longest_unready_us.max(now - probe.last_ready_us);
+                probe.longest_unready_us =
+                    probe.longest_unready_us.max(now_us - probe.last_ready_us);
             }
             probe.was_ready = true;
             probe.consecutive_failures = 0;
-            probe.last_ready_us = now;
+            probe.last_ready_us = now_us;
         } else {
             probe.consecutive_failures += 1;
         }
-        let due_us = now + PROBE_INTERVAL_US;
+        let due_us = now_us + PROBE_INTERVAL_US;
         self.timers.insert(LinkTimer { due_us, link });
     }
 }
@@ -419,11 +433,15 @@
     }
 
     fn tick(&mut self, net: &mut Network) -> io::Result<u64> {
-        let now = now_us();
+        let now_us = now_us();
         for class in 0..self.next_arrival_us.len() {
-            self.submit_arrivals(net, class, now)?;
+            self.submit_arrivals(net, class, now_us)?;
         }
-        while self.timers.first().is_some_and(|first| first.due_us <= now) {
+        while self
+            .timers
+            .first()
+            .is_some_and(|first| first.due_us <= now_us)
+        {
             let Some(LinkTimer { link, .. }) = self.timers.pop_first() else {
                 break;
             };
@@ -438,13 +456,13 @@
             .next_arrival_us
             .iter()
             .copied()
-            .filter(|arrival_us| *arrival_us > now)
+            .filter(|arrival_us| *arrival_us > now_us)
             .min();
         let timer = self.timers.first().map(|first| first.due_us);
         Ok([arrival, timer]
             .into_iter()
             .flatten()
-            .fold(now + 100_000, u64::min))
+            .fold(now_us + 100_000, u64::min))
     }
 
     fn command(&mut self, _: &mut Network, _: &SimulatorCommand) -> io::Result<()> {
--- a/loadtest/src/workers/heartbeats.rs
+++ b/loadtest/src/workers/heartbeats.rs
@@ -10,9 +10,9 @@
 
 /// How long a worker waits for a heartbeat response.
 const HEARTBEAT_TIMEOUT_MS: u64 = 4000;
-/// The minimum time between two heartbeats (PROTOCOL, "Workers -> controller nodes").
+/// The minimum time between two heartbeats that the worker protocol allows.
 const MIN_HEARTBEAT_INTERVAL_US: u64 = 500_000;
-/// The delay before a worker tries the next controller (PROTOCOL, as above).
+/// The delay before a worker tries the next controller, as set by the worker protocol.
 const CONTROLLER_RETRY_DELAY_US: u64 = 1_000_000;
 /// Each heartbeat interval varies randomly by up to this share in either direction.
 const HEARTBEAT_JITTER: f64 = 0.25;
@@ -58,21 +58,21 @@
 
     /// Sends a heartbeat, unless the worker is down or has a heartbeat in flight. An isolated
     /// worker schedules an attempt with the next controller instead.
-    pub(super) fn send_heartbeat(&mut self, net: &mut Network, index: usize, now: u64) {
+    pub(super) fn send_heartbeat(&mut self, net: &mut Network, index: usize, now_us: u64) {
         if !self.workers[index].up || self.workers[index].in_flight.is_some() {
             return;
         }
-        if self.is_isolated(index, now) {
-            self.try_next_controller(index, now);
+        if self.is_isolated(index, now_us) {
+            self.try_next_controller(index, now_us);
             return;
         }
         let body = self.heartbeat_body(index);
         let worker = &mut self.workers[index];
         worker.in_flight = Some(HeartbeatInFlight {
-            sent_us: now,
+            sent_us: now_us,
             epoch: worker.epoch,
         });
-        worker.last_heartbeat_us = now;
+        worker.last_heartbeat_us = now_us;
         let controller_address = self.controllers[worker.controller];
         self.heartbeats += 1;
         net.call(
@@ -85,11 +85,11 @@
         );
     }
 
-    fn try_next_controller(&mut self, index: usize, now: u64) {
+    fn try_next_controller(&mut self, index: usize, now_us: u64) {
         let count = self.controllers.len();
         let worker = &mut self.workers[index];
         worker.controller = (worker.controller + 1) % count;
-        self.schedule_heartbeat(index, now + CONTROLLER_RETRY_DELAY_US);
+        self.schedule_heartbeat(index, now_us + CONTROLLER_RETRY_DELAY_US);
     }
 
     /// Handles a heartbeat response, or the failure of a heartbeat if `response` is `None`.
@@ -98,20 +98,20 @@
         index: usize,
         response: Option<Response>,
     ) -> io::Result<()> {
-        let now = now_us();
+        let now_us = now_us();
         let Some(in_flight) = self.workers[index].in_flight.take() else {
             return Ok(());
         };
         if !self.workers[index].up {
             return Ok(());
         }
-        let response = response.filter(|_| !self.is_isolated(index, now));
+        let response = response.filter(|_| !self.is_isolated(index, now_us));
         let Response { status, body } = response.unwrap_or_default();
         let body: Option<CommandsBody> = serde_json::from_slice(&body).ok();
         match (status, body) {
             (200, Some(body)) => self.accept_response(index, in_flight, &body)?,
-            (421, Some(body)) => self.follow_redirect(index, body.redirect_to, now),
-            _ => self.try_next_controller(index, now),
+            (421, Some(body)) => self.follow_redirect(index, body.redirect_to, now_us),
+            _ => self.try_next_controller(index, now_us),
         }
         Ok(())
     }
@@ -142,7 +142,7 @@
 
     /// Switches to the controller that a heartbeat response names, or to the next controller
     /// if the named one is unknown or the current one.
-    fn follow_redirect(&mut self, index: usize, redirect_to: Option<String>, now: u64) {
+    fn follow_redirect(&mut self, index: usize, redirect_to: Option<String>, now_us: u64) {
         let current = self.workers[index].controller;
         let target = redirect_to
             .and_then(|name| controller_number(&name))
@@ -151,26 +151,26 @@
             Some(number) => {
                 self.workers[index].controller = number;
                 let delay_us = self.rng.u64(..MIN_HEARTBEAT_INTERVAL_US);
-                self.schedule_heartbeat(index, now + delay_us);
+                self.schedule_heartbeat(index, now_us + delay_us);
             }
-            None => self.try_next_controller(index, now),
+            None => self.try_next_controller(index, now_us),
         }
     }
 
     /// Ends all tasks and begins a new agent epoch if the lease has expired, and schedules
     /// the next check.
-    pub(super) fn check_lease(&mut self, index: usize, now: u64) -> io::Result<()> {
+    pub(super) fn check_lease(&mut self, index: usize, now_us: u64) -> io::Result<()> {
         let expires_us = self.workers[index].lease_renewed_us + self.lease_us();
         if !self.workers[index].up {
             return Ok(());
         }
-        if now > expires_us {
+        if now_us > expires_us {
             self.expired_leases += 1;
             self.end_all_tasks(index)?;
             let worker = &mut self.workers[index];
             worker.epoch += 1;
             worker.sequence = 0;
-            worker.lease_renewed_us = now;
+            worker.lease_renewed_us = now_us;
         }
         let next_us = self.workers[index].lease_renewed_us + self.lease_us() + 1;
         self.set_timer(next_us, index, Timer::Lease);
--- a/loadtest/src/workers/mod.rs
+++ b/loadtest/src/workers/mod.rs
@@ -132,7 +132,7 @@
             return Err(io::ErrorKind::InvalidInput.into());
         };
         let scenario = config.scenario.clone();
-        let now = now_us();
+        let now_us = now_us();
         let mut simulator = WorkerSimulator {
             controllers: config.controllers.clone(),
             workers: Vec::new(),
@@ -149,12 +149,12 @@
         for number in first..=last {
             let address = net.listen()?;
             listeners.push(address);
-            simulator.add_worker(number, address, now);
+            simulator.add_worker(number, address, now_us);
         }
         Ok(simulator)
     }
 
-    fn add_worker(&mut self, number: u32, address: SocketAddrV4, now: u64) {
+    fn add_worker(&mut self, number: u32, address: SocketAddrV4, now_us: u64) {
         let up = number < self.scenario.workers.count;
         let index = self.workers.len();
         self.workers.push(Worker {
@@ -170,7 +170,7 @@
             used: Resources::default(),
             cached_images: VecDeque::new(),
             fetching_images: BTreeSet::new(),
-            lease_renewed_us: now,
+            lease_renewed_us: now_us,
             in_flight: None,
             last_heartbeat_us: 0,
             heartbeat_due_us: 0,
@@ -181,7 +181,7 @@
             let delay_us = self
                 .rng
                 .u64(..(self.scenario.workers.report_s * 1e6) as u64);
-            self.activate(index, now + delay_us);
+            self.activate(index, now_us + delay_us);
         }
     }
 
@@ -216,9 +216,9 @@
         self.set_timer(due_us, index, Timer::Heartbeat);
     }
 
-    fn is_isolated(&self, index: usize, now: u64) -> bool {
+    fn is_isolated(&self, index: usize, now_us: u64) -> bool {
         let worker = &self.workers[index];
-        now < self.zone_isolated_until_us[worker.machine.zone].max(worker.isolated_until_us)
+        now_us < self.zone_isolated_until_us[worker.machine.zone].max(worker.isolated_until_us)
     }
 
     /// Returns the worker index of the machine with this number.
@@ -286,14 +286,14 @@
         net: &mut Network,
         index: usize,
         timer: Timer,
-        now: u64,
+        now_us: u64,
     ) -> io::Result<()> {
         match timer {
-            Timer::Heartbeat => self.send_heartbeat(net, index, now),
-            Timer::Lease => self.check_lease(index, now)?,
+            Timer::Heartbeat => self.send_heartbeat(net, index, now_us),
+            Timer::Lease => self.check_lease(index, now_us)?,
             Timer::Boot => {
                 self.workers[index].up = true;
-                self.activate(index, now);
+                self.activate(index, now_us);
             }
             Timer::ImageFetched { image } => self.complete_image_fetch(index, &image)?,
             Timer::TaskDone {
@@ -333,21 +333,25 @@
     }
 
     fn tick(&mut self, net: &mut Network) -> io::Result<u64> {
-        let now = now_us();
-        while self.timers.first().is_some_and(|first| first.due_us <= now) {
+        let now_us = now_us();
+        while self
+            .timers
+            .first()
+            .is_some_and(|first| first.due_us <= now_us)
+        {
             let Some(due) = self.timers.pop_first() else {
                 break;
             };
             // A lease that expired while this process was paused is handled before other
             // timers, so that its tasks end first.
             let expires_us = self.workers[due.worker].lease_renewed_us + self.lease_us();
-            if due.timer != Timer::Lease && now > expires_us {
-                self.check_lease(due.worker, now)?;
+            if due.timer != Timer::Lease && now_us > expires_us {
+                self.check_lease(due.worker, now_us)?;
             }
-            self.handle_timer(net, due.worker, due.timer, now)?;
+            self.handle_timer(net, due.worker, due.timer, now_us)?;
         }
         let first_us = self.timers.first().map(|first| first.due_us);
-        Ok(first_us.unwrap_or(now + IDLE_INTERVAL_US))
+        Ok(first_us.unwrap_or(now_us + IDLE_INTERVAL_US))
     }
 
     fn command(&mut self, net: &mut Network, command: &SimulatorCommand) -> io::Result<()> {
--- a/loadtest/src/workers/protocol.rs
+++ b/loadtest/src/workers/protocol.rs
@@ -1,4 +1,5 @@
-//! The message bodies that workers and controllers exchange, as defined by PROTOCOL.
+//! The message bodies that workers and controllers exchange, as the worker protocol
+//! defines them.
 
 use serde::{Deserialize, Serialize};
 
@@ -59,7 +60,8 @@
     pub(super) tasks: Vec<TaskStatus<'a>>,
 }
 
-/// A command of a controller to start, halt or reap a task.
+/// A controller's command. Its action is `start` (start a task), `halt` (stop it) or `reap`
+/// (remove it once it has ended).
 #[derive(Deserialize)]
 pub(super) struct CommandBody {
     #[serde(rename = "geste")]
--- a/loadtest/tests/failover.rs
+++ b/loadtest/tests/failover.rs
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn only_start_that_new_leader_must_have_commanded_counts() {
+fn failover_counts_only_starts_commanded_by_new_leader() {
     let entry = |second, event| Entry {
         at_us: at_us(second),
         event,
