--- a/tests/integration/boot_times.rs
+++ b/tests/integration/boot_times.rs
@@ -1,4 +1,4 @@
-//! Estimates of boot times, with boots that are quick, slow or overdue.
+//! Tests of boot time estimates with quick, slow and overdue boots.
 
 use crate::simulation::{array, service, Simulation, Worker};
 use serde_json::json;
@@ -16,9 +16,9 @@
     sim.workers.values().filter(released_before_boot).count()
 }
 
-/// After several boots of about a second, boots of the usual duration once counted as
-/// overdue: machines were declared failed after 8 s and provisioned again without end, and
-/// none of them finished booting (incident inc-683a, from 497 s on: twelve in a row).
+/// In an earlier version, boots of the usual duration counted as overdue after several boots
+/// of about a second: machines were declared failed after 8 s and provisioned again without
+/// end, and none of them finished booting (incident inc-683a, from 497 s on: twelve in a row).
 #[test]
 fn boot_of_usual_duration_is_not_overdue_after_quick_boots() {
     let mut sim = Simulation::new(1);
@@ -29,7 +29,7 @@
         sim.run_for(2000);
     }
     assert_eq!(sim.on_machines("run-"), 64);
-    // The catalog states a boot time of 5 s, but some boots take several times as long.
+    // The catalog states a boot time of 5 s, but the next boots take 12 s.
     let machines_before = sim.workers.len();
     sim.boot_ms = 12_000;
     submit_long_running_array(&mut sim, "run-8", 16);
@@ -69,8 +69,9 @@
     );
 }
 
-/// The estimates of boot times were once lost when the leader changed: the new leader declared
-/// booting machines failed and provisioned others until it had learned the boot times again.
+/// In an earlier version, the estimates of boot times were lost when the leader changed: the new
+/// leader declared booting machines failed and provisioned others until it had learned the boot
+/// times again.
 #[test]
 fn new_leader_restores_boot_time_estimates() {
     let mut sim = Simulation::new(3);
--- a/tests/integration/capacity_index.rs
+++ b/tests/integration/capacity_index.rs
@@ -1,5 +1,5 @@
-//! Tests of the capacity index. Random small fleets compare the index with a reference that
-//! scans every machine. A further test counts the entries that a search examines.
+//! Tests of the capacity index. Most of them compare the index with a reference that scans every
+//! machine, on small random fleets. Another test counts the entries that a search examines.
 
 use lilacfork::capacity_index::{CapacityIndex, CapacityState, SearchConstraint, TaskDemand};
 use lilacfork::cloud::Offer;
@@ -97,7 +97,7 @@
 
 /// The reference implementation, which scans the free capacity of every machine.
 struct ReferenceScan {
-    /// Each machine with the resources that are held on it.
+    /// Each machine with the resources that the test has reserved on it.
     machines: BTreeMap<MachineId, (RandomMachine, Resources)>,
 }
 
@@ -105,11 +105,11 @@
     /// Returns the machine's rank for a task; `None` means that the machine can't take the
     /// task. The lowest rank is the best.
     fn rank(&self, id: &MachineId, demand: &TaskDemand) -> Option<f64> {
-        let (machine, held) = &self.machines[id];
+        let (machine, reserved) = &self.machines[id];
         let state = machine.state();
         let offer = &state.offer;
         let mut free = state.unassigned;
-        free.subtract(held);
+        free.subtract(reserved);
         let accepts = machine.schedulable && !machine.unresponsive && free.covers(demand.resources);
         if !accepts || !placement_allowed(demand.spec, demand.zones, offer) {
             return None;
@@ -273,8 +273,8 @@
     (index, reference)
 }
 
-/// Places the tasks of a job one by one on the machine that the index chooses, and checks that
-/// its rank equals the best rank of the reference.
+/// Places the tasks of a job one by one, each on the machine that the index chooses, and checks
+/// that the rank of the chosen machine equals the best rank of the reference.
 fn check_placements(
     index: &mut CapacityIndex,
     reference: &mut ReferenceScan,
@@ -310,8 +310,8 @@
         prop_assert!((best.rank - rank).abs() < 1e-9);
         prop_assert_eq!(index.rank(best.slot, &demand), Some(best.rank));
         index.reserve(best.slot, &request);
-        let (machine, held) = reference.machines.get_mut(&id).unwrap();
-        held.add(&request);
+        let (machine, reserved) = reference.machines.get_mut(&id).unwrap();
+        reserved.add(&request);
         zones.add(&Rc::from(ZONES[machine.zone]));
         if job.service {
             *siblings.entry(id).or_insert(0) += 1;
@@ -378,12 +378,12 @@
                 machine.schedulable && !machine.unresponsive && state.unassigned.covers(&request);
             let allowed = accepts && offer_allowed(&spec, &state.offer) && !state.offer.spot;
             // Machines without the image rank behind all machines that have it.
-            let cold_penalty = if state.images.contains(&spec.image) {
+            let missing_image_penalty = if state.images.contains(&spec.image) {
                 0.0
             } else {
                 2.0
             };
-            allowed.then(|| state.unassigned.dominant_share(&state.total) + cold_penalty)
+            allowed.then(|| state.unassigned.dominant_share(&state.total) + missing_image_penalty)
         };
         let shares = reference
             .machines
@@ -411,7 +411,7 @@
     enum Change {
         Refresh(usize, RandomMachine),
         Remove(usize),
-        Hold(usize, u32),
+        Reserve(usize, u32),
         ReserveForForecast(usize, u32),
         ReleaseForecast(usize),
         BeginRound,
@@ -421,7 +421,7 @@
     let change = prop_oneof![
         4 => (machine_number(), random_machine()).prop_map(|(n, new)| Change::Refresh(n, new)),
         1 => machine_number().prop_map(Change::Remove),
-        2 => (machine_number(), 1u32..4).prop_map(|(n, size)| Change::Hold(n, size)),
+        2 => (machine_number(), 1u32..4).prop_map(|(n, size)| Change::Reserve(n, size)),
         2 => (machine_number(), 1u32..4).prop_map(|(n, size)| Change::ReserveForForecast(n, size)),
         1 => machine_number().prop_map(Change::ReleaseForecast),
         1 => Just(Change::BeginRound),
@@ -436,7 +436,7 @@
             match change {
                 Change::Refresh(n, new) => index.refresh(&machine_id(n), new.state(), now_ms),
                 Change::Remove(n) => index.remove(&machine_id(n)),
-                Change::Hold(n, size) => index
+                Change::Reserve(n, size) => index
                     .slot(&machine_id(n))
                     .into_iter()
                     .for_each(|slot| index.reserve(slot, &amount(size))),
--- a/tests/integration/dependencies.rs
+++ b/tests/integration/dependencies.rs
@@ -26,8 +26,8 @@
     }
 }
 
-/// Queries all jobs on all nodes at the same time. Returns the status and the job state of each
-/// response.
+/// Queries all jobs on all controllers at the same time. Returns the status and the job state of
+/// each response.
 fn reported_states(sim: &mut Simulation, ids: &[&str]) -> Vec<(u16, String)> {
     let mut queries = Vec::new();
     for id in ids {
@@ -42,7 +42,7 @@
         .collect()
 }
 
-/// Repeats the queries until all nodes report this state for all jobs. Fails the test after
+/// Repeats the queries until all controllers report this state for all jobs. Fails the test after
 /// forty unsuccessful rounds of queries.
 fn await_state(sim: &mut Simulation, ids: &[&str], state: &str) {
     for _ in 0..40 {
@@ -70,8 +70,8 @@
 ];
 const DIAMOND_IDS: [&str; 5] = ["run-1", "run-2", "run-3", "run-4", "run-5"];
 
-/// Dependencies cost no further writes to the key-value store: a pipeline takes about as many as
-/// the same jobs without dependencies.
+/// A pipeline takes less than one more write to the key-value store per job than the same jobs
+/// without dependencies.
 #[test]
 fn pipeline_runs_in_order_with_less_than_one_extra_write_per_job() {
     let mut writes = Vec::new();
@@ -116,7 +116,7 @@
         assert_eq!(sim.submit(n % 3, &spec), status, "{dependencies}");
         assert_eq!(sim.poll(0, &format!("run-own-{n}")).0 == 200, status == 201);
     }
-    // A submission with an unknown dependency was once accepted if another of its
+    // An earlier version accepted a submission with an unknown dependency if another of its
     // dependencies was a cancelled job.
     assert_eq!(sim.submit(0, &job_with_dependencies("run-2", &[])), 201);
     assert_eq!(sim.cancel(1, "run-2").1, "cancelled");
@@ -191,21 +191,27 @@
     }
     let ids: Vec<&str> = ids.iter().map(String::as_str).collect();
     assert_eq!(sim.cancel(1, "run-0").1, "cancelled");
-    // All nodes report the cancellation immediately, from the records of the dependencies.
-    let all = reported_states(&mut sim, &ids);
-    assert!(all.iter().all(|(_, state)| state == "cancelled"), "{all:?}");
+    // All controllers report the cancellation immediately, from the records of the dependencies.
+    let states = reported_states(&mut sim, &ids);
+    assert!(
+        states.iter().all(|(_, state)| state == "cancelled"),
+        "{states:?}"
+    );
     // A job submitted later that depends on a cancelled job is cancelled from the start.
     sim.run_for(CANCEL_MS * 3);
     for node in 0..3 {
         let id = format!("run-late-{node}");
-        let user = sim.request(
+        let request_number = sim.request(
             node,
             "POST",
             "/v2/runs",
             job_with_dependencies(&id, &["run-7", "run-33"]),
         );
         sim.run_for(2000);
-        assert_eq!(sim.status_and_state(user), (201, "cancelled".into()));
+        assert_eq!(
+            sim.status_and_state(request_number),
+            (201, "cancelled".into())
+        );
         await_state(&mut sim, &[&id], "cancelled");
     }
     let remaining = sim
@@ -255,7 +261,7 @@
         sim.run_for(2000);
         let leader = sim.leader().unwrap();
         isolate_node(&mut sim, leader, Delivery::Rejected, false);
-        let user = sim.request(
+        let request_number = sim.request(
             (leader + 1) % 3,
             "POST",
             "/v2/runs/run-1/abort",
@@ -271,11 +277,11 @@
         }
         heal(&mut sim);
         sim.end_kv_store_outage();
-        if sim.status_and_state(user).0 != 200 {
+        if sim.status_and_state(request_number).0 != 200 {
             assert_eq!(sim.cancel(0, "run-1").1, "cancelled");
         }
         await_state(&mut sim, &DIAMOND_IDS, "cancelled");
-        // Restarted controllers have nothing but the records to read the states from.
+        // Restarted controllers can read the states only from the records.
         for n in 0..3 {
             sim.kill(n);
             sim.start(n);
@@ -312,9 +318,9 @@
     }
 }
 
-/// A leader was killed after it stored a job's final state and before it updated the record of
-/// the job's dependent. The next leader cancels or starts the dependent, although no user sends
-/// a request.
+/// The previous leader was killed after it had stored a job's final state and before it updated
+/// the record of the job's dependent. The next leader cancels or starts the dependent, although no
+/// user sends a request.
 #[test]
 fn new_leader_resumes_dependent_left_by_previous_leader() {
     for (stored_state, reported_state) in [("c", "cancelled"), ("d", "done")] {
@@ -348,15 +354,15 @@
     }
 }
 
-/// Random submissions and faults.
+/// Generates random submissions and faults.
 #[derive(Default)]
 struct RandomWorkload {
     rng: fastrand::Rng,
-    /// The jobs whose submission was confirmed.
+    /// The jobs whose submission was accepted.
     jobs: Vec<String>,
     /// The number of jobs submitted so far.
     submitted: u32,
-    /// The jobs whose submission has not been confirmed yet, by the request of the submission.
+    /// The jobs whose submission has not been answered yet, by the submission's request number.
     pending_submissions: BTreeMap<u64, String>,
 }
 
@@ -372,26 +378,28 @@
                 }
             }
         }
-        let user = sim.request(
+        let request_number = sim.request(
             self.rng.usize(0..3),
             "POST",
             "/v2/runs",
             job_with_dependencies(&id, &dependencies),
         );
-        self.pending_submissions.insert(user, id);
+        self.pending_submissions.insert(request_number, id);
     }
 
     /// Processes the responses to submissions. Users submit dependents only of jobs whose
-    /// submission was confirmed.
+    /// submission was accepted.
     fn process_responses(&mut self, sim: &Simulation) {
         let answered = self
             .pending_submissions
             .iter()
-            .filter(|(user, _)| sim.status_and_state(**user).0 > 0);
-        let answered: Vec<u64> = answered.map(|(user, _)| *user).collect();
-        for user in answered {
-            let id = self.pending_submissions.remove(&user).unwrap();
-            if sim.status_and_state(user).0 == 201 {
+            .filter(|(request_number, _)| sim.status_and_state(**request_number).0 > 0);
+        let answered: Vec<u64> = answered
+            .map(|(request_number, _)| *request_number)
+            .collect();
+        for request_number in answered {
+            let id = self.pending_submissions.remove(&request_number).unwrap();
+            if sim.status_and_state(request_number).0 == 201 {
                 self.jobs.push(id);
             }
         }
--- a/tests/integration/failure_attribution.rs
+++ b/tests/integration/failure_attribution.rs
@@ -1,4 +1,4 @@
-//! Attribution of task failures to jobs, to machines, or to both at once.
+//! Tests of the attribution of task failures to jobs, to machines, or to both at once.
 
 use crate::simulation::fixtures::{released, running_cluster, task_starts};
 use crate::simulation::{array, service, Simulation};
@@ -20,12 +20,12 @@
     evidence.record_failure(&first, false);
     assert!(
         evidence.is_suspect() && !evidence.is_faulty(),
-        "failures of one job only may be the fault of the job"
+        "the machine must be suspect but not faulty: the failures may be the fault of the one job"
     );
     evidence.record_success_elsewhere(&second);
     assert!(
         !evidence.is_faulty(),
-        "a job that never failed on the machine must not count"
+        "a success elsewhere must not count if the job never failed on the machine"
     );
     let mut confirmed_by_success = evidence.clone();
     confirmed_by_success.record_success_elsewhere(&first);
@@ -45,7 +45,10 @@
     for n in [1, 1, 1, 2, 2] {
         breaker.record_failure(0, &machine(n), true, HEARTBEAT_INTERVAL_MS);
     }
-    assert!(!breaker.is_open(), "two machines may both be faulty");
+    assert!(
+        !breaker.is_open(),
+        "failures on two machines must not open the breaker: both may be faulty"
+    );
     breaker.record_failure(0, &machine(3), false, HEARTBEAT_INTERVAL_MS);
     assert!(breaker.is_open() && breaker.allows_attempt(0));
     let pauses_ms: Vec<u64> = (0..9)
@@ -63,12 +66,12 @@
     assert!(restored.is_open() && restored.allows_attempt(0));
     assert!(
         restored.record_success(),
-        "not reported as the first success"
+        "the first success must be reported as the first"
     );
     assert!(!restored.is_open());
     assert!(
         !restored.record_success(),
-        "reported as the first success again"
+        "the second success must not be reported as the first"
     );
     assert_eq!(CircuitBreaker::default().to_record(), 0);
 }
@@ -86,8 +89,8 @@
     (sim, names)
 }
 
-/// All tasks of a failing job were once restarted after every backoff, on up to 35 machines,
-/// and machines were provisioned for them (incidents inc-c0eb and inc-683a).
+/// In an earlier version, all tasks of a failing job were restarted after every backoff, on up
+/// to 35 machines, and machines were provisioned for them (incidents inc-c0eb and inc-683a).
 #[test]
 fn failing_job_is_probed_with_one_task_at_a_time() {
     let (mut sim, names) = cluster_with_failing_job(1);
@@ -104,13 +107,14 @@
     assert_eq!(
         sim.workers.len(),
         machines_before,
-        "a machine was provisioned for the failing job"
+        "no machine must be provisioned for the failing job"
     );
     assert!(released(&sim, &names).is_empty());
     assert_eq!(sim.cancel(0, "run-1").0, 200);
 }
 
-/// A machine whose only tasks belonged to a failing job was once released immediately.
+/// In an earlier version, a machine was released immediately if its only tasks belonged to a
+/// failing job.
 #[test]
 fn failing_job_does_not_cause_release_of_empty_machines() {
     let (mut sim, names) = cluster_with_failing_job(1);
@@ -154,7 +158,8 @@
     }
 }
 
-/// A new leader once had no record of earlier failures and restarted all tasks of the job.
+/// In an earlier version, a new leader had no record of earlier failures and restarted all tasks
+/// of the job.
 #[test]
 fn new_leader_restores_open_circuit_breaker_of_failing_job() {
     let (mut sim, _) = cluster_with_failing_job(3);
--- a/tests/integration/http.rs
+++ b/tests/integration/http.rs
@@ -1,4 +1,4 @@
-//! The HTTP parser with split, oversized and malformed input.
+//! Tests of the HTTP parser with split, oversized and malformed input.
 
 use lilacfork::http::{
     parse_request, parse_response, HttpError, Response, MAX_HEAD_BYTES, MAX_REQUEST_BODY_BYTES,
--- a/tests/integration/large_fleets.rs
+++ b/tests/integration/large_fleets.rs
@@ -15,6 +15,8 @@
     writes: BTreeMap<u64, usize>,
 }
 
+/// Records the calls and writes of all controllers from now on, and checks that no transaction
+/// exceeds the key-value store's limits on transactions.
 fn record_kv_load(sim: &mut Simulation) -> Rc<RefCell<KvStoreLoad>> {
     let load: Rc<RefCell<KvStoreLoad>> = Rc::default();
     let recorded = load.clone();
@@ -78,23 +80,23 @@
 /// twice, and the rate of calls without changes does not grow with the fleet.
 #[test]
 fn idle_kv_call_rate_does_not_grow_with_fleet_size() {
-    let mut idle = Vec::new();
+    let mut idle_calls = Vec::new();
     for machines in [20, 200] {
         let (mut sim, load) = full_fleet(machines);
         assert_eq!(sim.start_log.len(), machines * 8, "each task starts once");
         for (per_second, max) in [(&load.borrow().calls, 200), (&load.borrow().writes, 100)] {
             assert!(
                 per_second.values().all(|n| *n <= max),
-                "{machines}: {per_second:?}"
+                "{machines} machines: {per_second:?}"
             );
         }
         let calls_before: usize = load.borrow().calls.values().sum();
         sim.run_for(10_000);
-        idle.push(load.borrow().calls.values().sum::<usize>() - calls_before);
+        idle_calls.push(load.borrow().calls.values().sum::<usize>() - calls_before);
     }
     assert!(
-        idle[0] > 0 && idle[1] <= idle[0] + 2,
-        "calls in ten idle seconds: {idle:?}"
+        idle_calls[0] > 0 && idle_calls[1] <= idle_calls[0] + 2,
+        "calls in ten idle seconds: {idle_calls:?}"
     );
 }
 
@@ -136,7 +138,8 @@
     assert!(load.calls.values().all(|n| *n <= 200), "{:?}", load.calls);
 }
 
-/// Returns the number of entries that the rounds of all controllers have examined since `before`.
+/// Returns the number of entries that the rounds of all controllers have examined since
+/// [`examined`] returned `before`.
 fn examined_since(sim: &Simulation, before: &[u64]) -> u64 {
     let now = examined(sim);
     now.iter()
@@ -155,18 +158,21 @@
 /// The fleet is 1.5 times as large as the largest deployment. All controllers are killed at once
 /// and restart within half a second, some of them twice. Later the leader's process is paused,
 /// and then a fifth of the fleet becomes unresponsive. The observer's rules must hold, calls must
-/// stay within the store's rates, records within their size limit, and the cost of rounds within
-/// a bound that is proportional to the size of the fleet.
+/// stay within the key-value store's rates, records within their size limit, and the cost of rounds
+/// within a bound that is proportional to the size of the fleet.
 #[test]
 fn thousand_machine_fleet_recovers_from_restarts_leader_pause_and_machine_loss() {
     let (mut sim, load) = full_fleet(1000);
-    let started = sim.start_log.len();
+    let starts_before = sim.start_log.len();
     let before = examined(&sim);
     sim.run_for(10_000);
-    let idle = examined_since(&sim, &before);
-    assert!(idle < 10 * 60_000, "entries in ten idle seconds: {idle}");
+    let idle_entries = examined_since(&sim, &before);
+    assert!(
+        idle_entries < 10 * 60_000,
+        "entries in ten idle seconds: {idle_entries}"
+    );
 
-    // Heartbeats from before the restart are delivered late, to the leader after it.
+    // These heartbeats are sent before the restart and delivered after it, to the next leader.
     let names: Vec<_> = sim.workers.keys().take(50).cloned().collect();
     let heartbeats: Vec<_> = names.iter().map(|name| sim.next_heartbeat(name)).collect();
     for n in 0..7 {
@@ -189,20 +195,24 @@
     }
     sim.run_for(12_000);
     assert_eq!(sim.on_machines("run-"), 8000, "no lease has expired");
-    assert_eq!(sim.start_log.len(), started, "no task starts again");
+    assert_eq!(sim.start_log.len(), starts_before, "no task starts again");
 
     let paused = sim.leader().unwrap();
     sim.paused_until_ms.insert(paused, sim.now_ms + 14_000);
     sim.run_for(24_000);
     assert_ne!(sim.leader(), Some(paused));
     assert_eq!(sim.on_machines("run-"), 8000, "no lease has expired");
-    assert_eq!(sim.start_log.len(), started);
+    assert_eq!(sim.start_log.len(), starts_before);
 
     let lost: Vec<String> = sim.workers.keys().step_by(5).cloned().collect();
     set_unresponsive(&mut sim, &lost, true);
     let before = examined(&sim);
     sim.run_for(20_000);
-    assert_eq!(released(&sim, &lost).len(), 200, "lost machines released");
+    assert_eq!(
+        released(&sim, &lost).len(),
+        200,
+        "all lost machines are released"
+    );
     let remaining = sim.workers.values().filter(|m| !m.released).count();
     assert_eq!(remaining, 800, "no other machine is released");
     let entries = examined_since(&sim, &before);
--- a/tests/integration/migration.rs
+++ b/tests/integration/migration.rs
@@ -4,8 +4,8 @@
 use crate::simulation::{array, service, Simulation};
 use serde_json::json;
 
-/// Replicas were once left scattered over half-empty machines until they were cancelled, and the
-/// half-empty machines had to be paid for.
+/// In an earlier version, replicas stayed scattered over half-empty machines until they were
+/// cancelled, and the half-empty machines had to be paid for.
 #[test]
 fn scattered_replicas_are_compacted_and_empty_machine_is_released() {
     let mut sim = running_cluster(1);
@@ -26,8 +26,8 @@
     assert_eq!(kept, 1, "{:?}", sim.start_log);
 }
 
-/// A service once waited for a new machine to be provisioned while array tasks occupied all
-/// machines on which it could have started immediately.
+/// In an earlier version, a service waited for a new machine to be provisioned while array tasks
+/// occupied all machines on which the service could have started immediately.
 #[test]
 fn service_preempts_array_and_array_still_completes() {
     let mut sim = running_cluster(1);
@@ -54,9 +54,9 @@
     assert_eq!(sim.on_machines("run-4"), 0);
 }
 
-/// A preempted array task was once restarted 400 times. The service needed the capacity of two
-/// tasks. The first preempted task restarted in the capacity that its own preemption had freed,
-/// because that capacity alone was too small for the service.
+/// In an earlier version, a preempted array task was restarted 400 times. The service needed the
+/// capacity of two tasks. The first preempted task restarted in the capacity that its own
+/// preemption had freed, because that capacity alone was too small for the service.
 #[test]
 fn preempted_task_does_not_restart_in_capacity_it_freed() {
     let mut sim = running_cluster(1);
@@ -86,8 +86,9 @@
     );
 }
 
-/// Preempted tasks once saved their checkpoints although the waiting service did not have the time
-/// for it. The service missed its start objective, and the array's tasks were preempted anyway.
+/// In an earlier version, preempted tasks saved their checkpoints although the waiting service did
+/// not have the time for it. The service missed its start objective, and the array's tasks were
+/// preempted anyway.
 #[test]
 fn preempted_task_skips_checkpoint_save_that_would_delay_service() {
     for (save_s, late) in [(6.0, false), (2.0, false), (2.0, true)] {
@@ -111,21 +112,21 @@
         assert_eq!(
             task_saves,
             save_s < 5.0,
-            "{save_s} {late}: {:?}",
+            "save_s {save_s}, late {late}: {:?}",
             sim.start_log
         );
         sim.run_for(3000);
         assert_eq!(
             sim.on_machines("run-2"),
             1,
-            "{save_s} {late}: {:?}",
+            "save_s {save_s}, late {late}: {:?}",
             sim.start_log
         );
     }
 }
 
-/// Capacity for forecast demand was once reserved on machines without the image. Every replica of
-/// a class with a short start objective was late there.
+/// In an earlier version, capacity for forecast demand was reserved on machines without the image.
+/// Every replica of a class with a short start objective started late on these machines.
 #[test]
 fn settled_replica_migrates_to_free_capacity_with_cached_image() {
     let mut sim = running_cluster(1);
@@ -158,9 +159,9 @@
     );
 }
 
-/// Replicas with a large image were once placed on machines where the image pull took longer than
-/// their start objective. Meanwhile replicas with a small image occupied the machine that had the
-/// large image.
+/// In an earlier version, replicas with a large image were placed on machines where the image pull
+/// took longer than their start objective. Meanwhile replicas with a small image occupied the
+/// machine that had the large image.
 #[test]
 fn lower_priority_replicas_are_displaced_from_machine_with_large_image() {
     for kill_leader in [false, true] {
@@ -224,8 +225,9 @@
     assert_eq!(sim.start_log.len(), 16 + 2 + 2 + 2, "{:?}", sim.start_log);
 }
 
-/// Two replicas of a spread job once migrated at the same time to a zone that could take only one
-/// more replica of the job. The other replica then had to wait for a machine to boot.
+/// In an earlier version, two replicas of a spread job migrated at the same time to a zone that
+/// could take only one more replica of the job. The other replica then had to wait for a machine to
+/// boot.
 #[test]
 fn replicas_of_spread_job_migrating_together_stay_spread() {
     let mut sim = running_cluster(1);
--- a/tests/integration/policy.rs
+++ b/tests/integration/policy.rs
@@ -242,8 +242,8 @@
         Settings::parse(&format!("unheard = 1\n{SETTINGS}"), "f").is_ok(),
         "unknown fields are accepted"
     );
-    let bad = SETTINGS.replace("lease_s = 10.0", "lease_s = 0.0");
-    let error = Settings::parse(&bad, "f.toml").unwrap_err().to_string();
+    let invalid = SETTINGS.replace("lease_s = 10.0", "lease_s = 0.0");
+    let error = Settings::parse(&invalid, "f.toml").unwrap_err().to_string();
     assert_eq!(
         error,
         "f.toml: settings.workers.lease_s: must be a number above 0"
@@ -268,8 +268,8 @@
     }
     let ini = |text: &str| Tuning::from_ini(&ini::Ini::load_from_str(text).unwrap(), "f.ini");
     assert_eq!(ini("[slackfit]\nheadroom = 2\n").unwrap().headroom, 2.0);
-    // Every default must be accepted as an explicit value. One default was once outside its
-    // own bounds.
+    // Every default must be accepted as an explicit value. In an earlier version, one default
+    // was outside its own bounds.
     for line in Tuning::describe_defaults().lines() {
         let text = line.replace("] ", "]\n");
         assert_eq!(ini(&text).unwrap(), Tuning::default(), "{line}");
@@ -293,8 +293,8 @@
     }
 }
 
-/// Submits writes for ten seconds, at a higher rate than the client may send them. Returns the
-/// number of writes sent.
+/// Submits writes for ten seconds of virtual time from `from_ms` on, at a higher rate than the
+/// client may send them. Returns the number of writes sent.
 fn writes_sent(store: &mut KvClient<u32>, from_ms: u64) -> usize {
     let mut sent = 0;
     for n in 0..1000 {
@@ -318,8 +318,9 @@
     sent
 }
 
-/// The leader was once limited to its own share of the write rate while the followers left theirs
-/// unused. After a burst of one-task jobs had ended, the leader took minutes to store it.
+/// In an earlier version, the leader was limited to its own share of the write rate while the
+/// followers left theirs unused. After a burst of one-task jobs had completed, the leader took
+/// minutes to store their final states.
 #[test]
 fn leader_uses_write_rate_left_by_other_controllers() {
     let at_ms = |ms| Now { ms, wall_ms: 0 };
@@ -345,7 +346,7 @@
     );
 }
 
-/// Progress counts for display were once kept for every job that ever ran.
+/// In an earlier version, progress counts for display were kept for every job that had ever run.
 #[test]
 fn bounded_map_evicts_oldest_entries_first() {
     let mut map = lilacfork::bounded_map::BoundedMap::new(100);
--- a/tests/integration/processor_costs.rs
+++ b/tests/integration/processor_costs.rs
@@ -15,7 +15,7 @@
     assert_ne!(
         sim.leader(),
         Some(1),
-        "the controller in zone b must be a follower"
+        "the controller in zone b is the leader"
     );
     sim.capacity = 0;
     sim.task_duration_ms = 2500;
@@ -41,9 +41,9 @@
     calls
 }
 
-/// Heartbeats without changes were once forwarded every 50 ms. In a fleet of 154 machines these
-/// messages made up a fifth of the messages that the leader handled and half of the messages
-/// that the follower sent.
+/// In an earlier version, heartbeats without changes were forwarded every 50 ms. In a fleet of 154
+/// machines these messages made up a fifth of the messages that the leader handled and half of the
+/// messages that the follower sent.
 #[test]
 fn heartbeats_without_changes_are_forwarded_in_batches() {
     let mut counts = Vec::new();
--- a/tests/integration/provisioning.rs
+++ b/tests/integration/provisioning.rs
@@ -1,4 +1,4 @@
-//! Provisioning and release of machines.
+//! Tests of the provisioning and release of machines.
 
 use crate::simulation::fixtures::{running_cluster, service_without_objective};
 use crate::simulation::{array, service, Delivery, Simulation};
@@ -43,8 +43,8 @@
     assert!(sim.workers["vm-late"].released);
 }
 
-/// A new leader once released empty machines immediately: it knew these machines only from
-/// the cloud's list and treated them as machines that had never booted.
+/// In an earlier version, a new leader released empty machines immediately: the leader knew these
+/// machines only from the cloud's list and treated them as machines that had never booted.
 #[test]
 fn new_leader_waits_for_heartbeats_of_listed_machines() {
     let mut sim = running_cluster(3);
@@ -70,8 +70,8 @@
     );
 }
 
-/// A new leader once started without a demand forecast and released the capacity that its
-/// predecessor had reserved.
+/// In an earlier version, a new leader started without a demand forecast and released the capacity
+/// that its predecessor had reserved.
 #[test]
 fn new_leader_forecasts_demand_from_stored_jobs() {
     let mut sim = running_cluster(3);
@@ -93,8 +93,8 @@
     );
 }
 
-/// After a burst of work, dozens of machines once stayed idle for as long as the one or two
-/// machines that the next job would need.
+/// In an earlier version, dozens of machines stayed idle after a burst of work, for as long as the
+/// one or two machines that the next job would need.
 #[test]
 fn all_but_one_of_many_idle_machines_are_released_early() {
     let mut sim = running_cluster(1);
@@ -127,15 +127,20 @@
     );
 }
 
-/// The first leader of a new deployment once waited three heartbeat intervals for heartbeats of
-/// machines that no earlier leader could have provisioned, which delayed the first jobs.
+/// In an earlier version, the first leader of a new deployment waited three heartbeat intervals for
+/// heartbeats of machines that no earlier leader could have provisioned, which delayed the first
+/// jobs.
 #[test]
 fn first_leader_provisions_immediately_unless_machines_exist() {
     let mut sim = Simulation::new(1);
     sim.run_until(1000);
     assert_eq!(sim.submit(0, &service_without_objective("run-1")), 201);
     sim.run_for(500);
-    assert_eq!(sim.workers.len(), 3, "twenty replicas, eight to a machine");
+    assert_eq!(
+        sim.workers.len(),
+        3,
+        "wrong number of machines for twenty replicas, eight to a machine"
+    );
     // If machines exist, the leader waits for their heartbeats first.
     let mut sim = Simulation::new(1);
     for n in 0..3 {
@@ -147,8 +152,8 @@
     assert_eq!((sim.workers.len(), sim.on_machines("run-1")), (3, 20));
 }
 
-/// Jobs once waited for machines that took several times the usual boot time, because these
-/// machines counted as future capacity until twice the usual boot time.
+/// In an earlier version, jobs waited for machines that took several times the usual boot time,
+/// because these machines counted as future capacity until twice the usual boot time.
 #[test]
 fn machine_with_overdue_boot_does_not_count_as_future_capacity() {
     let mut sim = Simulation::new(1);
@@ -156,13 +161,16 @@
     sim.run_until(5000);
     assert_eq!(sim.submit(0, &service_without_objective("run-1")), 201);
     sim.run_for(6500);
-    let first = sim.workers.len();
-    assert!(first >= 3, "twenty replicas, eight to a machine: {first}");
+    let provisioned = sim.workers.len();
+    assert!(
+        provisioned >= 3,
+        "only {provisioned} machines for twenty replicas, eight to a machine"
+    );
     // The catalog states a boot time of 5 s.
     sim.run_for(2500);
     assert_eq!(
         sim.workers.len(),
-        first * 2,
-        "no replacements were provisioned"
+        provisioned * 2,
+        "wrong number of replacements for overdue machines"
     );
 }
--- a/tests/integration/replica_groups/gangs.rs
+++ b/tests/integration/replica_groups/gangs.rs
@@ -24,7 +24,8 @@
     assert_eq!(sim.poll(0, "run-1").1, "done");
 }
 
-/// Completed parts aren't restarted with the other parts.
+/// One part completes before the machine of the other part fails. Only the part on the failed
+/// machine is restarted.
 #[test]
 fn completed_parts_of_a_gang_are_not_restarted() {
     let mut sim = cluster_with_machines(3, &["vm-a", "vm-b", "vm-c"]);
--- a/tests/integration/replica_groups/leader_changes.rs
+++ b/tests/integration/replica_groups/leader_changes.rs
@@ -1,6 +1,6 @@
 //! Leader changes at each step of a start, a repair and a migration.
 
-use super::{longest_incomplete_ms, send_preemption_notice, GroupOperation, MAX_REPAIR_MS};
+use super::{longest_incomplete_ms, send_preemption_notice, GroupOperation, MAX_INCOMPLETE_MS};
 use crate::simulation::replica_groups::{
     attempts_by_task, cluster_with_machines, first_placement_record, machines_by_task, running,
     start_service, whole_machine_service,
@@ -72,12 +72,13 @@
     assert_eq!(sim.on_machines("run-1"), 2, "{case}");
     let attempts = attempts_by_task(&sim, "run-1");
     assert_eq!(attempts["run-1/0"], attempts["run-1/1"], "{case}");
-    // Without a leader no part is stopped. Responses are lost until 40 s.
+    // Parts are stopped only while there is a leader. An election may take long while responses
+    // are lost, which ends at 40 s of virtual time.
     let leaderless_ms = match store {
         StoreCondition::LosingResponses => 30_000,
         _ => 8000,
     };
-    let max_ms = MAX_REPAIR_MS + leaderless_ms;
+    let max_ms = MAX_INCOMPLETE_MS + leaderless_ms;
     let incomplete_ms = longest_incomplete_ms(&sim);
     assert!(incomplete_ms < max_ms, "{case}: {:?}", sim.replicas);
 }
@@ -135,7 +136,7 @@
     let deadline_ms = sim.now_ms + 5000;
     while intent(&sim).is_none() {
         sim.run_for(1);
-        assert!(sim.now_ms < deadline_ms);
+        assert!(sim.now_ms < deadline_ms, "no intent was stored");
     }
     let stored_intent = intent(&sim).unwrap();
     let leader = sim.leader().unwrap();
--- a/tests/integration/replica_groups/mod.rs
+++ b/tests/integration/replica_groups/mod.rs
@@ -16,10 +16,10 @@
 use crate::simulation::{array, Simulation};
 use serde_json::json;
 
-/// The maximum duration of a repair. In the simulations a machine counts as unresponsive after
-/// 3 s and is declared failed after 8 s. The other parts of its replica are stopped within two
-/// heartbeats after that.
-const MAX_REPAIR_MS: u64 = 12_000;
+/// The maximum time for which a replica may have running parts while other parts are on no machine.
+/// In the simulations a machine counts as unresponsive after 3 s and is declared failed after 8 s.
+/// The other parts of its replica are stopped within two heartbeats after that.
+const MAX_INCOMPLETE_MS: u64 = 12_000;
 
 /// Returns the longest time for which a replica of `run-1` had running parts while other parts
 /// were on no machine.
--- a/tests/integration/replica_groups/repairs.rs
+++ b/tests/integration/replica_groups/repairs.rs
@@ -1,6 +1,6 @@
 //! Repairs of replica groups that lose machines, and recovery of unresponsive machines.
 
-use super::{longest_incomplete_ms, MAX_REPAIR_MS};
+use super::{longest_incomplete_ms, MAX_INCOMPLETE_MS};
 use crate::simulation::fixtures::{heal, isolate_zone, set_unresponsive};
 use crate::simulation::replica_groups::{
     attempts_by_task, cluster_with_machines, machines_by_task, running, start_service,
@@ -148,7 +148,7 @@
             sim.start_log
         );
         assert!(
-            longest_incomplete_ms(&sim) < MAX_REPAIR_MS,
+            longest_incomplete_ms(&sim) < MAX_INCOMPLETE_MS,
             "{:?}",
             sim.replicas
         );
@@ -180,7 +180,7 @@
     );
     assert_eq!(sim.start_log.len(), 20 + 18);
     assert!(
-        longest_incomplete_ms(&sim) < MAX_REPAIR_MS,
+        longest_incomplete_ms(&sim) < MAX_INCOMPLETE_MS,
         "{:?}",
         sim.replicas
     );
--- a/tests/integration/replica_groups/starts.rs
+++ b/tests/integration/replica_groups/starts.rs
@@ -1,6 +1,6 @@
 //! Starts of replica groups, with and without machine failures.
 
-use super::{longest_incomplete_ms, MAX_REPAIR_MS};
+use super::{longest_incomplete_ms, MAX_INCOMPLETE_MS};
 use crate::simulation::replica_groups::{
     attempts_by_task, cluster_with_machines, first_placement_record, machines_by_task, running,
     start_service, whole_machine_service,
@@ -75,7 +75,7 @@
         .values()
         .any(|machine| *machine == failed));
     assert!(
-        longest_incomplete_ms(&sim) < MAX_REPAIR_MS,
+        longest_incomplete_ms(&sim) < MAX_INCOMPLETE_MS,
         "{:?}",
         sim.replicas
     );
@@ -97,8 +97,8 @@
         }
         Delivery::Normal
     });
-    let writes_until_failure = rejected_writes.clone();
-    let sim = start_with_machine_failure(sim, move |_| writes_until_failure.get() > 0);
+    let rejected_so_far = rejected_writes.clone();
+    let sim = start_with_machine_failure(sim, move |_| rejected_so_far.get() > 0);
     assert_eq!(rejected_writes.get(), 8);
     assert!(sim.start_log.len() <= 4, "{:?}", sim.start_log);
 }
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn replica_starts_when_machine_fails_during_an_image_fetch() {
+fn replica_starts_when_machine_fails_during_image_pull() {
     let mut sim = cluster_with_machines(3, &["vm-a", "vm-b", "vm-c"]);
     sim.image_fetch_ms = 4000;
     start_with_machine_failure(sim, |sim| sim.start_log.len() == 2);
--- a/tests/integration/resource_limits.rs
+++ b/tests/integration/resource_limits.rs
@@ -1,4 +1,4 @@
-//! Numbers of jobs that exceeded former fixed limits.
+//! Tests with numbers of jobs that exceeded the fixed limits of earlier versions.
 
 use crate::simulation::{service, Simulation};
 use lilacfork::gateway::{Gateway, GatewayEffects};
@@ -12,10 +12,10 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// At 4,000 machines there may be as many jobs as tasks. A leader's first heartbeat once
-/// contained the progress of every job, and from about 18,000 jobs on it was too large to be
-/// accepted by any peer. The peers didn't learn of the leader, because every retry was rejected
-/// too.
+/// At 4,000 machines there may be as many jobs as tasks. In an earlier version, a leader's first
+/// heartbeat contained the progress of every job, and from about 18,000 jobs on the heartbeat was
+/// too large to be accepted by any peer. The peers didn't learn of the leader, because every retry
+/// was rejected too.
 #[test]
 fn peers_accept_heartbeats_of_a_leader_with_many_jobs() {
     let mut sim = Simulation::new(3);
@@ -47,7 +47,7 @@
     sim.run_for(20_000);
     assert!(
         largest_body_bytes.get() <= MAX_PEER_BODY_BYTES,
-        "{} bytes",
+        "the largest message between controllers has {} bytes",
         largest_body_bytes.get()
     );
     assert!(
@@ -62,8 +62,8 @@
     assert_eq!(sim.poll((leader + 1) % 3, job), (200, "running".into()));
 }
 
-/// The gateway once kept the progress of at most 20,000 jobs, independent of the available
-/// memory. Beyond that number, running jobs were reported as pending.
+/// In an earlier version, the gateway kept the progress of at most 20,000 jobs, independent of the
+/// available memory. Beyond that number, running jobs were reported as pending.
 #[test]
 fn gateway_job_progress_capacity_scales_with_memory() {
     let mut settings = crate::simulation::settings("n-0", 3);
@@ -90,6 +90,6 @@
         serde_json::from_slice(&reply.body).expect("a reply body in JSON");
     assert_eq!(
         reported["etat"], "running",
-        "state of the first of 60,000 jobs"
+        "the first of 60,000 jobs is not reported as running"
     );
 }
--- a/tests/integration/round_slices.rs
+++ b/tests/integration/round_slices.rs
@@ -5,10 +5,11 @@
 use lilacfork::node::Node;
 use serde_json::{json, Value};
 
-/// The share of a core with which one slice examines only thirty entries, a few jobs.
+/// The share of a core with which a slice may examine only thirty entries, enough for a few jobs.
 const SMALL_CORE_SHARE: f64 = 0.0003;
-/// The number of entries of a slice with the default share of a core. A slice takes a
-/// three-hundredth of the leader's lease of 3 s, and an entry takes 0.1 us.
+/// The number of entries that a slice may examine with the default share of a core, a tenth. A
+/// slice may take a three-hundredth of the leader's lease of 3 s, and examining an entry takes
+/// 0.1 us of a whole core.
 const DEFAULT_SLICE_ENTRIES: u64 = 10_000;
 
 fn leader(sim: &Simulation) -> &Node {
@@ -78,11 +79,14 @@
     let mut sim = cluster_with_queued_jobs(250, 40);
     run_until_queued_in_round(&mut sim, 240);
     let node = sim.leader().unwrap();
-    let user = sim.request(node, "POST", "/v2/runs/run-249/abort", Value::Null);
-    while !sim.replies.contains_key(&user) {
+    let request_number = sim.request(node, "POST", "/v2/runs/run-249/abort", Value::Null);
+    while !sim.replies.contains_key(&request_number) {
         sim.run_for(1);
     }
-    assert_eq!(sim.status_and_state(user), (200, "cancelled".into()));
+    assert_eq!(
+        sim.status_and_state(request_number),
+        (200, "cancelled".into())
+    );
     assert!(
         leader(&sim).queued_in_round() > 0,
         "the round is still in progress"
@@ -194,7 +198,7 @@
         let mut items = small.kv_store.items.iter();
         let (key, item) = items
             .find(|(key, _)| key.starts_with(prefix))
-            .expect("stored");
+            .expect("a stored record");
         (key.clone(), item.0.to_string())
     };
     let templates = [stored("j/run-0000"), stored("p/run-0000")];
@@ -207,6 +211,7 @@
         for (key, value) in &templates {
             let renamed = |text: &str| {
                 let machines = (0..3).fold(text.to_string(), |text, m| {
+                    // `vm+` marks the names that have been replaced already.
                     let to = format!("vm+{:04}", n * 3 + m);
                     text.replace(&format!("vm-{m:04}"), &to)
                 });
--- a/tests/integration/traces.rs
+++ b/tests/integration/traces.rs
@@ -48,13 +48,13 @@
         "\"run-9\"",
         "{\"id\":\"run-../x\"}",
     ] {
-        let user = sim.request_with_body(0, "POST", "/v2/runs", body.into());
+        let request_number = sim.request_with_body(0, "POST", "/v2/runs", body.into());
         sim.run_for(50);
-        assert_eq!(sim.status_and_state(user).0, 400, "{body}");
+        assert_eq!(sim.status_and_state(request_number).0, 400, "{body}");
     }
-    let user = sim.request(0, "PUT", "/v2/runs", json!(null));
+    let request_number = sim.request(0, "PUT", "/v2/runs", json!(null));
     sim.run_for(50);
-    assert_eq!(sim.status_and_state(user).0, 405);
+    assert_eq!(sim.status_and_state(request_number).0, 405);
 }
 
 #[test]
@@ -71,8 +71,11 @@
         worker.unresponsive = true;
     }
     assert_eq!(sim.submit((leader + 1) % 3, &service("run-1", 2)), 201);
-    assert!(sim.kv_store.items.contains_key("p/run-1/0"), "recorded");
-    assert!(sim.start_log.is_empty(), "not started");
+    assert!(
+        sim.kv_store.items.contains_key("p/run-1/0"),
+        "the assignment is recorded"
+    );
+    assert!(sim.start_log.is_empty(), "no task is started");
     sim.kill(leader);
     sim.fault_injector = Box::new(|_, _, _| Delivery::Normal);
     for worker in sim.workers.values_mut() {
@@ -82,7 +85,7 @@
     assert_eq!(
         sim.on_machines("run-1"),
         2,
-        "the next leader starts what was recorded"
+        "the next leader starts the recorded tasks"
     );
     assert_eq!(sim.start_log.len(), 2, "{:?}", sim.start_log);
 }
@@ -174,10 +177,10 @@
         }
         Delivery::Normal
     });
-    let user = sim.request(0, "POST", "/v2/runs", array("run-1", 3));
+    let request_number = sim.request(0, "POST", "/v2/runs", array("run-1", 3));
     sim.run_for(4000);
     assert!(
-        matches!(sim.status_and_state(user).0, 200 | 201),
+        matches!(sim.status_and_state(request_number).0, 200 | 201),
         "a read shows that the job was stored"
     );
     sim.run_for(10_000);
@@ -188,10 +191,10 @@
 #[test]
 fn concurrent_cancellation_and_completion_yield_one_final_state() {
     let mut outcomes = [0, 0];
-    for delay in (0..60).step_by(4) {
+    for step in (0..60).step_by(4) {
         let mut sim = running_cluster(1);
         assert_eq!(sim.submit(0, &array("run-1", 1)), 201);
-        sim.run_for(sim.task_duration_ms - 300 + delay * 25);
+        sim.run_for(sim.task_duration_ms - 300 + step * 25);
         let (status, state) = sim.cancel(0, "run-1");
         assert_eq!(status, 200);
         outcomes[usize::from(state == "done")] += 1;
@@ -323,10 +326,14 @@
         late_attempts <= early_attempts,
         "{early_attempts} attempts in the first minute, {late_attempts} in the second"
     );
-    assert!(late_attempts <= 4, "{late_attempts}");
+    assert!(
+        late_attempts <= 4,
+        "{late_attempts} attempts in the second minute"
+    );
 }
 
-/// Simulating minutes of scheduling with a job of the largest size takes at most seconds.
+/// A job of the largest allowed size is scheduled in steps, so that simulating minutes of virtual
+/// time takes at most seconds.
 #[test]
 fn largest_allowed_job_is_accepted_and_runs_in_steps() {
     let mut sim = running_cluster(1);
@@ -341,7 +348,11 @@
     too_large["pieces"] = json!(100_001);
     assert_eq!(sim.submit(0, &too_large), 400);
     sim.run_for(60_000);
-    assert!(sim.start_log.len() > 2000, "{}", sim.start_log.len());
+    assert!(
+        sim.start_log.len() > 2000,
+        "{} tasks started",
+        sim.start_log.len()
+    );
     assert_eq!(sim.poll(0, "run-1").1, "running");
     sim.cancel(0, "run-1");
     sim.run_for(30_000);
@@ -403,8 +414,9 @@
     );
 }
 
-/// A delayed response to a read once restored a job that had already ended. The leader tried to
-/// store the end of the job again, the write failed, and the leader gave up its term.
+/// In an earlier version, a delayed response to a read restored a job that had already ended. The
+/// leader tried to store the job's final state again, the write failed, and the leader gave up its
+/// term.
 #[test]
 fn delayed_read_response_does_not_restore_ended_job() {
     let mut sim = running_cluster(3);
--- a/tests/integration/write_batching.rs
+++ b/tests/integration/write_batching.rs
@@ -4,17 +4,18 @@
 use crate::simulation::fixtures::running_cluster;
 use crate::simulation::{array, service, Simulation};
 
-/// Returns when the first task of a job was started, or `None` if no task was started.
+/// Returns the virtual time at which the first task of a job was started, or `None` if no task was
+/// started.
 fn first_start_ms(sim: &Simulation, job: &str) -> Option<u64> {
     let prefix = format!(" {job}/");
     let line = sim.start_log.iter().find(|line| line.contains(&prefix))?;
     line.split(' ').next()?.parse().ok()
 }
 
-/// In a burst of one-task jobs, every transaction once held as many changes as allowed and was
-/// delayed until the rate limits permitted all of them. An urgent job waited for one such
-/// transaction and then for the next one, which contained its own changes (incident inc-76e8:
-/// 1.1 to 1.6 s with an objective of 1 s).
+/// In an earlier version, every transaction in a burst of one-task jobs contained as many changes
+/// as allowed and was delayed until the rate limits permitted all of them. An urgent job waited for
+/// one such transaction and then for the next one, which contained the urgent job's own changes
+/// (incident inc-76e8: 1.1 to 1.6 s with an objective of 1 s).
 #[test]
 fn urgent_job_starts_promptly_during_a_burst_of_writes() {
     let mut sim = running_cluster(3);
