--- a/tests/allocations.rs
+++ b/tests/allocations.rs
@@ -26,8 +26,9 @@
     (dhat::HeapStats::get().total_blocks - before) / HEARTBEATS
 }
 
-/// Guards against redundant allocations: a heartbeat with eight tasks once took 41 blocks,
-/// because task names were parsed up to three times and known state was copied.
+/// Guards against redundant allocations: an earlier version allocated 41 blocks for a
+/// heartbeat with eight tasks, because it parsed task names up to three times and copied known
+/// state.
 #[test]
 fn unchanged_heartbeat_allocations_are_bounded_for_any_fleet_size() {
     let _profiler = dhat::Profiler::builder().testing().build();
@@ -35,10 +36,10 @@
     let large = blocks_per_heartbeat(100);
     assert!(
         small <= 3 * TASKS_PER_MACHINE as u64,
-        "blocks per heartbeat: {small}"
+        "too many blocks per heartbeat: {small}"
     );
     assert!(
         large <= small + 1,
-        "blocks per heartbeat in a fleet of five times the size: {large}"
+        "blocks per heartbeat grow with the fleet: {small} with 20 machines, {large} with 100"
     );
 }
--- a/tests/full_leader/mod.rs
+++ b/tests/full_leader/mod.rs
@@ -20,7 +20,8 @@
 /// The number of tasks of each job.
 const TASKS_PER_JOB: usize = 40;
 
-/// Creates a simulation with three controllers and fully occupied machines in one zone.
+/// Creates a simulation with three controllers and `machines` machines in zone `a`, all of them
+/// fully occupied.
 fn full_fleet(machines: usize) -> Simulation {
     let mut sim = Simulation::new(3);
     sim.capacity = 0;
@@ -39,7 +40,7 @@
     assert_eq!(
         sim.on_machines("run-"),
         machines * TASKS_PER_MACHINE,
-        "not all machines are fully occupied"
+        "some machines are not fully occupied"
     );
     sim
 }
@@ -50,15 +51,17 @@
     pub now: Now,
     /// The effects of the last request.
     pub effects: Vec<Effect>,
-    /// The last heartbeat of one of the leader's machines.
+    /// The last heartbeat of machine `vm-0001`.
     pub heartbeat: Value,
+    /// The sequence number of [`Leader::heartbeat`].
     pub sequence: u64,
 }
 
 impl Leader {
+    /// Creates the leader of a fleet of `machines` fully occupied machines.
     pub fn new(machines: usize) -> Leader {
         let mut sim = full_fleet(machines);
-        let leader = sim.leader().expect("no controller is the leader");
+        let leader = sim.leader().expect("no leader was elected");
         let heartbeat = sim.next_heartbeat("vm-0001");
         Leader {
             node: sim.nodes[leader].take().expect("the leader is not running"),
@@ -83,7 +86,7 @@
         );
     }
 
-    /// Returns a request with the machine's next heartbeat.
+    /// Returns a request that repeats [`Leader::heartbeat`] with the next sequence number.
     pub fn next_heartbeat(&mut self) -> Request {
         self.sequence += 1;
         self.heartbeat["numero"] = self.sequence.into();
--- a/tests/integration/cancellations.rs
+++ b/tests/integration/cancellations.rs
@@ -67,7 +67,7 @@
         });
         sim.request(other, "POST", "/v2/runs/run-1/abort", json!(null));
         sim.run_for(20);
-        assert_eq!(sim.poll((leader + 2) % 3, "run-1").1, "cancelled");
+        assert_eq!(sim.query((leader + 2) % 3, "run-1").1, "cancelled");
         // Users query the job at several controllers, and the first confirmation counts.
         reject_kv_calls(&mut sim, leader, true);
     } else {
@@ -96,8 +96,8 @@
     assert_eq!(sim.on_machines("run-1"), 0);
     assert_eq!(sim.on_machines("run-2"), 8);
     for node in 0..3 {
-        assert_eq!(sim.poll(node, "run-1").1, "cancelled");
-        assert_eq!(sim.poll(node, "run-2").1, "running");
+        assert_eq!(sim.query(node, "run-1").1, "cancelled");
+        assert_eq!(sim.query(node, "run-2").1, "running");
     }
 }
 
--- a/tests/integration/dependencies.rs
+++ b/tests/integration/dependencies.rs
@@ -114,7 +114,10 @@
         let mut spec = job_with_dependencies(&format!("run-own-{n}"), &[]);
         spec["attend"] = dependencies.clone();
         assert_eq!(sim.submit(n % 3, &spec), status, "{dependencies}");
-        assert_eq!(sim.poll(0, &format!("run-own-{n}")).0 == 200, status == 201);
+        assert_eq!(
+            sim.query(0, &format!("run-own-{n}")).0 == 200,
+            status == 201
+        );
     }
     // A submission with an unknown dependency was once accepted if another of its
     // dependencies was a cancelled job.
@@ -478,7 +481,7 @@
         sim.run_for(90_000);
         workload.process_responses(&sim);
         for id in &workload.jobs {
-            let (status, state) = sim.poll(0, id);
+            let (status, state) = sim.query(0, id);
             let is_final = state == "done" || state == "cancelled";
             assert!(is_final, "seed {seed}: {id} is {status} {state}");
         }
--- a/tests/integration/failure_attribution.rs
+++ b/tests/integration/failure_attribution.rs
@@ -145,7 +145,7 @@
         }
         sim.run_for(30_000);
         let leader = sim.leader().unwrap();
-        assert_eq!(sim.poll(leader, "run-2").1, "done");
+        assert_eq!(sim.query(leader, "run-2").1, "done");
         assert_eq!(
             released(&sim, &names),
             ["vm-c2"],
--- a/tests/integration/fault_interactions/kv_store_faults.rs
+++ b/tests/integration/fault_interactions/kv_store_faults.rs
@@ -80,7 +80,7 @@
         }
         sim.run_for(25_000);
         for n in 0..12 {
-            let state = sim.poll(n % 3, &format!("run-{n}")).1;
+            let state = sim.query(n % 3, &format!("run-{n}")).1;
             assert!(state == "done" || (state == "cancelled" && n % 3 == 0));
         }
         assert!(!sim.kv_store.items.keys().any(|k| k.starts_with("j/")));
@@ -137,7 +137,7 @@
         sim.run_for(10);
         for n in 0..3 {
             if n != writer {
-                assert_eq!(sim.poll(n, "run-1").0, 200);
+                assert_eq!(sim.query(n, "run-1").0, 200);
                 assert_eq!(sim.submit(n, &spec), 200);
             }
         }
@@ -155,13 +155,13 @@
         let cancelled = sim.request(writer, "POST", path, Value::Null);
         sim.run_for(10);
         for n in 0..3 {
-            assert!(n == writer || sim.poll(n, "run-1").1 == "cancelled");
+            assert!(n == writer || sim.query(n, "run-1").1 == "cancelled");
         }
         sim.run_for(4000);
         assert_eq!(sim.status_and_state(cancelled).1, "cancelled");
         heal(&mut sim);
         sim.run_for(4000);
         assert_eq!(sim.on_machines("run-1"), 0);
-        assert_eq!(sim.poll(writer, "run-1").1, "cancelled");
+        assert_eq!(sim.query(writer, "run-1").1, "cancelled");
     }
 }
--- a/tests/integration/fault_interactions/leader_changes.rs
+++ b/tests/integration/fault_interactions/leader_changes.rs
@@ -37,8 +37,8 @@
         sim.run_for(20_000);
         assert_eq!(sim.on_machines("run-1"), 6);
         for n in 0..3 {
-            assert_eq!(sim.poll(n, "run-2").1, "cancelled");
-            assert_eq!(sim.poll(n, "run-3").1, "done");
+            assert_eq!(sim.query(n, "run-2").1, "cancelled");
+            assert_eq!(sim.query(n, "run-3").1, "done");
         }
         assert_eq!(sim.on_machines("run-2"), 0);
     }
@@ -58,13 +58,13 @@
         spec["cpus"] = json!(49.0);
         assert_eq!(sim.submit(0, &spec), 201);
         sim.run_for(sim.task_duration_ms + 1200);
-        assert_eq!(sim.poll(0, "run-1").1, "running");
+        assert_eq!(sim.query(0, "run-1").1, "running");
         change_leader(&mut sim);
         sim.run_for(2000);
-        assert_eq!(sim.poll(0, "run-1").1, "running");
+        assert_eq!(sim.query(0, "run-1").1, "running");
         sim.run_for(12_000);
         for n in 0..3 {
-            assert_eq!(sim.poll(n, "run-1").1, "done");
+            assert_eq!(sim.query(n, "run-1").1, "done");
         }
         assert_eq!(sim.start_log.len(), tasks as usize, "{:?}", sim.start_log);
     }
@@ -138,7 +138,7 @@
         let id = format!("run-{n}");
         assert_eq!(sim.submit(other, &array(&id, 3)), 201);
         sim.run_for(11_700);
-        completed += usize::from(sim.poll(n % 3, &id).1 == "done");
+        completed += usize::from(sim.query(n % 3, &id).1 == "done");
     }
     assert!(
         completed >= 9,
@@ -146,7 +146,7 @@
     );
     sim.run_for(12_000);
     for n in 1..=10 {
-        assert_eq!(sim.poll(0, &format!("run-{n}")).1, "done");
+        assert_eq!(sim.query(0, &format!("run-{n}")).1, "done");
     }
     assert_eq!(sim.on_machines("run-0"), 8);
     let starts = sim
@@ -182,7 +182,7 @@
     assert_eq!(sim.on_machines("run-1"), 8);
     assert_eq!(sim.on_machines("run-2"), 0);
     assert_eq!(sim.start_log.len(), 16, "{:?}", sim.start_log);
-    assert_eq!(sim.poll(first, "run-2").1, "cancelled");
+    assert_eq!(sim.query(first, "run-2").1, "cancelled");
 }
 
 /// Jobs are cancelled at various times during a failover.
--- a/tests/integration/fault_interactions/overload.rs
+++ b/tests/integration/fault_interactions/overload.rs
@@ -35,7 +35,7 @@
         }
         if n >= 16 {
             let earlier = format!("run-{}", n - 16);
-            if sim.poll(n % 3, &earlier).1 != "done" && (n - 16) % 4 != 3 {
+            if sim.query(n % 3, &earlier).1 != "done" && (n - 16) % 4 != 3 {
                 late_jobs.push(earlier);
             }
         }
@@ -43,7 +43,7 @@
     }
     sim.run_for(8000);
     for n in 0..jobs {
-        let (status, state) = sim.poll(n % 3, &format!("run-{n}"));
+        let (status, state) = sim.query(n % 3, &format!("run-{n}"));
         assert_eq!(status, 200);
         assert!(state == "done" || n % 4 == 3, "run-{n} is {state}");
     }
@@ -92,7 +92,7 @@
     sim.request(0, "POST", "/v2/runs", service("run-90", 8));
     sim.run_for(60_000);
     for n in 0..40 {
-        let state = sim.poll(n % 3, &format!("run-{n}")).1;
+        let state = sim.query(n % 3, &format!("run-{n}")).1;
         let mut user = 0;
         if state.is_empty() {
             user = sim.request(n % 3, "GET", &format!("/v2/runs/run-{n}"), Value::Null);
--- a/tests/integration/fault_interactions/stale_heartbeats.rs
+++ b/tests/integration/fault_interactions/stale_heartbeats.rs
@@ -45,7 +45,7 @@
         &sim.start_log[started..]
     );
     assert_eq!(sim.kv_store.items["leader/term"], term);
-    assert_eq!(sim.poll(0, "run-1").1, "running");
+    assert_eq!(sim.query(0, "run-1").1, "running");
 }
 
 /// Heartbeats of the previous term, with its fencing tokens, sessions and sequence numbers,
@@ -82,7 +82,7 @@
         sim.start(old);
         sim.run_for(15_000);
         assert_eq!(sim.on_machines("run-1"), 5, "{delay_ms}");
-        assert_eq!(sim.poll(0, "run-2").1, "done");
+        assert_eq!(sim.query(0, "run-2").1, "done");
         assert_eq!(sim.start_log.len(), 11, "{delay_ms}: {:?}", sim.start_log);
     }
 }
--- a/tests/integration/fault_interactions/unreachable_machines.rs
+++ b/tests/integration/fault_interactions/unreachable_machines.rs
@@ -148,5 +148,5 @@
     set_unresponsive(&mut sim, &names, true);
     sim.run_for(75_000);
     assert_eq!(sim.on_machines("run-2/"), 6, "{:?}", sim.start_log);
-    assert_eq!(sim.poll(0, "run-1").1, "done", "{:?}", sim.start_log);
+    assert_eq!(sim.query(0, "run-1").1, "done", "{:?}", sim.start_log);
 }
--- a/tests/integration/fault_interactions/user_requests.rs
+++ b/tests/integration/fault_interactions/user_requests.rs
@@ -28,7 +28,7 @@
             sim.run_for(2);
         }
         sim.run_for(5000);
-        let states: Vec<String> = (0..3).map(|n| sim.poll(n, "run-1").1).collect();
+        let states: Vec<String> = (0..3).map(|n| sim.query(n, "run-1").1).collect();
         assert!(states.iter().all(|s| *s == states[0]), "{states:?}");
         for user in users {
             assert!([200, 201].contains(&sim.status_and_state(user).0));
@@ -90,7 +90,7 @@
     for n in 0..24 {
         let expected = if n % 2 == 0 { "cancelled" } else { "done" };
         for node in 0..3 {
-            assert_eq!(sim.poll(node, &format!("run-{n}")).1, expected);
+            assert_eq!(sim.query(node, &format!("run-{n}")).1, expected);
         }
     }
 }
@@ -140,7 +140,7 @@
         spec[field] = value;
         assert_eq!(sim.submit(0, &spec), 400, "{field}");
     }
-    assert_eq!(sim.poll(0, "run-3").0, 404);
+    assert_eq!(sim.query(0, "run-3").0, 404);
 }
 
 /// Users send many times as many queries as usual. One read of the key-value store serves all
@@ -229,7 +229,7 @@
                 fresh,
                 "{method}, paused after {pause_after_ms} ms for {pause_ms} ms: {status} {state}"
             );
-            assert_eq!(sim.poll(follower, "run-1"), (200, "cancelled".into()));
+            assert_eq!(sim.query(follower, "run-1"), (200, "cancelled".into()));
         }
     }
 }
--- a/tests/integration/leadership.rs
+++ b/tests/integration/leadership.rs
@@ -43,7 +43,7 @@
     assert_eq!(sim.leader(), Some(0));
     assert_eq!(sim.submit(0, &array("run-1", 2)), 201);
     sim.run_for(15_000);
-    assert_eq!(sim.poll(0, "run-1").1, "done");
+    assert_eq!(sim.query(0, "run-1").1, "done");
 }
 
 /// The invalid fencing token of a single worker once deposed the leader repeatedly, which
@@ -111,7 +111,9 @@
         let mut rng = fastrand::Rng::with_seed(seed);
         sim.fault_injector = Box::new(move |_, _, call| match call.destination {
             Destination::KvWatch => Delivery::Normal,
-            _ if rng.u32(0..6) == 0 => Delivery::Garbled([200, 404, 409, 500][rng.usize(0..4)]),
+            _ if rng.u32(0..6) == 0 => {
+                Delivery::MalformedResponse([200, 404, 409, 500][rng.usize(0..4)])
+            }
             _ => Delivery::Normal,
         });
         for n in 0..12 {
@@ -133,7 +135,7 @@
         }
         sim.run_for(60_000);
         for n in 0..12 {
-            let state = sim.poll(n % 3, &format!("run-{n}")).1;
+            let state = sim.query(n % 3, &format!("run-{n}")).1;
             let is_final = state == "done" || (n % 4 == 0 && state == "cancelled");
             assert!(is_final, "{seed}: run-{n} is {state}");
         }
--- a/tests/integration/migration.rs
+++ b/tests/integration/migration.rs
@@ -45,7 +45,7 @@
         "no more tasks are preempted than necessary"
     );
     sim.run_for(50_000);
-    assert_eq!(sim.poll(0, "run-1").1, "done");
+    assert_eq!(sim.query(0, "run-1").1, "done");
     // An array does not preempt another array.
     assert_eq!(sim.submit(0, &array("run-3", 13)), 201);
     sim.run_for(3000);
--- a/tests/integration/network_partitions.rs
+++ b/tests/integration/network_partitions.rs
@@ -21,13 +21,13 @@
         503,
         "submission during the outage"
     );
-    assert_eq!(sim.poll(1, "run-1").0, 503, "query during the outage");
+    assert_eq!(sim.query(1, "run-1").0, 503, "query during the outage");
     assert_eq!(sim.on_machines("run-1"), 4);
     sim.end_kv_store_outage();
     sim.run_for(4000);
     assert_eq!(sim.submit(1, &array("run-2", 1)), 201);
     sim.run_for(9000);
-    assert_eq!(sim.poll(2, "run-2").1, "done");
+    assert_eq!(sim.query(2, "run-2").1, "done");
     assert_eq!(sim.start_log.len(), 5, "{:?}", sim.start_log);
 }
 
@@ -349,7 +349,7 @@
     sim.kv_store.watches_stalled = false;
     sim.end_kv_store_outage();
     sim.run_for(15_000);
-    assert_eq!(sim.poll(leader, "run-1").1, "cancelled");
+    assert_eq!(sim.query(leader, "run-1").1, "cancelled");
     assert!(
         !sim.kv_store.items.contains_key("j/run-1"),
         "the job record was not deleted"
--- a/tests/integration/provisioning.rs
+++ b/tests/integration/provisioning.rs
@@ -37,7 +37,7 @@
     assert!(sim.start_log.is_empty());
     sim.add_machine("vm-late", "b", true, true);
     sim.run_for(8000);
-    assert_eq!(sim.poll(0, "run-1").1, "done", "{:?}", sim.start_log);
+    assert_eq!(sim.query(0, "run-1").1, "done", "{:?}", sim.start_log);
     sim.cloud_unavailable = false;
     sim.run_for(90_000);
     assert!(sim.workers["vm-late"].released);
--- a/tests/integration/randomized_faults.rs
+++ b/tests/integration/randomized_faults.rs
@@ -24,7 +24,7 @@
     lost_peer_calls: u32,
     delayed_commands: u32,
     /// Malformed responses to any call except a watch.
-    garbled_responses: u32,
+    malformed_responses: u32,
 }
 
 /// A simulation with random requests of users and random faults.
@@ -56,8 +56,8 @@
         sim.fault_injector = Box::new(move |_, node, call| {
             let rates = injector_rates.get();
             let mut chance = |percent: u32| percent > 0 && rng.u32(0..100) < percent;
-            if call.destination != Destination::KvWatch && chance(rates.garbled_responses) {
-                return Delivery::Garbled([200, 404, 409, 500][rng.usize(0..4)]);
+            if call.destination != Destination::KvWatch && chance(rates.malformed_responses) {
+                return Delivery::MalformedResponse([200, 404, 409, 500][rng.usize(0..4)]);
             }
             match &call.destination {
                 Destination::KvStore | Destination::KvWatch
@@ -215,7 +215,7 @@
                 self.sim.paused_until_ms.insert(node, resumes_ms);
             }
             20 => self.sim.cloud_unavailable = !self.sim.cloud_unavailable,
-            22 => rates.garbled_responses = self.rng.u32(0..12),
+            22 => rates.malformed_responses = self.rng.u32(0..12),
             21 => self.sim.kv_store.watches_stalled = !self.sim.kv_store.watches_stalled,
             _ => {}
         }
@@ -313,7 +313,7 @@
         let mut services = Vec::new();
         for (id, spec) in self.jobs.clone() {
             let node = self.random_node();
-            let (status, state) = self.sim.poll(node, &id);
+            let (status, state) = self.sim.query(node, &id);
             assert_eq!(status, 200, "{id}");
             if self.cancelled.contains(&id) {
                 assert_eq!(state, "cancelled", "{id}");
--- a/tests/integration/replica_groups/admission.rs
+++ b/tests/integration/replica_groups/admission.rs
@@ -71,7 +71,7 @@
     for node in 0..3 {
         assert_eq!(sim.submit(node, &whole_machine_service("run-1", 3)), 422);
     }
-    assert_eq!(sim.poll(0, "run-1").0, 404);
+    assert_eq!(sim.query(0, "run-1").0, 404);
     // Gangs of one task and arrays of a class with several parts don't form groups.
     assert_eq!(sim.submit(0, &gang("run-2", 1)), 201);
     let mut plain = array("run-3", 3);
--- a/tests/integration/replica_groups/cancellations.rs
+++ b/tests/integration/replica_groups/cancellations.rs
@@ -56,7 +56,7 @@
                 0,
                 "{operation:?} after {after_ms} ms"
             );
-            assert_eq!(sim.poll(0, "run-1").1, "cancelled");
+            assert_eq!(sim.query(0, "run-1").1, "cancelled");
             assert!(sim.kv_store.items.contains_key("f/run-1"));
             assert!(
                 !sim.kv_store.items.contains_key("p/run-1/0"),
--- a/tests/integration/replica_groups/gangs.rs
+++ b/tests/integration/replica_groups/gangs.rs
@@ -21,7 +21,7 @@
     let generations: BTreeSet<u64> = attempts.values().copied().collect();
     assert_eq!((attempts.len(), generations.len()), (3, 1), "{attempts:?}");
     sim.run_for(30_000);
-    assert_eq!(sim.poll(0, "run-1").1, "done");
+    assert_eq!(sim.query(0, "run-1").1, "done");
 }
 
 /// Completed parts aren't restarted with the other parts.
@@ -41,6 +41,6 @@
     );
     sim.workers.get_mut("vm-b").unwrap().unresponsive = true;
     sim.run_for(25_000);
-    assert_eq!(sim.poll(0, "run-1").1, "done");
+    assert_eq!(sim.query(0, "run-1").1, "done");
     assert_eq!(sim.start_log.len(), 3, "{:?}", sim.start_log);
 }
--- a/tests/integration/resource_limits.rs
+++ b/tests/integration/resource_limits.rs
@@ -59,7 +59,7 @@
     let running = sim.workers.values().flat_map(|worker| worker.tasks.keys());
     let last_task = running.max().expect("tasks run").clone();
     let (job, _) = last_task.split_once('/').expect("a task name");
-    assert_eq!(sim.poll((leader + 1) % 3, job), (200, "running".into()));
+    assert_eq!(sim.query((leader + 1) % 3, job), (200, "running".into()));
 }
 
 /// The gateway once kept the progress of at most 20,000 jobs, independent of the available
--- a/tests/integration/round_slices.rs
+++ b/tests/integration/round_slices.rs
@@ -53,7 +53,7 @@
     for n in 0..jobs {
         let id = format!("run-{n:03}");
         let node = sim.leader().expect("a leader is elected");
-        assert_eq!(sim.poll(node, &id).1, "done", "{id}");
+        assert_eq!(sim.query(node, &id).1, "done", "{id}");
     }
 }
 
--- a/tests/integration/simulation/cloud.rs
+++ b/tests/integration/simulation/cloud.rs
@@ -6,14 +6,15 @@
 use serde_json::{json, Value};
 use std::collections::HashMap;
 
-/// Delay until a machine that is added in the running state sends its first heartbeat.
+/// Delay until the worker on a machine that is added in the running state sends its first
+/// heartbeat.
 const FIRST_HEARTBEAT_MS: u64 = 10;
 
 /// The cloud's state beside the machines, which are in [`Simulation::workers`].
 #[derive(Default)]
 pub(super) struct Cloud {
-    /// Names of the machines provisioned for each provisioning order. A repeated order is
-    /// answered with the machines of the first request.
+    /// Names of the machines provisioned for each provisioning order, by order ID. A repeated
+    /// order returns the machines of the first request.
     orders: HashMap<String, Vec<String>>,
     next_machine: u32,
 }
@@ -28,7 +29,7 @@
 }
 
 impl Simulation {
-    /// Adds a machine that is already running if `up`, and otherwise boots for
+    /// Adds a machine. If `up`, the machine is already running; otherwise it boots for
     /// [`Simulation::boot_ms`].
     pub fn add_machine(&mut self, name: &str, zone: &str, spot: bool, up: bool) {
         let worker = Worker::new(zone, spot, up, self.now_ms);
@@ -70,7 +71,8 @@
         }
     }
 
-    /// Provisions the machines of an order, at most [`Simulation::capacity`] in total.
+    /// Provisions the machines of an order, as many as requested or as fit within
+    /// [`Simulation::capacity`]. Rejects the order if no machine fits.
     fn provision(&mut self, body: &Value) -> CallResult {
         let order = body["bon"].as_str().unwrap_or("").to_string();
         if let Some(names) = self.cloud.orders.get(&order) {
@@ -123,7 +125,7 @@
     }
 }
 
-/// Returns a catalog with one machine type of eight GPUs, offered in both zones.
+/// Returns a catalog with one machine type, `g8` with eight GPUs, which both zones offer.
 fn catalog() -> Value {
     json!({"gammes": [{"sku": "g8", "cpus": 96, "gpus": 8, "memoryGb": 768,
         "cacheGb": 200, "pullGbPerS": 1.0, "hourly": 12.0, "marketPrice": 4.5, "startupS": 5,
--- a/tests/integration/simulation/commands.rs
+++ b/tests/integration/simulation/commands.rs
@@ -7,10 +7,10 @@
 use super::Simulation;
 use serde_json::{json, Value};
 
-/// How long a failing task runs once its image is fetched.
+/// How long a failing task runs after its image is fetched.
 const FAILING_TASK_DURATION_MS: u64 = 100;
 
-/// Returns the index of a task in its job, by the task's name.
+/// Returns the index of a task in its job, parsed from a task name such as `run-1/3`.
 fn task_index(task: &str) -> u64 {
     let index = task
         .rsplit_once('/')
@@ -44,7 +44,7 @@
         worker.attempt_mut(&task.task, task.attempt)
     }
 
-    /// Starts a task unless the machine already has this attempt.
+    /// Starts a task, unless the machine already has this attempt of the task or doesn't exist.
     fn start_task(&mut self, task: TaskAttempt) {
         if self.task_mut(&task).is_some() {
             return;
@@ -90,12 +90,13 @@
         }
         let fetched = Event::ImageFetched {
             task: task.clone(),
-            session: worker.session,
+            agent_epoch: worker.agent_epoch,
         };
         self.schedule(self.now_ms + self.image_fetch_ms, fetched);
     }
 
-    /// Schedules the end of a task. Tasks of services end by themselves only if they fail.
+    /// Schedules the completion or failure of a task. Tasks of services run until they are
+    /// stopped or fail.
     fn schedule_end(&mut self, task: TaskAttempt) {
         let fails = self.fails(&task);
         let spec = self.observer.spec(job_of(&task.task));
@@ -122,8 +123,8 @@
         machine_fails || self.failing_jobs.contains(job) || self.failing_jobs.contains(&task.task)
     }
 
-    /// Stops a task: after it has saved its checkpoint if it has one and a grace period,
-    /// otherwise at once.
+    /// Stops a task. A task that saves checkpoints first saves one if the command grants a grace
+    /// period; every other task ends immediately.
     fn halt_task(&mut self, task: TaskAttempt, has_grace_period: bool) {
         let save_ms = self.checkpoint_ms(&task.task);
         let halted = self
@@ -140,8 +141,8 @@
         }
     }
 
-    /// Returns how long a task takes to save its checkpoint. The duration differs between the
-    /// tasks of a job by a factor of up to 3.
+    /// Returns how long a task takes to save its checkpoint in milliseconds, or 0 if its job saves
+    /// no checkpoints. The duration differs between the tasks of a job by a factor of up to 3.
     fn checkpoint_ms(&self, task: &str) -> u64 {
         let save_ms = self
             .observer
@@ -152,7 +153,7 @@
         save_ms / (1 + task_index(task) % 3)
     }
 
-    /// Removes a task that has ended from its machine.
+    /// Removes a task from its machine if the task has ended.
     fn reap_task(&mut self, task: &TaskAttempt) {
         if self
             .task_mut(task)
@@ -164,12 +165,12 @@
         }
     }
 
-    /// Marks a task as running once its image is fetched, unless the machine started a new
-    /// session meanwhile.
-    pub(super) fn image_fetched(&mut self, task: &TaskAttempt, session: u64) {
+    /// Marks a task as running when its image is fetched, unless the worker's agent epoch has
+    /// changed since the fetch began.
+    pub(super) fn image_fetched(&mut self, task: &TaskAttempt, agent_epoch: u64) {
         let worker = self.workers.get_mut(&task.machine);
         let fetching = worker
-            .filter(|worker| worker.session == session)
+            .filter(|worker| worker.agent_epoch == agent_epoch)
             .and_then(|worker| worker.attempt_mut(&task.task, task.attempt))
             .filter(|fetching| fetching.state == "pulling");
         if let Some(fetching) = fetching {
@@ -177,7 +178,7 @@
         }
     }
 
-    /// Ends a running task as failed or done.
+    /// Ends a running task as failed or completed. Has no effect on a task in another state.
     pub(super) fn task_ends(&mut self, task: &TaskAttempt) {
         let fails = self.fails(task);
         let running = self
--- a/tests/integration/simulation/digest.rs
+++ b/tests/integration/simulation/digest.rs
@@ -15,7 +15,7 @@
 /// The environment variable with the path of the file to which digests are appended.
 const FILE_VARIABLE: &str = "TRACE_DIGESTS";
 
-/// The running digest of the messages that the controllers of one simulation send.
+/// The digest of the messages that the controllers of one simulation have sent so far.
 pub struct Digest {
     file: String,
     hasher: DefaultHasher,
--- a/tests/integration/simulation/events.rs
+++ b/tests/integration/simulation/events.rs
@@ -3,12 +3,12 @@
 use lilacfork::messages::{Call, CallId, CallResult, Listener, Request};
 use std::collections::BTreeMap;
 
-/// Identifies a call, and the controller process to which its outcome returns.
+/// Identifies a call and the controller process that sent it, to which the outcome returns.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 pub(super) struct CallOrigin {
     pub(super) node: usize,
-    /// The process epoch of the controller when it sent the call. An outcome is dropped if the
-    /// controller has been killed or restarted meanwhile.
+    /// The process epoch of the controller when it sent the call. The outcome is dropped if the
+    /// process epoch has changed, because the controller was killed or restarted meanwhile.
     pub(super) epoch: u64,
     pub(super) id: CallId,
 }
@@ -26,9 +26,10 @@
 pub(super) enum Sender {
     /// A user; the number identifies the request.
     User(u64),
-    /// The machine whose worker sent a heartbeat, and the virtual time at which it did.
+    /// The worker on a machine, which sent a heartbeat: the machine's name, and the virtual time
+    /// of sending in milliseconds.
     Worker(String, u64),
-    /// Another controller.
+    /// Another controller, by the call that carries the request.
     Peer(CallOrigin),
 }
 
@@ -66,15 +67,15 @@
     MachineBoots(String),
     /// The heartbeat of the worker on the machine with this name is due.
     HeartbeatDue(String),
-    /// A worker has fetched the image of a task. `session` is the worker's session in which
+    /// A worker has fetched the image of a task. `agent_epoch` is the worker's agent epoch when
     /// the fetch began.
-    ImageFetched { task: TaskAttempt, session: u64 },
+    ImageFetched { task: TaskAttempt, agent_epoch: u64 },
     /// A task completes or fails.
     TaskEnds(TaskAttempt),
     /// A halted task has saved its checkpoint.
     CheckpointSaved(TaskAttempt),
-    /// A lease of the key-value store may have expired. Also scheduled at the end of a watch's
-    /// waiting time.
+    /// A lease of the key-value store may have expired. This event is also scheduled for the end
+    /// of a watch's waiting time.
     LeaseExpiry,
 }
 
@@ -100,6 +101,7 @@
 }
 
 impl EventQueue {
+    /// Adds an event that is due at the virtual time `at_ms`.
     pub(super) fn schedule(&mut self, at_ms: u64, event: Event) {
         self.last_sequence += 1;
         self.events.insert((at_ms, self.last_sequence), event);
--- a/tests/integration/simulation/faults.rs
+++ b/tests/integration/simulation/faults.rs
@@ -11,15 +11,15 @@
     RequestLost,
     /// The call is executed; the response is lost and the call times out.
     ResponseLost,
-    /// The call times out; the request is executed after this number of milliseconds.
+    /// The call times out; the request is executed this number of milliseconds after it was sent.
     RequestDelayed(u64),
     /// The call is executed without delay; the response is delayed by this number of
-    /// milliseconds.
+    /// milliseconds. Responses to watches and from peers are not delayed.
     ResponseDelayed(u64),
     /// The call is rejected with status 503 and not executed.
     Rejected,
     /// The call is executed; the caller receives this status and a malformed body.
-    Garbled(u16),
+    MalformedResponse(u16),
 }
 
 /// Chooses the delivery of each call from the virtual time in milliseconds, the index of the
--- a/tests/integration/simulation/fixtures.rs
+++ b/tests/integration/simulation/fixtures.rs
@@ -14,8 +14,9 @@
     sim
 }
 
-/// Returns the controllers and zones that a partition between the zones separates. Among
-/// three controllers, the second is in zone `b` and the others are in zone `a`.
+/// Returns the pairs of a controller and a zone that a partition between the zones separates,
+/// for [`Simulation::partitions`]. Among three controllers, the second is in zone `b` and the
+/// others are in zone `a`.
 pub fn zone_partitions() -> Vec<(usize, String)> {
     (0..3)
         .flat_map(|node| ["a", "b"].map(|zone| (node, zone.to_string())))
@@ -23,13 +24,14 @@
         .collect()
 }
 
-/// Returns whether a call from a controller to the peer at an address crosses the partition
+/// Returns whether a call from a controller to the peer with an address crosses the partition
 /// between the zones.
 pub fn crosses_partition(node: usize, peer: &str) -> bool {
     (node == 1) != (peer == "10.0.0.2:8081")
 }
 
-/// Partitions the zones: neither controllers nor workers reach those of the other zone.
+/// Partitions the zones: neither controllers nor workers reach the controllers and workers of
+/// the other zone.
 pub fn partition_zones(sim: &mut Simulation) {
     sim.partitions = zone_partitions();
     sim.fault_injector = Box::new(|_, node, call| match &call.destination {
@@ -38,7 +40,8 @@
     });
 }
 
-/// Partitions the zones, and the second controller from the key-value store too.
+/// Isolates zone `b`: partitions the zones, and also the second controller, which is the only one
+/// in zone `b`, from the key-value store.
 pub fn isolate_zone(sim: &mut Simulation) {
     sim.partitions = zone_partitions();
     sim.fault_injector = Box::new(|_, node, call| match &call.destination {
@@ -72,7 +75,7 @@
     (sim, names)
 }
 
-/// Makes machines unresponsive, or responsive again.
+/// Makes machines unresponsive, or responsive again if `unresponsive` is false.
 pub fn set_unresponsive(sim: &mut Simulation, names: &[String], unresponsive: bool) {
     for name in names {
         sim.workers.get_mut(name).unwrap().unresponsive = unresponsive;
@@ -92,19 +95,18 @@
     usize::from(address.as_bytes()[7] - b'1')
 }
 
-/// Applies a delivery fault to one controller's calls to the key-value store. If
-/// `from_peers`, calls between this controller and its peers are lost in both directions
-/// too.
+/// Delivers one controller's calls to the key-value store with a fault. If `lose_peer_calls`,
+/// calls between this controller and its peers are lost too, in both directions.
 pub fn isolate_node(
     sim: &mut Simulation,
     isolated: usize,
     kv_store_delivery: Delivery,
-    from_peers: bool,
+    lose_peer_calls: bool,
 ) {
     sim.fault_injector = Box::new(move |_, node, call| match &call.destination {
         Destination::KvStore | Destination::KvWatch if node == isolated => kv_store_delivery,
         Destination::Peer(address)
-            if from_peers && (node == isolated || node_at(address) == isolated) =>
+            if lose_peer_calls && (node == isolated || node_at(address) == isolated) =>
         {
             Delivery::RequestLost
         }
--- a/tests/integration/simulation/kv_store.rs
+++ b/tests/integration/simulation/kv_store.rs
@@ -9,14 +9,15 @@
 
 /// Largest number of records in one page of a list.
 const MAX_PAGE_RECORDS: usize = 500;
-/// Delay from the answer to a watch until the outcome reaches the watching controller.
+/// Delay from the response to a watch until it reaches the watching controller.
 const WATCH_LATENCY_MS: u64 = 1;
 /// Limits of the protocol, which hold regardless of the [`SizeLimits`] that a test sets. A
 /// transaction that exceeds one of them fails the test.
 const MAX_TXN_WRITES: usize = 16;
 const MAX_TXN_BYTES: usize = 64 * 1024;
 const MAX_VALUE_BYTES: usize = 32 * 1024;
-/// Compares allowed in a transaction for each operation that [`SizeLimits`] allow.
+/// Number of compares allowed in a transaction for each put or delete that
+/// [`SizeLimits::txn_ops`] allows.
 const COMPARES_PER_OP: usize = 4;
 
 /// The largest values and transactions that the store accepts.
@@ -40,7 +41,7 @@
     value: Option<Value>,
 }
 
-/// A pending watch call, which waits for changes after a revision to keys under a prefix.
+/// A pending watch call, which waits for changes of keys under a prefix after a revision.
 struct Watch {
     origin: CallOrigin,
     prefix: String,
@@ -59,12 +60,13 @@
     last_lease: u64,
     history: Vec<Change>,
     watches: Vec<Watch>,
-    /// While set, calls other than watches are rejected with status 503, watches aren't answered
+    /// While set, calls other than watches are rejected with status 503, watches get no response
     /// and no lease expires.
     pub unavailable: bool,
-    /// While set, watches stay open and aren't answered.
+    /// While set, watches stay open without a response.
     pub watches_stalled: bool,
-    /// Transactions that exceed these limits, or contain larger values, are rejected.
+    /// Transactions that exceed these limits, or contain larger values, are rejected. `None` if
+    /// only the limits of the protocol apply.
     pub limits: Option<SizeLimits>,
     /// Number of puts and deletes applied so far.
     pub write_count: usize,
@@ -173,7 +175,7 @@
                 let value = &write["v"];
                 assert!(
                     value.to_string().len() <= MAX_VALUE_BYTES,
-                    "the value exceeds {MAX_VALUE_BYTES} bytes"
+                    "a value exceeds {MAX_VALUE_BYTES} bytes"
                 );
                 let item = (value.clone(), self.revision, write["bail"].as_u64());
                 self.items.insert(key.into(), item);
@@ -203,7 +205,7 @@
 }
 
 impl Simulation {
-    /// Executes a call. Returns `None` for a watch, whose outcome is returned later.
+    /// Executes a call. Returns `None` for a watch, which gets its response later.
     pub(super) fn kv_store_call(&mut self, origin: CallOrigin, call: &Call) -> Option<CallResult> {
         let (path, query) = call.path.split_once('?').unwrap_or((&call.path, ""));
         let is_watch = path == "/follow" && !query_parameter(query, "waitMs").is_empty();
@@ -239,7 +241,7 @@
         Some(outcome)
     }
 
-    /// Registers a watch call, and answers it if there are changes already.
+    /// Registers a watch call, and responds to it immediately if there are changes already.
     fn open_watch(&mut self, origin: CallOrigin, query: &str) {
         let wait_ms: u64 = query_parameter(query, "waitMs").parse().unwrap_or(0);
         let until_ms = self.now_ms + wait_ms;
@@ -253,7 +255,8 @@
         self.serve_watches();
     }
 
-    /// Answers the watches that have changes or whose waiting time is over.
+    /// Responds to the watches that have changes or whose waiting time has passed. Does nothing
+    /// during an outage and while watches are stalled.
     fn serve_watches(&mut self) {
         if self.kv_store.unavailable || self.kv_store.watches_stalled {
             return;
@@ -301,7 +304,8 @@
         reply(200, json!({}))
     }
 
-    /// Ends the leases that have expired. No lease expires during an outage.
+    /// Ends the leases that have expired, and responds to watches of their keys. No lease expires
+    /// during an outage.
     pub(super) fn expire_leases(&mut self) {
         if self.kv_store.unavailable {
             return;
@@ -317,7 +321,7 @@
         }
     }
 
-    /// Ends an outage and renews every lease for its full duration.
+    /// Ends an outage and renews every lease for its full time to live.
     pub fn end_kv_store_outage(&mut self) {
         self.kv_store.unavailable = false;
         let now_ms = self.now_ms;
@@ -346,11 +350,11 @@
         }
         assert!(
             writes.len() <= MAX_TXN_WRITES,
-            "the transaction exceeds {MAX_TXN_WRITES} writes"
+            "a transaction exceeds {MAX_TXN_WRITES} writes"
         );
         assert!(
             bytes <= MAX_TXN_BYTES,
-            "the transaction exceeds {MAX_TXN_BYTES} bytes"
+            "a transaction exceeds {MAX_TXN_BYTES} bytes"
         );
         self.kv_store.apply(&writes);
         let revision = self.kv_store.revision;
--- a/tests/integration/simulation/mod.rs
+++ b/tests/integration/simulation/mod.rs
@@ -60,17 +60,19 @@
     /// All machines and their workers, including released machines, by machine name.
     pub workers: BTreeMap<String, Worker>,
     cloud: Cloud,
-    /// Boot time of a provisioned machine.
+    /// Boot time of each machine that is provisioned from now on.
     pub boot_ms: u64,
     /// While set, the cloud rejects every call with status 503.
     pub cloud_unavailable: bool,
-    /// The number of unreleased machines up to which the cloud provisions more.
+    /// The number of unreleased machines at which the cloud rejects further provisioning orders.
     pub capacity: usize,
-    /// Injects faults into the controllers' calls.
+    /// Chooses the delivery of each call of a controller.
     pub fault_injector: FaultInjector,
     /// Replies to users, by request number.
     pub replies: HashMap<u64, Reply>,
+    /// The number of the last request.
     last_request: u64,
+    /// Requests of users about jobs without a reply yet, by request number.
     observed_requests: HashMap<u64, UserRequest>,
     pub observer: Observer,
     last_observation_ms: u64,
@@ -90,8 +92,8 @@
     pub failing_jobs: BTreeSet<String>,
     /// When the paused process of each paused controller resumes.
     pub paused_until_ms: BTreeMap<usize, u64>,
-    /// Whether a resumed controller handles the responses to its calls before requests of peers
-    /// and its timer.
+    /// Whether a resumed controller handles the responses to its calls before its timer and the
+    /// requests of peers.
     pub responses_first_on_resume: bool,
     /// Heartbeat responses: time in milliseconds, controller and status.
     pub heartbeat_responses: Vec<(u64, usize, u16)>,
@@ -104,7 +106,7 @@
     cores: f64,
     /// Events that controllers have handled so far.
     handled_events: u64,
-    /// Trackers of replicas that span several machines, by job.
+    /// Trackers of the replicas of [tracked jobs](Simulation::track_replicas), by job.
     pub replicas: BTreeMap<String, replica_groups::ReplicaTracker>,
     /// Digest of everything that controllers send, if the environment requests one.
     digest: Option<Digest>,
@@ -123,13 +125,13 @@
     }
 
     /// Creates a cluster whose settings announce lower limits of the key-value store.
-    pub fn with_announced_limits(nodes: usize, next: AnnouncedKvStoreLimits) -> Simulation {
+    pub fn with_announced_limits(nodes: usize, announced: AnnouncedKvStoreLimits) -> Simulation {
         let mut limits = settings("n-0", nodes).site.kv_store;
-        limits.announced = Some(next);
+        limits.announced = Some(announced);
         Simulation::with(nodes, CORES, Tuning::default(), Some(limits))
     }
 
-    /// Creates a cluster with operators' tuning.
+    /// Creates a cluster whose controllers have this tuning by operators.
     pub fn with_tuning(nodes: usize, tuning: Tuning) -> Simulation {
         Simulation::with(nodes, CORES, tuning, None)
     }
@@ -231,7 +233,7 @@
             }
             Event::MachineBoots(machine) => self.machine_booted(machine),
             Event::HeartbeatDue(machine) => self.heartbeat_due(&machine),
-            Event::ImageFetched { task, session } => self.image_fetched(&task, session),
+            Event::ImageFetched { task, agent_epoch } => self.image_fetched(&task, agent_epoch),
             Event::TaskEnds(task) => self.task_ends(&task),
             Event::CheckpointSaved(task) => self.checkpoint_saved(&task),
             Event::LeaseExpiry => self.expire_leases(),
--- a/tests/integration/simulation/network.rs
+++ b/tests/integration/simulation/network.rs
@@ -11,14 +11,15 @@
 use lilacfork::reactor::Handler;
 use std::collections::HashMap;
 
-/// One-way latency between a controller and an external service or worker.
+/// Latency of a controller's call to any destination, and of the response of an external service
+/// or a worker.
 const LATENCY_MS: u64 = 2;
-/// One-way latency between two controllers, and from workers to controllers.
+/// Latency of a peer's response to a call, and of a worker's heartbeat.
 pub(super) const PEER_LATENCY_MS: u64 = 1;
-/// Delay from a call until its rejection, if the call isn't executed.
+/// Delay from a call until its rejection, for [`Delivery::Rejected`].
 const REJECTION_MS: u64 = 4;
-/// Delay from a call until its response, if the response is garbled.
-const GARBLED_RESPONSE_MS: u64 = 5;
+/// Delay from a call until its response, for [`Delivery::MalformedResponse`].
+const MALFORMED_RESPONSE_MS: u64 = 5;
 
 /// Requests and calls in transit.
 #[derive(Default)]
@@ -32,7 +33,7 @@
 }
 
 impl Simulation {
-    /// Sends the messages that a controller has produced.
+    /// Sends the replies and calls that a controller has produced.
     pub(super) fn apply_effects(&mut self, node: usize, effects: Vec<Effect>) {
         for effect in effects {
             if let Some(digest) = &mut self.digest {
@@ -66,9 +67,9 @@
             Delivery::Rejected => {
                 self.return_outcome(origin, REJECTION_MS, Ok((503, b"{}".to_vec())));
             }
-            Delivery::Garbled(status) => {
+            Delivery::MalformedResponse(status) => {
                 let body = b"{\"tirage\":[],\"rows\":7}".to_vec();
-                self.return_outcome(origin, GARBLED_RESPONSE_MS, Ok((status, body)));
+                self.return_outcome(origin, MALFORMED_RESPONSE_MS, Ok((status, body)));
                 self.schedule_arrival(origin, call, LATENCY_MS, Response::Lost);
             }
         }
@@ -108,7 +109,8 @@
         );
     }
 
-    /// Executes a call at its destination and returns the outcome unless the response is lost.
+    /// Executes a call at its destination, and returns the outcome unless the response is lost. A
+    /// peer's response is always returned.
     pub(super) fn deliver_call(&mut self, origin: CallOrigin, call: Call, response: Response) {
         let outcome = match &call.destination {
             Destination::KvStore | Destination::KvWatch => self.kv_store_call(origin, &call),
--- a/tests/integration/simulation/nodes.rs
+++ b/tests/integration/simulation/nodes.rs
@@ -9,7 +9,7 @@
 use lilacfork::settings::KvStoreLimits;
 use lilacfork::tuning::Tuning;
 
-/// The time of day at the start of virtual time.
+/// The time of day at the start of virtual time, in milliseconds since the Unix epoch.
 const WALL_OFFSET_MS: u64 = 1_000_000;
 
 /// The largest fleet, in machines, in which the invariants of controllers are checked. The
@@ -40,7 +40,7 @@
         self.next_ticks_ms[node] = u64::MAX;
     }
 
-    /// Sets the tuning with which controllers start from now on.
+    /// Sets the operators' tuning with which controllers start from now on.
     pub fn set_tuning(&mut self, tuning: Tuning) {
         self.tuning = tuning;
     }
@@ -51,7 +51,7 @@
         self.kv_store_limits = Some(limits);
     }
 
-    /// Returns the first controller that considers itself leader.
+    /// Returns the index of the first controller that considers itself the leader.
     pub fn leader(&self) -> Option<usize> {
         self.nodes
             .iter()
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Schedules the timer of a controller, unless it is due earlier already.
+    /// Schedules the timer of a controller, unless the timer is due by then already.
     fn schedule_tick(&mut self, node: usize, at_ms: u64) {
         if at_ms < self.next_ticks_ms[node] {
             self.next_ticks_ms[node] = at_ms;
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Runs the timer of a controller, unless the controller has rescheduled it meanwhile.
+    /// Runs the due timers of a controller, unless its next timer is due later than now.
     pub(super) fn tick(&mut self, node: usize) {
         if self.next_ticks_ms[node] <= self.now_ms {
             self.next_ticks_ms[node] = u64::MAX;
--- a/tests/integration/simulation/observation.rs
+++ b/tests/integration/simulation/observation.rs
@@ -35,15 +35,15 @@
 }
 
 impl Simulation {
-    /// Passes the tasks on machines to the observer and the replica trackers. Worker leases
-    /// that have expired are ended first, because a lease expires whether or not its worker
+    /// Passes the tasks on machines to the observer and the replica trackers. Workers whose leases
+    /// have expired stop their tasks first, because a lease expires whether or not its worker
     /// sends heartbeats.
     pub(super) fn observe(&mut self) {
         self.last_observation_ms = self.now_ms;
         let now_ms = self.now_ms;
         for worker in self.workers.values_mut() {
             if now_ms > worker.lease_renewed_ms + LEASE_MS && !worker.tasks.is_empty() {
-                worker.end_session(now_ms);
+                worker.expire_lease(now_ms);
             }
         }
         check(
--- a/tests/integration/simulation/observer.rs
+++ b/tests/integration/simulation/observer.rs
@@ -54,7 +54,7 @@
     /// A final state doesn't change, and a job is cancelled only after a user requested its
     /// cancellation or that of one of its dependencies.
     WentBack,
-    /// A job is reported as done only once all of its tasks have completed.
+    /// A job is reported as done only after all of its tasks have completed.
     NotDone,
     /// The cancellation of a job cancels its dependents too.
     Orphaned,
@@ -62,7 +62,7 @@
     RanTwice,
     /// The tasks of a cancelled job end within the cancellation period.
     RanCancelled,
-    /// A task starts only once the dependencies of its job are done.
+    /// A task starts only after the dependencies of its job are done.
     TooEarly,
     /// A task starts only where the placement constraints of its job allow it.
     WrongPlace,
@@ -87,7 +87,7 @@
     }
 }
 
-/// The rule that a history violates, and how.
+/// The rule that a history violates, and the events that violate it.
 #[derive(Clone, PartialEq, Eq, Debug, thiserror::Error)]
 #[error("{rule}: {details}")]
 pub struct Violation {
@@ -110,7 +110,7 @@
     reported_ms: u64,
 }
 
-/// The part of the history that the rules need. All times are virtual.
+/// The part of the history that the rules need. All times are in virtual milliseconds.
 pub struct Observer {
     /// The cancellation period: how long tasks may remain on machines after the confirmed
     /// cancellation of their job.
@@ -154,7 +154,8 @@
         self.specs.get(job)
     }
 
-    /// Returns when the cancellation of a job was first confirmed to a user.
+    /// Returns when the cancellation of a job was first confirmed to a user, or `None` if it
+    /// hasn't been confirmed.
     fn cancellation_confirmed_ms(&self, job: &str) -> Option<u64> {
         self.final_states
             .get(job)
@@ -234,8 +235,8 @@
     }
 
     /// Records and checks a response to a user. The state in the response may date from any
-    /// time since the request was sent, so only responses that users received before then
-    /// bind it.
+    /// time since the request was sent. It must therefore agree only with responses that users
+    /// received before the request was sent.
     pub fn check_response(
         &mut self,
         now_ms: u64,
@@ -249,7 +250,7 @@
             return Ok(());
         }
         let Some(spec) = self.specs.get(job) else {
-            let details = format!("{job} is reported, but no user submitted it");
+            let details = format!("{job} is reported but no user submitted it");
             return violation(Rule::Invented, details);
         };
         self.accepted_ms.entry(job.clone()).or_insert(now_ms);
@@ -277,7 +278,8 @@
                 }
             }
             "cancelled" if !self.is_cancellation_requested(job) => {
-                let details = format!("{job} is reported cancelled without a request of a user");
+                let details =
+                    format!("{job} is reported cancelled, but no user requested the cancellation");
                 return violation(Rule::WentBack, details);
             }
             "cancelled" => {}
@@ -292,8 +294,8 @@
         Ok(())
     }
 
-    /// Checks that a job that was reported before a request was sent is known in its
-    /// response.
+    /// Checks that the response to a request reports the job as known, if the job was reported to
+    /// a user before the request was sent.
     fn check_not_forgotten(&self, now_ms: u64, request: &UserRequest, status: u16) -> Verdict {
         let job = &request.job;
         let accepted_ms = self.accepted_ms.get(job);
@@ -312,7 +314,7 @@
         Ok(())
     }
 
-    /// Checks that no dependency of a job that hasn't ended was cancelled longer ago than the
+    /// Checks that no dependency of a job without a final state was cancelled longer ago than the
     /// cancellation period.
     fn check_not_orphaned(&self, now_ms: u64, job: &str, state: &str) -> Verdict {
         for dependency in self.transitive_dependencies(job) {
@@ -320,7 +322,7 @@
             let is_overdue = |confirmed_ms: &u64| now_ms > confirmed_ms + self.cancel_ms;
             if let Some(confirmed_ms) = confirmed_ms.filter(is_overdue) {
                 let details = format!(
-                    "{job} is {state} at {now_ms} ms, its dependency {dependency} was cancelled at {confirmed_ms} ms"
+                    "{job} is {state} at {now_ms} ms although its dependency {dependency} was cancelled at {confirmed_ms} ms"
                 );
                 return violation(Rule::Orphaned, details);
             }
@@ -328,7 +330,7 @@
         Ok(())
     }
 
-    /// Checks the start of a task while `others` are on machines.
+    /// Records and checks the start of a task. `others` are the tasks that are on machines already.
     pub fn check_start<'a>(
         &mut self,
         now_ms: u64,
@@ -346,7 +348,7 @@
         if let Some(confirmed_ms) = self.cancellation_confirmed_ms(start.job()) {
             if now_ms > confirmed_ms + self.cancel_ms {
                 let details = format!(
-                    "{task} starts on {machine} at {now_ms} ms, cancelled at {confirmed_ms} ms"
+                    "{task} starts on {machine} at {now_ms} ms, but was cancelled at {confirmed_ms} ms"
                 );
                 return violation(Rule::RanCancelled, details);
             }
@@ -356,7 +358,7 @@
             ));
         }
         let Some(spec) = self.specs.get(start.job()) else {
-            let details = format!("{task} starts, but no user submitted its job");
+            let details = format!("{task} starts but no user submitted its job");
             return violation(Rule::Invented, details);
         };
         let mut dependencies = self.dependencies(start.job());
@@ -405,7 +407,7 @@
             return wrong_place("other tasks of the job are in another zone");
         }
         if spread && in_zone > spec["pieces"].as_u64().unwrap_or(0).div_ceil(2) {
-            return wrong_place("more than half of the job's tasks in one zone");
+            return wrong_place("more than half of the job's tasks are in one zone");
         }
         Ok(())
     }
@@ -429,7 +431,8 @@
             .sum();
         if used + gpus(spec) > limit + 1e-9 {
             let task = start.task;
-            let details = format!("team {team} uses {used} of {limit} GPUs when {task} starts");
+            let details =
+                format!("team {team} already uses {used} of {limit} GPUs when {task} starts");
             return violation(Rule::Quota, details);
         }
         Ok(())
@@ -448,7 +451,7 @@
             if let Some(confirmed_ms) = self.cancellation_confirmed_ms(job_of(task)) {
                 if now_ms > confirmed_ms + self.cancel_ms {
                     let details = format!(
-                        "{task} is on {machine} at {now_ms} ms, cancelled at {confirmed_ms} ms"
+                        "{task} is on {machine} at {now_ms} ms, but was cancelled at {confirmed_ms} ms"
                     );
                     return violation(Rule::RanCancelled, details);
                 }
--- a/tests/integration/simulation/replica_groups.rs
+++ b/tests/integration/simulation/replica_groups.rs
@@ -13,12 +13,14 @@
 /// one more interval, and the messages between controllers.
 const MAX_REPORTING_LAG_MS: u64 = 6000;
 
-/// The actual state of one replica.
+/// What the observation of one replica has shown so far. All times are virtual.
 #[derive(Clone, Debug, Default)]
 struct ReplicaHistory {
-    /// When all parts of the replica were last running at the same time.
+    /// When all parts of the replica were last running at the same time; `None` if they never
+    /// were.
     last_complete_ms: Option<u64>,
-    /// Since when some parts of the replica have been running while others are on no machine.
+    /// Since when some parts of the replica have been running while others are on no machine;
+    /// `None` if that is not the case now.
     incomplete_since_ms: Option<u64>,
 }
 
@@ -33,7 +35,7 @@
 }
 
 impl ReplicaTracker {
-    /// Creates a tracker for a job of `tasks` tasks, of which each replica takes `parts`.
+    /// Creates a tracker for a job of `tasks` tasks, where each replica consists of `parts` tasks.
     pub fn new(parts: u32, tasks: u32) -> ReplicaTracker {
         ReplicaTracker {
             parts,
@@ -67,8 +69,9 @@
         }
     }
 
-    /// Returns whether a controller may report this number of running tasks to users: only
-    /// tasks of complete replicas count.
+    /// Returns whether a controller may report this number of running tasks to users. Only tasks
+    /// of replicas that were complete within [`MAX_REPORTING_LAG_MS`] count, and always all parts
+    /// of a replica.
     pub fn may_report_running(&self, now_ms: u64, running: u64) -> bool {
         let recently_complete = |history: &&ReplicaHistory| {
             let last_ms = history.last_complete_ms;
@@ -112,7 +115,8 @@
     spec
 }
 
-/// Submits a service and runs until all its replicas serve.
+/// Submits a service with replicas of two parts, tracks the replicas and runs until all of them
+/// serve.
 pub fn start_service(sim: &mut Simulation, spec: &Value) {
     let id = spec["id"].as_str().expect("a job id").to_string();
     let tasks = spec["pieces"].as_u64().expect("a number of tasks");
@@ -123,8 +127,8 @@
     assert_eq!(running(sim, &id), tasks, "not all replicas serve");
 }
 
-/// Returns how many tasks of a job the leader reports as running. Without a leader, the first
-/// controller that is up is queried.
+/// Returns how many tasks of a tracked job the leader reports as running. Without a leader, the
+/// first controller that is up is queried.
 pub fn running(sim: &mut Simulation, id: &str) -> u64 {
     let is_up = |index: &usize| sim.nodes[*index].is_some();
     let node = sim.leader().or((0..sim.nodes.len()).find(is_up));
--- a/tests/integration/simulation/settings.rs
+++ b/tests/integration/simulation/settings.rs
@@ -2,8 +2,8 @@
 
 use lilacfork::settings::Settings;
 
-/// Settings template of one controller of three. `NAME` and `ZONE` are placeholders for the
-/// controller's name and zone.
+/// Settings template for each controller of a cluster of three. `NAME` and `ZONE` are
+/// placeholders for the controller's name and zone.
 pub const SETTINGS: &str = r#"
 node_name = "NAME"
 domain = "ZONE"
--- a/tests/integration/simulation/users.rs
+++ b/tests/integration/simulation/users.rs
@@ -12,9 +12,9 @@
 const SUBMISSION_TIMEOUT_MS: u64 = 5000;
 /// How long users wait for the reply to a query of a job.
 const QUERY_TIMEOUT_MS: u64 = 2000;
-/// Time from a request until the first check for its reply.
+/// Time from a request until users first check for the reply.
 const FIRST_WAIT_MS: u64 = 50;
-/// Interval between two checks for a reply.
+/// Interval between two later checks for the reply.
 const WAIT_STEP_MS: u64 = 10;
 
 impl Simulation {
@@ -29,7 +29,8 @@
         self.request_with_body(node, method, path, bytes)
     }
 
-    /// Sends a user's request with an arbitrary body; otherwise like [`Simulation::request`].
+    /// Sends a user's request with an arbitrary body. Returns the request number, as
+    /// [`Simulation::request`] does.
     pub fn request_with_body(
         &mut self,
         node: usize,
@@ -55,7 +56,7 @@
         request_number
     }
 
-    /// Passes a user's request about a job to the observer.
+    /// Passes a user's request to the observer if it concerns a job.
     fn observe_request(&mut self, request_number: u64, path: &str, body: &[u8]) {
         let Some(rest) = path.strip_prefix("/v2/runs") else {
             return;
@@ -110,7 +111,7 @@
     }
 
     /// Queries a job and returns the status and state in the reply, or status 0 after a timeout.
-    pub fn poll(&mut self, node: usize, id: &str) -> (u16, String) {
+    pub fn query(&mut self, node: usize, id: &str) -> (u16, String) {
         let request_number = self.request(node, "GET", &format!("/v2/runs/{id}"), Value::Null);
         self.wait(request_number, QUERY_TIMEOUT_MS);
         self.status_and_state(request_number)
--- a/tests/integration/simulation/workers.rs
+++ b/tests/integration/simulation/workers.rs
@@ -24,25 +24,34 @@
 /// A machine and its worker.
 #[derive(Clone, Debug)]
 pub struct Worker {
+    /// When the machine was added, in virtual time.
     pub(super) provisioned_ms: u64,
     /// Whether the machine has booted.
     pub up: bool,
     /// Whether the machine was returned to the cloud, also before it booted.
     pub released: bool,
-    /// Whether the worker neither sends nor receives anything.
+    /// Whether the worker sends no heartbeats, and executes neither the commands in heartbeat
+    /// responses nor direct commands.
     pub unresponsive: bool,
     /// Whether the worker's heartbeats are lost while direct commands are delivered (one-way
     /// partition).
     pub outbound_blocked: bool,
-    /// Whether heartbeat responses and direct commands are lost while the worker's heartbeats
-    /// are delivered (one-way partition).
+    /// Whether direct commands, and the lease renewals and commands in heartbeat responses, are
+    /// lost while the worker's heartbeats are delivered (one-way partition). Redirects are not
+    /// lost.
     pub inbound_blocked: bool,
     /// Whether the machine is a spot machine.
     pub spot: bool,
     pub zone: String,
-    pub(super) session: u64,
+    /// The agent epoch, which increases whenever the lease expires.
+    pub(super) agent_epoch: u64,
+    /// The sequence number of the worker's last heartbeat in this agent epoch.
     pub(super) sequence: u64,
+    /// The highest fencing token that the worker has received.
     pub(super) fencing_token: u64,
+    /// When the worker sent the last heartbeat that renewed its lease, in virtual time. If no
+    /// heartbeat has been accepted yet: when the machine was added, when it booted, or when the
+    /// lease last expired.
     pub(super) lease_renewed_ms: u64,
     /// When the worker sent the heartbeat that awaits its response; `None` if no heartbeat is
     /// pending.
@@ -56,7 +65,7 @@
     /// Factor by which tasks run longer on this machine.
     pub slowdown_factor: u64,
     /// The preemption notice that the worker reports: seconds until the cloud reclaims the
-    /// machine.
+    /// machine; `None` without a notice.
     pub preemption_notice_s: Option<f64>,
     /// Whether image fetches never complete.
     pub image_fetch_stuck: bool,
@@ -73,7 +82,7 @@
             inbound_blocked: false,
             spot,
             zone: zone.into(),
-            session: 1,
+            agent_epoch: 1,
             sequence: 0,
             fencing_token: 0,
             lease_renewed_ms: now_ms,
@@ -87,10 +96,10 @@
         }
     }
 
-    /// Ends the session after the lease has expired: stops all tasks and starts a new session.
-    pub(super) fn end_session(&mut self, now_ms: u64) {
+    /// Handles the expiry of the worker's lease: stops all tasks and starts a new agent epoch.
+    pub(super) fn expire_lease(&mut self, now_ms: u64) {
         self.tasks.clear();
-        self.session += 1;
+        self.agent_epoch += 1;
         self.sequence = 0;
         self.lease_renewed_ms = now_ms;
     }
@@ -120,6 +129,7 @@
         .ok()
 }
 
+/// Returns the commands in a heartbeat response or in a direct command message.
 fn commands_of(body: &Value) -> &[Value] {
     body["consignes"].as_array().map_or(&[], Vec::as_slice)
 }
@@ -144,14 +154,15 @@
             })
             .collect();
         json!({"banc": name, "address": format!("w/{name}"), "gamme": "g8",
-            "secteur": worker.zone, "occasion": worker.spot, "quart": worker.session,
+            "secteur": worker.zone, "occasion": worker.spot, "quart": worker.agent_epoch,
             "numero": worker.sequence, "jeton": worker.fencing_token,
             "preavisS": worker.preemption_notice_s, "pieces": tasks})
     }
 
-    /// Sends a heartbeat and schedules the next one, unless the machine is down or released. No
-    /// heartbeat is sent while an earlier one awaits its response; after
-    /// [`HEARTBEAT_TIMEOUT_MS`] the worker tries the next controller instead.
+    /// Sends a heartbeat and schedules the next one, unless the machine is down or released. An
+    /// unresponsive worker sends none. No heartbeat is sent while an earlier one awaits its
+    /// response; [`HEARTBEAT_TIMEOUT_MS`] after the earlier one, the worker sends a heartbeat to the
+    /// next controller.
     pub(super) fn heartbeat_due(&mut self, name: &str) {
         let now_ms = self.now_ms;
         let Some(worker) = self.workers.get_mut(name) else {
@@ -161,7 +172,7 @@
             return;
         }
         if now_ms > worker.lease_renewed_ms + LEASE_MS {
-            worker.end_session(now_ms);
+            worker.expire_lease(now_ms);
         }
         let (unresponsive, sent_ms) = (worker.unresponsive, worker.heartbeat_sent_ms);
         let next = Event::HeartbeatDue(name.into());
@@ -197,7 +208,8 @@
         self.send_request(node, PEER_LATENCY_MS, sender, Listener::Client, request);
     }
 
-    /// Delivers a given heartbeat to a controller. The response doesn't reach the worker.
+    /// Delivers a given heartbeat to a controller. The response reaches no worker and isn't in
+    /// [`Simulation::heartbeat_responses`].
     pub fn deliver_heartbeat(&mut self, node: usize, heartbeat: &Value) {
         self.last_request += 1;
         let sender = Sender::User(self.last_request);
@@ -224,8 +236,8 @@
         }
     }
 
-    /// Handles a heartbeat response. The worker ignores it if it is late or doesn't belong to the
-    /// pending heartbeat.
+    /// Handles a heartbeat response. The worker ignores the response if it is late or doesn't
+    /// belong to the pending heartbeat.
     pub(super) fn receive_heartbeat_response(
         &mut self,
         node: usize,
@@ -275,8 +287,9 @@
         self.execute(name, commands_of(response));
     }
 
-    /// Executes commands that a controller sends without waiting for a heartbeat. Returns `None`
-    /// if the commands or the response don't reach their destination.
+    /// Executes commands that a controller sends without waiting for a heartbeat. The worker
+    /// rejects them with status 409 if the fencing token is stale or the agent epoch differs.
+    /// Returns `None` if the commands don't reach the worker.
     pub(super) fn direct_command(
         &mut self,
         node: usize,
@@ -294,9 +307,9 @@
         }
         let token = body["jeton"].as_u64().unwrap_or(0);
         let is_stale = token < worker.fencing_token;
-        let is_other_session = body["quart"].as_u64() != Some(worker.session);
+        let is_other_agent_epoch = body["quart"].as_u64() != Some(worker.agent_epoch);
         worker.fencing_token = worker.fencing_token.max(token);
-        let status = if is_stale || is_other_session {
+        let status = if is_stale || is_other_agent_epoch {
             409
         } else {
             self.execute(name, commands_of(&body));
--- a/tests/integration/traces.rs
+++ b/tests/integration/traces.rs
@@ -17,10 +17,10 @@
     );
     sim.run_for(sim.task_duration_ms + 3000);
     for node in 0..3 {
-        assert_eq!(sim.poll(node, "run-1"), (200, "done".into()));
+        assert_eq!(sim.query(node, "run-1"), (200, "done".into()));
     }
     assert_eq!(sim.start_log.len(), 4, "{:?}", sim.start_log);
-    assert_eq!(sim.poll(0, "run-2").0, 404);
+    assert_eq!(sim.query(0, "run-2").0, 404);
 }
 
 #[test]
@@ -129,7 +129,7 @@
     });
     assert_eq!(sim.submit(0, &array("run-1", 1)), 201);
     sim.run_for(12_000);
-    assert_eq!(sim.poll(0, "run-1").1, "done");
+    assert_eq!(sim.query(0, "run-1").1, "done");
     let started = sim.start_log.len();
     sim.run_for(40_000);
     assert_eq!(
@@ -181,7 +181,7 @@
         "a read shows that the job was stored"
     );
     sim.run_for(10_000);
-    assert_eq!(sim.poll(0, "run-1").1, "done");
+    assert_eq!(sim.query(0, "run-1").1, "done");
     assert_eq!(sim.start_log.len(), 3, "{:?}", sim.start_log);
 }
 
@@ -197,7 +197,7 @@
         outcomes[usize::from(state == "done")] += 1;
         sim.run_for(8000);
         assert_eq!(
-            sim.poll(0, "run-1").1,
+            sim.query(0, "run-1").1,
             state,
             "the final state does not change"
         );
@@ -227,7 +227,7 @@
     sim.run_for(8000);
     assert_eq!(sim.on_machines("run-1"), 4);
     assert_eq!(
-        sim.poll(1, "run-2").1,
+        sim.query(1, "run-2").1,
         "done",
         "the completed job is still done"
     );
@@ -290,7 +290,7 @@
         !sim.kv_store.items.contains_key("j/run-1"),
         "the job record is deleted"
     );
-    assert_eq!(sim.poll(0, "run-1").1, "cancelled");
+    assert_eq!(sim.query(0, "run-1").1, "cancelled");
 }
 
 #[test]
@@ -299,7 +299,7 @@
     sim.workers.get_mut("vm-a").unwrap().faulty = true;
     assert_eq!(sim.submit(0, &array("run-1", 6)), 201);
     sim.run_for(25_000);
-    assert_eq!(sim.poll(0, "run-1").1, "done");
+    assert_eq!(sim.query(0, "run-1").1, "done");
     assert!(
         sim.workers["vm-a"].released,
         "the faulty machine is released"
@@ -342,7 +342,7 @@
     assert_eq!(sim.submit(0, &too_large), 400);
     sim.run_for(60_000);
     assert!(sim.start_log.len() > 2000, "{}", sim.start_log.len());
-    assert_eq!(sim.poll(0, "run-1").1, "running");
+    assert_eq!(sim.query(0, "run-1").1, "running");
     sim.cancel(0, "run-1");
     sim.run_for(30_000);
     assert_eq!(sim.on_machines("run-1"), 0);
@@ -365,7 +365,7 @@
     sim.run_for(100);
     sim.start(0);
     sim.run_for(90_000);
-    assert_eq!(sim.poll(0, "run-1").1, "done");
+    assert_eq!(sim.query(0, "run-1").1, "done");
     sim.run_for(10_000);
     assert!(
         !sim.kv_store.items.keys().any(|k| k.starts_with("p/")),
@@ -437,7 +437,7 @@
     sim.workers.get_mut("vm-b").unwrap().slowdown_factor = 5;
     assert_eq!(sim.submit(0, &array("run-1", 40)), 201);
     sim.run_for(60_000);
-    assert_eq!(sim.poll(0, "run-1").1, "done");
+    assert_eq!(sim.query(0, "run-1").1, "done");
     let slow_starts = sim.start_log.iter().filter(|t| t.contains("vm-b")).count();
     assert!(
         slow_starts <= 8,
--- a/tests/integration/version_compatibility.rs
+++ b/tests/integration/version_compatibility.rs
@@ -181,7 +181,7 @@
     }
     assert!(compared > 300, "{compared} assignments were compared");
     sim.run_for(20_000);
-    assert_eq!(sim.poll(1, "run-1").1, "done");
+    assert_eq!(sim.query(1, "run-1").1, "done");
     assert_eq!(sim.on_machines("run-3"), 4);
 }
 
@@ -218,7 +218,7 @@
         assert_eq!(sim.cancel(2, "run-3").1, "cancelled");
         sim.run_for(45_000);
         for id in ["run-1", "run-2"] {
-            assert_eq!(sim.poll(2, id).1, "done", "{id} {kill_after_ms:?}");
+            assert_eq!(sim.query(2, id).1, "done", "{id} {kill_after_ms:?}");
         }
         let starts = sim.start_log.iter().filter(|line| line.contains(" run-1/"));
         assert_eq!(
@@ -260,7 +260,7 @@
         sim.run_for(offset_ms);
         sim.kv_store.limits = Some(LOWERED_LIMITS);
         sim.run_for(40_000);
-        assert_eq!(sim.poll(1, "run-1").1, "done", "{offset_ms} {executed}");
+        assert_eq!(sim.query(1, "run-1").1, "done", "{offset_ms} {executed}");
         let starts = sim.start_log.iter().filter(|line| line.contains(" run-1/"));
         assert_eq!(starts.count(), 200, "{offset_ms} {executed}");
     }
@@ -315,7 +315,7 @@
         "the retry was not rejected"
     );
     for n in 0..7 {
-        assert_eq!(sim.poll(1, &format!("run-{n}")).1, "done");
+        assert_eq!(sim.query(1, &format!("run-{n}")).1, "done");
     }
     assert_eq!(sim.kv_store.items["leader/term"].0["term"], term);
 }
@@ -356,7 +356,7 @@
         let id = format!("run-{}", sim.now_ms);
         assert_eq!(sim.submit(0, &small_tasks(&id, 200)), 201);
         sim.run_for(30_000);
-        assert_eq!(sim.poll(1, &id).1, "done");
+        assert_eq!(sim.query(1, &id).1, "done");
     }
     assert_eq!(sim.kv_store.oversized_transactions, rejected);
 }
@@ -384,7 +384,7 @@
     assert!(lost > 0);
     sim.workers.get_mut("vm-0").unwrap().unresponsive = true;
     sim.run_for(90_000);
-    assert_eq!(sim.poll(0, "run-1").1, "done");
+    assert_eq!(sim.query(0, "run-1").1, "done");
     let starts = sim.start_log.iter().filter(|l| l.contains(" run-1/"));
     assert_eq!(starts.count(), 200 + lost);
 }
@@ -403,10 +403,10 @@
     }
     sim.run_for(20_000);
     for n in 0..12 {
-        assert_eq!(sim.poll(0, &format!("run-{n}")).1, "done");
+        assert_eq!(sim.query(0, &format!("run-{n}")).1, "done");
     }
     assert_eq!(sim.kv_store.items["leader/term"].0["term"], term);
-    assert_eq!(sim.poll(0, "run-large").1, "pending");
+    assert_eq!(sim.query(0, "run-large").1, "pending");
     assert_eq!(sim.cancel(0, "run-large").1, "cancelled");
     sim.run_for(5000);
     assert!(sim.kv_store.items.contains_key("f/run-large"));
@@ -442,8 +442,8 @@
         sim.run_for(15_000);
         assert_eq!(sim.submit(0, &array("run-3", 2)), 201);
         sim.run_for(15_000);
-        assert_eq!(sim.poll(0, "run-3").1, "done");
-        assert_eq!(sim.poll(0, "run-1").1, "pending");
+        assert_eq!(sim.query(0, "run-3").1, "done");
+        assert_eq!(sim.query(0, "run-1").1, "pending");
         assert_eq!(
             sim.kv_store.items[key].0, record,
             "the record was overwritten"
--- a/tests/integration/write_batching.rs
+++ b/tests/integration/write_batching.rs
@@ -52,6 +52,6 @@
     assert!(slow.is_empty(), "{waits_ms:?}");
     sim.run_for(60_000);
     for n in [0, 199, 399] {
-        assert_eq!(sim.poll(leader, &format!("run-g{n}")).1, "done");
+        assert_eq!(sim.query(leader, &format!("run-g{n}")).1, "done");
     }
 }
