--- a/tests/integration/cancellations.rs
+++ b/tests/integration/cancellations.rs
@@ -1,5 +1,6 @@
-//! The tasks of a cancelled job must end within `cancel_s`, whichever controllers know of
-//! the cancellation. The observer measures the time from the first confirmation.
+//! Cancellations while some controllers can't learn of them. The tasks of a cancelled job must
+//! end within `cancel_s` after the first confirmation to a user, whichever controllers know of
+//! the cancellation. The observer checks this limit.
 
 use crate::simulation::fixtures::{heal, isolate_node, node_at, running_cluster};
 use crate::simulation::{service, Delivery, Simulation, CANCEL_MS};
@@ -16,30 +17,31 @@
     sim
 }
 
-/// Makes the key-value store reject all calls of one controller. If `from_peers`, calls
-/// between this controller and its peers are lost in both directions too.
-fn reject_kv_calls(sim: &mut Simulation, node: usize, from_peers: bool) {
-    isolate_node(sim, node, Delivery::Rejected, from_peers);
+/// Makes the key-value store reject all calls of one controller. If `lose_peer_calls`, calls
+/// between this controller and its peers are lost too, in both directions.
+fn reject_kv_calls(sim: &mut Simulation, node: usize, lose_peer_calls: bool) {
+    isolate_node(sim, node, Delivery::Rejected, lose_peer_calls);
 }
 
-/// A further fault of the controllers in [`cancel_before_outage`].
+/// An additional fault in [`cancel_before_outage`].
 #[derive(Clone, Copy, PartialEq, Debug)]
 enum AdditionalFault {
     None,
-    /// The controller that confirms the cancellation is killed at once and restarted during
-    /// the outage.
-    ConfirmingNodeRestarts,
+    /// The controller that confirms the cancellation is killed right after it, and restarted
+    /// during the outage.
+    ConfirmingControllerRestarts,
     /// The leader changes twice before the cancellation.
     TwoLeaderChanges,
-    /// The cancellation is stored but the response to the write is lost. Another controller
+    /// The cancellation is stored, but the response to the write is lost. The third controller
     /// reports the cancellation to a user.
     ResponseLost,
 }
 
 /// Cancels `run-1` while the leader can't learn of it, and then makes the key-value store
-/// unavailable to all controllers. At first the store rejects the calls of the leader only,
-/// and the leader is partitioned from its peers. The leader once concluded from the outage
-/// that it had missed no cancellation. Most schedulers that the users know fail in this case.
+/// unavailable to all controllers. Before the outage, for `rejected_ms` and during the
+/// cancellation, the store rejects only the calls of the leader, and the leader is partitioned
+/// from its peers. In an earlier version, the leader concluded from the outage that it had missed
+/// no cancellation.
 fn cancel_before_outage(fault: AdditionalFault, rejected_ms: u64) -> Simulation {
     let mut sim = cluster_with_two_services();
     sim.kv_store.watches_stalled = true;
@@ -68,23 +70,27 @@
         sim.request(other, "POST", "/v2/runs/run-1/abort", json!(null));
         sim.run_for(20);
         assert_eq!(sim.query((leader + 2) % 3, "run-1").1, "cancelled");
-        // Users query the job at several controllers, and the first confirmation counts.
+        // The reply above is the first confirmation to a user, from which the observer measures.
         reject_kv_calls(&mut sim, leader, true);
     } else {
         assert_eq!(sim.cancel(other, "run-1").1, "cancelled");
     }
-    if fault == AdditionalFault::ConfirmingNodeRestarts {
+    if fault == AdditionalFault::ConfirmingControllerRestarts {
         sim.kill(other);
     }
     sim.run_for(300);
     sim.kv_store.unavailable = true;
     heal(&mut sim);
-    if fault == AdditionalFault::ConfirmingNodeRestarts {
+    if fault == AdditionalFault::ConfirmingControllerRestarts {
         sim.run_for(4000);
         sim.start(other);
     }
     sim.run_for(CANCEL_MS + 15_000);
-    assert_eq!(sim.on_machines("run-1"), 0, "{fault:?}");
+    assert_eq!(
+        sim.on_machines("run-1"),
+        0,
+        "tasks of the cancelled job run, additional fault {fault:?}"
+    );
     sim
 }
 
@@ -115,9 +121,9 @@
 }
 
 #[test]
-fn missed_cancellation_stops_tasks_when_confirming_node_restarts_during_outage() {
+fn missed_cancellation_stops_tasks_when_confirming_controller_restarts_during_outage() {
     end_outage_and_check_jobs(cancel_before_outage(
-        AdditionalFault::ConfirmingNodeRestarts,
+        AdditionalFault::ConfirmingControllerRestarts,
         1000,
     ));
 }
@@ -131,12 +137,12 @@
 }
 
 #[test]
-fn missed_cancellation_stops_tasks_when_its_response_is_lost() {
+fn missed_cancellation_stops_tasks_when_response_to_its_write_is_lost() {
     end_outage_and_check_jobs(cancel_before_outage(AdditionalFault::ResponseLost, 1000));
 }
 
-/// A leader that only workers reach can't learn of cancellations. The leader must stop
-/// renewing leases, so that the tasks end in time.
+/// A leader that only workers can reach can't learn of cancellations. The leader must stop
+/// renewing leases, so that the tasks of cancelled jobs end in time.
 #[test]
 fn leader_reachable_only_by_workers_stops_renewing_leases() {
     for cloud_unavailable in [false, true] {
@@ -154,7 +160,11 @@
         sim.cloud_unavailable = false;
         sim.end_kv_store_outage();
         sim.run_for(30_000);
-        assert_eq!(sim.on_machines("run-2"), 8, "run-2 does not run again");
+        assert_eq!(
+            sim.on_machines("run-2"),
+            8,
+            "tasks of the uncancelled job did not start again"
+        );
     }
 }
 
@@ -181,7 +191,8 @@
 }
 
 /// A leader that was elected just before an outage can't read the placement records until
-/// the outage ends. Such a leader once accepted heartbeats but stopped no cancelled job.
+/// the outage ends. In an earlier version, such a leader accepted heartbeats but stopped the
+/// tasks of no cancelled job.
 #[test]
 fn leader_still_loading_during_outage_stops_known_cancelled_jobs() {
     let mut sim = cluster_with_two_services();
@@ -200,15 +211,19 @@
     sim.kv_store.unavailable = true;
     sim.start(leader);
     sim.run_for(CANCEL_MS + 15_000);
-    assert_eq!(sim.on_machines("run-1"), 0, "former leader: {leader}");
+    assert_eq!(
+        sim.on_machines("run-1"),
+        0,
+        "tasks of the cancelled job run, former leader {leader}"
+    );
     heal(&mut sim);
     end_outage_and_check_jobs(sim);
 }
 
-/// A start command without effect is retried. A leader that couldn't learn of cancellations
-/// once retried the command long after the job was cancelled.
+/// A leader retries a start command that had no effect. In an earlier version, a leader that
+/// couldn't learn of cancellations retried the command long after the job was cancelled.
 #[test]
-fn leader_reachable_only_by_workers_retries_no_start_of_cancelled_job() {
+fn leader_reachable_only_by_workers_does_not_retry_start_of_cancelled_job() {
     let mut sim = running_cluster(3);
     let leader = sim.leader().unwrap();
     for m in sim.workers.values_mut() {
@@ -219,7 +234,7 @@
     assert_eq!(
         sim.on_machines("run-1"),
         0,
-        "the start command was not lost"
+        "an unresponsive machine executed the start command"
     );
     sim.kv_store.watches_stalled = true;
     reject_kv_calls(&mut sim, leader, true);
@@ -237,11 +252,15 @@
         .any(|(_, n, s)| (*n, *s) == (leader, 200));
     assert!(accepted, "the leader accepted no heartbeat");
     let late_starts = &sim.observer.starts_after_cancel;
-    assert!(late_starts.is_empty(), "{late_starts:?}");
+    assert!(
+        late_starts.is_empty(),
+        "tasks started after the cancellation: {late_starts:?}"
+    );
 }
 
 mod watermark {
-    //! Tests of the actor alone: which events advance its watermark, and which must not.
+    //! Tests of the cancellations actor alone: which events advance its watermark, and which must
+    //! not.
 
     use lilacfork::cancellations::{CancellationBounds, Cancellations, CancellationsKvCall};
     use lilacfork::ids::JobId;
@@ -268,8 +287,8 @@
         KvResponse::Status(200, body.to_string().into_bytes())
     }
 
-    /// Performs a complete read of the key-value store that is requested and responded to at
-    /// these times.
+    /// Performs a complete read of the key-value store. The actor requests the read at
+    /// `requested_ms` and receives the response at `responded_ms`.
     fn complete_read(actor: &mut Cancellations, requested_ms: u64, responded_ms: u64) {
         let mut out = Vec::new();
         actor.tick(time(requested_ms), &mut out);
@@ -301,8 +320,8 @@
         JobId::new(&format!("run-{number}"))
     }
 
-    /// Creates the actors of three controllers. The first has received a response from both
-    /// others and then completed a read that was requested at 1000 ms.
+    /// Creates the actors of three controllers. The first actor has received a response from each
+    /// of the others, and has then completed a read that it requested at 1000 ms.
     fn three_actors() -> (Cancellations, Cancellations, Cancellations) {
         let (mut actor, peer_1, peer_2) = (
             new_actor("n-0", 1),
@@ -324,13 +343,13 @@
         assert_eq!(
             actor.watermark_ms(),
             None,
-            "peers don't know what was confirmed before they started"
+            "responses of newly started peers set a watermark"
         );
         complete_read(&mut actor, 100, 900);
         assert_eq!(
             actor.watermark_ms(),
             Some(100),
-            "the watermark is not the time of the request"
+            "the watermark is not the time at which the read was requested"
         );
         assert!(actor.may_renew_leases(time(18_600)) && !actor.may_renew_leases(time(18_601)));
     }
@@ -344,7 +363,7 @@
         assert_eq!(
             actor.watermark_ms(),
             Some(1000),
-            "the watermark advanced without the second peer"
+            "the watermark advanced without a response from the second peer"
         );
         request_confirmations(&mut actor, 1, &peer_2, 4000);
         assert_eq!(actor.watermark_ms(), Some(3000));
@@ -373,7 +392,7 @@
     #[test]
     fn gap_in_sequence_numbers_holds_watermark_until_next_complete_read() {
         let (mut actor, mut peer_1, peer_2) = three_actors();
-        // More confirmations than the log retains.
+        // The peer confirms more cancellations than its log retains.
         for k in 0..5000 {
             peer_1.confirm(time(2000), &job_id(k));
         }
@@ -423,7 +442,7 @@
         peer_1.on_acknowledgement(0, actor.cursor(0).unwrap());
         assert!(
             peer_1.unacknowledged(0).is_none(),
-            "the confirmation was sent again"
+            "an acknowledged confirmation is still unacknowledged"
         );
     }
 
@@ -441,7 +460,7 @@
         request_confirmations(&mut actor, 1, &peer_2, 3200);
         assert!(
             actor.watermark_ms() <= Some(1500),
-            "{:?}",
+            "the watermark exceeds the time of the late response's request: {:?}",
             actor.watermark_ms()
         );
     }
@@ -486,7 +505,7 @@
                 actor
                     .receive_confirmations(time(2000), 0, Some(1990), &message)
                     .is_empty(),
-                "{message:?}"
+                "a malformed message was accepted: {message:?}"
             );
         }
         request_confirmations(&mut actor, 1, &peer_2, 2000);
@@ -508,7 +527,7 @@
         assert_eq!(
             out.pop().unwrap().tag,
             CancellationsKvCall::List,
-            "no new list"
+            "the actor did not list all jobs again after a compacted poll"
         );
         let page = json!({"rows": [{"k": "j/run-5", "v": {"c": 7}, "retouche": 3}],
             "truncated": true, "tirage": 9});
--- a/tests/integration/fault_interactions/kv_store_faults.rs
+++ b/tests/integration/fault_interactions/kv_store_faults.rs
@@ -33,10 +33,13 @@
             }
         }
     }
-    assert!(cancelled.len() >= 2, "{cancelled:?}");
+    assert!(
+        cancelled.len() >= 2,
+        "too few cancellations were confirmed: {cancelled:?}"
+    );
     sim.run_for(CANCEL_MS + 5000);
     for job in &cancelled {
-        assert_eq!(sim.on_machines(job), 0, "{job}");
+        assert_eq!(sim.on_machines(job), 0, "tasks of cancelled {job} run");
     }
     heal(&mut sim);
     sim.end_kv_store_outage();
@@ -44,8 +47,9 @@
     assert_eq!(sim.on_machines("run-3"), 4);
 }
 
-/// Transactions time out and are executed 2 to 12 s later, after newer transactions of the
-/// same controller: submissions, cancellations, placements and completions.
+/// Four in ten transactions time out and are executed 2 to 12 s after they were sent, possibly
+/// after newer transactions of the same controller. The transactions store submissions,
+/// cancellations, placements and completions.
 #[test]
 fn delayed_transactions_do_not_overwrite_newer_writes() {
     for seed in 0..8 {
@@ -87,8 +91,8 @@
     }
 }
 
-/// A leader is partitioned from the key-value store and from its peers, while workers and
-/// users still reach it. Jobs are cancelled at another controller meanwhile.
+/// A leader is partitioned from the key-value store and from its peers, while workers and users
+/// still reach the leader. Meanwhile another controller confirms cancellations of jobs.
 #[test]
 fn jobs_cancelled_elsewhere_stop_while_leader_reaches_only_workers_and_users() {
     let mut sim = running_cluster(3);
@@ -96,17 +100,17 @@
         assert_eq!(sim.submit(0, &service(&format!("run-{n}"), 4)), 201);
     }
     sim.run_for(2000);
-    let old = sim.leader().unwrap();
-    isolate_node(&mut sim, old, Delivery::RequestLost, true);
-    let other = (old + 1) % 3;
+    let isolated = sim.leader().unwrap();
+    isolate_node(&mut sim, isolated, Delivery::RequestLost, true);
+    let other = (isolated + 1) % 3;
     for n in 0..3 {
         assert_eq!(sim.cancel(other, &format!("run-{n}")).1, "cancelled");
-        let query = sim.request(old, "GET", &format!("/v2/runs/run-{n}"), Value::Null);
+        let query = sim.request(isolated, "GET", &format!("/v2/runs/run-{n}"), Value::Null);
         sim.run_for(4000);
         assert_eq!(
             sim.status_and_state(query).0,
             503,
-            "query at the isolated leader"
+            "the isolated leader did not reject a query"
         );
     }
     sim.run_for(CANCEL_MS);
@@ -118,9 +122,10 @@
 }
 
 /// A transaction is executed without delay and only its response is lost. Other controllers
-/// read the written records and report them to users before the writer knows the outcome.
+/// read the written records and report the job to users before the writing controller knows the
+/// outcome.
 #[test]
-fn write_with_lost_response_is_reported_by_other_nodes() {
+fn write_with_lost_response_is_reported_by_other_controllers() {
     for writer in 0..3 {
         let mut sim = running_cluster(3);
         let lose_responses = |writer: usize| -> crate::simulation::FaultInjector {
@@ -145,7 +150,7 @@
         assert_eq!(
             sim.status_and_state(submitted).0,
             200,
-            "the writer did not find its own write"
+            "the writing controller did not find its own write"
         );
         heal(&mut sim);
         sim.run_for(4000);
--- a/tests/integration/fault_interactions/leader_changes.rs
+++ b/tests/integration/fault_interactions/leader_changes.rs
@@ -7,8 +7,8 @@
 use serde_json::json;
 use std::collections::BTreeSet;
 
-/// All controllers are down for longer than a worker's lease, so that every task ends.
-/// Afterwards all jobs except the cancelled job must be served again.
+/// All controllers are down for longer than the leases of the workers, so that every task ends.
+/// After the controllers restart, all jobs except the cancelled job must be served again.
 #[test]
 fn uncancelled_jobs_are_served_again_after_all_controllers_were_down_beyond_lease() {
     for kv_store_unavailable in [false, true] {
@@ -26,7 +26,7 @@
         assert_eq!(
             sim.on_machines("run-"),
             0,
-            "tasks run after their leases expired"
+            "tasks run after the leases of their workers expired"
         );
         if kv_store_unavailable {
             sim.end_kv_store_outage();
@@ -44,10 +44,10 @@
     }
 }
 
-/// One task of a job completes before a failover and the others after it, because one
-/// machine is five times slower.
+/// One task of a job completes before a failover. The others complete after it, because they run on
+/// a machine that is five times slower or start later.
 #[test]
-fn tasks_completing_before_and_after_failover_run_once() {
+fn tasks_completing_before_and_after_failover_start_once() {
     for tasks in [2, 3] {
         let mut sim = running_cluster(3);
         for name in ["vm-a", "vm-b"] {
@@ -66,13 +66,18 @@
         for n in 0..3 {
             assert_eq!(sim.query(n, "run-1").1, "done");
         }
-        assert_eq!(sim.start_log.len(), tasks as usize, "{:?}", sim.start_log);
+        assert_eq!(
+            sim.start_log.len(),
+            tasks as usize,
+            "not every task started exactly once: {:?}",
+            sim.start_log
+        );
     }
 }
 
-/// A team is at its quota when one of its machines hangs, receives nothing or is partitioned,
-/// its jobs are cancelled and the leader changes. Tasks on machines that the controllers
-/// can't query count towards the quota.
+/// A team is at its quota. One machine with its tasks hangs, receives no messages or is
+/// partitioned, then the team's jobs are cancelled and the leader changes. Tasks on a machine
+/// that controllers can't reach count towards the quota.
 #[test]
 fn team_at_quota_is_served_after_machine_fault_cancellations_and_failover() {
     for machine_fault in 0..3 {
@@ -108,7 +113,7 @@
         assert_eq!(
             sim.on_machines("run-3"),
             8,
-            "{machine_fault} {:?}",
+            "the pending job of the team was not served, machine fault {machine_fault}: {:?}",
             sim.start_log
         );
     }
@@ -142,7 +147,7 @@
     }
     assert!(
         completed >= 9,
-        "jobs completed between failovers: {completed}"
+        "too few jobs completed between failovers: {completed}"
     );
     sim.run_for(12_000);
     for n in 1..=10 {
@@ -158,7 +163,7 @@
 }
 
 /// Leadership changes to a second controller, the second controller is killed and restarted,
-/// all controllers are killed, and the first leader restarts within a second.
+/// then all controllers are killed. Only the first leader restarts, within a second.
 #[test]
 fn single_restarted_controller_preserves_tasks_after_all_were_killed() {
     let mut sim = running_cluster(3);
@@ -181,7 +186,12 @@
     assert_eq!(sim.leader(), Some(first));
     assert_eq!(sim.on_machines("run-1"), 8);
     assert_eq!(sim.on_machines("run-2"), 0);
-    assert_eq!(sim.start_log.len(), 16, "{:?}", sim.start_log);
+    assert_eq!(
+        sim.start_log.len(),
+        16,
+        "tasks were restarted: {:?}",
+        sim.start_log
+    );
     assert_eq!(sim.query(first, "run-2").1, "cancelled");
 }
 
@@ -197,13 +207,24 @@
         sim.kill(old);
         sim.run_for(offset_ms);
         for id in ["run-1", "run-2"] {
-            assert_eq!(sim.cancel((old + 1) % 3, id).1, "cancelled", "{offset_ms}");
+            assert_eq!(
+                sim.cancel((old + 1) % 3, id).1,
+                "cancelled",
+                "cancelled {offset_ms} ms after the failover began"
+            );
         }
         sim.start(old);
         sim.run_for(9000);
-        assert_eq!(sim.on_machines("run-"), 0, "{offset_ms}");
+        assert_eq!(
+            sim.on_machines("run-"),
+            0,
+            "tasks run, cancelled {offset_ms} ms after the failover began"
+        );
         assert!(!sim.kv_store.items.keys().any(|k| k.starts_with("j/")));
-        assert!(sim.observer.starts_after_cancel.is_empty(), "{offset_ms}");
+        assert!(
+            sim.observer.starts_after_cancel.is_empty(),
+            "tasks started, cancelled {offset_ms} ms after the failover began"
+        );
     }
 }
 
@@ -232,7 +253,7 @@
         assert_eq!(
             sim.on_machines("run-1"),
             12,
-            "{offset_ms}: {:?}",
+            "not all tasks run, leader killed after {offset_ms} ms: {:?}",
             sim.start_log
         );
         let tasks: BTreeSet<&str> = sim
@@ -243,13 +264,13 @@
         assert_eq!(
             (tasks.len(), sim.start_log.len()),
             (12, 12),
-            "{offset_ms}: not every task started exactly once"
+            "not every task started exactly once, leader killed after {offset_ms} ms"
         );
     }
 }
 
-/// A leader is killed while machines with long tasks are unresponsive, or don't receive the
-/// heartbeat responses of the new leader.
+/// A leader is killed while machines with long tasks are unresponsive, or don't receive
+/// heartbeat responses. The machines recover before or after their leases expire.
 #[test]
 fn long_tasks_run_after_failover_with_unreachable_machines() {
     for inbound_blocked in [true, false] {
@@ -272,8 +293,9 @@
             assert_eq!(
                 sim.on_machines("run-1"),
                 56,
-                "{inbound_blocked} {unreachable_ms}"
+                "not all tasks run, inbound_blocked {inbound_blocked} for {unreachable_ms} ms"
             );
+            // The shorter fault ends before the leases expire.
             if unreachable_ms < 9000 {
                 assert_eq!(sim.start_log.len(), 56, "tasks were restarted");
             }
--- a/tests/integration/fault_interactions/overload.rs
+++ b/tests/integration/fault_interactions/overload.rs
@@ -49,7 +49,7 @@
     }
     assert!(
         late_jobs.len() < jobs / 20,
-        "jobs not done after 4 s: {}",
+        "too many jobs not done after 4 s: {}",
         late_jobs.len()
     );
     assert!(sim.kv_store.items.keys().all(|k| !k.starts_with("p/")));
@@ -62,12 +62,13 @@
         .max();
     assert!(
         max_writes_per_s.unwrap_or(0) <= 50,
-        "writes in one second: {max_writes_per_s:?}"
+        "too many writes in one second: {max_writes_per_s:?}"
     );
 }
 
-/// Jobs of all priorities exceed the capacity, while responses of the workers, the peers and the
-/// key-value store are delayed.
+/// Jobs of all priorities exceed the capacity, while responses of the workers and the key-value
+/// store are delayed. The delay for peers has no effect in the simulation
+/// ([`Delivery::ResponseDelayed`]).
 #[test]
 fn jobs_of_all_priorities_complete_with_scarce_capacity_and_slow_links() {
     let mut sim = running_cluster(3);
@@ -105,7 +106,7 @@
         };
         assert!(
             ["done", "cancelled"].contains(&state.as_str()),
-            "run-{n} {state}"
+            "run-{n} has no final state: {state}"
         );
     }
     assert_eq!(sim.on_machines("run-90"), 8);
--- a/tests/integration/fault_interactions/unreachable_machines.rs
+++ b/tests/integration/fault_interactions/unreachable_machines.rs
@@ -7,9 +7,9 @@
 use lilacfork::messages::Destination;
 use serde_json::json;
 
-/// The heartbeats of a machine are lost while direct commands reach it. Such a machine once
-/// counted as responsive because it responded to commands: it was not declared failed, and was
-/// assigned its tasks again whenever its lease had expired.
+/// The heartbeats of a machine are lost while direct commands reach it. In an earlier version,
+/// such a machine counted as responsive because it responded to commands. The machine was not
+/// declared failed, and was assigned its tasks again whenever its lease had expired.
 #[test]
 fn machine_without_heartbeats_is_declared_failed_although_direct_commands_reach_it() {
     let mut sim = running_cluster(3);
@@ -46,7 +46,7 @@
     let restarts: Vec<_> = restarts.collect();
     assert!(
         restarts.iter().all(|start| !start.contains(name)),
-        "{restarts:?}"
+        "tasks restarted on the machine without heartbeats: {restarts:?}"
     );
     assert_eq!(
         restarts.len(),
@@ -55,8 +55,8 @@
     );
 }
 
-/// A machine whose heartbeats are lost runs tasks of a cancelled job. The direct stop command
-/// must end them.
+/// A machine whose heartbeats are lost runs tasks of a cancelled job. The direct stop commands
+/// must end these tasks.
 #[test]
 fn direct_command_stops_cancelled_job_on_machine_without_heartbeats() {
     let mut sim = running_cluster(3);
@@ -69,8 +69,8 @@
     assert_eq!(sim.on_machines("run-1"), 0);
 }
 
-/// The zones are partitioned from each other for longer than a lease. The leader accepts a
-/// new job and cancels a job in zone `b` meanwhile.
+/// The zones are partitioned from each other. The leader accepts a new job, and after longer than
+/// a lease cancels a job in zone `b`.
 #[test]
 fn zone_partition_longer_than_lease_preserves_tasks_until_cancellation() {
     let (mut sim, names) = full_zone(3);
@@ -85,7 +85,7 @@
     assert_eq!(
         sim.on_machines("run-1"),
         0,
-        "the zone's own controller did not stop the tasks"
+        "tasks of the cancelled job run in zone b"
     );
     heal(&mut sim);
     sim.run_for(8000);
@@ -93,8 +93,9 @@
     assert!(released(&sim, &names).is_empty());
 }
 
-/// A start command is delayed for seconds. Its machine hangs, and resumes after the job was
-/// cancelled or the task was started elsewhere.
+/// Start commands are delayed by 2 to 12 s. Meanwhile their machines hang for 1.5 s, during which
+/// the job may be cancelled. A late command must start neither a task of the cancelled job nor a
+/// task that was started elsewhere.
 #[test]
 fn delayed_command_starts_no_task_of_cancelled_or_moved_job() {
     for delay_ms in [2000, 5000, 8000, 12_000] {
@@ -117,7 +118,11 @@
             sim.fault_injector = Box::new(|_, _, _| Delivery::Normal);
             sim.run_for(15_000);
             let expected = if cancel { 0 } else { 8 };
-            assert_eq!(sim.on_machines("run-1"), expected, "{delay_ms}");
+            assert_eq!(
+                sim.on_machines("run-1"),
+                expected,
+                "tasks on machines, commands delayed by {delay_ms} ms"
+            );
         }
     }
 }
@@ -140,13 +145,23 @@
         ("run-2", service("run-2", 6)),
     ] {
         spec["secteur"] = json!("b");
-        assert_eq!(sim.submit(0, &spec), 201, "{id}");
+        assert_eq!(sim.submit(0, &spec), 201, "{id} was not accepted");
     }
     sim.run_for(3000);
     assert_eq!(sim.on_machines("run-"), 26);
     names.push("vm-b".into());
     set_unresponsive(&mut sim, &names, true);
     sim.run_for(75_000);
-    assert_eq!(sim.on_machines("run-2/"), 6, "{:?}", sim.start_log);
-    assert_eq!(sim.query(0, "run-1").1, "done", "{:?}", sim.start_log);
+    assert_eq!(
+        sim.on_machines("run-2/"),
+        6,
+        "the service is incomplete: {:?}",
+        sim.start_log
+    );
+    assert_eq!(
+        sim.query(0, "run-1").1,
+        "done",
+        "the array is incomplete: {:?}",
+        sim.start_log
+    );
 }
--- a/tests/integration/fault_interactions/user_requests.rs
+++ b/tests/integration/fault_interactions/user_requests.rs
@@ -1,4 +1,5 @@
-//! Requests of users that coincide with changes of the requested jobs, and invalid requests.
+//! Requests of users that coincide with state changes of the requested jobs or with pauses of
+//! controllers, frequent queries, and invalid requests.
 
 use crate::simulation::fixtures::{heal, running_cluster};
 use crate::simulation::{array, service, Delivery};
@@ -29,7 +30,10 @@
         }
         sim.run_for(5000);
         let states: Vec<String> = (0..3).map(|n| sim.query(n, "run-1").1).collect();
-        assert!(states.iter().all(|s| *s == states[0]), "{states:?}");
+        assert!(
+            states.iter().all(|s| *s == states[0]),
+            "controllers report different states: {states:?}"
+        );
         for user in users {
             assert!([200, 201].contains(&sim.status_and_state(user).0));
         }
@@ -49,7 +53,8 @@
 fn queries_return_no_state_older_than_an_earlier_response() {
     let mut sim = running_cluster(3);
     sim.fault_injector = Box::new(|now_ms, node, call| match &call.destination {
-        // The response delays differ between the controllers.
+        // The response delays differ between the controllers. The delay of watches has no effect
+        // in the simulation.
         Destination::KvStore => Delivery::ResponseDelayed((now_ms * 7 + node as u64 * 13) % 40),
         Destination::KvWatch if node == 2 => Delivery::ResponseDelayed(300),
         _ => Delivery::Normal,
@@ -60,8 +65,8 @@
         let first = sim.request(n % 3, "POST", "/v2/runs", spec.clone());
         let mut cancel = None;
         for step in 0..200 {
-            // Rounds of queries follow the acceptance and the cancellation, and recur at
-            // intervals.
+            // Users query all controllers in two of every 20 steps after the acceptance, and in
+            // every third step after the confirmed cancellation.
             let accepted = sim.replies.contains_key(&first);
             let cancelled = cancel.is_some_and(|c| sim.replies.contains_key(&c));
             if accepted && (step % 20 < 2 || (cancelled && step % 3 == 0)) {
@@ -80,7 +85,7 @@
             assert_eq!(
                 sim.status_and_state(cancel),
                 (200, "cancelled".into()),
-                "{id}"
+                "the cancellation of {id} was not confirmed"
             );
         }
         assert_eq!(sim.status_and_state(first).0, 201);
@@ -114,7 +119,11 @@
         incomplete.as_object_mut().unwrap().remove(field);
         let optional = ["gammes", "secteur", "echeanceS"].contains(&field.as_str());
         let expected = if optional { 201 } else { 400 };
-        assert_eq!(sim.submit(n % 3, &incomplete), expected, "{field}");
+        assert_eq!(
+            sim.submit(n % 3, &incomplete),
+            expected,
+            "job without {field}"
+        );
     }
     for (field, value) in [
         ("cpus", json!(97.0)),
@@ -125,7 +134,7 @@
     ] {
         let mut spec = array("run-3", 2);
         spec[field] = value;
-        assert_eq!(sim.submit(0, &spec), 422, "{field}");
+        assert_eq!(sim.submit(0, &spec), 422, "unsatisfiable {field}");
     }
     for (field, value) in [
         ("pieces", json!(0)),
@@ -138,14 +147,14 @@
     ] {
         let mut spec = array("run-3", 2);
         spec[field] = value;
-        assert_eq!(sim.submit(0, &spec), 400, "{field}");
+        assert_eq!(sim.submit(0, &spec), 400, "invalid {field}");
     }
     assert_eq!(sim.query(0, "run-3").0, 404);
 }
 
 /// Users send many times as many queries as usual. One read of the key-value store serves all
 /// queries that arrived before the read was sent, so that queries delay neither other requests
-/// nor each other. In incident inc-6c44, no query about two jobs was answered for 75 s, and
+/// nor each other. In incident inc-6c44, queries about two jobs got no reply for 75 s, and
 /// the jobs counted as forgotten.
 #[test]
 fn frequent_queries_share_reads_and_delay_no_request() {
@@ -177,25 +186,28 @@
             assert_eq!(sim.submit(node, &array(&id, 1)), 201);
             assert!(
                 sim.now_ms < sent_ms + 500,
-                "a submission took 500 ms or longer"
+                "the submission of {id} took 500 ms or longer"
             );
             assert_eq!(sim.cancel(node, &id).0, 200);
         }
     }
     sim.run_for(2000);
-    let answered = |u: &&u64| matches!(sim.status_and_state(**u).0, 200 | 404);
-    assert_eq!(users.iter().filter(answered).count(), users.len());
+    let has_expected_status = |u: &&u64| matches!(sim.status_and_state(**u).0, 200 | 404);
+    assert_eq!(
+        users.iter().filter(has_expected_status).count(),
+        users.len()
+    );
     let reads = *reads.borrow();
     assert!(
         reads < 1200,
-        "{reads} key-value calls for 4,000 queries in 20 s"
+        "too many key-value calls for 4,000 queries in 20 s: {reads}"
     );
 }
 
-/// A controller whose process was paused must not serve queries from what it read before the
-/// pause, because other controllers may have reported a newer state since.
+/// A controller whose process was paused must not reply with what it read before the pause,
+/// because other controllers may have reported a newer state since.
 #[test]
-fn resumed_controller_returns_nothing_read_before_its_pause() {
+fn resumed_controller_returns_no_state_read_before_its_pause() {
     for pause_after_ms in (5..300).step_by(25) {
         // One pause is shorter than the leader's lease.
         for (method, path, pause_ms) in [
@@ -211,7 +223,7 @@
             assert_eq!(sim.submit(leader, &spec), 201);
             sim.run_for(2000);
             let body = if method == "POST" { spec } else { json!(null) };
-            // The key-value store responds while the controller is paused.
+            // The key-value store's response arrives while the controller is paused.
             sim.fault_injector = Box::new(move |_, node, call| match call.destination {
                 Destination::KvStore if node == follower => Delivery::ResponseDelayed(300),
                 _ => Delivery::Normal,
--- a/tests/integration/leadership.rs
+++ b/tests/integration/leadership.rs
@@ -7,9 +7,10 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// A claim of leadership was once executed late, after the controller had abandoned the claim
-/// and created another lease. The controller took the late claim for one of the newer lease.
-/// It then renewed the newer lease, which held no key, and the leader key expired.
+/// A claim of leadership is executed late, after the controller has abandoned the claim and
+/// created another lease. In an earlier version, the controller attributed the late claim to the
+/// newer lease. The controller then renewed the newer lease, which held no key, and the leader
+/// key expired.
 #[test]
 fn delayed_leadership_claim_does_not_count_for_newer_lease() {
     let mut sim = Simulation::new(1);
@@ -31,7 +32,7 @@
         if sim.leader().is_some() {
             assert!(
                 sim.kv_store.items.contains_key("leader/key"),
-                "leader without a leader key at {} ms",
+                "a controller leads without a leader key at {} ms",
                 sim.now_ms
             );
         }
@@ -46,8 +47,8 @@
     assert_eq!(sim.query(0, "run-1").1, "done");
 }
 
-/// The invalid fencing token of a single worker once deposed the leader repeatedly, which
-/// aborted the scheduling rounds for all jobs.
+/// In an earlier version, the invalid fencing token of a single worker deposed the leader
+/// repeatedly, which aborted the scheduling rounds for all jobs.
 #[test]
 fn invalid_fencing_token_does_not_depose_leader() {
     let mut sim = running_cluster(3);
@@ -79,7 +80,8 @@
 fn leader_verifies_leadership_after_fencing_token_of_later_term() {
     let (mut sim, _) = full_zone(3);
     let old = sim.leader().unwrap();
-    // The leader reaches neither its peers nor the key-value store, so that its lease expires.
+    // The leader reaches neither its peers nor the key-value store, so that its lease
+    // expires.
     isolate_node(&mut sim, old, Delivery::Rejected, true);
     sim.run_for(8000);
     let new = (0..3).find(|n| *n != old && sim.nodes[*n].as_ref().unwrap().is_leader());
@@ -96,7 +98,11 @@
         .heartbeat_responses
         .iter()
         .any(|(_, n, s)| *n == old && *s == 200);
-    assert!(!accepted, "{:?}", sim.heartbeat_responses);
+    assert!(
+        !accepted,
+        "the old leader accepted a heartbeat: {:?}",
+        sim.heartbeat_responses
+    );
     heal(&mut sim);
     sim.run_for(5000);
     assert_eq!(sim.on_machines("run-1"), 56);
@@ -131,27 +137,31 @@
         sim.run_for(3000);
         for n in 0..12 {
             let status = sim.submit(n % 3, &array(&format!("run-{n}"), 2));
-            assert!(status == 200 || status == 201, "{seed}: run-{n} {status}");
+            assert!(
+                status == 200 || status == 201,
+                "seed {seed}: submission of run-{n} got status {status}"
+            );
         }
         sim.run_for(60_000);
         for n in 0..12 {
             let state = sim.query(n % 3, &format!("run-{n}")).1;
             let is_final = state == "done" || (n % 4 == 0 && state == "cancelled");
-            assert!(is_final, "{seed}: run-{n} is {state}");
+            assert!(is_final, "seed {seed}: run-{n} is {state}");
         }
     }
 }
 
-/// A leader that no worker reached handed over leadership. Until a follower had read of the new
-/// leader, the follower redirected workers to the old leader, where their leases expired
-/// (incident inc-4c23).
+/// In incident inc-4c23, a leader that no worker could reach handed over leadership. Followers
+/// that had not yet read who the new leader was redirected workers to the old leader, and the
+/// workers' leases expired.
 #[test]
 fn workers_are_not_redirected_to_leader_that_handed_over_leadership() {
     let mut sim = running_cluster(3);
     assert_eq!(sim.submit(0, &service("run-1", 16)), 201);
     sim.run_for(3000);
     let old = sim.leader().unwrap();
-    // The other controllers read of the new leader with a delay.
+    // The other controllers' reads of the key-value store, and so of the new leader, are delayed.
+    // The delay of watches has no effect in the simulation.
     let claims = Rc::new(Cell::new(None));
     let claiming_node = claims.clone();
     sim.fault_injector = Box::new(move |_, node, call| {
@@ -175,7 +185,7 @@
     }
     sim.run_for(20);
     sim.redirects.clear();
-    // The workers repeatedly send heartbeats to each controller.
+    // A worker sends its next heartbeat to each controller in turn.
     for step in 0..20 {
         for n in 0..3 {
             let name = ["vm-a", "vm-b"][step % 2];
@@ -184,14 +194,18 @@
         }
     }
     let redirects_to_old = sim.redirects.iter().filter(|(_, _, to)| *to == old).count();
-    assert_eq!(redirects_to_old, 0, "{:?}", sim.redirects);
+    assert_eq!(
+        redirects_to_old, 0,
+        "workers were redirected to the old leader: {:?}",
+        sim.redirects
+    );
     assert_eq!(sim.on_machines("run-1"), 16);
 }
 
-/// The successor of a leader is the controller that workers try next. Workers that had to try
-/// two unresponsive controllers in a row once took longer than their lease (incidents inc-36de
-/// and inc-98e3: 600 to 720 tasks ended). A leader whose successor is unresponsive must
-/// therefore hand over leadership, once.
+/// The successor of a leader is the controller that workers try next. In incidents inc-36de and
+/// inc-98e3, workers had to try two unresponsive controllers in a row, which took longer than
+/// their lease, and 600 to 720 tasks ended. A leader whose successor is unresponsive must
+/// therefore hand over leadership, and only one handover must follow.
 #[test]
 fn leader_with_unresponsive_successor_hands_over_leadership_once() {
     let mut sim = running_cluster(3);
@@ -202,7 +216,7 @@
     assert_eq!(
         term(&sim),
         Some(1),
-        "a handover although every controller responds"
+        "leadership changed although every controller responds"
     );
     let starts_before = sim.start_log.len();
     let resumes_ms = sim.now_ms + 60_000;
@@ -212,28 +226,32 @@
     assert_eq!(
         leader,
         (first + 2) % 3,
-        "not the controller with a responsive successor"
+        "the leader is not the controller with a responsive successor"
     );
     sim.run_for(15_000);
-    assert_eq!(term(&sim), Some(2), "not exactly one handover");
+    assert_eq!(
+        term(&sim),
+        Some(2),
+        "leadership did not change exactly one time"
+    );
     sim.paused_until_ms.insert(leader, resumes_ms);
     sim.run_for(20_000);
     assert_eq!(sim.on_machines("run-1"), 16);
     assert_eq!(
         sim.start_log.len(),
         starts_before,
-        "leases expired: {:?}",
+        "tasks were restarted: {:?}",
         sim.start_log
     );
 }
 
-/// A leader resumed after a process pause, when another controller already led. The resumed
-/// controller mistook its own pause for silence of its workers, and handed over leadership
-/// because of old heartbeats. When the new leader handed leadership over to the resumed
-/// controller, each of the two waited for the other to claim leadership first. There was no
-/// leader for six seconds (`reparetout-mtl-ops operations`, seed 41).
+/// In an earlier version, a leader resumed after a process pause, when another controller already
+/// led. The resumed controller mistook its own pause for unresponsive workers, and handed over
+/// leadership because of old heartbeats. When the new leader later handed leadership over to the
+/// resumed controller, each of the two waited for the other to claim leadership first. There was
+/// no leader for six seconds (`reparetout-mtl-ops operations`, seed 41).
 #[test]
-fn resumed_controller_claims_leadership_at_once_when_handed_over() {
+fn resumed_controller_claims_leadership_immediately_after_handover() {
     let mut sim = running_cluster(3);
     assert_eq!(sim.submit(0, &service("run-1", 16)), 201);
     sim.run_for(3000);
@@ -247,7 +265,10 @@
     let second_resumes_ms = sim.now_ms + 16_000;
     sim.paused_until_ms.insert(second, second_resumes_ms);
     sim.run_until(second_resumes_ms - 10);
-    assert!(is_leader(&sim, third));
+    assert!(
+        is_leader(&sim, third),
+        "the third controller did not become leader"
+    );
     let mut leaderless_ms = 0;
     for _ in 0..1000 {
         sim.run_for(10);
@@ -257,15 +278,15 @@
     }
     assert!(
         is_leader(&sim, second),
-        "the third controller did not hand over although its successor is unresponsive"
+        "the third controller did not hand over leadership although its successor is unresponsive"
     );
     assert!(leaderless_ms < 500, "no leader for {leaderless_ms} ms");
     assert_eq!(sim.on_machines("run-1"), 16);
 }
 
-/// The workers of a zone can't reach the follower in their zone, but can reach the leader. The
-/// leader must not redirect a worker to that follower again after the worker failed to reach
-/// it.
+/// The workers of a zone can't reach the follower in their zone, but can reach the leader. After
+/// a worker has failed to reach the follower, the leader must not redirect the worker to that
+/// follower again.
 #[test]
 fn leader_keeps_workers_that_cannot_reach_follower_in_their_zone() {
     let (mut sim, names) = full_zone(3);
--- a/tests/integration/network_partitions.rs
+++ b/tests/integration/network_partitions.rs
@@ -19,16 +19,25 @@
     assert_eq!(
         sim.submit(1, &array("run-2", 1)),
         503,
-        "submission during the outage"
+        "a submission during the outage was not rejected"
+    );
+    assert_eq!(
+        sim.query(1, "run-1").0,
+        503,
+        "a query during the outage was not rejected"
     );
-    assert_eq!(sim.query(1, "run-1").0, 503, "query during the outage");
     assert_eq!(sim.on_machines("run-1"), 4);
     sim.end_kv_store_outage();
     sim.run_for(4000);
     assert_eq!(sim.submit(1, &array("run-2", 1)), 201);
     sim.run_for(9000);
     assert_eq!(sim.query(2, "run-2").1, "done");
-    assert_eq!(sim.start_log.len(), 5, "{:?}", sim.start_log);
+    assert_eq!(
+        sim.start_log.len(),
+        5,
+        "tasks were restarted: {:?}",
+        sim.start_log
+    );
 }
 
 #[test]
@@ -45,42 +54,48 @@
     sim.run_for(4000);
     sim.end_kv_store_outage();
     sim.run_for(25_000);
-    assert_eq!(sim.on_machines("run-1"), 4, "{:?}", sim.start_log);
+    assert_eq!(
+        sim.on_machines("run-1"),
+        4,
+        "not all tasks run: {:?}",
+        sim.start_log
+    );
 }
 
 #[test]
-fn node_is_not_ready_if_it_alone_loses_the_kv_store() {
+fn controller_is_not_ready_if_it_alone_cannot_reach_kv_store() {
     let mut sim = running_cluster(3);
     let ready = |sim: &mut Simulation, n| {
         let user = sim.request(n, "GET", "/ready", json!(null));
         sim.run_for(20);
         sim.status_and_state(user).0
     };
-    let lone = (sim.leader().unwrap() + 1) % 3;
-    assert_eq!(ready(&mut sim, lone), 200);
+    let isolated = (sim.leader().unwrap() + 1) % 3;
+    assert_eq!(ready(&mut sim, isolated), 200);
     sim.fault_injector = Box::new(move |_, node, call| match call.destination {
-        Destination::KvStore | Destination::KvWatch if node == lone => Delivery::RequestLost,
+        Destination::KvStore | Destination::KvWatch if node == isolated => Delivery::RequestLost,
         _ => Delivery::Normal,
     });
     sim.run_for(20_000);
-    assert_eq!(ready(&mut sim, lone), 503);
+    assert_eq!(ready(&mut sim, isolated), 503);
     sim.fault_injector = Box::new(|_, _, _| Delivery::Normal);
     sim.kv_store.unavailable = true;
     sim.run_for(20_000);
     assert_eq!(
-        ready(&mut sim, (lone + 1) % 3),
+        ready(&mut sim, (isolated + 1) % 3),
         200,
-        "not ready although the store is unavailable to all controllers"
+        "a controller is not ready although the key-value store is unavailable to all of them"
     );
 }
 
-/// A partition between zones once ended every task in the zone without the leader, because the
-/// followers there redirected the workers to a leader that the workers couldn't reach.
+/// In an earlier version, a partition between zones ended every task in the zone without the
+/// leader, because the followers there redirected the workers to a leader that the workers
+/// couldn't reach.
 #[test]
 fn zone_partition_ends_only_tasks_of_cancelled_jobs() {
     let mut sim = running_cluster(3);
     let leader = sim.leader().unwrap();
-    let far_zone = if leader == 1 { "a" } else { "b" };
+    let zone_without_leader = if leader == 1 { "a" } else { "b" };
     assert_eq!(sim.submit(0, &service("run-1", 8)), 201);
     assert_eq!(sim.submit(0, &service("run-2", 8)), 201);
     sim.run_for(3000);
@@ -91,7 +106,7 @@
     assert_eq!(
         sim.on_machines("run-"),
         16,
-        "zone without the leader: {far_zone}"
+        "tasks ended; the leader is not in zone {zone_without_leader}"
     );
     assert_eq!(sim.cancel(leader, "run-2").1, "cancelled");
     sim.run_for(5000);
@@ -99,16 +114,21 @@
     sim.run_for(8000);
     assert_eq!(sim.on_machines("run-1"), 8);
     assert_eq!(sim.on_machines("run-2"), 0);
-    assert_eq!(sim.start_log.len(), starts_before, "{:?}", sim.start_log);
+    assert_eq!(
+        sim.start_log.len(),
+        starts_before,
+        "tasks were restarted: {:?}",
+        sim.start_log
+    );
     assert!(
         sim.workers.values().all(|m| !m.released),
         "machines were declared failed"
     );
 }
 
-/// A partition followed by an outage of the key-value store once isolated the follower beyond
-/// the partition. The follower redirected its workers to controllers that the workers couldn't
-/// reach.
+/// A partition is followed by an outage of the key-value store. In an earlier version, the
+/// isolated follower beyond the partition redirected its workers to controllers that the workers
+/// couldn't reach.
 #[test]
 fn zone_partition_with_kv_store_outage_ends_no_task() {
     let mut sim = running_cluster(3);
@@ -123,12 +143,18 @@
     heal(&mut sim);
     sim.run_for(10_000);
     assert_eq!(sim.on_machines("run-1"), 16);
-    assert_eq!(sim.start_log.len(), 16, "{:?}", sim.start_log);
+    assert_eq!(
+        sim.start_log.len(),
+        16,
+        "tasks were restarted: {:?}",
+        sim.start_log
+    );
 }
 
-/// A zone that was partitioned from everything once lost all its tasks, with the leader on
-/// either side. The zone's only controller concluded that it was itself at fault, and the
-/// controllers on the other side declared the whole zone failed.
+/// In an earlier version, a zone that was partitioned from all other controllers and services
+/// lost all its tasks, whether or not the leader was in the zone. The zone's only controller
+/// concluded that the fault was its own, and the controllers of the other zone declared all
+/// machines of the partitioned zone failed.
 #[test]
 fn isolated_zone_with_one_controller_ends_no_task() {
     for restart_leader in [false, true] {
@@ -145,7 +171,12 @@
         heal(&mut sim);
         sim.run_for(10_000);
         assert_eq!(sim.on_machines("run-1"), 56);
-        assert_eq!(sim.start_log.len(), 56, "{:?}", sim.start_log);
+        assert_eq!(
+            sim.start_log.len(),
+            56,
+            "tasks were restarted: {:?}",
+            sim.start_log
+        );
         assert!(
             released(&sim, &names).is_empty(),
             "machines were declared failed"
@@ -153,8 +184,8 @@
     }
 }
 
-/// A controller that restarted beyond a partition once renewed leases for seconds before it
-/// read which jobs had been cancelled while it was down.
+/// In an earlier version, a controller that restarted beyond a partition renewed leases for
+/// seconds before it read which jobs had been cancelled while it was down.
 #[test]
 fn controller_restarted_during_partition_stops_cancelled_jobs() {
     let mut sim = running_cluster(3);
@@ -174,24 +205,28 @@
     assert_eq!(sim.cancel(0, "run-1").1, "cancelled");
     assert_eq!(sim.cancel(0, "run-2").1, "cancelled");
     sim.run_for(1000);
-    assert_eq!(sim.on_machines("run-"), 8, "tasks beyond the partition");
+    assert_eq!(
+        sim.on_machines("run-"),
+        8,
+        "not exactly the tasks in zone b run"
+    );
     sim.start(1);
     sim.run_for(3500);
     assert_eq!(
         sim.on_machines("run-"),
         0,
-        "tasks were not stopped before their leases expired"
+        "the restarted controller did not stop the tasks of cancelled jobs"
     );
 }
 
 /// A leader must not hand over leadership because machines fail together. Each new leader would
-/// restart the time after which it declares them failed, and no leader would ever declare them
-/// failed.
+/// restart the time-out after which it declares machines failed, and no leader would ever reach
+/// the end of that time-out.
 #[test]
 fn leader_keeps_leadership_and_releases_machines_when_all_in_its_zone_fail() {
     let (mut sim, names) = full_zone(3);
     let leader = sim.leader().unwrap();
-    // Heartbeats of the other zone are still forwarded to the leader.
+    // Heartbeats of machines in the other zone still reach the leader, forwarded by a follower.
     let own_machines: Vec<String> = match leader {
         1 => names,
         _ => vec!["vm-a".into()],
@@ -202,14 +237,14 @@
     assert_eq!(
         released(&sim, &own_machines).len(),
         own_machines.len(),
-        "{:?}",
+        "not all unresponsive machines were declared failed, only {:?}",
         released(&sim, &own_machines)
     );
 }
 
-/// A leader that resumes after its lease has expired must not act as leader. Its clocks
-/// advanced during the pause, its sockets hold old heartbeats, and it has received nothing for
-/// so long that it would declare every machine failed.
+/// A leader whose process resumes after its lease has expired must not act as leader. Its
+/// clocks have advanced during the pause and its sockets hold old heartbeats. By its own records,
+/// every machine has been unresponsive for longer than the time-out for declaring it failed.
 #[test]
 fn leader_resumed_after_lease_expiry_accepts_no_heartbeat_and_releases_no_machine() {
     let (mut sim, names) = full_zone(3);
@@ -223,18 +258,23 @@
     let statuses: Vec<u16> = responses.map(|(_, _, status)| *status).collect();
     assert!(
         !statuses.is_empty() && !statuses.contains(&200),
-        "{statuses:?}"
+        "the resumed controller accepted a heartbeat or got none: {statuses:?}"
     );
     assert_eq!(sim.on_machines("run-1"), 56);
-    assert_eq!(sim.start_log.len(), 56, "{:?}", sim.start_log);
+    assert_eq!(
+        sim.start_log.len(),
+        56,
+        "tasks were restarted: {:?}",
+        sim.start_log
+    );
     assert!(
         released(&sim, &names).is_empty(),
         "machines were declared failed"
     );
 }
 
-/// A follower once stored only as many of the machines whose leases it proxied as fit in one
-/// record, and the leader declared the other machines failed.
+/// In an earlier version, a follower stored only as many of the machines whose leases it proxied
+/// as fit in one record, and the leader declared the other machines failed.
 #[test]
 fn follower_stores_all_machines_whose_leases_it_proxies() {
     let mut sim = Simulation::new(3);
@@ -256,13 +296,13 @@
         .collect();
     assert!(
         counts.len() > 1 && counts.iter().sum::<usize>() == machines_in_zone_b,
-        "{counts:?}"
+        "the lease proxy records don't hold each machine of the zone: {counts:?}"
     );
 }
 
-/// A leader that alone was partitioned from the workers once kept its leadership. The followers
-/// redirected the workers to this leader, the workers' leases expired, and the leader finally
-/// declared every machine failed.
+/// In an earlier version, a leader that alone was partitioned from the workers kept its
+/// leadership. The followers redirected the workers to this leader, the workers' leases expired,
+/// and the leader finally declared every machine failed.
 #[test]
 fn leader_unreachable_by_all_workers_hands_over_leadership() {
     let mut sim = running_cluster(3);
@@ -280,21 +320,26 @@
     assert_eq!(
         sim.on_machines("run-1"),
         0,
-        "stop commands did not reach the workers"
+        "tasks of the cancelled job were not stopped"
     );
     assert_eq!(sim.submit(isolated, &service("run-2", 16)), 201);
     sim.run_for(4000);
     assert_eq!(sim.on_machines("run-2"), 16);
-    assert_eq!(sim.start_log.len(), 32, "{:?}", sim.start_log);
+    assert_eq!(
+        sim.start_log.len(),
+        32,
+        "tasks were restarted: {:?}",
+        sim.start_log
+    );
     assert!(
         sim.workers.values().all(|m| !m.released),
         "machines were declared failed"
     );
 }
 
-/// A job is cancelled during a partition while the cloud is unavailable. Only the follower
-/// beyond the partition can end the tasks there; it once renewed their leases for longer than
-/// `cancel_s`.
+/// Jobs are cancelled during a partition while the cloud is unavailable. Only the follower beyond
+/// the partition can end the tasks there. In an earlier version, this follower renewed the leases
+/// of its workers for longer than `cancel_s`.
 #[test]
 fn job_cancelled_during_partition_ends_in_time_while_cloud_is_unavailable() {
     for kv_store_partitioned in [false, true] {
@@ -307,7 +352,7 @@
         sim.partitions = zone_partitions();
         sim.fault_injector = Box::new(move |_, node, call| match &call.destination {
             Destination::Peer(addr) if crosses_partition(node, addr) => Delivery::RequestLost,
-            // The controller in zone `b` alone is partitioned from the key-value store too.
+            // Only the controller in zone `b` is partitioned from the key-value store too.
             Destination::KvStore | Destination::KvWatch if kv_store_partitioned && node == 1 => {
                 Delivery::RequestLost
             }
@@ -315,14 +360,20 @@
         });
         sim.cloud_unavailable = true;
         sim.run_for(6000);
-        let near_leader = if leader == 1 { 1 } else { 0 };
-        assert_eq!(sim.cancel(near_leader, "run-1").1, "cancelled");
-        assert_eq!(sim.cancel(near_leader, "run-2").1, "cancelled");
+        let controller_in_leader_zone = if leader == 1 { 1 } else { 0 };
+        assert_eq!(
+            sim.cancel(controller_in_leader_zone, "run-1").1,
+            "cancelled"
+        );
+        assert_eq!(
+            sim.cancel(controller_in_leader_zone, "run-2").1,
+            "cancelled"
+        );
         sim.run_for(29_000);
         assert_eq!(
             sim.on_machines("run-"),
             0,
-            "{kv_store_partitioned} {:?}",
+            "tasks of cancelled jobs run, kv_store_partitioned {kv_store_partitioned}: {:?}",
             sim.workers
         );
     }
@@ -356,15 +407,15 @@
     );
 }
 
-/// Heartbeats that were forwarded together once formed messages that the leader rejected as too
-/// large.
+/// In an earlier version, heartbeats that a follower forwarded together formed messages that the
+/// leader rejected as too large.
 #[test]
 fn forwarded_heartbeats_stay_within_message_size_limit() {
     let mut sim = running_cluster(3);
     assert_ne!(
         sim.leader(),
         Some(1),
-        "the leader is in the zone of the workers"
+        "the controller to which the heartbeats are delivered is the leader"
     );
     let sizes = std::rc::Rc::new(std::cell::RefCell::new(Vec::new()));
     let recorded_sizes = sizes.clone();
@@ -390,7 +441,7 @@
         sizes
             .iter()
             .all(|n| *n <= lilacfork::http::MAX_PEER_BODY_BYTES),
-        "{sizes:?}"
+        "a message exceeds the size limit: {sizes:?}"
     );
     assert!(
         sizes.iter().sum::<usize>() > 400_000,
@@ -398,8 +449,9 @@
     );
 }
 
-/// After a partition, the workers of a zone resume their heartbeats at different times. The
-/// last of them were once declared failed as soon as most workers had resumed.
+/// After a partition, the workers of a zone resume their heartbeats at different times. In an
+/// earlier version, the machines of the last workers to resume were declared failed as soon as
+/// most workers had resumed.
 #[test]
 fn last_workers_to_resume_after_partition_are_not_declared_failed() {
     let (mut sim, names) = full_zone(1);
@@ -411,7 +463,7 @@
     sim.run_for(5000);
     assert!(
         released(&sim, &names).is_empty(),
-        "{:?}",
+        "machines were declared failed: {:?}",
         released(&sim, &names)
     );
     // A machine that is unresponsive alone is declared failed as usual.
@@ -420,8 +472,9 @@
     assert_eq!(released(&sim, &names), [&names[5]]);
 }
 
-/// A zone beyond a partition was once declared failed at the end of an outage of the key-value
-/// store. During the outage, no follower could store that it proxied leases in the zone.
+/// In an earlier version, the machines of a zone beyond a partition were declared failed at the
+/// end of an outage of the key-value store. During the outage, no follower could store that it
+/// proxied leases in the zone.
 #[test]
 fn unresponsive_time_during_kv_store_outage_does_not_count_towards_failure() {
     let (mut sim, names) = full_zone(1);
@@ -433,7 +486,7 @@
     sim.run_for(12_000);
     assert!(
         released(&sim, &names).is_empty(),
-        "{:?}",
+        "machines were declared failed: {:?}",
         released(&sim, &names)
     );
     sim.run_for(20_000);
@@ -444,9 +497,9 @@
     );
 }
 
-/// The isolation of a zone begins at different times between two heartbeats. Messages from a
-/// leader and messages to the leader stop at different times, and heartbeats that arrived in
-/// between once got no response.
+/// The isolation of a zone begins at different times between two heartbeats. Messages from
+/// the leader and messages to the leader then stop at different times. In an earlier version,
+/// heartbeats that arrived in between got no response.
 #[test]
 fn zone_isolated_at_any_time_between_heartbeats_ends_no_task() {
     for offset_ms in (0..1000).step_by(100) {
--- a/tests/integration/observer.rs
+++ b/tests/integration/observer.rs
@@ -1,5 +1,5 @@
-//! Tests of the simulation's observer: one history for each rule that violates the rule.
-//! The simulations rely on the observer and cannot reveal a violation that it misses.
+//! Tests of the simulation's observer: for each rule, a history that violates the rule. The
+//! simulations can't reveal a violation that the observer misses.
 
 use crate::simulation::array;
 use crate::simulation::observer::{Observer, PlacedTask, RequestKind, UserRequest, Verdict};
@@ -26,7 +26,7 @@
     }
 }
 
-/// Returns an observer of a job that was accepted at 10 ms.
+/// Returns an observer of a job that was submitted at 0 ms and accepted at 10 ms.
 fn observer_of_accepted_job(spec: Value) -> Observer {
     let mut observer = new_observer();
     observer.record_submission(&spec);
@@ -46,7 +46,8 @@
     );
 }
 
-/// Returns an observer of an accepted job whose cancellation was confirmed at `confirmed_ms`.
+/// Returns an observer of `run-1`, an accepted job of two tasks whose cancellation was confirmed
+/// at `confirmed_ms`.
 fn observer_of_cancelled_job(confirmed_ms: u64) -> Observer {
     let mut observer = observer_of_accepted_job(array("run-1", 2));
     observer.record_cancellation_request("run-1");
@@ -147,7 +148,7 @@
     assert_eq!(
         observer.starts_after_cancel.len(),
         1,
-        "a start within the cancellation period is allowed and counted"
+        "a start within the cancellation period was not recorded"
     );
     assert_violation(
         "ran_cancelled",
@@ -165,7 +166,7 @@
     let earlier = request(RequestKind::Query, "run-1", 5);
     assert!(
         observer.check_response(30, &earlier, 404, "").is_ok(),
-        "sent before the job was accepted"
+        "a query sent before the job was accepted violates a rule"
     );
 }
 
--- a/tests/integration/randomized_faults.rs
+++ b/tests/integration/randomized_faults.rs
@@ -10,18 +10,22 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// The probability of each fault in percent, and the nodes whose calls currently all
-/// fail. All of them change during the run.
+/// The probability of each fault in percent, and the controllers whose calls currently all fail.
+/// All of these values change during the run.
 #[derive(Clone, Copy, Default)]
 struct FaultRates {
+    /// Transactions that time out and are executed 2 to 12 s later.
     delayed_transactions: u32,
     lost_transaction_responses: u32,
+    /// Calls to the key-value store, other than watches, whose responses are delayed by up to
+    /// 0.8 s.
     slow_kv_calls: u32,
-    /// The node whose calls the key-value store rejects; `None` if it rejects no node's calls.
+    /// The controller whose calls the key-value store rejects; `None` if it rejects no calls.
     rejected_node: Option<usize>,
-    /// The node that is partitioned from its peers; `None` if there is no such partition.
+    /// The controller that is partitioned from its peers; `None` if there is no such partition.
     partitioned_node: Option<usize>,
     lost_peer_calls: u32,
+    /// Direct commands that time out and are executed 0.5 to 6 s later.
     delayed_commands: u32,
     /// Malformed responses to any call except a watch.
     malformed_responses: u32,
@@ -32,10 +36,12 @@
     sim: Simulation,
     rng: fastrand::Rng,
     rates: Rc<Cell<FaultRates>>,
+    /// Specifications of all submitted jobs, by job ID.
     jobs: BTreeMap<String, Value>,
     /// Jobs whose cancellation was confirmed to a user.
     cancelled: Vec<String>,
-    /// Request number, job and kind of each request that users sent.
+    /// Request number, job and kind (`submit`, `cancel` or `query`) of each request that users
+    /// sent.
     requests: Vec<(u64, String, &'static str)>,
     /// Copies of earlier heartbeats that haven't been delivered yet.
     old_heartbeats: Vec<Value>,
@@ -146,7 +152,7 @@
         }
     }
 
-    /// Queries a random job at every node.
+    /// Queries a random job at every controller.
     fn query(&mut self) {
         let Some(id) = self.random_job() else { return };
         for node in 0..3 {
@@ -223,7 +229,7 @@
     }
 
     /// Copies the next heartbeat of a random machine, and may deliver an earlier copy to all
-    /// nodes.
+    /// controllers.
     fn replay_heartbeats(&mut self) {
         if let Some(name) = self.random_machine() {
             let mut copy = self.sim.next_heartbeat(&name);
@@ -296,28 +302,31 @@
         for spec in &specs {
             let node = self.random_node();
             let status = self.sim.submit(node, spec);
-            assert!(status == 200 || status == 201, "status {status} for {spec}");
+            assert!(
+                status == 200 || status == 201,
+                "status {status} for submission {spec}"
+            );
         }
         for id in &cancellations {
             let node = self.random_node();
             let (status, state) = self.sim.cancel(node, id);
-            assert_eq!(status, 200, "{id}");
+            assert_eq!(status, 200, "cancellation of {id}");
             if state == "cancelled" {
                 self.cancelled.push(id.clone());
             }
         }
-        // No job waits for 90 s while suitable capacity is free: arrays complete, and services
-        // run as many tasks as the capacity and the quotas allow.
+        // No job must wait for 90 s while suitable capacity is free: arrays must complete, and
+        // services must run as many tasks as the capacity and the quotas allow.
         self.sim.run_for(90_000);
         let mut waiting = Vec::new();
         let mut services = Vec::new();
         for (id, spec) in self.jobs.clone() {
             let node = self.random_node();
             let (status, state) = self.sim.query(node, &id);
-            assert_eq!(status, 200, "{id}");
+            assert_eq!(status, 200, "query of {id}");
             if self.cancelled.contains(&id) {
-                assert_eq!(state, "cancelled", "{id}");
-                assert_eq!(self.sim.on_machines(&format!("{id}/")), 0, "{id}");
+                assert_eq!(state, "cancelled", "{id} did not stay cancelled");
+                assert_eq!(self.sim.on_machines(&format!("{id}/")), 0, "tasks of {id}");
             } else if state != "done" && spec["genre"] == "service" {
                 services.push((id, spec));
             } else if state != "done" {
@@ -346,6 +355,7 @@
         );
     }
 
+    /// Returns how many GPUs all tasks of a team's services take together.
     fn service_gpus(&self, services: &[(String, Value)], team: &str) -> f64 {
         services
             .iter()
--- a/tests/integration/version_compatibility.rs
+++ b/tests/integration/version_compatibility.rs
@@ -1,5 +1,5 @@
-//! Two versions that share one set of records, and limits of the key-value store that are
-//! lowered while the controllers run.
+//! Compatibility of version 0.1 and the current version, which share one set of records, and
+//! limits of the key-value store that are lowered while the controllers run.
 
 use crate::simulation::kv_store::SizeLimits;
 use crate::simulation::{array, service, Delivery, Simulation, SETTINGS};
@@ -39,10 +39,11 @@
     spec
 }
 
-/// Creates a cluster of three controllers, and machines with capacity for 400 small tasks.
+/// Creates a cluster of three controllers, and machines with capacity for 400 small tasks. The
+/// settings announce the given limits of the key-value store, if any.
 fn large_cluster(announced: Option<AnnouncedKvStoreLimits>) -> Simulation {
     let mut sim = match announced {
-        Some(next) => Simulation::with_announced_limits(3, next),
+        Some(announced) => Simulation::with_announced_limits(3, announced),
         None => Simulation::new(3),
     };
     for n in 0..4 {
@@ -55,16 +56,17 @@
 /// The tasks of a job according to its placement records.
 #[derive(Debug, Default, PartialEq)]
 struct StoredTasks {
+    /// Indices of the completed tasks.
     done: Vec<u32>,
-    /// Task, attempt and machine.
+    /// Task index, attempt and machine of each assignment.
     assigned: Vec<(u32, u64, String)>,
 }
 
-/// The contents of all placement records, by job.
+/// The contents of all placement records, by job ID.
 type TasksByJob = BTreeMap<String, StoredTasks>;
 
-/// Reads the records as version 0.1 does: in ranges whose length it computes from its
-/// settings, without the fields that it doesn't know.
+/// Reads the placement records as version 0.1 does: in ranges whose length that version computes
+/// from its settings, and without the fields that were added later.
 fn read_as_version_0_1(sim: &Simulation) -> TasksByJob {
     let tasks_per_record = tasks_per_record(32.0) as u64;
     let mut tasks_by_job = TasksByJob::new();
@@ -73,16 +75,24 @@
             continue;
         };
         let tasks = sim.kv_store.items[&format!("j/{job}")].0["spec"]["pieces"].as_u64();
-        let number: u64 = number.parse().expect("the range number in the key");
-        assert!(number < tasks.unwrap().div_ceil(tasks_per_record), "{key}");
+        let number: u64 = number.parse().expect("no range number in the key");
+        assert!(
+            number < tasks.unwrap().div_ceil(tasks_per_record),
+            "{key}: the range lies beyond the last task"
+        );
         let StoredTasks { done, assigned } = tasks_by_job.entry(job.into()).or_default();
         let ranges = record["d"].as_str().unwrap_or("");
         done.extend(
-            parse_task_ranges(ranges, tasks.unwrap() as u32).expect("ranges of completed tasks"),
+            parse_task_ranges(ranges, tasks.unwrap() as u32)
+                .expect("invalid ranges of completed tasks"),
         );
         for row in record["a"].as_array().into_iter().flatten() {
             let task = row[0].as_u64().unwrap();
-            assert_eq!(task / tasks_per_record, number, "{key}");
+            assert_eq!(
+                task / tasks_per_record,
+                number,
+                "{key}: task {task} is outside the range"
+            );
             assert_eq!(row.as_array().unwrap().len(), 5);
             let machine = row[2].as_str().unwrap().to_string();
             assigned.push((task as u32, row[1].as_u64().unwrap(), machine));
@@ -91,7 +101,7 @@
     tasks_by_job
 }
 
-/// Reads the records as the current version does.
+/// Reads the placement records as the current version does.
 fn read_as_this_version(sim: &Simulation) -> TasksByJob {
     let mut tasks_by_job = TasksByJob::new();
     for (key, (record, version, _)) in sim
@@ -116,7 +126,10 @@
             record: serde_json::from_value::<PlacementRecord>(record.clone()).expect(key),
         });
         job.restore(stored.collect(), &["a".into(), "b".into()]);
-        assert!(!job.unreadable, "{key}");
+        assert!(
+            !job.unreadable,
+            "{key}: the placement records are unreadable"
+        );
         let rows = job.assignments.iter();
         let rows = rows.map(|(task, a)| (*task, a.attempt.0, a.machine.to_string()));
         let done_and_assigned = job
@@ -139,7 +152,8 @@
     tasks_by_job
 }
 
-/// Converts the records to those that version 0.1 leaves after it has written all of them.
+/// Removes the fields that version 0.1 doesn't know from all records, as if version 0.1 had
+/// written all of them.
 fn rewrite_as_version_0_1(sim: &mut Simulation) {
     for (key, (record, ..)) in &mut sim.kv_store.items {
         let Some(fields) = record.as_object_mut() else {
@@ -163,7 +177,8 @@
     assert_eq!(sim.submit(1, &small_tasks("run-2", 3)), 201);
     assert_eq!(sim.submit(2, &service("run-3", 4)), 201);
     let mut compared = 0;
-    // The cluster is upgraded, downgraded to the old version, upgraded again, and so on.
+    // In every third step, the records become those of version 0.1, as after a downgrade, and the
+    // current version takes over.
     for step in 0..12 {
         let stored = read_as_this_version(&sim);
         assert_eq!(read_as_version_0_1(&sim), stored);
@@ -179,14 +194,17 @@
         }
         sim.run_for(1700);
     }
-    assert!(compared > 300, "{compared} assignments were compared");
+    assert!(
+        compared > 300,
+        "too few assignments were compared: {compared}"
+    );
     sim.run_for(20_000);
     assert_eq!(sim.query(1, "run-1").1, "done");
     assert_eq!(sim.on_machines("run-3"), 4);
 }
 
-/// Lowered limits make the key-value store reject records that are too large. A leader once took
-/// such a rejection for the end of its term, and so did its successors.
+/// Lowered limits make the key-value store reject transactions that are too large. In an earlier
+/// version, a leader mistook such a rejection for the end of its term, and so did its successors.
 #[test]
 fn lowered_limits_restart_no_task_and_depose_no_leader() {
     let mut partly_split = 0;
@@ -218,13 +236,13 @@
         assert_eq!(sim.cancel(2, "run-3").1, "cancelled");
         sim.run_for(45_000);
         for id in ["run-1", "run-2"] {
-            assert_eq!(sim.query(2, id).1, "done", "{id} {kill_after_ms:?}");
+            assert_eq!(sim.query(2, id).1, "done", "{id}, {kill_after_ms:?}");
         }
         let starts = sim.start_log.iter().filter(|line| line.contains(" run-1/"));
         assert_eq!(
             starts.count(),
             200,
-            "not every task started exactly once, {kill_after_ms:?}"
+            "not every task started exactly once, leader killed after {kill_after_ms:?} ms"
         );
         if kill_after_ms.is_none() {
             assert_eq!(sim.kv_store.items["leader/term"].0["term"], term);
@@ -236,14 +254,15 @@
     }
     assert!(
         partly_split > 2,
-        "{partly_split} leaders were killed during a split"
+        "too few leaders were killed while records were split: {partly_split}"
     );
 }
 
-/// The response to a transaction is lost just before the limits are lowered, and its retry is
-/// rejected. The rejection doesn't show whether the first attempt was executed.
+/// A transaction times out just before the limits are lowered: its request or its response is
+/// lost. The key-value store rejects the retry. The rejection doesn't show whether the first
+/// attempt was executed.
 #[test]
-fn rejected_retry_does_not_undo_executed_transaction() {
+fn rejected_retry_of_indeterminate_placement_write_starts_each_task_once() {
     for (offset_ms, executed) in (0..300).step_by(25).flat_map(|n| [(n, true), (n, false)]) {
         let mut sim = large_cluster(Some(announced_limits()));
         sim.task_duration_ms = 9000;
@@ -260,15 +279,23 @@
         sim.run_for(offset_ms);
         sim.kv_store.limits = Some(LOWERED_LIMITS);
         sim.run_for(40_000);
-        assert_eq!(sim.query(1, "run-1").1, "done", "{offset_ms} {executed}");
+        assert_eq!(
+            sim.query(1, "run-1").1,
+            "done",
+            "limits lowered after {offset_ms} ms, executed {executed}"
+        );
         let starts = sim.start_log.iter().filter(|line| line.contains(" run-1/"));
-        assert_eq!(starts.count(), 200, "{offset_ms} {executed}");
+        assert_eq!(
+            starts.count(),
+            200,
+            "not every task started exactly once, limits lowered after {offset_ms} ms, executed {executed}"
+        );
     }
 }
 
 /// The response to a transaction that completes jobs is lost just before the limits are lowered,
-/// and its retry is rejected. Such a transaction once counted as not executed, which cost the
-/// leader its term.
+/// and the key-value store rejects the retry. In an earlier version, such a transaction counted
+/// as not executed, which ended the leader's term.
 #[test]
 fn rejected_retry_of_job_completions_keeps_term() {
     let mut sim = large_cluster(Some(announced_limits()));
@@ -306,7 +333,7 @@
         .filter(|key| key.starts_with("f/run-"));
     assert!(
         final_records.count() > 3,
-        "the transaction is within the lowered limits"
+        "the transaction does not exceed the lowered limits"
     );
     sim.kv_store.limits = Some(LOWERED_LIMITS);
     sim.run_for(20_000);
@@ -320,7 +347,8 @@
     assert_eq!(sim.kv_store.items["leader/term"].0["term"], term);
 }
 
-/// Returns whether a job's placements are stored both in a coarse record and in finer records.
+/// Returns whether a job's placements are stored both in a coarse record, which is named by its
+/// range number, and in finer records, which are named by their first and last task.
 fn is_partly_split(sim: &Simulation, id: &str) -> bool {
     let prefix = format!("p/{id}/");
     let names = sim
@@ -332,8 +360,8 @@
     !fine.is_empty() && !coarse.is_empty()
 }
 
-/// Later leaders learn the lowered limits from the previous leader, and new processes from the
-/// record that the previous leader stored.
+/// A new leader learns the lowered limits from the previous leader's messages. After all processes
+/// are restarted, the new leader reads them from the record that the previous leader stored.
 #[test]
 fn lowered_limits_are_known_to_later_leaders() {
     let mut sim = large_cluster(Some(announced_limits()));
@@ -379,7 +407,7 @@
         sim.start(n);
     });
     sim.run_for(5000);
-    // Only the tasks of the failed machine are started again.
+    // Only the tasks of a failed machine must be restarted.
     let lost = sim.workers["vm-0"].tasks.len();
     assert!(lost > 0);
     sim.workers.get_mut("vm-0").unwrap().unresponsive = true;
@@ -416,8 +444,8 @@
 /// and its record must not be overwritten.
 #[test]
 fn job_with_unreadable_record_stays_pending() {
-    // A record with a task beyond the job's last task was once overwritten, and that task
-    // counted as a task of the job.
+    // In an earlier version, a record with a task beyond the job's last task was overwritten, and
+    // that task counted as a task of the job.
     let task_out_of_range =
         json!({"n": 2, "w": 1, "a": [[0, 1, "vm-a", 1, 0], [700, 1, "vm-a", 1, 0]]});
     for (key, record) in [
@@ -451,7 +479,7 @@
     }
 }
 
-/// A cancellation must preserve fields of the job record that only a later version knows.
+/// A cancellation must preserve fields of the job record that were written by a later version.
 #[test]
 fn cancellation_preserves_unknown_record_fields() {
     let mut sim = large_cluster(None);
@@ -461,7 +489,7 @@
         .kv_store
         .items
         .get_mut("j/run-1")
-        .expect("the job record");
+        .expect("no job record");
     record["later"] = json!({"kept": [1, 2]});
     let version = *version;
     sim.run_for(100);
@@ -502,8 +530,8 @@
             .sum();
         let split = ranges.split(number, rng.u32(1..200), unit);
         assert_eq!(split, before > unit);
-        // Exactly one range holds each task. If the range's key names first and last task, the
-        // task lies between them.
+        // Exactly one range must hold each task. If the range's key names its first and last task,
+        // the task must lie between them.
         let mut holders = vec![0; tasks as usize];
         for number in 0..ranges.len() {
             let name = ranges.get(number).unwrap().name;
@@ -539,7 +567,7 @@
     ] {
         assert!(
             Settings::parse(&with_announcement(valid), "test").is_ok(),
-            "{valid}"
+            "valid announcement was rejected: {valid}"
         );
     }
     for (line, key) in [
@@ -552,18 +580,23 @@
         let error = Settings::parse(&with_announcement(line), "test")
             .unwrap_err()
             .to_string();
-        assert!(error.starts_with(&format!("test: {key}: ")), "{error}");
+        assert!(
+            error.starts_with(&format!("test: {key}: ")),
+            "expected an error about {key}, got: {error}"
+        );
     }
 }
 
-/// The deploy file must identify the version that runs in production by a full commit ID,
-/// which is permanent.
+/// The deploy file must identify the version that runs in production by a full commit ID, because a
+/// commit ID is permanent.
 #[test]
 fn production_version_is_a_full_commit_id() {
     let file = concat!(env!("CARGO_MANIFEST_DIR"), "/deploy/service.toml");
-    let text = std::fs::read_to_string(file).expect("the deploy file");
-    let deploy: toml::Table = toml::from_str(&text).expect("TOML");
-    let commit = deploy["production"].as_str().expect("production");
+    let text = std::fs::read_to_string(file).expect("the deploy file is not readable");
+    let deploy: toml::Table = toml::from_str(&text).expect("the deploy file is not valid TOML");
+    let commit = deploy["production"]
+        .as_str()
+        .expect("`production` is not a string");
     assert_eq!(commit.len(), 40);
     assert!(commit
         .bytes()
@@ -571,7 +604,8 @@
     assert!(deploy["build"].is_str() && deploy["run"].is_str());
 }
 
-/// A rejected catalog record was once written again in every turn.
+/// In an earlier version, the leader retried the write of a rejected catalog record in every turn
+/// of the event loop.
 #[test]
 fn rejected_catalog_record_is_not_written_in_every_turn() {
     let mut sim = Simulation::new(3);
@@ -583,7 +617,7 @@
     assert!(sim.leader().is_some());
     assert!(
         (1..=10).contains(&sim.kv_store.oversized_transactions),
-        "{}",
+        "number of rejected transactions: {}",
         sim.kv_store.oversized_transactions
     );
 }
