--- a/tests/integration/cancellations.rs
+++ b/tests/integration/cancellations.rs
@@ -191,8 +191,8 @@
 }
 
 /// A leader that was elected just before an outage can't read the placement records until
-/// the outage ends. In an earlier version, such a leader accepted heartbeats but stopped the
-/// tasks of no cancelled job.
+/// the outage ends. In an earlier version, such a leader accepted heartbeats but did not stop the
+/// tasks of cancelled jobs.
 #[test]
 fn leader_still_loading_during_outage_stops_known_cancelled_jobs() {
     let mut sim = cluster_with_two_services();
@@ -527,7 +527,7 @@
         assert_eq!(
             out.pop().unwrap().tag,
             CancellationsKvCall::List,
-            "the actor did not list all jobs again after a compacted poll"
+            "the actor did not request a new list after status 410"
         );
         let page = json!({"rows": [{"k": "j/run-5", "v": {"c": 7}, "retouche": 3}],
             "truncated": true, "tirage": 9});
--- a/tests/integration/fault_interactions/leader_changes.rs
+++ b/tests/integration/fault_interactions/leader_changes.rs
@@ -44,8 +44,8 @@
     }
 }
 
-/// One task of a job completes before a failover. The others complete after it, because they run on
-/// a machine that is five times slower or start later.
+/// One task of a job completes before a failover. The others complete after it, because they run
+/// on a machine that is five times slower or start later.
 #[test]
 fn tasks_completing_before_and_after_failover_start_once() {
     for tasks in [2, 3] {
@@ -210,7 +210,7 @@
             assert_eq!(
                 sim.cancel((old + 1) % 3, id).1,
                 "cancelled",
-                "cancelled {offset_ms} ms after the failover began"
+                "{id} was not cancelled {offset_ms} ms after the failover began"
             );
         }
         sim.start(old);
@@ -228,7 +228,7 @@
     }
 }
 
-/// New machines boot within two seconds and receive tasks at once while writes are slow. The
+/// New machines boot in 300 ms and receive tasks immediately, while writes are slow. The
 /// leader is killed before, during or after the write of the placements.
 #[test]
 fn tasks_start_once_when_leader_is_killed_while_placements_are_written() {
--- a/tests/integration/fault_interactions/overload.rs
+++ b/tests/integration/fault_interactions/overload.rs
@@ -68,7 +68,7 @@
 
 /// Jobs of all priorities exceed the capacity, while responses of the workers and the key-value
 /// store are delayed. The delay for peers has no effect in the simulation
-/// ([`Delivery::ResponseDelayed`]).
+/// (see [`Delivery`]).
 #[test]
 fn jobs_of_all_priorities_complete_with_scarce_capacity_and_slow_links() {
     let mut sim = running_cluster(3);
--- a/tests/integration/leadership.rs
+++ b/tests/integration/leadership.rs
@@ -80,8 +80,7 @@
 fn leader_verifies_leadership_after_fencing_token_of_later_term() {
     let (mut sim, _) = full_zone(3);
     let old = sim.leader().unwrap();
-    // The leader reaches neither its peers nor the key-value store, so that its lease
-    // expires.
+    // The leader reaches neither its peers nor the key-value store, so that its lease expires.
     isolate_node(&mut sim, old, Delivery::Rejected, true);
     sim.run_for(8000);
     let new = (0..3).find(|n| *n != old && sim.nodes[*n].as_ref().unwrap().is_leader());
@@ -185,7 +184,7 @@
     }
     sim.run_for(20);
     sim.redirects.clear();
-    // A worker sends its next heartbeat to each controller in turn.
+    // In alternating steps, one of the two workers sends heartbeats to each controller in turn.
     for step in 0..20 {
         for n in 0..3 {
             let name = ["vm-a", "vm-b"][step % 2];
--- a/tests/integration/network_partitions.rs
+++ b/tests/integration/network_partitions.rs
@@ -151,7 +151,7 @@
     );
 }
 
-/// In an earlier version, a zone that was partitioned from all other controllers and services
+/// In an earlier version, a zone that was partitioned from the other zone and the key-value store
 /// lost all its tasks, whether or not the leader was in the zone. The zone's only controller
 /// concluded that the fault was its own, and the controllers of the other zone declared all
 /// machines of the partitioned zone failed.
--- a/tests/integration/simulation/cloud.rs
+++ b/tests/integration/simulation/cloud.rs
@@ -42,8 +42,8 @@
         }
     }
 
-    /// Marks a machine as running, unless it was released meanwhile. Its worker sends the first
-    /// heartbeat at once.
+    /// Marks a machine as running, unless it was released meanwhile. The worker on it
+    /// then sends its first heartbeat immediately.
     pub(super) fn machine_booted(&mut self, name: String) {
         let now_ms = self.now_ms;
         if let Some(worker) = self
--- a/tests/integration/simulation/faults.rs
+++ b/tests/integration/simulation/faults.rs
@@ -2,7 +2,8 @@
 
 use lilacfork::messages::Call;
 
-/// How a call is delivered.
+/// How a call is delivered. Responses to watches and from peers are returned without delay even if
+/// the fault concerns the response.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub enum Delivery {
     /// The call is executed and its response delivered.
@@ -14,7 +15,7 @@
     /// The call times out; the request is executed this number of milliseconds after it was sent.
     RequestDelayed(u64),
     /// The call is executed without delay; the response is delayed by this number of
-    /// milliseconds. Responses to watches and from peers are not delayed.
+    /// milliseconds.
     ResponseDelayed(u64),
     /// The call is rejected with status 503 and not executed.
     Rejected,
--- a/tests/integration/simulation/observer.rs
+++ b/tests/integration/simulation/observer.rs
@@ -115,7 +115,7 @@
     /// The cancellation period: how long tasks may remain on machines after the confirmed
     /// cancellation of their job.
     cancel_ms: u64,
-    /// GPUs that each limited team may use at once.
+    /// GPUs that each limited team may use at the same time, by team.
     team_gpu_limits: HashMap<String, f64>,
     specs: HashMap<String, Value>,
     /// When each job was first reported to a user.
@@ -132,7 +132,7 @@
 impl Observer {
     /// Creates an observer without history. `cancel_ms` is how long tasks may remain on
     /// machines after the confirmed cancellation of their job; `team_gpu_limits` is how many
-    /// GPUs each limited team may use at once.
+    /// GPUs each limited team may use at the same time.
     pub fn new(cancel_ms: u64, team_gpu_limits: &[(&str, f64)]) -> Self {
         Observer {
             cancel_ms,
--- a/tests/integration/simulation/workers.rs
+++ b/tests/integration/simulation/workers.rs
@@ -161,8 +161,8 @@
 
     /// Sends a heartbeat and schedules the next one, unless the machine is down or released. An
     /// unresponsive worker sends none. No heartbeat is sent while an earlier one awaits its
-    /// response; [`HEARTBEAT_TIMEOUT_MS`] after the earlier one, the worker sends a heartbeat to the
-    /// next controller.
+    /// response; [`HEARTBEAT_TIMEOUT_MS`] after the earlier one, the worker sends a heartbeat to
+    /// the next controller.
     pub(super) fn heartbeat_due(&mut self, name: &str) {
         let now_ms = self.now_ms;
         let Some(worker) = self.workers.get_mut(name) else {
--- a/tests/integration/version_compatibility.rs
+++ b/tests/integration/version_compatibility.rs
@@ -104,25 +104,25 @@
 /// Reads the placement records as the current version does.
 fn read_as_this_version(sim: &Simulation) -> TasksByJob {
     let mut tasks_by_job = TasksByJob::new();
-    for (key, (record, version, _)) in sim
+    for (key, (record, revision, _)) in sim
         .kv_store
         .items
         .iter()
         .filter(|(k, _)| k.starts_with("j/"))
     {
         let record: JobRecord = serde_json::from_value(record.clone()).unwrap();
-        let mut job = Job::new(record, *version, tasks_per_record(32.0));
+        let mut job = Job::new(record, *revision, tasks_per_record(32.0));
         let prefix = key.replace("j/", "p/") + "/";
         let stored = sim
             .kv_store
             .items
             .iter()
             .filter(|(k, _)| k.starts_with(&prefix));
-        let stored = stored.map(|(key, (record, version, _))| StoredPlacement {
+        let stored = stored.map(|(key, (record, revision, _))| StoredPlacement {
             name: parse_placement_key(key)
                 .and_then(|(_, name)| name)
                 .expect(key),
-            revision: *version,
+            revision: *revision,
             record: serde_json::from_value::<PlacementRecord>(record.clone()).expect(key),
         });
         job.restore(stored.collect(), &["a".into(), "b".into()]);
@@ -236,7 +236,11 @@
         assert_eq!(sim.cancel(2, "run-3").1, "cancelled");
         sim.run_for(45_000);
         for id in ["run-1", "run-2"] {
-            assert_eq!(sim.query(2, id).1, "done", "{id}, {kill_after_ms:?}");
+            assert_eq!(
+                sim.query(2, id).1,
+                "done",
+                "{id} is not done, leader killed after {kill_after_ms:?} ms"
+            );
         }
         let starts = sim.start_log.iter().filter(|line| line.contains(" run-1/"));
         assert_eq!(
@@ -408,13 +412,13 @@
     });
     sim.run_for(5000);
     // Only the tasks of a failed machine must be restarted.
-    let lost = sim.workers["vm-0"].tasks.len();
-    assert!(lost > 0);
+    let tasks_on_failed_machine = sim.workers["vm-0"].tasks.len();
+    assert!(tasks_on_failed_machine > 0);
     sim.workers.get_mut("vm-0").unwrap().unresponsive = true;
     sim.run_for(90_000);
     assert_eq!(sim.query(0, "run-1").1, "done");
     let starts = sim.start_log.iter().filter(|l| l.contains(" run-1/"));
-    assert_eq!(starts.count(), 200 + lost);
+    assert_eq!(starts.count(), 200 + tasks_on_failed_machine);
 }
 
 /// The limits are lowered without an announcement. A job whose record is rejected is held back,
@@ -485,15 +489,15 @@
     let mut sim = large_cluster(None);
     sim.task_duration_ms = 60_000;
     assert_eq!(sim.submit(0, &array("run-1", 1)), 201);
-    let (record, version, _) = sim
+    let (record, revision, _) = sim
         .kv_store
         .items
         .get_mut("j/run-1")
         .expect("no job record");
     record["later"] = json!({"kept": [1, 2]});
-    let version = *version;
+    let revision = *revision;
     sim.run_for(100);
-    assert_eq!(sim.kv_store.items["j/run-1"].1, version);
+    assert_eq!(sim.kv_store.items["j/run-1"].1, revision);
     let path = "/v2/runs/run-1/abort";
     sim.request(1, "POST", path, Value::Null);
     sim.run_for(10);
@@ -587,8 +591,8 @@
     }
 }
 
-/// The deploy file must identify the version that runs in production by a full commit ID, because a
-/// commit ID is permanent.
+/// The deploy file must identify the version that runs in production by a full commit ID, because
+/// a commit ID is permanent.
 #[test]
 fn production_version_is_a_full_commit_id() {
     let file = concat!(env!("CARGO_MANIFEST_DIR"), "/deploy/service.toml");
