--- a/loadtest/src/scenario/jobs.rs
+++ b/loadtest/src/scenario/jobs.rs
@@ -6,6 +6,13 @@
 use lilacfork::wire::users::{JobKind, JobSpec};
 use std::rc::Rc;
 
+/// Selects the generator of a job's specification in place of a task's generator. The
+/// value exceeds the index of every task.
+const SPECIFICATION_GENERATOR: u32 = u32::MAX >> 1;
+/// Selects the generator that decides whether a job is cancelled early, in place of a task's
+/// generator. The value exceeds the index of every task.
+const CANCELLATION_GENERATOR: u32 = u32::MAX >> 2;
+
 impl Scenario {
     /// Returns the name of a job, given the index of its class and its number in the class.
     pub fn job_name(class: usize, number: u32) -> String {
@@ -21,8 +28,8 @@
     }
 
     /// Returns the random number generator of a job's task, whose sequence is the same in
-    /// every process. Values of `task` above the index of every task select generators for
-    /// the job itself.
+    /// every process. `SPECIFICATION_GENERATOR` or `CANCELLATION_GENERATOR` as `task` selects
+    /// a generator of the job itself.
     fn random_generator(&self, class: usize, number: u32, task: u32) -> fastrand::Rng {
         let job = (class as u64) << 48 | u64::from(number) << 16;
         fastrand::Rng::with_seed(
@@ -34,7 +41,7 @@
     pub fn job(&self, name: &str) -> Option<JobSpec> {
         let (class_index, number) = self.parse_job_name(name)?;
         let class = &self.classes[class_index];
-        let mut rng = self.random_generator(class_index, number, u32::MAX >> 1);
+        let mut rng = self.random_generator(class_index, number, SPECIFICATION_GENERATOR);
         let estimate_s = (class.run_s[0] + class.run_s[1]) / 2.0;
         let is_array = class.kind == JobKind::Array;
         Some(JobSpec {
@@ -105,7 +112,7 @@
     /// Reports whether the job's user cancels the job early.
     pub fn cancelled_early(&self, job: &str) -> bool {
         self.parse_job_name(job).is_some_and(|(class, number)| {
-            let mut rng = self.random_generator(class, number, u32::MAX >> 2);
+            let mut rng = self.random_generator(class, number, CANCELLATION_GENERATOR);
             rng.f64() < self.classes[class].cancelled
         })
     }
--- a/loadtest/src/users.rs
+++ b/loadtest/src/users.rs
@@ -27,6 +27,8 @@
 /// The interval between the health probes of a controller, and the timeout of a probe.
 const PROBE_INTERVAL_US: u64 = 250_000;
 const PROBE_TIMEOUT_MS: u64 = 1000;
+/// The longest interval between two calls of `tick`.
+const MAX_TICK_INTERVAL_US: u64 = 100_000;
 /// After this many consecutive failed probes, users choose other controllers.
 const MAX_FAILED_PROBES: u32 = 2;
 /// Links below this one belong to the probes of the controllers with the same number.
@@ -462,7 +464,7 @@
         Ok([arrival, timer]
             .into_iter()
             .flatten()
-            .fold(now_us + 100_000, u64::min))
+            .fold(now_us + MAX_TICK_INTERVAL_US, u64::min))
     }
 
     fn command(&mut self, _: &mut Network, _: &SimulatorCommand) -> io::Result<()> {
--- a/replica-groups/tests/metrics.rs
+++ b/replica-groups/tests/metrics.rs
@@ -23,8 +23,8 @@
         metrics.to_string(),
         "repaired=0 interrupted=0 moved=0 abandoned_moves=0"
     );
-    // Repair times of any length must be recorded. A histogram with a fixed range once
-    // cut off values above 2 ms.
+    // Repair times of any length must be recorded. In an earlier version, a histogram with
+    // a fixed range cut off values above 2 ms.
     for took_ms in [4000, 5000, 90_000] {
         metrics.record_repair(took_ms);
     }
--- a/src/node/job_progress.rs
+++ b/src/node/job_progress.rs
@@ -8,8 +8,9 @@
 use std::collections::HashMap;
 
 /// Maximum size of jobs' progress in one heartbeat. A new leader sends the progress of
-/// all jobs. When it once sent all of it in one message, the message exceeded the size
-/// that a peer accepts, and the peer received no heartbeats from its leader.
+/// all jobs. In an earlier version, a new leader sent the progress of all jobs in one
+/// message. The message exceeded the size that a peer accepts, and the peer received no
+/// heartbeats from its leader.
 const MAX_PROGRESS_BYTES: usize = MAX_PEER_BODY_BYTES / 4;
 /// Upper bound of an entry's size without the job's id.
 const MAX_ENTRY_OVERHEAD_BYTES: usize = 24;
--- a/src/node/worker_heartbeats.rs
+++ b/src/node/worker_heartbeats.rs
@@ -128,9 +128,10 @@
         // Receiving the leader's heartbeats isn't enough: the leader must also respond,
         // or forwarded heartbeats may be lost. The leader's last heartbeat and its last
         // response before a network partition are up to one heartbeat interval apart,
-        // so the response period is one interval longer. Without the extra interval, a
-        // follower once stopped forwarding worker heartbeats up to one heartbeat interval
-        // before it started lease proxying, and the workers moved to other controllers.
+        // so the response period is one interval longer. In an earlier version without
+        // the extra interval, a follower stopped forwarding worker heartbeats up to one
+        // heartbeat interval before it started lease proxying, and the workers moved to
+        // other controllers.
         let response_ms = self.peers.unresponsive_after_ms() + self.peers.heartbeat_interval_ms();
         let in_own_zone = zone == self.settings.zone;
         self.peers
--- a/src/scheduler/replica_groups/evaluation.rs
+++ b/src/scheduler/replica_groups/evaluation.rs
@@ -66,7 +66,7 @@
 
     fn stop_parts(&mut self, now: Now, id: &GroupId, parts: &[u32], cause: StopCause) {
         let (count, reason) = (parts.len(), cause.reason());
-        log::info!("replica group stopping group={id} parts={count} reason=\"{reason}\"");
+        log::info!("replica group stops group={id} parts={count} reason=\"{reason}\"");
         for index in parts {
             let task = TaskRef {
                 job: id.job.clone(),
--- a/src/scheduler/rounds/task_placement.rs
+++ b/src/scheduler/rounds/task_placement.rs
@@ -246,7 +246,7 @@
             && machine.accepts_tasks(now.ms, max_heartbeat_age_ms)
             && machine.free().covers(&job.task_request);
         if !possible {
-            log::error!("task placement not allowed task={task} machine={id}");
+            log::error!("task placement invalid task={task} machine={id}");
             return None;
         }
         let attempt = shared_attempt.or_else(|| job.allocate_attempt(task.index))?;
--- a/src/scheduler/workers/failure_detection.rs
+++ b/src/scheduler/workers/failure_detection.rs
@@ -186,7 +186,7 @@
     /// Marks the machine as failed, so that it is released.
     fn declare_failed(&mut self, id: &MachineId, failure: MachineFailure) {
         if let Some(machine) = self.fleet.get_mut(id) {
-            log::info!("machine declared failed machine={id} reason=\"{failure}\"");
+            log::info!("machine unresponsive machine={id} reason=\"{failure}\"");
             machine.phase = MachinePhase::Releasing;
         }
     }
