--- a/tests/integration/replica_groups/cancellations.rs
+++ b/tests/integration/replica_groups/cancellations.rs
@@ -14,7 +14,7 @@
     ] {
         for after_ms in (0..3600).step_by(200) {
             let mut sim = cluster_with_machines(3, &["vm-a", "vm-b", "vm-c"]);
-            sim.image_fetch_ms = 400;
+            sim.image_pull_ms = 400;
             sim.track_replicas("run-1", 2, 2);
             let leader = sim.leader().unwrap();
             if operation == GroupOperation::Start {
--- a/tests/integration/replica_groups/leader_changes.rs
+++ b/tests/integration/replica_groups/leader_changes.rs
@@ -23,7 +23,7 @@
 fn check_leader_failure(operation: GroupOperation, store: StoreCondition, after_ms: u64) {
     let case = format!("{operation:?}, {store:?}, after {after_ms} ms");
     let mut sim = cluster_with_machines(3, &["vm-a", "vm-b", "vm-c", "vm-d"]);
-    sim.image_fetch_ms = 400;
+    sim.image_pull_ms = 400;
     sim.track_replicas("run-1", 2, 2);
     let leader = sim.leader().unwrap();
     if operation == GroupOperation::Start {
--- a/tests/integration/replica_groups/repairs.rs
+++ b/tests/integration/replica_groups/repairs.rs
@@ -125,7 +125,7 @@
 fn replica_recovers_when_its_second_machine_fails_during_the_repair() {
     for delay_ms in (0..12_000).step_by(700) {
         let mut sim = cluster_with_machines(3, &["vm-a", "vm-b", "vm-c", "vm-d"]);
-        sim.image_fetch_ms = 1500;
+        sim.image_pull_ms = 1500;
         start_service(&mut sim, &whole_machine_service("run-1", 2));
         let machines = machines_by_task(&sim, "run-1");
         sim.workers
--- a/tests/integration/replica_groups/starts.rs
+++ b/tests/integration/replica_groups/starts.rs
@@ -119,19 +119,19 @@
 #[test]
 fn replica_starts_when_machine_fails_during_image_pull() {
     let mut sim = cluster_with_machines(3, &["vm-a", "vm-b", "vm-c"]);
-    sim.image_fetch_ms = 4000;
+    sim.image_pull_ms = 4000;
     start_with_machine_failure(sim, |sim| sim.start_log.len() == 2);
 }
 
 #[test]
 fn replica_starts_when_machine_fails_while_another_part_runs() {
     let mut sim = cluster_with_machines(3, &["vm-a", "vm-b", "vm-c"]);
-    sim.image_fetch_ms = 2000;
+    sim.image_pull_ms = 2000;
     for name in ["vm-a", "vm-b", "vm-c"] {
-        sim.workers.get_mut(name).unwrap().image_fetch_stuck = true;
+        sim.workers.get_mut(name).unwrap().image_pull_stuck = true;
     }
-    sim.workers.get_mut("vm-a").unwrap().image_fetch_stuck = false;
-    sim.workers.get_mut("vm-c").unwrap().image_fetch_stuck = false;
+    sim.workers.get_mut("vm-a").unwrap().image_pull_stuck = false;
+    sim.workers.get_mut("vm-c").unwrap().image_pull_stuck = false;
     let running_tasks = |sim: &Simulation| {
         let tasks = sim
             .workers
--- a/tests/integration/simulation/commands.rs
+++ b/tests/integration/simulation/commands.rs
@@ -7,7 +7,7 @@
 use super::Simulation;
 use serde_json::{json, Value};
 
-/// How long a failing task runs after its image is fetched.
+/// How long a failing task runs after its image is pulled.
 const FAILING_TASK_DURATION_MS: u64 = 100;
 
 /// Returns the index of a task in its job, parsed from a task name such as `run-1/3`.
@@ -64,7 +64,7 @@
             "{} {} {} #{}",
             self.now_ms, task.machine, task.task, task.attempt
         ));
-        let state = if self.image_fetch_ms > 0 {
+        let state = if self.image_pull_ms > 0 {
             "pulling"
         } else {
             "running"
@@ -81,18 +81,18 @@
         self.schedule_end(task);
     }
 
-    /// Schedules the end of a task's image fetch, unless images need no fetch or the fetches of
-    /// this machine are stuck.
+    /// Schedules the end of a task's image pull, unless images need no pull or the pulls of this
+    /// machine are stuck.
     fn schedule_image(&mut self, task: &TaskAttempt) {
         let worker = &self.workers[&task.machine];
-        if self.image_fetch_ms == 0 || worker.image_fetch_stuck {
+        if self.image_pull_ms == 0 || worker.image_pull_stuck {
             return;
         }
-        let fetched = Event::ImageFetched {
+        let pulled = Event::ImagePulled {
             task: task.clone(),
             agent_epoch: worker.agent_epoch,
         };
-        self.schedule(self.now_ms + self.image_fetch_ms, fetched);
+        self.schedule(self.now_ms + self.image_pull_ms, pulled);
     }
 
     /// Schedules the completion or failure of a task. Tasks of services run until they are
@@ -105,7 +105,7 @@
             return;
         }
         let duration_ms = if fails {
-            self.image_fetch_ms + FAILING_TASK_DURATION_MS
+            self.image_pull_ms + FAILING_TASK_DURATION_MS
         } else {
             let stagger_ms = self.stagger_ms * task_index(&task.task);
             (self.task_duration_ms + stagger_ms) * self.workers[&task.machine].slowdown_factor
@@ -165,16 +165,16 @@
         }
     }
 
-    /// Marks a task as running when its image is fetched, unless the worker's agent epoch has
-    /// changed since the fetch began.
-    pub(super) fn image_fetched(&mut self, task: &TaskAttempt, agent_epoch: u64) {
+    /// Marks a task as running when its image is pulled, unless the worker's agent epoch has
+    /// changed since the pull began.
+    pub(super) fn image_pulled(&mut self, task: &TaskAttempt, agent_epoch: u64) {
         let worker = self.workers.get_mut(&task.machine);
-        let fetching = worker
+        let pulling = worker
             .filter(|worker| worker.agent_epoch == agent_epoch)
             .and_then(|worker| worker.attempt_mut(&task.task, task.attempt))
-            .filter(|fetching| fetching.state == "pulling");
-        if let Some(fetching) = fetching {
-            fetching.state = "running";
+            .filter(|pulling| pulling.state == "pulling");
+        if let Some(pulling) = pulling {
+            pulling.state = "running";
         }
     }
 
--- a/tests/integration/simulation/events.rs
+++ b/tests/integration/simulation/events.rs
@@ -67,9 +67,9 @@
     MachineBoots(String),
     /// The heartbeat of the worker on the machine with this name is due.
     HeartbeatDue(String),
-    /// A worker has fetched the image of a task. `agent_epoch` is the worker's agent epoch when
-    /// the fetch began.
-    ImageFetched { task: TaskAttempt, agent_epoch: u64 },
+    /// A worker has pulled the image of a task. `agent_epoch` is the worker's agent epoch when
+    /// the pull began.
+    ImagePulled { task: TaskAttempt, agent_epoch: u64 },
     /// A task completes or fails.
     TaskEnds(TaskAttempt),
     /// A halted task has saved its checkpoint.
--- a/tests/integration/simulation/mod.rs
+++ b/tests/integration/simulation/mod.rs
@@ -82,8 +82,8 @@
     pub task_duration_ms: u64,
     /// By how much longer each task of a job runs than the previous one.
     pub stagger_ms: u64,
-    /// How long fetching an image takes; 0 if images need no fetch.
-    pub image_fetch_ms: u64,
+    /// How long pulling an image takes; 0 if images need no pull.
+    pub image_pull_ms: u64,
     tuning: Tuning,
     /// Limits of the key-value store in the controllers' settings, if they differ from those in
     /// [`SETTINGS`].
@@ -164,7 +164,7 @@
             start_log: Vec::new(),
             task_duration_ms: 3000,
             stagger_ms: 0,
-            image_fetch_ms: 0,
+            image_pull_ms: 0,
             tuning,
             kv_store_limits,
             failing_jobs: BTreeSet::new(),
@@ -233,7 +233,7 @@
             }
             Event::MachineBoots(machine) => self.machine_booted(machine),
             Event::HeartbeatDue(machine) => self.heartbeat_due(&machine),
-            Event::ImageFetched { task, agent_epoch } => self.image_fetched(&task, agent_epoch),
+            Event::ImagePulled { task, agent_epoch } => self.image_pulled(&task, agent_epoch),
             Event::TaskEnds(task) => self.task_ends(&task),
             Event::CheckpointSaved(task) => self.checkpoint_saved(&task),
             Event::LeaseExpiry => self.expire_leases(),
--- a/tests/integration/simulation/replica_groups.rs
+++ b/tests/integration/simulation/replica_groups.rs
@@ -123,7 +123,7 @@
     sim.track_replicas(&id, 2, tasks as u32);
     let node = sim.leader().expect("a leader is elected");
     assert_eq!(sim.submit(node, spec), 201);
-    sim.run_for(4000 + sim.image_fetch_ms);
+    sim.run_for(4000 + sim.image_pull_ms);
     assert_eq!(running(sim, &id), tasks, "not all replicas serve");
 }
 
--- a/tests/integration/simulation/workers.rs
+++ b/tests/integration/simulation/workers.rs
@@ -67,8 +67,8 @@
     /// The preemption notice that the worker reports: seconds until the cloud reclaims the
     /// machine; `None` without a notice.
     pub preemption_notice_s: Option<f64>,
-    /// Whether image fetches never complete.
-    pub image_fetch_stuck: bool,
+    /// Whether image pulls never complete.
+    pub image_pull_stuck: bool,
 }
 
 impl Worker {
@@ -92,7 +92,7 @@
             faulty: false,
             slowdown_factor: 1,
             preemption_notice_s: None,
-            image_fetch_stuck: false,
+            image_pull_stuck: false,
         }
     }
 
