--- a/loadtest/tests/checker.rs
+++ b/loadtest/tests/checker.rs
@@ -351,7 +351,7 @@
 }
 
 #[test]
-fn repair_time_and_incomplete_time_are_measured() {
+fn repaired_replica_yields_repair_time_and_incomplete_time() {
     let mut events = replica_loses_one_task();
     events.push((34, left(SERVICE, 0, 0)));
     events.push((37, started(SERVICE, 0, 1)));
--- a/tests/integration/dependencies.rs
+++ b/tests/integration/dependencies.rs
@@ -325,7 +325,7 @@
 /// the record of the job's dependent. The next leader cancels or starts the dependent, although no
 /// user sends a request.
 #[test]
-fn new_leader_resumes_dependent_left_by_previous_leader() {
+fn new_leader_cancels_or_starts_dependent_not_updated_by_previous_leader() {
     for (stored_state, reported_state) in [("c", "cancelled"), ("d", "done")] {
         let mut sim = Simulation::new(3);
         sim.add_machine("vm-a", "a", false, true);
@@ -447,7 +447,7 @@
 /// lost responses and delayed writes. The observer's rules must hold and every job must reach a
 /// final state.
 #[test]
-fn random_pipelines_with_faults_keep_all_rules_and_complete() {
+fn random_pipelines_with_faults_violate_no_rule_and_complete() {
     for seed in 0..16 {
         let mut sim = running_cluster(3);
         let mut workload = RandomWorkload {
--- a/tests/integration/fault_interactions/user_requests.rs
+++ b/tests/integration/fault_interactions/user_requests.rs
@@ -12,7 +12,7 @@
 /// Every controller receives a cancellation, a query and a repeated submission, at times from
 /// just before the job's last task completes until after the completion is stored.
 #[test]
-fn requests_during_job_completion_agree_on_final_state() {
+fn controllers_agree_on_final_state_after_requests_during_job_completion() {
     let mut final_states = BTreeSet::new();
     for offset in (0..120).step_by(6) {
         let mut sim = running_cluster(3);
@@ -100,11 +100,10 @@
     }
 }
 
-/// Unusual requests are repeated submissions of unfinished and completed jobs, cancellations
-/// of completed or unknown jobs, and jobs that fit no machine, lack a field or have an invalid
-/// field.
+/// Users repeat the submissions of an unfinished and a completed job, cancel a completed and an
+/// unknown job, and submit jobs that fit no machine, lack a field or have an invalid field.
 #[test]
-fn unusual_requests_get_expected_status_and_invalid_jobs_are_not_stored() {
+fn repeated_submissions_are_recognized_and_invalid_jobs_are_not_stored() {
     let mut sim = running_cluster(3);
     let spec = array("run-1", 2);
     assert_eq!(sim.submit(0, &spec), 201);
--- a/tests/integration/leadership.rs
+++ b/tests/integration/leadership.rs
@@ -287,7 +287,7 @@
 /// a worker has failed to reach the follower, the leader must not redirect the worker to that
 /// follower again.
 #[test]
-fn leader_keeps_workers_that_cannot_reach_follower_in_their_zone() {
+fn leader_does_not_repeatedly_redirect_workers_to_unreachable_follower() {
     let (mut sim, names) = full_zone(3);
     assert_ne!(sim.leader(), Some(1));
     sim.partitions = vec![(1, "b".into())];
--- a/tests/integration/migration.rs
+++ b/tests/integration/migration.rs
@@ -128,7 +128,7 @@
 /// In an earlier version, capacity for forecast demand was reserved on machines without the image.
 /// Every replica of a class with a short start objective started late on these machines.
 #[test]
-fn settled_replica_migrates_to_free_capacity_with_cached_image() {
+fn replica_migrates_to_preplace_image_for_forecast_demand() {
     let mut sim = running_cluster(1);
     for n in 0..8 {
         let mut spec = service(&format!("run-{n}"), 1);
--- a/tests/integration/policy.rs
+++ b/tests/integration/policy.rs
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn zones_are_allowed_according_to_job_constraints_and_earlier_placements() {
+fn zone_is_allowed_only_within_job_constraints_and_spread_limit() {
     let (a, b): (Rc<str>, Rc<str>) = (Rc::from("a"), Rc::from("b"));
     let mut spec = spec();
     let mut zones = ZoneCounts::default();
--- a/tests/integration/version_compatibility.rs
+++ b/tests/integration/version_compatibility.rs
@@ -301,7 +301,7 @@
 /// and the key-value store rejects the retry. In an earlier version, such a transaction counted
 /// as not executed, which ended the leader's term.
 #[test]
-fn rejected_retry_of_job_completions_keeps_term() {
+fn leader_keeps_term_after_rejected_retry_of_job_completions() {
     let mut sim = large_cluster(Some(announced_limits()));
     sim.task_duration_ms = 3000;
     for n in 0..7 {
@@ -421,10 +421,10 @@
     assert_eq!(starts.count(), 200 + tasks_on_failed_machine);
 }
 
-/// The limits are lowered without an announcement. A job whose record is rejected is held back,
-/// and all other jobs proceed.
+/// The limits are lowered without an announcement. A job whose record is rejected stays
+/// pending, and all other jobs proceed.
 #[test]
-fn unannounced_limits_hold_back_only_the_rejected_job() {
+fn unannounced_limits_delay_only_the_rejected_job() {
     let mut sim = large_cluster(None);
     sim.task_duration_ms = 2000;
     sim.kv_store.limits = Some(LOWERED_LIMITS);
@@ -558,7 +558,7 @@
 }
 
 #[test]
-fn announced_limits_are_validated() {
+fn invalid_announced_limits_are_rejected_with_their_key() {
     let with_announcement = |line: &str| {
         let next = format!("[settings.state.next]\n{line}\n[settings.cloud]");
         SETTINGS.replace("[settings.cloud]", &next)
