--- a/loadtest/src/scenario/machines.rs
+++ b/loadtest/src/scenario/machines.rs
@@ -75,7 +75,7 @@
             gpus: ty.gpus,
             memory_gb: ty.memory_gb,
             image_cache_gb: ty.cache_gb,
-            image_pull_gb_per_s: ty.fetch_gb_per_s,
+            image_pull_gb_per_s: ty.pull_gb_per_s,
             hourly_price: ty.price,
             hourly_spot_price: 0.0,
             boot_s: ty.boot_s,
--- a/loadtest/src/scenario/settings.rs
+++ b/loadtest/src/scenario/settings.rs
@@ -136,8 +136,9 @@
     pub memory_gb: f64,
     /// The capacity of a machine's image cache in GB.
     pub cache_gb: f64,
-    /// The rate at which a machine fetches images, shared by concurrent fetches.
-    pub fetch_gb_per_s: f64,
+    /// The rate in GB per second at which a machine pulls images, shared by concurrent pulls.
+    #[serde(rename = "fetch_gb_per_s")]
+    pub pull_gb_per_s: f64,
     /// The boot time in seconds.
     pub boot_s: f64,
     /// The price per hour.
--- a/loadtest/src/workers/mod.rs
+++ b/loadtest/src/workers/mod.rs
@@ -1,6 +1,6 @@
 //! Simulated workers that implement the published worker protocol: periodic heartbeats,
 //! expedited heartbeats on state changes, fencing tokens, agent epochs, leases, commands,
-//! image fetches, and tasks that run for a set time. Each worker has its own listener and
+//! image pulls, and tasks that run for a set time. Each worker has its own listener and
 //! its own connection.
 
 mod heartbeats;
@@ -61,7 +61,7 @@
     used: Resources,
     /// In order of use; the most recently used image is last.
     cached_images: VecDeque<CachedImage>,
-    fetching_images: BTreeSet<String>,
+    pulling_images: BTreeSet<String>,
     /// The time from which the lease runs: when the last accepted heartbeat was sent, the
     /// agent epoch began or the worker was activated, whichever is latest.
     lease_renewed_us: u64,
@@ -84,7 +84,7 @@
     Heartbeat,
     Lease,
     Boot,
-    ImageFetched {
+    ImagePulled {
         image: String,
     },
     TaskDone {
@@ -169,7 +169,7 @@
             tasks: BTreeMap::new(),
             used: Resources::default(),
             cached_images: VecDeque::new(),
-            fetching_images: BTreeSet::new(),
+            pulling_images: BTreeSet::new(),
             lease_renewed_us: now_us,
             in_flight: None,
             last_heartbeat_us: 0,
@@ -295,7 +295,7 @@
                 self.workers[index].up = true;
                 self.activate(index, now_us);
             }
-            Timer::ImageFetched { image } => self.complete_image_fetch(index, &image)?,
+            Timer::ImagePulled { image } => self.complete_image_pull(index, &image)?,
             Timer::TaskDone {
                 task,
                 attempt,
--- a/loadtest/src/workers/protocol.rs
+++ b/loadtest/src/workers/protocol.rs
@@ -8,7 +8,7 @@
 #[serde(rename_all = "lowercase")]
 pub(super) enum Phase {
     #[serde(rename = "pulling")]
-    Fetching,
+    PullingImage,
     Running,
     Ended,
 }
--- a/loadtest/src/workers/tasks.rs
+++ b/loadtest/src/workers/tasks.rs
@@ -56,7 +56,7 @@
         let image_gb = spec.image_gb;
         let task = Task {
             attempt,
-            phase: Phase::Fetching,
+            phase: Phase::PullingImage,
             reason: None,
             spec: Some(spec),
         };
@@ -68,20 +68,20 @@
         {
             return self.run_task(index, name);
         }
-        self.fetch_image(index, image, image_gb);
+        self.pull_image(index, image, image_gb);
         Ok(())
     }
 
-    /// Starts to fetch an image, unless the worker is fetching it already. The fetch time
-    /// grows with the number of concurrent fetches, which share the machine's fetch rate.
-    fn fetch_image(&mut self, index: usize, image: String, image_gb: f64) {
+    /// Starts to pull an image, unless the worker is pulling it already. The pull time grows
+    /// with the number of concurrent pulls, which share the machine's pull rate.
+    fn pull_image(&mut self, index: usize, image: String, image_gb: f64) {
         let worker = &mut self.workers[index];
-        if worker.fetching_images.insert(image.clone()) {
-            let fetch_gb_per_s =
-                self.scenario.machine_types[worker.machine.machine_type].fetch_gb_per_s;
-            let fetch_s = image_gb / fetch_gb_per_s * worker.fetching_images.len() as f64;
-            let fetched_us = now_us() + (fetch_s * 1e6) as u64;
-            self.set_timer(fetched_us, index, Timer::ImageFetched { image });
+        if worker.pulling_images.insert(image.clone()) {
+            let pull_gb_per_s =
+                self.scenario.machine_types[worker.machine.machine_type].pull_gb_per_s;
+            let pull_s = image_gb / pull_gb_per_s * worker.pulling_images.len() as f64;
+            let pulled_us = now_us() + (pull_s * 1e6) as u64;
+            self.set_timer(pulled_us, index, Timer::ImagePulled { image });
         }
     }
 
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Runs a task whose image is in the cache or has just been fetched. A task of an array
+    /// Runs a task whose image is in the cache or has just been pulled. A task of an array
     /// job is done after its run time; a service runs until it is stopped.
     fn run_task(&mut self, index: usize, name: &str) -> io::Result<()> {
         let worker = &mut self.workers[index];
@@ -171,14 +171,14 @@
         }
     }
 
-    /// Completes the fetch of an image and runs the tasks that wait for it.
-    pub(super) fn complete_image_fetch(&mut self, index: usize, image: &str) -> io::Result<()> {
-        if !self.workers[index].fetching_images.remove(image) {
+    /// Completes the pull of an image and runs the tasks that wait for it.
+    pub(super) fn complete_image_pull(&mut self, index: usize, image: &str) -> io::Result<()> {
+        if !self.workers[index].pulling_images.remove(image) {
             return Ok(());
         }
         let waits_for_image = |task: &Task| {
             let needs_image = |spec: &JobSpec| *spec.image == *image;
-            task.phase == Phase::Fetching && task.spec.as_ref().is_some_and(needs_image)
+            task.phase == Phase::PullingImage && task.spec.as_ref().is_some_and(needs_image)
         };
         let waiting = self.workers[index]
             .tasks
@@ -248,7 +248,7 @@
     pub(super) fn end_all_tasks(&mut self, index: usize) -> io::Result<()> {
         let worker = &mut self.workers[index];
         worker.used = Resources::default();
-        worker.fetching_images.clear();
+        worker.pulling_images.clear();
         let machine = worker.number;
         for (task, state) in std::mem::take(&mut worker.tasks) {
             if state.phase == Phase::Running {
