--- a/src/scheduler/displacement/migration.rs
+++ b/src/scheduler/displacement/migration.rs
@@ -32,8 +32,8 @@
     }
 }
 
-/// The start objective counts a start only after the task has run for this long. If a
-/// replica migrated earlier, its start would count as late.
+/// By the protocol, the start objective counts a start only after the task has run for
+/// this long. If a replica migrated earlier, its start would count as late.
 const START_COUNTS_AFTER_S: f64 = 30.0;
 /// The maximum delay from a task's start until the leader receives the report of it, in
 /// heartbeat intervals.
--- a/src/scheduler/provisioning/offer_choice.rs
+++ b/src/scheduler/provisioning/offer_choice.rs
@@ -10,7 +10,8 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Upper bound of the tasks per machine by which a machine's price is divided.
+/// Upper bound of the tasks per machine by which a machine's price is divided. Even more
+/// tasks on one machine make no difference to the choice by price per task.
 const MAX_TASKS_PER_MACHINE: u32 = 10_000;
 
 impl Scheduler {
--- a/src/scheduler/rounds/machine_choice.rs
+++ b/src/scheduler/rounds/machine_choice.rs
@@ -71,8 +71,8 @@
         if target.free().covers(&request.resources) {
             return Some(MachineChoice::Free(slot));
         }
-        // The task waits for capacity that is being freed on its target as long as its
-        // deadline has not passed.
+        // Waiting for capacity that is being freed on the target is only worthwhile while
+        // the task can still meet its objective, which is until its deadline.
         if now.wall_ms < request.deadline_wall_ms
             && target.free_after_stops().covers(&request.resources)
         {
--- a/src/scheduler/state/cleanup.rs
+++ b/src/scheduler/state/cleanup.rs
@@ -31,7 +31,8 @@
 impl Scheduler {
     /// Deletes obsolete records when there is nothing more urgent to write.
     pub(in crate::scheduler) fn clean_up(&mut self, now: Now, effects: &mut SchedulerEffects) {
-        // Deletion waits while other changes wait for the write budget.
+        // Deletion waits while a transaction is in flight. It also waits while there is more
+        // to write than the write budget allows, unless too many records are obsolete.
         let busy = self.commits.transaction.is_some()
             || (self.commits.has_changes
                 && self.cleanup.obsolete_keys.len() < MAX_DEFERRED_DELETIONS);
--- a/src/scheduler/state/job_watch.rs
+++ b/src/scheduler/state/job_watch.rs
@@ -88,7 +88,8 @@
         }
         let job = Job::new(record, revision, self.tasks_per_range);
         if job.is_service() {
-            // Stored jobs count as arrivals at their time of submission.
+            // A new leader learns of earlier arrivals only from the stored jobs, so these
+            // count as arrivals at their time of submission.
             let arrived_wall_ms = match source {
                 JobRecordSource::InitialList => job.submitted_wall_ms,
                 JobRecordSource::Update => now.wall_ms,
--- a/src/scheduler/tick.rs
+++ b/src/scheduler/tick.rs
@@ -13,8 +13,8 @@
 const INACTIVE_TICK_MS: u64 = 1000;
 /// The approximate processor time for examining one entry of a round: a machine, a task,
 /// a level of the capacity index, or an image of a machine that is indexed again. An
-/// entry takes 0.08 us on large fleets and 0.2 us alongside other work. Rounds count
-/// entries instead of measuring time so that traces replay deterministically.
+/// entry takes 0.08 us in the benchmark of large fleets and 0.2 us alongside other work.
+/// Rounds count entries instead of measuring time so that traces replay deterministically.
 pub(in crate::scheduler) const EXAMINED_ENTRY_CPU_MS: f64 = 100e-6;
 /// The share of the CPU limit that rounds may use during a burst of work.
 const ROUND_CPU_SHARE: f64 = 0.3;
@@ -119,9 +119,9 @@
         self.failure_detection.last_check_ms + self.full_round_interval_ms() / CHECKS_PER_FULL_ROUND
     }
 
-    /// Returns the minimum time until the next round, in proportion to the cost of the
-    /// last one, so that a burst of work on a large fleet leaves processor time for
-    /// heartbeats, submissions and cancellations.
+    /// Returns the minimum time from the beginning of a round to that of the next one, in
+    /// proportion to the cost of the round, so that a burst of work on a large fleet leaves
+    /// processor time for heartbeats, submissions and cancellations.
     pub(in crate::scheduler) fn round_gap_ms(&self, examined: u64) -> u64 {
         let cost_ms = examined as f64 * EXAMINED_ENTRY_CPU_MS;
         let gap_ms = cost_ms / (self.settings.site.limits.cores * ROUND_CPU_SHARE);
