--- a/src/cancellations/actor.rs
+++ b/src/cancellations/actor.rs
@@ -129,7 +129,8 @@
     }
 
     /// Returns stop commands for the tasks of cancelled jobs that a worker still reports.
-    /// Any controller may send these commands, not only the leader.
+    /// Any controller may send these commands, not only the leader: they are harmless,
+    /// because no task of a cancelled job is placed again.
     pub fn stop_commands(&self, heartbeat: &WorkerHeartbeat) -> Vec<Command> {
         if self.known.is_empty() {
             return Vec::new();
--- a/src/cancellations/mod.rs
+++ b/src/cancellations/mod.rs
@@ -18,8 +18,10 @@
 //!
 //! While a controller can't reach the key-value store, its watermark advances only if every
 //! peer responds: a peer that doesn't respond may have confirmed a cancellation just before
-//! it lost the connection. Without peers, the watermark advances with the clock once the
-//! first read is complete, because this controller confirms every cancellation itself.
+//! it lost the connection. This also holds if no controller reaches the store: such an
+//! outage doesn't show what one of them confirmed just before, so it doesn't advance the
+//! watermark. Without peers, the watermark advances with the clock once the first read is
+//! complete, because this controller confirms every cancellation itself.
 
 mod actor;
 mod confirmation_log;
--- a/src/fleet/image_cache.rs
+++ b/src/fleet/image_cache.rs
@@ -42,7 +42,8 @@
     }
 
     /// Marks the image as the most recently used one because a task uses it, and evicts the
-    /// least recently used images until the rest fits.
+    /// least recently used images until the rest fits. The image itself is kept even if it
+    /// alone exceeds the capacity.
     pub(super) fn mark_used(&mut self, image: &Rc<str>, size_gb: f64) {
         let most_recent = self.images.back();
         if most_recent.is_some_and(|cached| cached.image == *image) {
--- a/src/kv_client.rs
+++ b/src/kv_client.rs
@@ -273,8 +273,8 @@
     }
 
     /// Returns whether the store counts as reachable: the latest result of a call is a
-    /// response other than 503. The failure of a watch doesn't count. False before the first
-    /// response.
+    /// response other than 503. A watch that ends without a response doesn't count. False
+    /// before the first response.
     pub fn reachable(&self) -> bool {
         match (self.last_success_ms, self.last_failure_ms) {
             (Some(success), Some(failure)) => success >= failure,
--- a/src/node/catalog.rs
+++ b/src/node/catalog.rs
@@ -124,7 +124,8 @@
             log::warn!("catalog not stored reason=\"too large for a value\" bytes={bytes}");
             return;
         }
-        // Delays the next attempt in case the write is rejected.
+        // A rejected write must not be retried at once: the next attempt waits for the
+        // interval.
         self.catalog.next_write_ms = now.ms + WRITE_INTERVAL_MS;
         let call = KvCall::transaction(
             now,
--- a/src/slackfit.rs
+++ b/src/slackfit.rs
@@ -22,7 +22,7 @@
     pub machines_in_zone: u32,
 }
 
-/// A non-empty interval of the latency range.
+/// One of the evenly spaced intervals of the latency range. Empty intervals have no bucket.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Bucket {
     /// The cheapest option with a latency in the interval.
--- a/src/wire/peers.rs
+++ b/src/wire/peers.rs
@@ -20,7 +20,8 @@
     /// Latest term that the sender knows.
     #[prost(uint64, tag = "3")]
     pub term: u64,
-    /// Whether the sender's latest result from the key-value store was a response.
+    /// Whether the sender's latest result from the key-value store was a response other
+    /// than 503.
     #[prost(bool, tag = "4")]
     pub kv_reachable: bool,
     /// Progress of jobs, which only the leader sends, for the job states that users see.
