--- a/tests/integration/cancellations.rs
+++ b/tests/integration/cancellations.rs
@@ -41,7 +41,7 @@
 /// unavailable to all controllers. Before the outage, for `rejected_ms` and during the
 /// cancellation, the store rejects only the calls of the leader, and the leader is partitioned
 /// from its peers. In an earlier version, the leader concluded from the outage that it had missed
-/// no cancellation.
+/// no cancellation. Most schedulers that users know fail in this situation.
 fn cancel_before_outage(fault: AdditionalFault, rejected_ms: u64) -> Simulation {
     let mut sim = cluster_with_two_services();
     sim.kv_store.watches_stalled = true;
--- a/tests/integration/capacity_index.rs
+++ b/tests/integration/capacity_index.rs
@@ -95,7 +95,8 @@
     }
 }
 
-/// The reference implementation, which scans the free capacity of every machine.
+/// The reference implementation, which scans the free capacity of every machine, as scheduling
+/// rounds did before the index existed.
 struct ReferenceScan {
     /// Each machine with the resources that the test has reserved on it.
     machines: BTreeMap<MachineId, (RandomMachine, Resources)>,
--- a/tests/integration/leadership.rs
+++ b/tests/integration/leadership.rs
@@ -108,7 +108,8 @@
 }
 
 /// One in six responses of the key-value store, the cloud, the workers and the peers is
-/// malformed, except responses to watches. Every job must be served after the fault ends.
+/// malformed, except responses to watches. A malformed response proves nothing about what its
+/// sender did, so controllers must not rely on it. Every job must be served after the fault ends.
 #[test]
 fn jobs_are_served_after_malformed_responses() {
     for seed in 0..6 {
--- a/tests/integration/reactor.rs
+++ b/tests/integration/reactor.rs
@@ -87,8 +87,8 @@
     }
 }
 
-/// Without a shared bound, one connection for each of many workers could use up all the connections
-/// that a controller may open, and none would remain for the key-value store.
+/// In an earlier version without a shared bound, one connection for each of many workers could use
+/// up all the connections that a controller may open, and none remained for the key-value store.
 #[test]
 fn calls_to_many_workers_share_a_bounded_number_of_connections() {
     let listener = TcpListener::bind("0.0.0.0:0").expect("loopback");
@@ -164,9 +164,9 @@
     }
 }
 
-/// The largest allowed requests on all sockets at once could take more memory than a controller
-/// with 27 MB has. Large requests that don't fit are rejected immediately, while small ones are
-/// still served.
+/// In an earlier version, the largest allowed requests on all sockets at once could take more
+/// memory than a controller with 27 MB has. Large requests that don't fit must be rejected
+/// immediately, while small ones are still served.
 #[test]
 fn large_incomplete_requests_are_rejected_when_memory_is_short() {
     // With 2 MB of memory, unfinished requests may hold 250 kB in total, an equal share of 5.2 kB
--- a/tests/integration/replica_groups/circuit_breakers.rs
+++ b/tests/integration/replica_groups/circuit_breakers.rs
@@ -13,7 +13,8 @@
     sim.track_replicas("run-1", 2, 4);
     let leader = sim.leader().unwrap();
     assert_eq!(sim.submit(leader, &whole_machine_service("run-1", 4)), 201);
-    // The test ends before idle machines are released, which happens after 60 s.
+    // Idle machines are released after 60 s. The check below that no machine was released as
+    // faulty has to come earlier.
     sim.run_for(50_000);
     assert_eq!(
         running(&mut sim, "run-1"),
--- a/tests/integration/simulation/mod.rs
+++ b/tests/integration/simulation/mod.rs
@@ -56,6 +56,7 @@
     /// When the timer of each controller is due; `u64::MAX` if none is scheduled.
     next_ticks_ms: Vec<u64>,
     network: Network,
+    /// The simulated key-value store, with the faults and limits that tests set.
     pub kv_store: KvStore,
     /// All machines and their workers, including released machines, by machine name.
     pub workers: BTreeMap<String, Worker>,
--- a/tests/integration/version_compatibility.rs
+++ b/tests/integration/version_compatibility.rs
@@ -445,7 +445,7 @@
 }
 
 /// A job with a placement record in a format that only a later version knows must stay pending,
-/// and its record must not be overwritten.
+/// and its record must not be overwritten: this version must not guess what the record means.
 #[test]
 fn job_with_unreadable_record_stays_pending() {
     // In an earlier version, a record with a task beyond the job's last task was overwritten, and
